--- a/apps/stand_in_callers.cpp
+++ b/apps/stand_in_callers.cpp
@@ -12,9 +12,9 @@
 #include "sim/checkers.hpp"
 #include "stand_ins/caller_process.hpp"
 #include "stand_ins/ledger_file.hpp"
-#include "tallyfold/net/blocking_http.hpp"
-#include "tallyfold/net/cluster_keys.hpp"
-#include "tallyfold/settings/program_flags.hpp"
+#include "tallyfold/base/settings/program_flags.hpp"
+#include "tallyfold/program_api/http/blocking_http.hpp"
+#include "tallyfold/program_api/transport/cluster_keys.hpp"
 
 namespace {
 
--- a/apps/stand_in_engine.cpp
+++ b/apps/stand_in_engine.cpp
@@ -4,8 +4,8 @@
 #include <tclap/CmdLine.h>
 
 #include "stand_ins/backend_process.hpp"
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/settings/program_flags.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/settings/program_flags.hpp"
 
 int main(int argument_count, char** arguments) {
     using namespace tallyfold;
--- a/apps/stand_in_platform.cpp
+++ b/apps/stand_in_platform.cpp
@@ -7,8 +7,8 @@
 #include <sstream>
 
 #include "stand_ins/platform_process.hpp"
-#include "tallyfold/scheduler/backend_http_codec.hpp"
-#include "tallyfold/settings/program_flags.hpp"
+#include "tallyfold/base/settings/program_flags.hpp"
+#include "tallyfold/program_api/scheduler/backend_http_codec.hpp"
 
 namespace {
 
--- a/apps/stand_in_relay.cpp
+++ b/apps/stand_in_relay.cpp
@@ -7,7 +7,7 @@
 #include <sstream>
 
 #include "stand_ins/relay_process.hpp"
-#include "tallyfold/settings/program_flags.hpp"
+#include "tallyfold/base/settings/program_flags.hpp"
 
 int main(int argument_count, char** arguments) {
     using namespace tallyfold;
--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/tenants/key_index.hpp"
-#include "tallyfold/tenants/permit_holder.hpp"
-#include "tallyfold/tenants/quota_keeper.hpp"
+#include "tallyfold/plane/tenants/key_index.hpp"
+#include "tallyfold/plane/tenants/permit_holder.hpp"
+#include "tallyfold/plane/tenants/permit_lender.hpp"
 
 namespace {
 
--- a/apps/tallyfold_bench.cpp
+++ b/apps/tallyfold_bench.cpp
@@ -8,9 +8,9 @@
 #include <iostream>
 #include <nlohmann/json.hpp>
 
-#include "tallyfold/net/blocking_http.hpp"
-#include "tallyfold/net/cluster_keys.hpp"
-#include "tallyfold/net/logic_thread.hpp"
+#include "tallyfold/program_api/http/blocking_http.hpp"
+#include "tallyfold/program_api/process/logic_thread.hpp"
+#include "tallyfold/program_api/transport/cluster_keys.hpp"
 
 namespace {
 
--- a/apps/tallyfold_directory.cpp
+++ b/apps/tallyfold_directory.cpp
@@ -3,8 +3,8 @@
 
 #include "platform/operator_calls.hpp"
 #include "platform/replica_list.hpp"
-#include "tallyfold/directory/directory_shell.hpp"
-#include "tallyfold/settings/node_main.hpp"
+#include "tallyfold/plane/directory/directory_shell.hpp"
+#include "tallyfold/plane/process/node_main.hpp"
 
 int main(int argument_count, char** arguments) {
     using namespace tallyfold;
--- a/apps/tallyfold_directory_bench.cpp
+++ b/apps/tallyfold_directory_bench.cpp
@@ -8,8 +8,8 @@
 #include <string>
 
 #include "platform/configuration_format.hpp"
-#include "tallyfold/directory/directory_core.hpp"
-#include "tallyfold/messaging/peer_message.hpp"
+#include "tallyfold/plane/directory/directory_core.hpp"
+#include "tallyfold/plane/messaging/peer_message.hpp"
 
 namespace {
 
--- a/apps/tallyfold_forwarder.cpp
+++ b/apps/tallyfold_forwarder.cpp
@@ -3,8 +3,8 @@
 
 #include "platform/replica_calls.hpp"
 #include "platform/replica_list.hpp"
-#include "tallyfold/forwarding/forwarder_shell.hpp"
-#include "tallyfold/settings/node_main.hpp"
+#include "tallyfold/plane/forwarding/forwarder_shell.hpp"
+#include "tallyfold/plane/process/node_main.hpp"
 
 int main(int argument_count, char** arguments) {
     using namespace tallyfold;
--- a/apps/tallyfold_gateway.cpp
+++ b/apps/tallyfold_gateway.cpp
@@ -1,8 +1,8 @@
 /// @file
 /// The gateway program; docs/ARCHITECTURE.md says what it does.
 
-#include "tallyfold/gateway/gateway_shell.hpp"
-#include "tallyfold/settings/program_flags.hpp"
+#include "tallyfold/program_api/gateway/gateway_shell.hpp"
+#include "tallyfold/program_api/process/program_main.hpp"
 
 int main(int argument_count, char** arguments) {
     using namespace tallyfold;
--- a/apps/tallyfold_scheduler.cpp
+++ b/apps/tallyfold_scheduler.cpp
@@ -1,8 +1,8 @@
 /// @file
 /// The scheduler program; docs/ARCHITECTURE.md says what it does.
 
-#include "tallyfold/scheduler/scheduler_shell.hpp"
-#include "tallyfold/settings/program_flags.hpp"
+#include "tallyfold/program_api/process/program_main.hpp"
+#include "tallyfold/program_api/scheduler/scheduler_shell.hpp"
 
 int main(int argument_count, char** arguments) {
     using namespace tallyfold;
--- a/apps/tallyfold_turn_store.cpp
+++ b/apps/tallyfold_turn_store.cpp
@@ -1,8 +1,8 @@
 /// @file
 /// The program that keeps turns; docs/design/platform.md says what it does.
 
-#include "tallyfold/settings/node_main.hpp"
-#include "tallyfold/turns/turn_store_shell.hpp"
+#include "tallyfold/plane/process/node_main.hpp"
+#include "tallyfold/plane/turns/turn_store_shell.hpp"
 
 int main(int argument_count, char** arguments) {
     using namespace tallyfold;
--- a/apps/tallyfoldctl.cpp
+++ b/apps/tallyfoldctl.cpp
@@ -8,7 +8,7 @@
 #include <iostream>
 #include <sstream>
 
-#include "tallyfold/cli/operator_commands.hpp"
+#include "tallyfold/program_api/cli/operator_commands.hpp"
 
 namespace {
 
--- a/sim/capacity.cpp
+++ b/sim/capacity.cpp
@@ -8,14 +8,14 @@
 #include <functional>
 #include <memory>
 
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/control/control_core.hpp"
-#include "tallyfold/gateway/commands/parse_request.hpp"
-#include "tallyfold/gateway/queries/render_answer.hpp"
-#include "tallyfold/membership/control_session.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
-#include "tallyfold/scheduler/backend_http_codec.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/program_api/control/control_core.hpp"
+#include "tallyfold/program_api/gateway/commands/parse_request.hpp"
+#include "tallyfold/program_api/gateway/queries/render_answer.hpp"
+#include "tallyfold/program_api/membership/control_session.hpp"
+#include "tallyfold/program_api/scheduler/backend_http_codec.hpp"
 #include "tallyfold/scheduling/placement.hpp"
 
 namespace tallyfold::sim {
--- a/sim/checkers.cpp
+++ b/sim/checkers.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <map>
 
-#include "tallyfold/journal/shard_state.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
 
 namespace tallyfold::sim {
 
--- a/sim/event_queue.hpp
+++ b/sim/event_queue.hpp
@@ -7,7 +7,7 @@
 #include <queue>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::sim {
 
--- a/sim/experiment.cpp
+++ b/sim/experiment.cpp
@@ -4,7 +4,7 @@
 #include <numeric>
 
 #include "stand_ins/deployment_defaults.hpp"
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 
 namespace tallyfold::sim {
 
--- a/sim/fault_plan.cpp
+++ b/sim/fault_plan.cpp
@@ -1,7 +1,7 @@
 #include "sim/fault_plan.hpp"
 
 #include "stand_ins/deployment_defaults.hpp"
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 
 namespace tallyfold::sim {
 
--- a/sim/network.hpp
+++ b/sim/network.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <utility>
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::sim {
 
--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "sim/world_nodes.hpp"
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 
 namespace tallyfold::sim {
 
--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -16,9 +16,9 @@
 #include "stand_ins/caller_core.hpp"
 #include "stand_ins/engine_core.hpp"
 #include "stand_ins/service_core.hpp"
-#include "tallyfold/control/control_core.hpp"
-#include "tallyfold/gateway/gateway_core.hpp"
-#include "tallyfold/scheduler/scheduler_core.hpp"
+#include "tallyfold/program_api/control/control_core.hpp"
+#include "tallyfold/program_api/gateway/gateway_core.hpp"
+#include "tallyfold/program_api/scheduler/scheduler_core.hpp"
 
 namespace tallyfold::sim {
 
--- a/sim/world_backends.cpp
+++ b/sim/world_backends.cpp
@@ -5,7 +5,7 @@
 
 #include "sim/world.hpp"
 #include "sim/world_nodes.hpp"
-#include "tallyfold/scheduler/backend_http_codec.hpp"
+#include "tallyfold/program_api/scheduler/backend_http_codec.hpp"
 
 namespace tallyfold::sim {
 
--- a/sim/world_trace.cpp
+++ b/sim/world_trace.cpp
@@ -4,8 +4,8 @@
 
 #include "sim/world.hpp"
 #include "sim/world_nodes.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
-#include "tallyfold/scheduler/backend_http_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/program_api/scheduler/backend_http_codec.hpp"
 
 namespace tallyfold::sim {
 
--- a/src/tallyfold/common/hash.cpp
+++ b/src/tallyfold/base/common/hash.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 
 #include <xxhash.h>
 
--- a/src/tallyfold/logging/bounded_log.cpp
+++ b/src/tallyfold/base/logging/bounded_log.cpp
@@ -1,12 +1,12 @@
-#include "tallyfold/logging/bounded_log.hpp"
+#include "tallyfold/base/logging/bounded_log.hpp"
 
 #include <array>
 #include <chrono>
 #include <ctime>
 #include <memory>
 
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/logging/line_sink.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/base/logging/line_sink.hpp"
 
 namespace tallyfold::logging {
 
--- a/src/tallyfold/logging/event_log.cpp
+++ b/src/tallyfold/base/logging/event_log.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/logging/event_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
 
 namespace tallyfold::logging {
 
--- a/src/tallyfold/logging/event_log.hpp
+++ b/src/tallyfold/base/logging/event_log.hpp
@@ -5,7 +5,7 @@
 #include <functional>
 #include <string>
 
-#include "tallyfold/logging/event_catalogue.hpp"
+#include "tallyfold/base/logging/event_catalogue.hpp"
 
 namespace tallyfold::logging {
 
--- a/src/tallyfold/net/socket_address.cpp
+++ b/src/tallyfold/base/net/socket_address.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/net/socket_address.hpp"
+#include "tallyfold/base/net/socket_address.hpp"
 
 #include <charconv>
 
--- a/src/tallyfold/net/tcp_sockets_shell.cpp
+++ b/src/tallyfold/base/net/tcp_sockets_shell.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/net/tcp_sockets_shell.hpp"
+#include "tallyfold/base/net/tcp_sockets_shell.hpp"
 
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-#include "tallyfold/net/socket_address.hpp"
+#include "tallyfold/base/net/socket_address.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/net/tcp_sockets_shell.hpp
+++ b/src/tallyfold/base/net/tcp_sockets_shell.hpp
@@ -5,7 +5,7 @@
 #include <asio/ip/tcp.hpp>
 #include <string>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/protocol/compression.cpp
+++ b/src/tallyfold/base/protocol/compression.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/protocol/compression.hpp"
+#include "tallyfold/base/protocol/compression.hpp"
 
 #include <zstd.h>
 
--- a/src/tallyfold/protocol/compression.hpp
+++ b/src/tallyfold/base/protocol/compression.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <tl/expected.hpp>
 
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
 
 namespace tallyfold::protocol {
 
--- a/src/tallyfold/settings/program_flags.cpp
+++ b/src/tallyfold/base/settings/program_flags.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/settings/program_flags.hpp"
+#include "tallyfold/base/settings/program_flags.hpp"
 
 #include <tclap/CmdLine.h>
 
--- a/src/tallyfold/settings/program_flags.hpp
+++ b/src/tallyfold/base/settings/program_flags.hpp
@@ -7,8 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/logging/threaded_log.hpp"
-#include "tallyfold/settings/settings_reader.hpp"
+#include "tallyfold/base/settings/settings_reader.hpp"
 
 namespace tallyfold::settings {
 
@@ -56,16 +55,4 @@
     return start(flags, *loaded);
 }
 
-/// The main function of a long-running program.
-/// @param run runs the process until a stop is requested, and gives its exit code
-template <class Read, class Run>
-int program_main(int argument_count, char** arguments, const std::string& description, Read read,
-                 Run run) {
-    return main_with_settings(argument_count, arguments, description, read,
-                              [&run](const program_flags& flags, const auto& loaded) {
-                                  logging::open_log(loaded.core.node, flags.log_level);
-                                  return run(loaded, stop_requested());
-                              });
-}
-
 }  // namespace tallyfold::settings
--- a/src/tallyfold/settings/settings_reader.cpp
+++ b/src/tallyfold/base/settings/settings_reader.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/settings/settings_reader.hpp"
+#include "tallyfold/base/settings/settings_reader.hpp"
 
 #include <toml++/toml.h>
 
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "tallyfold/net/socket_address.hpp"
+#include "tallyfold/base/net/socket_address.hpp"
 
 namespace tallyfold::settings {
 
--- a/src/tallyfold/storage/file.cpp
+++ b/src/tallyfold/base/storage/file.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/storage/file.hpp"
+#include "tallyfold/base/storage/file.hpp"
 
 #include <fcntl.h>
 #include <sys/stat.h>
--- a/src/tallyfold/storage/file.hpp
+++ b/src/tallyfold/base/storage/file.hpp
@@ -7,13 +7,10 @@
 #include <string_view>
 #include <tl/expected.hpp>
 
-#include "tallyfold/consensus/persistence.hpp"
+#include "tallyfold/base/storage/storage_error.hpp"
 
 namespace tallyfold::storage {
 
-using consensus::storage_error;
-using consensus::storage_failure;
-
 /// A file opened for appending. A failed write or sync is final for the handle.
 class append_file {
   public:
--- a/src/tallyfold/storage/record_file.cpp
+++ b/src/tallyfold/base/storage/record_file.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/storage/record_file.hpp"
+#include "tallyfold/base/storage/record_file.hpp"
 
-#include "tallyfold/storage/record_format.hpp"
+#include "tallyfold/base/storage/record_format.hpp"
 
 namespace tallyfold::storage {
 
--- a/src/tallyfold/storage/record_file.hpp
+++ b/src/tallyfold/base/storage/record_file.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <tl/expected.hpp>
 
-#include "tallyfold/storage/file.hpp"
+#include "tallyfold/base/storage/file.hpp"
 
 namespace tallyfold::storage {
 
--- a/src/tallyfold/storage/record_format.cpp
+++ b/src/tallyfold/base/storage/record_format.cpp
@@ -1,10 +1,10 @@
-#include "tallyfold/storage/record_format.hpp"
+#include "tallyfold/base/storage/record_format.hpp"
 
 #include <algorithm>
 #include <array>
 #include <cstring>
 
-#include "tallyfold/storage/file.hpp"
+#include "tallyfold/base/storage/file.hpp"
 
 namespace tallyfold::storage {
 
@@ -27,11 +27,10 @@
     return std::all_of(bytes.begin(), bytes.end(), [](char byte) { return byte == 0; });
 }
 
-consensus::storage_error damage(const std::string& name, std::uint64_t offset,
-                                std::string_view what) {
-    return {consensus::storage_failure::damaged, name + ": offset " + std::to_string(offset) +
-                                                     ": " + std::string(what) +
-                                                     "; recover this replica from its peers"};
+storage_error damage(const std::string& name, std::uint64_t offset, std::string_view what) {
+    return {storage_failure::damaged, name + ": offset " + std::to_string(offset) + ": " +
+                                          std::string(what) +
+                                          "; recover this replica from its peers"};
 }
 
 }  // namespace
@@ -75,9 +74,8 @@
     target.append(payload);
 }
 
-tl::expected<scan_result, consensus::storage_error> scan_records(std::string_view bytes,
-                                                                 const std::string& name,
-                                                                 tail_policy policy) {
+tl::expected<scan_result, storage_error> scan_records(std::string_view bytes,
+                                                      const std::string& name, tail_policy policy) {
     scan_result result;
     std::uint64_t offset = 0;
     while (offset < bytes.size()) {
--- a/src/tallyfold/storage/record_format.hpp
+++ b/src/tallyfold/base/storage/record_format.hpp
@@ -11,7 +11,7 @@
 #include <tl/expected.hpp>
 #include <vector>
 
-#include "tallyfold/consensus/persistence.hpp"
+#include "tallyfold/base/storage/storage_error.hpp"
 
 namespace tallyfold::storage {
 
@@ -41,7 +41,8 @@
 
 /// Splits `bytes` into records. A tail that ends early or holds only zeros is left out; any
 /// other mismatch is judged by `policy` and, as damage, reported with `name` and the offset.
-tl::expected<scan_result, consensus::storage_error> scan_records(
-    std::string_view bytes, const std::string& name, tail_policy policy = tail_policy::refuse);
+tl::expected<scan_result, storage_error> scan_records(std::string_view bytes,
+                                                      const std::string& name,
+                                                      tail_policy policy = tail_policy::refuse);
 
 }  // namespace tallyfold::storage
--- a/src/tallyfold/storage/record_reader.cpp
+++ b/src/tallyfold/base/storage/record_reader.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/storage/record_reader.hpp"
+#include "tallyfold/base/storage/record_reader.hpp"
 
 namespace tallyfold::storage {
 
--- a/src/tallyfold/storage/segmented_log.cpp
+++ b/src/tallyfold/base/storage/segmented_log.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/storage/segmented_log.hpp"
+#include "tallyfold/base/storage/segmented_log.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,7 +6,7 @@
 #include <system_error>
 #include <vector>
 
-#include "tallyfold/storage/record_reader.hpp"
+#include "tallyfold/base/storage/record_reader.hpp"
 
 namespace tallyfold::storage {
 
--- a/src/tallyfold/storage/segmented_log.hpp
+++ b/src/tallyfold/base/storage/segmented_log.hpp
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <tl/expected.hpp>
 
-#include "tallyfold/storage/file.hpp"
-#include "tallyfold/storage/record_format.hpp"
+#include "tallyfold/base/storage/file.hpp"
+#include "tallyfold/base/storage/record_format.hpp"
 
 namespace tallyfold::storage {
 
--- a/src/tallyfold/consensus/follower_reads.hpp
+++ b/src/tallyfold/consensus/follower_reads.hpp
@@ -9,7 +9,7 @@
 #include <optional>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 #include "tallyfold/consensus/messages.hpp"
 
 namespace tallyfold::consensus {
--- a/src/tallyfold/storage/log_store.cpp
+++ b/src/tallyfold/consensus/log_store.cpp
@@ -1,11 +1,11 @@
-#include "tallyfold/storage/log_store.hpp"
+#include "tallyfold/consensus/log_store.hpp"
 
 #include <filesystem>
 #include <system_error>
 
-#include "tallyfold/protocol/binary_codec.hpp"
-#include "tallyfold/storage/record_file.hpp"
-#include "tallyfold/storage/record_format.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/base/storage/record_file.hpp"
+#include "tallyfold/base/storage/record_format.hpp"
 
 namespace tallyfold::storage {
 
--- a/src/tallyfold/storage/log_store.hpp
+++ b/src/tallyfold/consensus/log_store.hpp
@@ -11,10 +11,10 @@
 #include <tl/expected.hpp>
 #include <vector>
 
+#include "tallyfold/base/storage/file.hpp"
+#include "tallyfold/base/storage/record_format.hpp"
+#include "tallyfold/base/storage/segmented_log.hpp"
 #include "tallyfold/consensus/persistence.hpp"
-#include "tallyfold/storage/file.hpp"
-#include "tallyfold/storage/record_format.hpp"
-#include "tallyfold/storage/segmented_log.hpp"
 
 namespace tallyfold::storage {
 
--- a/src/tallyfold/consensus/messages.hpp
+++ b/src/tallyfold/consensus/messages.hpp
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "tallyfold/common/types.hpp"
+#include "tallyfold/base/common/types.hpp"
 
 namespace tallyfold::consensus {
 
--- a/src/tallyfold/consensus/persistence.hpp
+++ b/src/tallyfold/consensus/persistence.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What replicas ask of durable storage. Implemented by files in storage/ and by a simulated
+/// What replicas ask of durable storage. Implemented by log_store, on files, and by a simulated
 /// disk in sim/.
 
 #include <map>
@@ -9,6 +9,7 @@
 #include <tl/expected.hpp>
 #include <vector>
 
+#include "tallyfold/base/storage/storage_error.hpp"
 #include "tallyfold/consensus/messages.hpp"
 #include "tallyfold/consensus/replica_fsm.hpp"
 
@@ -24,20 +25,8 @@
     std::vector<log_entry> entries;
 };
 
-enum class storage_failure : std::uint8_t {
-    /// The operating system refused; after a failed write or sync the store is unusable.
-    input_output,
-    /// Bytes that had been synced are not what was written: recover from the peers.
-    damaged,
-    /// The folder belongs to another program or version.
-    foreign,
-};
-
-struct storage_error {
-    storage_failure failure = storage_failure::input_output;
-    /// File and offset, and what is wrong there.
-    std::string detail;
-};
+using storage::storage_error;
+using storage::storage_failure;
 
 /// Everything a node finds in its folder at start.
 struct recovered_node {
--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
 
 namespace tallyfold::consensus {
 
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -13,8 +13,8 @@
 #include <tl/expected.hpp>
 #include <vector>
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/base/common/time.hpp"
 #include "tallyfold/consensus/follower_reads.hpp"
 #include "tallyfold/consensus/messages.hpp"
 #include "tallyfold/consensus/replica_progress.hpp"
--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -6,8 +6,8 @@
 #include <cstdint>
 #include <deque>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/common/types.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/base/common/types.hpp"
 #include "tallyfold/consensus/messages.hpp"
 
 namespace tallyfold::consensus {
--- a/src/tallyfold/directory/operator_desk_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -1,13 +1,13 @@
-#include "tallyfold/directory/operator_desk_shell.hpp"
+#include "tallyfold/plane/directory/admin_api_shell.hpp"
 
 #include <asio/co_spawn.hpp>
 #include <asio/experimental/as_tuple.hpp>
 #include <asio/steady_timer.hpp>
 #include <asio/use_awaitable.hpp>
 
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/net/instruments.hpp"
-#include "tallyfold/net/socket_address.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/base/net/socket_address.hpp"
+#include "tallyfold/plane/process/instruments.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/operator_desk_shell.hpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.hpp
@@ -9,10 +9,10 @@
 #include <map>
 #include <memory>
 
-#include "tallyfold/directory/directory_core.hpp"
-#include "tallyfold/directory/open_changes.hpp"
-#include "tallyfold/directory/operator_dialect.hpp"
-#include "tallyfold/net/node_process_shell.hpp"
+#include "tallyfold/plane/directory/admin_codec.hpp"
+#include "tallyfold/plane/directory/directory_core.hpp"
+#include "tallyfold/plane/directory/open_changes.hpp"
+#include "tallyfold/plane/process/node_process_shell.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/operator_dialect.hpp
+++ b/src/tallyfold/plane/directory/admin_codec.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <variant>
 
-#include "tallyfold/http/endpoint_server_shell.hpp"
-#include "tallyfold/routing/configuration.hpp"
+#include "tallyfold/plane/http/endpoint_server_shell.hpp"
+#include "tallyfold/plane/routing/configuration.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/applied_state_notes.cpp
+++ b/src/tallyfold/plane/directory/applied_state_cache.cpp
@@ -1,8 +1,8 @@
-#include "tallyfold/directory/applied_state_notes.hpp"
+#include "tallyfold/plane/directory/applied_state_cache.hpp"
 
 #include <array>
 
-#include "tallyfold/storage/record_file.hpp"
+#include "tallyfold/base/storage/record_file.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/applied_state_notes.hpp
+++ b/src/tallyfold/plane/directory/applied_state_cache.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <utility>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/directory/directory_state.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/directory/directory_state.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -1,8 +1,8 @@
-#include "tallyfold/directory/configuration_fetch.hpp"
+#include "tallyfold/plane/directory/configuration_fetch.hpp"
 
-#include "tallyfold/protocol/binary_codec.hpp"
-#include "tallyfold/protocol/compression.hpp"
-#include "tallyfold/routing/configuration_change.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/compression.hpp"
+#include "tallyfold/plane/routing/configuration_change.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -7,9 +7,9 @@
 #include <optional>
 #include <string>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/directory/configuration_source.hpp"
-#include "tallyfold/directory/messages.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/directory/configuration_source.hpp"
+#include "tallyfold/plane/directory/messages.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/directory/configuration_proofs.hpp"
+#include "tallyfold/plane/directory/configuration_proofs.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/configuration_source.hpp
+++ b/src/tallyfold/plane/directory/configuration_source.hpp
@@ -6,7 +6,7 @@
 #include <deque>
 #include <string>
 
-#include "tallyfold/directory/messages.hpp"
+#include "tallyfold/plane/directory/messages.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -1,11 +1,11 @@
-#include "tallyfold/directory/directory_client_shell.hpp"
+#include "tallyfold/plane/directory/directory_client_shell.hpp"
 
 #include <algorithm>
 #include <asio/experimental/as_tuple.hpp>
 #include <asio/use_awaitable.hpp>
 
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/messaging/link_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/plane/messaging/link_log.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -13,11 +13,11 @@
 #include <set>
 #include <string>
 
-#include "tallyfold/directory/configuration_fetch.hpp"
-#include "tallyfold/directory/configuration_proofs.hpp"
-#include "tallyfold/directory/messages.hpp"
-#include "tallyfold/messaging/peer_link_shell.hpp"
-#include "tallyfold/net/node_process_shell.hpp"
+#include "tallyfold/plane/directory/configuration_fetch.hpp"
+#include "tallyfold/plane/directory/configuration_proofs.hpp"
+#include "tallyfold/plane/directory/messages.hpp"
+#include "tallyfold/plane/messaging/peer_link_shell.hpp"
+#include "tallyfold/plane/process/node_process_shell.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/directory/directory_core.hpp"
+#include "tallyfold/plane/directory/directory_core.hpp"
 
 #include <algorithm>
 
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/protocol/compression.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/protocol/compression.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -9,14 +9,14 @@
 #include <string>
 #include <vector>
 
+#include "tallyfold/base/logging/event_catalogue.hpp"
 #include "tallyfold/consensus/persistence.hpp"
 #include "tallyfold/consensus/replica_fsm.hpp"
-#include "tallyfold/directory/configuration_source.hpp"
-#include "tallyfold/directory/directory_state.hpp"
-#include "tallyfold/directory/member_planner.hpp"
-#include "tallyfold/directory/messages.hpp"
-#include "tallyfold/directory/store_planner.hpp"
-#include "tallyfold/logging/event_catalogue.hpp"
+#include "tallyfold/plane/directory/configuration_source.hpp"
+#include "tallyfold/plane/directory/directory_state.hpp"
+#include "tallyfold/plane/directory/member_planner.hpp"
+#include "tallyfold/plane/directory/messages.hpp"
+#include "tallyfold/plane/directory/store_planner.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/directory/directory_shell.hpp"
+#include "tallyfold/plane/directory/directory_shell.hpp"
 
 #include <filesystem>
 #include <map>
@@ -6,22 +6,22 @@
 #include <optional>
 #include <random>
 
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/directory/applied_state_notes.hpp"
-#include "tallyfold/directory/break_board.hpp"
-#include "tallyfold/directory/directory_core.hpp"
-#include "tallyfold/directory/operator_desk_shell.hpp"
-#include "tallyfold/directory/version_board.hpp"
-#include "tallyfold/listing/list_duty.hpp"
-#include "tallyfold/listing/list_poller_shell.hpp"
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/messaging/link_log.hpp"
-#include "tallyfold/messaging/peer_link_shell.hpp"
-#include "tallyfold/net/instruments.hpp"
-#include "tallyfold/net/node_process_shell.hpp"
-#include "tallyfold/net/socket_address.hpp"
-#include "tallyfold/storage/log_store.hpp"
-#include "tallyfold/tenants/quota_keeper.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/base/net/socket_address.hpp"
+#include "tallyfold/consensus/log_store.hpp"
+#include "tallyfold/plane/directory/admin_api_shell.hpp"
+#include "tallyfold/plane/directory/applied_state_cache.hpp"
+#include "tallyfold/plane/directory/directory_core.hpp"
+#include "tallyfold/plane/directory/failure_relay.hpp"
+#include "tallyfold/plane/directory/version_tracker.hpp"
+#include "tallyfold/plane/discovery/list_poller_shell.hpp"
+#include "tallyfold/plane/discovery/poller_election.hpp"
+#include "tallyfold/plane/messaging/link_log.hpp"
+#include "tallyfold/plane/messaging/peer_link_shell.hpp"
+#include "tallyfold/plane/process/instruments.hpp"
+#include "tallyfold/plane/process/node_process_shell.hpp"
+#include "tallyfold/plane/tenants/permit_lender.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/directory_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_shell.hpp
@@ -2,9 +2,9 @@
 /// @file
 /// The directory program: a directory_core on a disk, between sockets.
 
-#include "tallyfold/directory/operator_dialect.hpp"
-#include "tallyfold/listing/list_dialect.hpp"
-#include "tallyfold/settings/node_settings.hpp"
+#include "tallyfold/plane/directory/admin_codec.hpp"
+#include "tallyfold/plane/discovery/backend_list_codec.hpp"
+#include "tallyfold/plane/process/node_settings.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/directory_state.cpp
+++ b/src/tallyfold/plane/directory/directory_state.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/directory/directory_state.hpp"
+#include "tallyfold/plane/directory/directory_state.hpp"
 
-#include "tallyfold/protocol/compression.hpp"
+#include "tallyfold/base/protocol/compression.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/directory_state.hpp
+++ b/src/tallyfold/plane/directory/directory_state.hpp
@@ -10,8 +10,8 @@
 #include <variant>
 #include <vector>
 
-#include "tallyfold/routing/configuration.hpp"
-#include "tallyfold/turns/types.hpp"
+#include "tallyfold/plane/routing/configuration.hpp"
+#include "tallyfold/plane/turns/types.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/break_board.hpp
+++ b/src/tallyfold/plane/directory/failure_relay.hpp
@@ -6,8 +6,8 @@
 #include <map>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/listing/backend_breaks.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/discovery/backend_failures.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/member_planner.hpp
+++ b/src/tallyfold/plane/directory/member_planner.hpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <optional>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 #include "tallyfold/consensus/replica_fsm.hpp"
-#include "tallyfold/directory/messages.hpp"
+#include "tallyfold/plane/directory/messages.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/messages.hpp
+++ b/src/tallyfold/plane/directory/messages.hpp
@@ -7,10 +7,10 @@
 #include <vector>
 
 #include "tallyfold/consensus/messages.hpp"
-#include "tallyfold/listing/backend_breaks.hpp"
-#include "tallyfold/listing/types.hpp"
-#include "tallyfold/routing/configuration.hpp"
-#include "tallyfold/turns/types.hpp"
+#include "tallyfold/plane/discovery/backend_failures.hpp"
+#include "tallyfold/plane/discovery/types.hpp"
+#include "tallyfold/plane/routing/configuration.hpp"
+#include "tallyfold/plane/turns/types.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/open_changes.hpp
+++ b/src/tallyfold/plane/directory/open_changes.hpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-#include "tallyfold/directory/directory_core.hpp"
+#include "tallyfold/plane/directory/directory_core.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/store_sightings.cpp
+++ b/src/tallyfold/plane/directory/store_heartbeats.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/directory/store_sightings.hpp"
+#include "tallyfold/plane/directory/store_heartbeats.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/directory/store_sightings.hpp
+++ b/src/tallyfold/plane/directory/store_heartbeats.hpp
@@ -5,8 +5,8 @@
 
 #include <map>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/directory/messages.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/directory/messages.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/directory/store_planner.hpp"
+#include "tallyfold/plane/directory/store_planner.hpp"
 
 #include <algorithm>
 #include <string>
--- a/src/tallyfold/directory/store_planner.hpp
+++ b/src/tallyfold/plane/directory/store_planner.hpp
@@ -14,10 +14,10 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/directory/directory_state.hpp"
-#include "tallyfold/directory/messages.hpp"
-#include "tallyfold/directory/store_sightings.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/directory/directory_state.hpp"
+#include "tallyfold/plane/directory/messages.hpp"
+#include "tallyfold/plane/directory/store_heartbeats.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/directory/version_board.cpp
+++ b/src/tallyfold/plane/directory/version_tracker.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/directory/version_board.hpp"
+#include "tallyfold/plane/directory/version_tracker.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/directory/version_board.hpp
+++ b/src/tallyfold/plane/directory/version_tracker.hpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <optional>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/common/types.hpp"
-#include "tallyfold/routing/configuration.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/base/common/types.hpp"
+#include "tallyfold/plane/routing/configuration.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/listing/backend_breaks.hpp
+++ b/src/tallyfold/plane/discovery/backend_failures.hpp
@@ -4,8 +4,8 @@
 
 #include <cstdint>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/common/types.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/base/common/types.hpp"
 
 namespace tallyfold::listing {
 
--- a/src/tallyfold/listing/list_dialect.hpp
+++ b/src/tallyfold/plane/discovery/backend_list_codec.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <tl/expected.hpp>
 
-#include "tallyfold/listing/types.hpp"
+#include "tallyfold/plane/discovery/types.hpp"
 
 namespace tallyfold::listing {
 
--- a/src/tallyfold/listing/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -1,12 +1,12 @@
-#include "tallyfold/listing/list_poller_shell.hpp"
+#include "tallyfold/plane/discovery/list_poller_shell.hpp"
 
 #include <asio/co_spawn.hpp>
 #include <asio/detached.hpp>
 #include <asio/experimental/as_tuple.hpp>
 #include <asio/use_awaitable.hpp>
 
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/logging/event_log.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
 
 namespace tallyfold::listing {
 
--- a/src/tallyfold/listing/list_poller_shell.hpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/http/connection_shell.hpp"
-#include "tallyfold/listing/list_dialect.hpp"
-#include "tallyfold/net/node_process_shell.hpp"
+#include "tallyfold/plane/discovery/backend_list_codec.hpp"
+#include "tallyfold/plane/http/connection_shell.hpp"
+#include "tallyfold/plane/process/node_process_shell.hpp"
 
 namespace tallyfold::listing {
 
--- a/src/tallyfold/listing/list_duty.hpp
+++ b/src/tallyfold/plane/discovery/poller_election.hpp
@@ -9,7 +9,7 @@
 #include <algorithm>
 #include <cstddef>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::listing {
 
--- a/src/tallyfold/listing/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/listing/types.hpp"
+#include "tallyfold/plane/discovery/types.hpp"
 
 #include <algorithm>
 
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
 
 namespace tallyfold::listing {
 
--- a/src/tallyfold/listing/types.hpp
+++ b/src/tallyfold/plane/discovery/types.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 #include "tallyfold/scheduling/backend_pool.hpp"
 
 namespace tallyfold::listing {
--- a/src/tallyfold/forwarding/call_gate_shell.cpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/forwarding/call_gate_shell.hpp"
+#include "tallyfold/plane/forwarding/admission_queue_shell.hpp"
 
 #include <asio/experimental/as_tuple.hpp>
 #include <asio/use_awaitable.hpp>
 
-#include "tallyfold/http/connection_shell.hpp"
+#include "tallyfold/plane/http/connection_shell.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/admission_window.hpp
+++ b/src/tallyfold/plane/forwarding/admission_window.hpp
@@ -11,7 +11,7 @@
 
 #include <cstddef>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/answer_rendering.cpp
+++ b/src/tallyfold/plane/forwarding/answer_rendering.cpp
@@ -1,8 +1,8 @@
-#include "tallyfold/forwarding/answer_rendering.hpp"
+#include "tallyfold/plane/forwarding/answer_rendering.hpp"
 
 #include <nlohmann/json.hpp>
 
-#include "tallyfold/http/endpoint_messages.hpp"
+#include "tallyfold/plane/http/endpoint_messages.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/answer_rendering.hpp
+++ b/src/tallyfold/plane/forwarding/answer_rendering.hpp
@@ -7,8 +7,8 @@
 #include <optional>
 #include <string>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/http/message.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/http/message.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/attempt_policy.hpp
+++ b/src/tallyfold/plane/forwarding/attempt_policy.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <optional>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/break_evidence.cpp
+++ b/src/tallyfold/plane/forwarding/backend_distrust.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/forwarding/break_evidence.hpp"
+#include "tallyfold/plane/forwarding/backend_distrust.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/forwarding/break_evidence.hpp
+++ b/src/tallyfold/plane/forwarding/backend_distrust.hpp
@@ -11,9 +11,9 @@
 #include <cstdint>
 #include <map>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/common/types.hpp"
-#include "tallyfold/listing/backend_breaks.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/base/common/types.hpp"
+#include "tallyfold/plane/discovery/backend_failures.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -1,8 +1,8 @@
-#include "tallyfold/forwarding/backend_registry.hpp"
+#include "tallyfold/plane/forwarding/backend_registry.hpp"
 
 #include <algorithm>
 
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/forwarding/backend_subset.hpp"
-#include "tallyfold/forwarding/break_evidence.hpp"
-#include "tallyfold/listing/types.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/plane/discovery/types.hpp"
+#include "tallyfold/plane/forwarding/backend_distrust.hpp"
+#include "tallyfold/plane/forwarding/backend_subset.hpp"
+#include "tallyfold/plane/process/mechanisms.hpp"
 #include "tallyfold/scheduling/engine_pace.hpp"
 #include "tallyfold/scheduling/placement.hpp"
-#include "tallyfold/settings/mechanisms.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/backend_subset.cpp
+++ b/src/tallyfold/plane/forwarding/backend_subset.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/forwarding/backend_subset.hpp"
+#include "tallyfold/plane/forwarding/backend_subset.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -4,8 +4,8 @@
 
 #include <asio/use_awaitable.hpp>
 
-#include "tallyfold/forwarding/request_relay_shell.hpp"
-#include "tallyfold/logging/event_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/plane/forwarding/request_relay_shell.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/connection_pool_shell.cpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/forwarding/connection_pool_shell.hpp"
+#include "tallyfold/plane/forwarding/connection_pool_shell.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/connection_pool_shell.hpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/http/connection_shell.hpp"
+#include "tallyfold/plane/http/connection_shell.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/forwarder_context.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_context.hpp
@@ -6,17 +6,17 @@
 #include <memory>
 #include <string>
 
-#include "tallyfold/directory/directory_client_shell.hpp"
-#include "tallyfold/forwarding/backend_registry.hpp"
-#include "tallyfold/forwarding/call_gate_shell.hpp"
-#include "tallyfold/forwarding/call_ranking.hpp"
-#include "tallyfold/forwarding/connection_pool_shell.hpp"
-#include "tallyfold/forwarding/dialect.hpp"
-#include "tallyfold/forwarding/forwarder_metrics.hpp"
-#include "tallyfold/net/node_process_shell.hpp"
-#include "tallyfold/routing/route_table.hpp"
-#include "tallyfold/tenants/quota_client_shell.hpp"
-#include "tallyfold/turns/turn_client_shell.hpp"
+#include "tallyfold/plane/directory/directory_client_shell.hpp"
+#include "tallyfold/plane/forwarding/admission_queue_shell.hpp"
+#include "tallyfold/plane/forwarding/backend_registry.hpp"
+#include "tallyfold/plane/forwarding/call_ranking.hpp"
+#include "tallyfold/plane/forwarding/connection_pool_shell.hpp"
+#include "tallyfold/plane/forwarding/forwarder_metrics.hpp"
+#include "tallyfold/plane/forwarding/request_codec.hpp"
+#include "tallyfold/plane/process/node_process_shell.hpp"
+#include "tallyfold/plane/routing/route_table.hpp"
+#include "tallyfold/plane/tenants/quota_client_shell.hpp"
+#include "tallyfold/plane/turns/turn_client_shell.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/forwarder_metrics.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_metrics.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/forwarding/forwarder_metrics.hpp"
+#include "tallyfold/plane/forwarding/forwarder_metrics.hpp"
 
-#include "tallyfold/net/instruments.hpp"
+#include "tallyfold/plane/process/instruments.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/forwarder_metrics.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_metrics.hpp
@@ -9,8 +9,8 @@
 
 #include <string>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/tenants/permit_decision.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/tenants/permit_decision.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/forwarding/forwarder_shell.hpp"
+#include "tallyfold/plane/forwarding/forwarder_shell.hpp"
 
 #include <algorithm>
 #include <asio/co_spawn.hpp>
@@ -6,14 +6,14 @@
 #include <optional>
 #include <set>
 
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/directory/directory_client_shell.hpp"
-#include "tallyfold/forwarding/request_relay_shell.hpp"
-#include "tallyfold/forwarding/stop_sequence.hpp"
-#include "tallyfold/listing/list_duty.hpp"
-#include "tallyfold/listing/list_poller_shell.hpp"
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/net/tcp_sockets_shell.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/base/net/tcp_sockets_shell.hpp"
+#include "tallyfold/plane/directory/directory_client_shell.hpp"
+#include "tallyfold/plane/discovery/list_poller_shell.hpp"
+#include "tallyfold/plane/discovery/poller_election.hpp"
+#include "tallyfold/plane/forwarding/request_relay_shell.hpp"
+#include "tallyfold/plane/forwarding/stop_sequence.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/forwarder_shell.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.hpp
@@ -2,9 +2,9 @@
 /// @file
 /// The forwarder program: callers' connections on one side, back ends on the other.
 
-#include "tallyfold/forwarding/dialect.hpp"
-#include "tallyfold/listing/list_dialect.hpp"
-#include "tallyfold/settings/node_settings.hpp"
+#include "tallyfold/plane/discovery/backend_list_codec.hpp"
+#include "tallyfold/plane/forwarding/request_codec.hpp"
+#include "tallyfold/plane/process/node_settings.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/request_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_attempt_shell.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <asio/use_awaitable.hpp>
 
-#include "tallyfold/forwarding/request_relay_shell.hpp"
+#include "tallyfold/plane/forwarding/request_relay_shell.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/dialect.hpp
+++ b/src/tallyfold/plane/forwarding/request_codec.hpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/http/message.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/http/message.hpp"
 #include "tallyfold/scheduling/cache_map.hpp"
 
 namespace tallyfold::forwarding {
--- a/src/tallyfold/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -1,11 +1,11 @@
-#include "tallyfold/forwarding/request_relay_shell.hpp"
+#include "tallyfold/plane/forwarding/request_relay_shell.hpp"
 
 #include <algorithm>
 #include <asio/experimental/as_tuple.hpp>
 #include <asio/steady_timer.hpp>
 #include <asio/use_awaitable.hpp>
 
-#include "tallyfold/logging/event_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -7,13 +7,13 @@
 #include <optional>
 #include <string>
 
-#include "tallyfold/forwarding/answer_rendering.hpp"
-#include "tallyfold/forwarding/attempt_policy.hpp"
-#include "tallyfold/forwarding/forwarder_context.hpp"
-#include "tallyfold/forwarding/stream_pace.hpp"
-#include "tallyfold/forwarding/turn_session_shell.hpp"
-#include "tallyfold/http/event_stream.hpp"
-#include "tallyfold/http/whole_events.hpp"
+#include "tallyfold/plane/forwarding/answer_rendering.hpp"
+#include "tallyfold/plane/forwarding/attempt_policy.hpp"
+#include "tallyfold/plane/forwarding/forwarder_context.hpp"
+#include "tallyfold/plane/forwarding/stream_pace.hpp"
+#include "tallyfold/plane/forwarding/turn_session_shell.hpp"
+#include "tallyfold/plane/http/event_stream.hpp"
+#include "tallyfold/plane/http/whole_events.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/stop_sequence.cpp
+++ b/src/tallyfold/plane/forwarding/stop_sequence.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/forwarding/stop_sequence.hpp"
+#include "tallyfold/plane/forwarding/stop_sequence.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/forwarding/stop_sequence.hpp
+++ b/src/tallyfold/plane/forwarding/stop_sequence.hpp
@@ -5,7 +5,7 @@
 
 #include <cstdint>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/forwarding/turn_session_shell.hpp"
+#include "tallyfold/plane/forwarding/turn_session_shell.hpp"
 
-#include "tallyfold/logging/event_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/forwarding/turn_session_shell.hpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.hpp
@@ -6,8 +6,8 @@
 #include <asio/awaitable.hpp>
 #include <string>
 
-#include "tallyfold/forwarding/forwarder_context.hpp"
-#include "tallyfold/tenants/tenant_scope.hpp"
+#include "tallyfold/plane/forwarding/forwarder_context.hpp"
+#include "tallyfold/plane/tenants/tenant_scope.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/http/connection_shell.hpp"
+#include "tallyfold/plane/http/connection_shell.hpp"
 
 #include <sys/socket.h>
 
@@ -8,8 +8,8 @@
 #include <asio/use_awaitable.hpp>
 #include <asio/write.hpp>
 
-#include "tallyfold/net/socket_address.hpp"
-#include "tallyfold/net/tcp_sockets_shell.hpp"
+#include "tallyfold/base/net/socket_address.hpp"
+#include "tallyfold/base/net/tcp_sockets_shell.hpp"
 
 namespace tallyfold::http {
 
--- a/src/tallyfold/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <tl/expected.hpp>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/http/message_parser.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/http/message_parser.hpp"
 
 namespace tallyfold::http {
 
--- a/src/tallyfold/http/endpoint_messages.cpp
+++ b/src/tallyfold/plane/http/endpoint_messages.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/http/endpoint_messages.hpp"
+#include "tallyfold/plane/http/endpoint_messages.hpp"
 
 namespace tallyfold::http {
 
--- a/src/tallyfold/http/endpoint_messages.hpp
+++ b/src/tallyfold/plane/http/endpoint_messages.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/http/message.hpp"
+#include "tallyfold/plane/http/message.hpp"
 
 namespace tallyfold::http {
 
--- a/src/tallyfold/http/endpoint_server_shell.cpp
+++ b/src/tallyfold/plane/http/endpoint_server_shell.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/http/endpoint_server_shell.hpp"
+#include "tallyfold/plane/http/endpoint_server_shell.hpp"
 
 #include <asio/co_spawn.hpp>
 #include <asio/detached.hpp>
 
-#include "tallyfold/net/tcp_sockets_shell.hpp"
+#include "tallyfold/base/net/tcp_sockets_shell.hpp"
 
 namespace tallyfold::http {
 
--- a/src/tallyfold/http/endpoint_server_shell.hpp
+++ b/src/tallyfold/plane/http/endpoint_server_shell.hpp
@@ -9,8 +9,8 @@
 #include <functional>
 #include <string>
 
-#include "tallyfold/http/connection_shell.hpp"
-#include "tallyfold/http/endpoint_messages.hpp"
+#include "tallyfold/plane/http/connection_shell.hpp"
+#include "tallyfold/plane/http/endpoint_messages.hpp"
 
 namespace tallyfold::http {
 
--- a/src/tallyfold/http/event_stream.cpp
+++ b/src/tallyfold/plane/http/event_stream.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/http/event_stream.hpp"
+#include "tallyfold/plane/http/event_stream.hpp"
 
 namespace tallyfold::http {
 
--- a/src/tallyfold/http/message.cpp
+++ b/src/tallyfold/plane/http/message.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/http/message.hpp"
+#include "tallyfold/plane/http/message.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/tallyfold/http/message_parser.cpp
+++ b/src/tallyfold/plane/http/message_parser.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/http/message_parser.hpp"
+#include "tallyfold/plane/http/message_parser.hpp"
 
 #include <http_parser.h>
 
--- a/src/tallyfold/http/message_parser.hpp
+++ b/src/tallyfold/plane/http/message_parser.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <tl/expected.hpp>
 
-#include "tallyfold/http/message.hpp"
+#include "tallyfold/plane/http/message.hpp"
 
 namespace tallyfold::http {
 
--- a/src/tallyfold/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/messaging/frame_channel_shell.hpp"
+#include "tallyfold/plane/messaging/frame_channel_shell.hpp"
 
 #include <asio/buffer.hpp>
 #include <asio/write.hpp>
--- a/src/tallyfold/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "tallyfold/messaging/peer_message.hpp"
+#include "tallyfold/plane/messaging/peer_message.hpp"
 
 namespace tallyfold::messaging {
 
--- a/src/tallyfold/messaging/link_log.cpp
+++ b/src/tallyfold/plane/messaging/link_log.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/messaging/link_log.hpp"
+#include "tallyfold/plane/messaging/link_log.hpp"
 
-#include "tallyfold/logging/event_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
 
 namespace tallyfold::messaging {
 
--- a/src/tallyfold/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -1,7 +1,7 @@
-#include "tallyfold/messaging/peer_link_shell.hpp"
+#include "tallyfold/plane/messaging/peer_link_shell.hpp"
 
-#include "tallyfold/net/socket_address.hpp"
-#include "tallyfold/net/tcp_sockets_shell.hpp"
+#include "tallyfold/base/net/socket_address.hpp"
+#include "tallyfold/base/net/tcp_sockets_shell.hpp"
 
 namespace tallyfold::messaging {
 
--- a/src/tallyfold/messaging/peer_link_shell.hpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.hpp
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "tallyfold/messaging/frame_channel_shell.hpp"
+#include "tallyfold/plane/messaging/frame_channel_shell.hpp"
 
 namespace tallyfold::messaging {
 
--- a/src/tallyfold/messaging/peer_message.cpp
+++ b/src/tallyfold/plane/messaging/peer_message.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/messaging/peer_message.hpp"
+#include "tallyfold/plane/messaging/peer_message.hpp"
 
 #include <array>
 #include <cstring>
--- a/src/tallyfold/messaging/peer_message.hpp
+++ b/src/tallyfold/plane/messaging/peer_message.hpp
@@ -7,11 +7,11 @@
 #include <tl/expected.hpp>
 #include <variant>
 
+#include "tallyfold/base/protocol/binary_codec.hpp"
 #include "tallyfold/consensus/messages.hpp"
-#include "tallyfold/directory/messages.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
-#include "tallyfold/tenants/messages.hpp"
-#include "tallyfold/turns/messages.hpp"
+#include "tallyfold/plane/directory/messages.hpp"
+#include "tallyfold/plane/tenants/messages.hpp"
+#include "tallyfold/plane/turns/messages.hpp"
 
 namespace tallyfold::messaging {
 
--- a/src/tallyfold/settings/mechanisms.cpp
+++ b/src/tallyfold/plane/process/mechanisms.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/settings/mechanisms.hpp"
+#include "tallyfold/plane/process/mechanisms.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/tallyfold/settings/node_main.hpp
+++ b/src/tallyfold/plane/process/node_main.hpp
@@ -4,9 +4,9 @@
 
 #include <string>
 
-#include "tallyfold/logging/bounded_log.hpp"
-#include "tallyfold/settings/node_settings.hpp"
-#include "tallyfold/settings/program_flags.hpp"
+#include "tallyfold/base/logging/bounded_log.hpp"
+#include "tallyfold/base/settings/program_flags.hpp"
+#include "tallyfold/plane/process/node_settings.hpp"
 
 namespace tallyfold::settings {
 
--- a/src/tallyfold/net/node_process_shell.cpp
+++ b/src/tallyfold/plane/process/node_process_shell.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/net/node_process_shell.hpp"
+#include "tallyfold/plane/process/node_process_shell.hpp"
 
 #include <prometheus/text_serializer.h>
 
@@ -7,9 +7,9 @@
 #include <iterator>
 #include <sstream>
 
-#include "tallyfold/logging/bounded_log.hpp"
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/net/socket_address.hpp"
+#include "tallyfold/base/logging/bounded_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/base/net/socket_address.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/net/node_process_shell.hpp
+++ b/src/tallyfold/plane/process/node_process_shell.hpp
@@ -17,9 +17,9 @@
 #include <memory>
 #include <string>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/http/endpoint_server_shell.hpp"
-#include "tallyfold/settings/node_settings.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/http/endpoint_server_shell.hpp"
+#include "tallyfold/plane/process/node_settings.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/settings/node_settings.cpp
+++ b/src/tallyfold/plane/process/node_settings.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/settings/node_settings.hpp"
+#include "tallyfold/plane/process/node_settings.hpp"
 
-#include "tallyfold/net/socket_address.hpp"
+#include "tallyfold/base/net/socket_address.hpp"
 
 namespace tallyfold::settings {
 
--- a/src/tallyfold/settings/node_settings.hpp
+++ b/src/tallyfold/plane/process/node_settings.hpp
@@ -7,9 +7,9 @@
 #include <tl/expected.hpp>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/settings/mechanisms.hpp"
-#include "tallyfold/settings/settings_reader.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/base/settings/settings_reader.hpp"
+#include "tallyfold/plane/process/mechanisms.hpp"
 
 namespace tallyfold::settings {
 
--- a/src/tallyfold/routing/configuration.hpp
+++ b/src/tallyfold/plane/routing/configuration.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/types.hpp"
+#include "tallyfold/base/common/types.hpp"
 
 namespace tallyfold::routing {
 
--- a/src/tallyfold/routing/configuration_change.cpp
+++ b/src/tallyfold/plane/routing/configuration_change.cpp
@@ -1,11 +1,11 @@
-#include "tallyfold/routing/configuration_change.hpp"
+#include "tallyfold/plane/routing/configuration_change.hpp"
 
 #include <algorithm>
 #include <optional>
 #include <unordered_map>
 
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
 
 namespace tallyfold::routing {
 
--- a/src/tallyfold/routing/configuration_change.hpp
+++ b/src/tallyfold/plane/routing/configuration_change.hpp
@@ -8,7 +8,7 @@
 #include <tl/expected.hpp>
 #include <vector>
 
-#include "tallyfold/routing/configuration.hpp"
+#include "tallyfold/plane/routing/configuration.hpp"
 
 namespace tallyfold::routing {
 
--- a/src/tallyfold/routing/route_table.cpp
+++ b/src/tallyfold/plane/routing/route_table.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/routing/route_table.hpp"
+#include "tallyfold/plane/routing/route_table.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/routing/route_table.hpp
+++ b/src/tallyfold/plane/routing/route_table.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <string_view>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/routing/configuration.hpp"
-#include "tallyfold/tenants/key_index.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/routing/configuration.hpp"
+#include "tallyfold/plane/tenants/key_index.hpp"
 
 namespace tallyfold::routing {
 
--- a/src/tallyfold/routing/validation.cpp
+++ b/src/tallyfold/plane/routing/validation.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/routing/validation.hpp"
+#include "tallyfold/plane/routing/validation.hpp"
 
 #include <cmath>
 #include <set>
--- a/src/tallyfold/routing/validation.hpp
+++ b/src/tallyfold/plane/routing/validation.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <tl/expected.hpp>
 
-#include "tallyfold/routing/configuration.hpp"
+#include "tallyfold/plane/routing/configuration.hpp"
 
 namespace tallyfold::routing {
 
--- a/src/tallyfold/tenants/key_index.cpp
+++ b/src/tallyfold/plane/tenants/key_index.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/tenants/key_index.hpp"
+#include "tallyfold/plane/tenants/key_index.hpp"
 
 #include <openssl/evp.h>
 
--- a/src/tallyfold/tenants/key_index.hpp
+++ b/src/tallyfold/plane/tenants/key_index.hpp
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "tallyfold/routing/configuration.hpp"
+#include "tallyfold/plane/routing/configuration.hpp"
 
 namespace tallyfold::tenants {
 
--- a/src/tallyfold/tenants/permit_decision.hpp
+++ b/src/tallyfold/plane/tenants/permit_decision.hpp
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::tenants {
 
--- a/src/tallyfold/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/tenants/permit_holder.hpp"
+#include "tallyfold/plane/tenants/permit_holder.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/tallyfold/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -8,11 +8,11 @@
 #include <unordered_set>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/routing/configuration.hpp"
-#include "tallyfold/tenants/messages.hpp"
-#include "tallyfold/tenants/quota_keeper.hpp"
-#include "tallyfold/tenants/spent_window.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/routing/configuration.hpp"
+#include "tallyfold/plane/tenants/messages.hpp"
+#include "tallyfold/plane/tenants/permit_lender.hpp"
+#include "tallyfold/plane/tenants/spent_window.hpp"
 
 namespace tallyfold::tenants {
 
--- a/src/tallyfold/tenants/quota_keeper.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/tenants/quota_keeper.hpp"
+#include "tallyfold/plane/tenants/permit_lender.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/tallyfold/tenants/quota_keeper.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -19,9 +19,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/routing/configuration.hpp"
-#include "tallyfold/tenants/messages.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/routing/configuration.hpp"
+#include "tallyfold/plane/tenants/messages.hpp"
 
 namespace tallyfold::tenants {
 
--- a/src/tallyfold/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -1,11 +1,11 @@
-#include "tallyfold/tenants/quota_client_shell.hpp"
+#include "tallyfold/plane/tenants/quota_client_shell.hpp"
 
 #include <asio/experimental/as_tuple.hpp>
 #include <asio/use_awaitable.hpp>
 #include <random>
 
-#include "tallyfold/http/connection_shell.hpp"
-#include "tallyfold/logging/event_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/plane/http/connection_shell.hpp"
 
 namespace tallyfold::tenants {
 
--- a/src/tallyfold/tenants/quota_client_shell.hpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.hpp
@@ -9,10 +9,10 @@
 #include <optional>
 #include <set>
 
-#include "tallyfold/directory/directory_client_shell.hpp"
-#include "tallyfold/net/node_process_shell.hpp"
-#include "tallyfold/tenants/permit_decision.hpp"
-#include "tallyfold/tenants/permit_holder.hpp"
+#include "tallyfold/plane/directory/directory_client_shell.hpp"
+#include "tallyfold/plane/process/node_process_shell.hpp"
+#include "tallyfold/plane/tenants/permit_decision.hpp"
+#include "tallyfold/plane/tenants/permit_holder.hpp"
 
 namespace tallyfold::tenants {
 
--- a/src/tallyfold/tenants/spent_window.hpp
+++ b/src/tallyfold/plane/tenants/spent_window.hpp
@@ -8,7 +8,7 @@
 #include <array>
 #include <cstdint>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::tenants {
 
--- a/src/tallyfold/tenants/tenant_scope.hpp
+++ b/src/tallyfold/plane/tenants/tenant_scope.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "tallyfold/tenants/messages.hpp"
+#include "tallyfold/plane/tenants/messages.hpp"
 
 namespace tallyfold::tenants {
 
--- a/src/tallyfold/turns/copy_progress.cpp
+++ b/src/tallyfold/plane/turns/copy_progress.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/turns/copy_progress.hpp"
+#include "tallyfold/plane/turns/copy_progress.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/turns/copy_progress.hpp
+++ b/src/tallyfold/plane/turns/copy_progress.hpp
@@ -4,7 +4,7 @@
 
 #include <set>
 
-#include "tallyfold/turns/types.hpp"
+#include "tallyfold/plane/turns/types.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/messages.hpp
+++ b/src/tallyfold/plane/turns/messages.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
+#include "tallyfold/plane/turns/turn_table.hpp"
+#include "tallyfold/plane/turns/types.hpp"
 #include "tallyfold/scheduling/cache_map.hpp"
-#include "tallyfold/turns/turn_book.hpp"
-#include "tallyfold/turns/types.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/quorum_operations.cpp
+++ b/src/tallyfold/plane/turns/quorum_operations.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/turns/quorum_operations.hpp"
+#include "tallyfold/plane/turns/quorum_operations.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/turns/quorum_operations.hpp
+++ b/src/tallyfold/plane/turns/quorum_operations.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/turns/messages.hpp"
+#include "tallyfold/plane/turns/messages.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/resend_schedule.hpp
+++ b/src/tallyfold/plane/turns/resend_schedule.hpp
@@ -9,7 +9,7 @@
 
 #include <algorithm>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/turns/store_fsm.hpp"
+#include "tallyfold/plane/turns/store_fsm.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -11,9 +11,9 @@
 #include <variant>
 #include <vector>
 
+#include "tallyfold/plane/turns/copy_progress.hpp"
+#include "tallyfold/plane/turns/messages.hpp"
 #include "tallyfold/scheduling/cache_map.hpp"
-#include "tallyfold/turns/copy_progress.hpp"
-#include "tallyfold/turns/messages.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/turns/turn_beginning.hpp"
+#include "tallyfold/plane/turns/turn_beginning.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/tallyfold/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -10,10 +10,10 @@
 #include <variant>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/turns/quorum_operations.hpp"
-#include "tallyfold/turns/resend_schedule.hpp"
-#include "tallyfold/turns/turn_search.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/turns/quorum_operations.hpp"
+#include "tallyfold/plane/turns/resend_schedule.hpp"
+#include "tallyfold/plane/turns/turn_search.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/turns/turn_client_shell.hpp"
+#include "tallyfold/plane/turns/turn_client_shell.hpp"
 
 #include <algorithm>
 #include <asio/co_spawn.hpp>
@@ -6,8 +6,8 @@
 #include <asio/experimental/as_tuple.hpp>
 #include <asio/use_awaitable.hpp>
 
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/messaging/link_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/plane/messaging/link_log.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/messaging/peer_link_shell.hpp"
-#include "tallyfold/net/node_process_shell.hpp"
-#include "tallyfold/turns/turn_beginning.hpp"
+#include "tallyfold/plane/messaging/peer_link_shell.hpp"
+#include "tallyfold/plane/process/node_process_shell.hpp"
+#include "tallyfold/plane/turns/turn_beginning.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -1,11 +1,11 @@
-#include "tallyfold/turns/turn_log.hpp"
+#include "tallyfold/plane/turns/turn_log.hpp"
 
 #include <filesystem>
 #include <system_error>
 
-#include "tallyfold/protocol/binary_codec.hpp"
-#include "tallyfold/storage/record_file.hpp"
-#include "tallyfold/storage/record_format.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/base/storage/record_file.hpp"
+#include "tallyfold/base/storage/record_format.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/turn_log.hpp
+++ b/src/tallyfold/plane/turns/turn_log.hpp
@@ -9,8 +9,8 @@
 #include <tl/expected.hpp>
 #include <vector>
 
-#include "tallyfold/storage/segmented_log.hpp"
-#include "tallyfold/turns/turn_book.hpp"
+#include "tallyfold/base/storage/segmented_log.hpp"
+#include "tallyfold/plane/turns/turn_table.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/turn_search.cpp
+++ b/src/tallyfold/plane/turns/turn_search.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/turns/turn_search.hpp"
+#include "tallyfold/plane/turns/turn_search.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/tallyfold/turns/turn_search.hpp
+++ b/src/tallyfold/plane/turns/turn_search.hpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/turns/messages.hpp"
+#include "tallyfold/plane/turns/messages.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/turns/turn_store_shell.hpp"
+#include "tallyfold/plane/turns/turn_store_shell.hpp"
 
 #include <asio/post.hpp>
 #include <map>
@@ -6,14 +6,14 @@
 #include <optional>
 #include <random>
 
-#include "tallyfold/directory/directory_client_shell.hpp"
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/messaging/peer_link_shell.hpp"
-#include "tallyfold/net/instruments.hpp"
-#include "tallyfold/net/node_process_shell.hpp"
-#include "tallyfold/turns/copy_watch.hpp"
-#include "tallyfold/turns/store_fsm.hpp"
-#include "tallyfold/turns/turn_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/plane/directory/directory_client_shell.hpp"
+#include "tallyfold/plane/messaging/peer_link_shell.hpp"
+#include "tallyfold/plane/process/instruments.hpp"
+#include "tallyfold/plane/process/node_process_shell.hpp"
+#include "tallyfold/plane/turns/copy_watch.hpp"
+#include "tallyfold/plane/turns/store_fsm.hpp"
+#include "tallyfold/plane/turns/turn_log.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/turn_store_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.hpp
@@ -2,7 +2,7 @@
 /// @file
 /// The program that keeps turns: a turn_book on a disk, between sockets.
 
-#include "tallyfold/settings/node_settings.hpp"
+#include "tallyfold/plane/process/node_settings.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/turn_book.hpp
+++ b/src/tallyfold/plane/turns/turn_table.hpp
@@ -9,8 +9,8 @@
 #include <variant>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/turns/types.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/plane/turns/types.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/turns/types.cpp
+++ b/src/tallyfold/plane/turns/types.cpp
@@ -1,8 +1,8 @@
-#include "tallyfold/turns/types.hpp"
+#include "tallyfold/plane/turns/types.hpp"
 
 #include <algorithm>
 
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/cli/admin_client.hpp
+++ b/src/tallyfold/program_api/cli/admin_client.hpp
@@ -7,7 +7,7 @@
 #include <tl/expected.hpp>
 #include <vector>
 
-#include "tallyfold/configuration/json_codec.hpp"
+#include "tallyfold/program_api/configuration/json_codec.hpp"
 
 namespace tallyfold::cli {
 
--- a/src/tallyfold/cli/admin_client_shell.cpp
+++ b/src/tallyfold/program_api/cli/admin_client_shell.cpp
@@ -3,9 +3,9 @@
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "tallyfold/cli/admin_client.hpp"
-#include "tallyfold/net/blocking_http.hpp"
-#include "tallyfold/net/operator_keys.hpp"
+#include "tallyfold/program_api/cli/admin_client.hpp"
+#include "tallyfold/program_api/http/blocking_http.hpp"
+#include "tallyfold/program_api/transport/operator_keys.hpp"
 
 namespace tallyfold::cli {
 
--- a/src/tallyfold/cli/operator_commands.hpp
+++ b/src/tallyfold/program_api/cli/operator_commands.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/cli/admin_client.hpp"
+#include "tallyfold/program_api/cli/admin_client.hpp"
 
 namespace tallyfold::cli {
 
--- a/src/tallyfold/cli/operator_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/operator_commands_shell.cpp
@@ -6,9 +6,9 @@
 #include <nlohmann/json.hpp>
 #include <ostream>
 
-#include "tallyfold/cli/operator_commands.hpp"
-#include "tallyfold/net/blocking_http.hpp"
-#include "tallyfold/net/cluster_keys.hpp"
+#include "tallyfold/program_api/cli/operator_commands.hpp"
+#include "tallyfold/program_api/http/blocking_http.hpp"
+#include "tallyfold/program_api/transport/cluster_keys.hpp"
 #include "tallyfold/scheduling/policy.hpp"
 
 namespace tallyfold::cli {
--- a/src/tallyfold/configuration/configuration_state.cpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.cpp
@@ -1,8 +1,8 @@
-#include "tallyfold/configuration/configuration_state.hpp"
+#include "tallyfold/program_api/configuration/configuration_state.hpp"
 
 #include <cereal/types/deque.hpp>
 
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
 
 namespace tallyfold::configuration {
 
--- a/src/tallyfold/configuration/configuration_state.hpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "tallyfold/configuration/types.hpp"
+#include "tallyfold/program_api/configuration/types.hpp"
 
 namespace tallyfold::configuration {
 
--- a/src/tallyfold/configuration/json_codec.cpp
+++ b/src/tallyfold/program_api/configuration/json_codec.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/configuration/json_codec.hpp"
+#include "tallyfold/program_api/configuration/json_codec.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/tallyfold/configuration/json_codec.hpp
+++ b/src/tallyfold/program_api/configuration/json_codec.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <tl/expected.hpp>
 
-#include "tallyfold/configuration/configuration_state.hpp"
+#include "tallyfold/program_api/configuration/configuration_state.hpp"
 
 namespace tallyfold::configuration {
 
--- a/src/tallyfold/control/commands/admin_commands.cpp
+++ b/src/tallyfold/program_api/control/commands/admin_commands.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/control/commands/admin_commands.hpp"
+#include "tallyfold/program_api/control/commands/admin_commands.hpp"
 
 #include <charconv>
 #include <nlohmann/json.hpp>
--- a/src/tallyfold/control/commands/admin_commands.hpp
+++ b/src/tallyfold/program_api/control/commands/admin_commands.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <tl/expected.hpp>
 
-#include "tallyfold/configuration/json_codec.hpp"
-#include "tallyfold/control/control_core.hpp"
+#include "tallyfold/program_api/configuration/json_codec.hpp"
+#include "tallyfold/program_api/control/control_core.hpp"
 
 namespace tallyfold::control {
 
--- a/src/tallyfold/control/control_core.cpp
+++ b/src/tallyfold/program_api/control/control_core.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/control/control_core.hpp"
+#include "tallyfold/program_api/control/control_core.hpp"
 
 #include <algorithm>
 
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
 
 namespace tallyfold::control {
 
--- a/src/tallyfold/control/control_core.hpp
+++ b/src/tallyfold/program_api/control/control_core.hpp
@@ -10,13 +10,13 @@
 #include <variant>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/configuration/configuration_state.hpp"
+#include "tallyfold/base/common/time.hpp"
 #include "tallyfold/consensus/persistence.hpp"
 #include "tallyfold/consensus/replica_fsm.hpp"
-#include "tallyfold/control/lease_assigner.hpp"
-#include "tallyfold/journal/journal_state_machine.hpp"
-#include "tallyfold/protocol/messages.hpp"
+#include "tallyfold/program_api/configuration/configuration_state.hpp"
+#include "tallyfold/program_api/control/lease_assigner.hpp"
+#include "tallyfold/program_api/journal/journal_state_machine.hpp"
+#include "tallyfold/program_api/transport/messages.hpp"
 
 namespace tallyfold::control {
 
--- a/src/tallyfold/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -1,23 +1,23 @@
-#include "tallyfold/control/control_shell.hpp"
+#include "tallyfold/program_api/control/control_shell.hpp"
 
 #include <ctime>
 #include <nlohmann/json.hpp>
 #include <thread>
 
-#include "tallyfold/common/bounded_ring.hpp"
-#include "tallyfold/control/commands/admin_commands.hpp"
-#include "tallyfold/control/queries/render_status.hpp"
-#include "tallyfold/control/storage_thread.hpp"
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/net/cluster_keys.hpp"
-#include "tallyfold/net/http_server.hpp"
-#include "tallyfold/net/logic_thread.hpp"
-#include "tallyfold/net/metrics.hpp"
-#include "tallyfold/net/operator_keys.hpp"
-#include "tallyfold/net/peer_inputs.hpp"
-#include "tallyfold/net/process_runtime.hpp"
-#include "tallyfold/net/transport.hpp"
-#include "tallyfold/settings/program_flags.hpp"
+#include "tallyfold/base/common/bounded_ring.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/base/settings/program_flags.hpp"
+#include "tallyfold/program_api/control/commands/admin_commands.hpp"
+#include "tallyfold/program_api/control/queries/render_status.hpp"
+#include "tallyfold/program_api/control/storage_thread.hpp"
+#include "tallyfold/program_api/http/http_server.hpp"
+#include "tallyfold/program_api/process/logic_thread.hpp"
+#include "tallyfold/program_api/process/metrics.hpp"
+#include "tallyfold/program_api/process/process_runtime.hpp"
+#include "tallyfold/program_api/transport/cluster_keys.hpp"
+#include "tallyfold/program_api/transport/operator_keys.hpp"
+#include "tallyfold/program_api/transport/peer_inputs.hpp"
+#include "tallyfold/program_api/transport/transport.hpp"
 
 namespace tallyfold::control {
 
--- a/src/tallyfold/control/lease_assigner.cpp
+++ b/src/tallyfold/program_api/control/lease_assigner.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/control/lease_assigner.hpp"
+#include "tallyfold/program_api/control/lease_assigner.hpp"
 
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 
 namespace tallyfold::control {
 
--- a/src/tallyfold/control/lease_assigner.hpp
+++ b/src/tallyfold/program_api/control/lease_assigner.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/journal/types.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/program_api/journal/types.hpp"
 
 namespace tallyfold::control {
 
--- a/src/tallyfold/control/members_and_leases.cpp
+++ b/src/tallyfold/program_api/control/members_and_leases.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/control/control_core.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/program_api/control/control_core.hpp"
 
 namespace tallyfold::control {
 
--- a/src/tallyfold/control/queries/render_status.cpp
+++ b/src/tallyfold/program_api/control/queries/render_status.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/control/queries/render_status.hpp"
+#include "tallyfold/program_api/control/queries/render_status.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/tallyfold/control/queries/render_status.hpp
+++ b/src/tallyfold/program_api/control/queries/render_status.hpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "tallyfold/control/control_core.hpp"
+#include "tallyfold/program_api/control/control_core.hpp"
 
 namespace tallyfold::control {
 
--- a/src/tallyfold/control/storage_thread.hpp
+++ b/src/tallyfold/program_api/control/storage_thread.hpp
@@ -7,9 +7,9 @@
 #include <functional>
 #include <thread>
 
-#include "tallyfold/common/bounded_ring.hpp"
-#include "tallyfold/control/control_core.hpp"
-#include "tallyfold/storage/log_store.hpp"
+#include "tallyfold/base/common/bounded_ring.hpp"
+#include "tallyfold/consensus/log_store.hpp"
+#include "tallyfold/program_api/control/control_core.hpp"
 
 namespace tallyfold::control {
 
--- a/src/tallyfold/control/storage_thread_shell.cpp
+++ b/src/tallyfold/program_api/control/storage_thread_shell.cpp
@@ -1,5 +1,5 @@
-#include "tallyfold/control/storage_thread.hpp"
-#include "tallyfold/logging/event_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/program_api/control/storage_thread.hpp"
 
 namespace tallyfold::control {
 
--- a/src/tallyfold/gateway/commands/parse_request.cpp
+++ b/src/tallyfold/program_api/gateway/commands/parse_request.cpp
@@ -1,12 +1,12 @@
-#include "tallyfold/gateway/commands/parse_request.hpp"
+#include "tallyfold/program_api/gateway/commands/parse_request.hpp"
 
 #include <array>
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/journal/shard_state.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
 
 namespace tallyfold::gateway {
 
--- a/src/tallyfold/gateway/commands/parse_request.hpp
+++ b/src/tallyfold/program_api/gateway/commands/parse_request.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <tl/expected.hpp>
 
-#include "tallyfold/protocol/messages.hpp"
+#include "tallyfold/program_api/transport/messages.hpp"
 
 namespace tallyfold::gateway {
 
--- a/src/tallyfold/gateway/gateway_core.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.cpp
@@ -1,7 +1,7 @@
-#include "tallyfold/gateway/gateway_core.hpp"
+#include "tallyfold/program_api/gateway/gateway_core.hpp"
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/journal/shard_state.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
 
 namespace tallyfold::gateway {
 
--- a/src/tallyfold/gateway/gateway_core.hpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/membership/control_session.hpp"
-#include "tallyfold/protocol/messages.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/program_api/membership/control_session.hpp"
+#include "tallyfold/program_api/transport/messages.hpp"
 
 namespace tallyfold::gateway {
 
--- a/src/tallyfold/gateway/gateway_shell.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_shell.cpp
@@ -1,20 +1,20 @@
-#include "tallyfold/gateway/gateway_shell.hpp"
+#include "tallyfold/program_api/gateway/gateway_shell.hpp"
 
 #include <map>
 #include <set>
 
-#include "tallyfold/common/bounded_ring.hpp"
-#include "tallyfold/gateway/commands/parse_request.hpp"
-#include "tallyfold/gateway/gateway_core.hpp"
-#include "tallyfold/gateway/queries/render_answer.hpp"
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/net/cluster_keys.hpp"
-#include "tallyfold/net/http_server.hpp"
-#include "tallyfold/net/logic_thread.hpp"
-#include "tallyfold/net/metrics.hpp"
-#include "tallyfold/net/peer_inputs.hpp"
-#include "tallyfold/net/process_runtime.hpp"
-#include "tallyfold/net/transport.hpp"
+#include "tallyfold/base/common/bounded_ring.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/program_api/gateway/commands/parse_request.hpp"
+#include "tallyfold/program_api/gateway/gateway_core.hpp"
+#include "tallyfold/program_api/gateway/queries/render_answer.hpp"
+#include "tallyfold/program_api/http/http_server.hpp"
+#include "tallyfold/program_api/process/logic_thread.hpp"
+#include "tallyfold/program_api/process/metrics.hpp"
+#include "tallyfold/program_api/process/process_runtime.hpp"
+#include "tallyfold/program_api/transport/cluster_keys.hpp"
+#include "tallyfold/program_api/transport/peer_inputs.hpp"
+#include "tallyfold/program_api/transport/transport.hpp"
 
 namespace tallyfold::gateway {
 
--- a/src/tallyfold/gateway/gateway_shell.hpp
+++ b/src/tallyfold/program_api/gateway/gateway_shell.hpp
@@ -5,7 +5,7 @@
 #include <atomic>
 #include <string>
 
-#include "tallyfold/settings/process_settings.hpp"
+#include "tallyfold/program_api/process/process_settings.hpp"
 
 namespace tallyfold::gateway {
 
--- a/src/tallyfold/gateway/queries/render_answer.cpp
+++ b/src/tallyfold/program_api/gateway/queries/render_answer.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/gateway/queries/render_answer.hpp"
+#include "tallyfold/program_api/gateway/queries/render_answer.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/tallyfold/gateway/queries/render_answer.hpp
+++ b/src/tallyfold/program_api/gateway/queries/render_answer.hpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "tallyfold/gateway/commands/parse_request.hpp"
+#include "tallyfold/program_api/gateway/commands/parse_request.hpp"
 
 namespace tallyfold::gateway {
 
--- a/src/tallyfold/net/blocking_http.cpp
+++ b/src/tallyfold/program_api/http/blocking_http.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/net/blocking_http.hpp"
+#include "tallyfold/program_api/http/blocking_http.hpp"
 
 #include <curl/curl.h>
 
--- a/src/tallyfold/net/http_client.cpp
+++ b/src/tallyfold/program_api/http/http_client.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/net/http_client.hpp"
+#include "tallyfold/program_api/http/http_client.hpp"
 
 #include <curl/curl.h>
 
@@ -7,7 +7,7 @@
 #include <thread>
 #include <variant>
 
-#include "tallyfold/common/bounded_ring.hpp"
+#include "tallyfold/base/common/bounded_ring.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/net/http_server.cpp
+++ b/src/tallyfold/program_api/http/http_server.cpp
@@ -1,10 +1,10 @@
-#include "tallyfold/net/http_server.hpp"
+#include "tallyfold/program_api/http/http_server.hpp"
 
 #include <chrono>
 #include <restinio/all.hpp>
 #include <thread>
 
-#include "tallyfold/net/transport.hpp"
+#include "tallyfold/program_api/transport/transport.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/journal/journal_state_machine.cpp
+++ b/src/tallyfold/program_api/journal/journal_state_machine.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/journal/journal_state_machine.hpp"
+#include "tallyfold/program_api/journal/journal_state_machine.hpp"
 
 #include <algorithm>
 #include <cereal/types/deque.hpp>
 
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
 
 namespace tallyfold::journal {
 
--- a/src/tallyfold/journal/journal_state_machine.hpp
+++ b/src/tallyfold/program_api/journal/journal_state_machine.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "tallyfold/journal/shard_state.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
 
 namespace tallyfold::journal {
 
--- a/src/tallyfold/journal/shard_state.cpp
+++ b/src/tallyfold/program_api/journal/shard_state.cpp
@@ -1,8 +1,8 @@
-#include "tallyfold/journal/shard_state.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
 
 #include <algorithm>
 
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 
 namespace tallyfold::journal {
 
--- a/src/tallyfold/journal/shard_state.hpp
+++ b/src/tallyfold/program_api/journal/shard_state.hpp
@@ -9,7 +9,7 @@
 #include <deque>
 #include <map>
 
-#include "tallyfold/journal/types.hpp"
+#include "tallyfold/program_api/journal/types.hpp"
 
 namespace tallyfold::journal {
 
--- a/src/tallyfold/journal/types.cpp
+++ b/src/tallyfold/program_api/journal/types.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/journal/types.hpp"
+#include "tallyfold/program_api/journal/types.hpp"
 
 namespace tallyfold::journal {
 
--- a/src/tallyfold/journal/types.hpp
+++ b/src/tallyfold/program_api/journal/types.hpp
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "tallyfold/common/types.hpp"
+#include "tallyfold/base/common/types.hpp"
 
 namespace tallyfold::journal {
 
--- a/src/tallyfold/membership/control_session.cpp
+++ b/src/tallyfold/program_api/membership/control_session.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/membership/control_session.hpp"
+#include "tallyfold/program_api/membership/control_session.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/membership/control_session.hpp
+++ b/src/tallyfold/program_api/membership/control_session.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/configuration/configuration_state.hpp"
-#include "tallyfold/protocol/messages.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/program_api/configuration/configuration_state.hpp"
+#include "tallyfold/program_api/transport/messages.hpp"
 
 namespace tallyfold::membership {
 
--- a/src/tallyfold/net/logic_thread.hpp
+++ b/src/tallyfold/program_api/process/logic_thread.hpp
@@ -9,8 +9,8 @@
 #include <thread>
 #include <vector>
 
-#include "tallyfold/common/bounded_ring.hpp"
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/bounded_ring.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/net/metrics.cpp
+++ b/src/tallyfold/program_api/process/metrics.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/net/metrics.hpp"
+#include "tallyfold/program_api/process/metrics.hpp"
 
 #include <prometheus/metric_family.h>
 #include <prometheus/text_serializer.h>
--- a/src/tallyfold/net/process_runtime.hpp
+++ b/src/tallyfold/program_api/process/process_runtime.hpp
@@ -6,10 +6,10 @@
 #include <chrono>
 #include <thread>
 
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/net/http_server.hpp"
-#include "tallyfold/net/metrics.hpp"
-#include "tallyfold/net/transport.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/program_api/http/http_server.hpp"
+#include "tallyfold/program_api/process/metrics.hpp"
+#include "tallyfold/program_api/transport/transport.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/settings/process_settings.cpp
+++ b/src/tallyfold/program_api/process/process_settings.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/settings/process_settings.hpp"
+#include "tallyfold/program_api/process/process_settings.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/settings/process_settings.hpp
+++ b/src/tallyfold/program_api/process/process_settings.hpp
@@ -7,10 +7,10 @@
 #include <utility>
 #include <vector>
 
-#include "tallyfold/control/control_core.hpp"
-#include "tallyfold/gateway/gateway_core.hpp"
-#include "tallyfold/scheduler/scheduler_core.hpp"
-#include "tallyfold/settings/settings_reader.hpp"
+#include "tallyfold/base/settings/settings_reader.hpp"
+#include "tallyfold/program_api/control/control_core.hpp"
+#include "tallyfold/program_api/gateway/gateway_core.hpp"
+#include "tallyfold/program_api/scheduler/scheduler_core.hpp"
 
 namespace tallyfold::settings {
 
--- a/src/tallyfold/logging/threaded_log.cpp
+++ b/src/tallyfold/program_api/process/threaded_log.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/logging/threaded_log.hpp"
+#include "tallyfold/program_api/process/threaded_log.hpp"
 
 #include <log4cplus/consoleappender.h>
 #include <log4cplus/initializer.h>
@@ -6,7 +6,7 @@
 #include <log4cplus/logger.h>
 #include <log4cplus/loggingmacros.h>
 
-#include "tallyfold/logging/event_log.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
 
 namespace tallyfold::logging {
 
--- a/src/tallyfold/scheduler/backend_client.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_client.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/bounded_ring.hpp"
-#include "tallyfold/net/http_client.hpp"
-#include "tallyfold/scheduler/backend_http_codec.hpp"
+#include "tallyfold/base/common/bounded_ring.hpp"
+#include "tallyfold/program_api/http/http_client.hpp"
+#include "tallyfold/program_api/scheduler/backend_http_codec.hpp"
 
 namespace tallyfold::scheduler {
 
--- a/src/tallyfold/scheduler/backend_client_shell.cpp
+++ b/src/tallyfold/program_api/scheduler/backend_client_shell.cpp
@@ -1,5 +1,5 @@
-#include "tallyfold/net/logic_thread.hpp"
-#include "tallyfold/scheduler/backend_client.hpp"
+#include "tallyfold/program_api/process/logic_thread.hpp"
+#include "tallyfold/program_api/scheduler/backend_client.hpp"
 
 namespace tallyfold::scheduler {
 
--- a/src/tallyfold/scheduler/backend_http_codec.cpp
+++ b/src/tallyfold/program_api/scheduler/backend_http_codec.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/scheduler/backend_http_codec.hpp"
+#include "tallyfold/program_api/scheduler/backend_http_codec.hpp"
 
 #include <charconv>
 #include <nlohmann/json.hpp>
--- a/src/tallyfold/scheduler/backend_http_codec.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_http_codec.hpp
@@ -10,7 +10,7 @@
 #include <tl/expected.hpp>
 #include <vector>
 
-#include "tallyfold/scheduler/backend_messages.hpp"
+#include "tallyfold/program_api/scheduler/backend_messages.hpp"
 
 namespace tallyfold::scheduler {
 
--- a/src/tallyfold/scheduler/backend_messages.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_messages.hpp
@@ -9,8 +9,8 @@
 #include <variant>
 #include <vector>
 
-#include "tallyfold/common/types.hpp"
-#include "tallyfold/journal/types.hpp"
+#include "tallyfold/base/common/types.hpp"
+#include "tallyfold/program_api/journal/types.hpp"
 #include "tallyfold/scheduling/backend_pool.hpp"
 #include "tallyfold/scheduling/cache_map.hpp"
 
--- a/src/tallyfold/scheduler/backends.cpp
+++ b/src/tallyfold/program_api/scheduler/backends.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "tallyfold/scheduler/scheduler_core.hpp"
+#include "tallyfold/program_api/scheduler/scheduler_core.hpp"
 
 namespace tallyfold::scheduler {
 
--- a/src/tallyfold/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "tallyfold/journal/shard_state.hpp"
-#include "tallyfold/scheduler/scheduler_core.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
+#include "tallyfold/program_api/scheduler/scheduler_core.hpp"
 
 namespace tallyfold::scheduler {
 
--- a/src/tallyfold/scheduler/commands/program_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
@@ -4,8 +4,9 @@
 
 #include <algorithm>
 
-#include "tallyfold/journal/shard_state.hpp"
-#include "tallyfold/scheduler/scheduler_core.hpp"
+#include "tallyfold/program_api/journal/conversation_prefix.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
+#include "tallyfold/program_api/scheduler/scheduler_core.hpp"
 
 namespace tallyfold::scheduler {
 
@@ -352,7 +353,7 @@
         for (const journal::message& message : call.messages) {
             const scheduling::prefix_point before =
                 active.points.empty() ? scheduling::prefix_point{} : active.points.back();
-            active.points.push_back(scheduling::extend_prefix(before, message));
+            active.points.push_back(journal::extend_prefix(before, message));
         }
         active.prompt_tokens = active.points.empty() ? 0 : active.points.back().tokens;
         active.prompt = std::move(prompt);
@@ -374,7 +375,7 @@
         const scheduling::prefix_point before =
             runtime.points.empty() ? scheduling::prefix_point{} : runtime.points.back();
         runtime.points.push_back(
-            scheduling::extend_prefix(before, program.history[runtime.points_messages]));
+            journal::extend_prefix(before, program.history[runtime.points_messages]));
         ++runtime.points_messages;
     }
     return runtime.points;
--- a/src/tallyfold/scheduler/journal_client.cpp
+++ b/src/tallyfold/program_api/scheduler/journal_client.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/scheduler/journal_client.hpp"
+#include "tallyfold/program_api/scheduler/journal_client.hpp"
 
 #include <algorithm>
 
-#include "tallyfold/journal/shard_state.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
 
 namespace tallyfold::scheduler {
 
--- a/src/tallyfold/scheduler/journal_client.hpp
+++ b/src/tallyfold/program_api/scheduler/journal_client.hpp
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/journal/types.hpp"
-#include "tallyfold/protocol/messages.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/program_api/journal/types.hpp"
+#include "tallyfold/program_api/transport/messages.hpp"
 
 namespace tallyfold::scheduler {
 
--- a/src/tallyfold/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -1,8 +1,8 @@
-#include "tallyfold/scheduler/scheduler_core.hpp"
+#include "tallyfold/program_api/scheduler/scheduler_core.hpp"
 
 #include <algorithm>
 
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
 
 namespace tallyfold::scheduler {
 
--- a/src/tallyfold/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -15,16 +15,16 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/configuration/configuration_state.hpp"
-#include "tallyfold/journal/shard_state.hpp"
-#include "tallyfold/logging/event_catalogue.hpp"
-#include "tallyfold/membership/control_session.hpp"
-#include "tallyfold/protocol/messages.hpp"
-#include "tallyfold/scheduler/backend_messages.hpp"
-#include "tallyfold/scheduler/journal_client.hpp"
-#include "tallyfold/scheduler/retry_budget.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/base/logging/event_catalogue.hpp"
+#include "tallyfold/program_api/configuration/configuration_state.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
+#include "tallyfold/program_api/membership/control_session.hpp"
+#include "tallyfold/program_api/scheduler/backend_messages.hpp"
+#include "tallyfold/program_api/scheduler/journal_client.hpp"
+#include "tallyfold/program_api/scheduler/retry_budget.hpp"
+#include "tallyfold/program_api/transport/messages.hpp"
 #include "tallyfold/scheduling/call_queue.hpp"
 #include "tallyfold/scheduling/placement.hpp"
 
--- a/src/tallyfold/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "tallyfold/journal/shard_state.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
-#include "tallyfold/scheduler/scheduler_core.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
+#include "tallyfold/program_api/scheduler/scheduler_core.hpp"
 
 namespace tallyfold::scheduler {
 
--- a/src/tallyfold/net/cluster_keys.cpp
+++ b/src/tallyfold/program_api/transport/cluster_keys.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/net/cluster_keys.hpp"
+#include "tallyfold/program_api/transport/cluster_keys.hpp"
 
 #include <openssl/crypto.h>
 #include <openssl/evp.h>
--- a/src/tallyfold/protocol/messages.hpp
+++ b/src/tallyfold/program_api/transport/messages.hpp
@@ -7,10 +7,10 @@
 #include <variant>
 #include <vector>
 
-#include "tallyfold/common/types.hpp"
-#include "tallyfold/configuration/types.hpp"
+#include "tallyfold/base/common/types.hpp"
 #include "tallyfold/consensus/messages.hpp"
-#include "tallyfold/journal/types.hpp"
+#include "tallyfold/program_api/configuration/types.hpp"
+#include "tallyfold/program_api/journal/types.hpp"
 
 namespace tallyfold::protocol {
 
--- a/src/tallyfold/net/operator_keys.cpp
+++ b/src/tallyfold/program_api/transport/operator_keys.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/net/operator_keys.hpp"
+#include "tallyfold/program_api/transport/operator_keys.hpp"
 
 #include <array>
 #include <charconv>
--- a/src/tallyfold/net/operator_keys.hpp
+++ b/src/tallyfold/program_api/transport/operator_keys.hpp
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <tl/expected.hpp>
 
-#include "tallyfold/net/cluster_keys.hpp"
+#include "tallyfold/program_api/transport/cluster_keys.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/net/peer_handshake.cpp
+++ b/src/tallyfold/program_api/transport/peer_handshake.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/net/peer_handshake.hpp"
+#include "tallyfold/program_api/transport/peer_handshake.hpp"
 
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/net/peer_handshake.hpp
+++ b/src/tallyfold/program_api/transport/peer_handshake.hpp
@@ -10,8 +10,8 @@
 #include <optional>
 #include <string>
 
-#include "tallyfold/common/types.hpp"
-#include "tallyfold/net/cluster_keys.hpp"
+#include "tallyfold/base/common/types.hpp"
+#include "tallyfold/program_api/transport/cluster_keys.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/net/peer_inputs.hpp
+++ b/src/tallyfold/program_api/transport/peer_inputs.hpp
@@ -5,10 +5,10 @@
 #include <functional>
 #include <optional>
 
-#include "tallyfold/common/bounded_ring.hpp"
-#include "tallyfold/logging/event_log.hpp"
-#include "tallyfold/net/logic_thread.hpp"
-#include "tallyfold/net/transport.hpp"
+#include "tallyfold/base/common/bounded_ring.hpp"
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/program_api/process/logic_thread.hpp"
+#include "tallyfold/program_api/transport/transport.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/net/transport.cpp
+++ b/src/tallyfold/program_api/transport/transport.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/net/transport.hpp"
+#include "tallyfold/program_api/transport/transport.hpp"
 
 #include <array>
 #include <asio.hpp>
@@ -6,8 +6,8 @@
 #include <deque>
 #include <set>
 
-#include "tallyfold/net/peer_handshake.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/program_api/transport/peer_handshake.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/net/transport.hpp
+++ b/src/tallyfold/program_api/transport/transport.hpp
@@ -9,11 +9,11 @@
 #include <string>
 #include <thread>
 
-#include "tallyfold/common/bounded_ring.hpp"
-#include "tallyfold/logging/event_catalogue.hpp"
-#include "tallyfold/net/cluster_keys.hpp"
-#include "tallyfold/net/socket_address.hpp"
-#include "tallyfold/protocol/messages.hpp"
+#include "tallyfold/base/common/bounded_ring.hpp"
+#include "tallyfold/base/logging/event_catalogue.hpp"
+#include "tallyfold/base/net/socket_address.hpp"
+#include "tallyfold/program_api/transport/cluster_keys.hpp"
+#include "tallyfold/program_api/transport/messages.hpp"
 
 namespace tallyfold::net {
 
--- a/src/tallyfold/scheduling/backend_pool.hpp
+++ b/src/tallyfold/scheduling/backend_pool.hpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/common/types.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/base/common/types.hpp"
 
 namespace tallyfold::scheduling {
 
--- a/src/tallyfold/scheduling/cache_map.cpp
+++ b/src/tallyfold/scheduling/cache_map.cpp
@@ -2,16 +2,8 @@
 
 #include <algorithm>
 
-#include "tallyfold/common/hash.hpp"
-
 namespace tallyfold::scheduling {
 
-prefix_point extend_prefix(const prefix_point& before, const journal::message& added) {
-    const std::uint64_t content = stable_hash(added.content, stable_hash(added.role));
-    return {combine_hash(before.hash, combine_hash(content, added.tokens)),
-            before.tokens + added.tokens};
-}
-
 std::uint32_t cache_map::number_of(const backend_name& engine) {
     const auto [position, added] =
         numbers_.try_emplace(engine, static_cast<std::uint32_t>(names_.size()));
--- a/src/tallyfold/scheduling/cache_map.hpp
+++ b/src/tallyfold/scheduling/cache_map.hpp
@@ -11,8 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "tallyfold/common/types.hpp"
-#include "tallyfold/journal/types.hpp"
+#include "tallyfold/base/common/types.hpp"
 
 namespace tallyfold::scheduling {
 
@@ -31,9 +30,6 @@
     }
 };
 
-/// Point after `added`, which follows a conversation that ends at `before`.
-prefix_point extend_prefix(const prefix_point& before, const journal::message& added);
-
 struct cached_prefix {
     backend_name engine;
     /// The point that matched.
--- a/src/tallyfold/scheduling/call_queue.hpp
+++ b/src/tallyfold/scheduling/call_queue.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
+#include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::scheduling {
 
--- a/src/tallyfold/scheduling/placement.cpp
+++ b/src/tallyfold/scheduling/placement.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 
 namespace tallyfold::scheduling {
 
--- a/stand_ins/answer_content.cpp
+++ b/stand_ins/answer_content.cpp
@@ -1,6 +1,6 @@
 #include "stand_ins/answer_content.hpp"
 
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/stand_ins/answer_content.hpp
+++ b/stand_ins/answer_content.hpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string>
 
-#include "tallyfold/common/types.hpp"
+#include "tallyfold/base/common/types.hpp"
 #include "tallyfold/scheduling/cache_map.hpp"
 
 namespace tallyfold::stand_ins {
--- a/stand_ins/backend_ledger.hpp
+++ b/stand_ins/backend_ledger.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/scheduler/backend_messages.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/program_api/scheduler/backend_messages.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/stand_ins/backend_process_shell.cpp
+++ b/stand_ins/backend_process_shell.cpp
@@ -5,10 +5,10 @@
 #include "stand_ins/backend_process.hpp"
 #include "stand_ins/ledger_file.hpp"
 #include "stand_ins/service_store.hpp"
-#include "tallyfold/net/http_client.hpp"
-#include "tallyfold/net/http_server.hpp"
-#include "tallyfold/net/logic_thread.hpp"
-#include "tallyfold/scheduler/backend_http_codec.hpp"
+#include "tallyfold/program_api/http/http_client.hpp"
+#include "tallyfold/program_api/http/http_server.hpp"
+#include "tallyfold/program_api/process/logic_thread.hpp"
+#include "tallyfold/program_api/scheduler/backend_http_codec.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/stand_ins/caller_core.cpp
+++ b/stand_ins/caller_core.cpp
@@ -3,9 +3,10 @@
 #include <atomic>
 
 #include "stand_ins/answer_content.hpp"
-#include "tallyfold/common/hash.hpp"
-#include "tallyfold/gateway/commands/parse_request.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/common/hash.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/program_api/gateway/commands/parse_request.hpp"
+#include "tallyfold/program_api/journal/conversation_prefix.hpp"
 
 namespace tallyfold::stand_ins {
 
@@ -144,10 +145,10 @@
     std::string expected;
     if (step.kind == step_kind::model) {
         for (const journal::message& message : step.messages) {
-            history_ = scheduling::extend_prefix(history_, message);
+            history_ = journal::extend_prefix(history_, message);
         }
         expected = completion_text(program_, sequence_, history_.hash, step.max_tokens);
-        history_ = scheduling::extend_prefix(history_, {"assistant", expected, step.max_tokens});
+        history_ = journal::extend_prefix(history_, {"assistant", expected, step.max_tokens});
     } else {
         expected = service_answer(program_, sequence_, step.operation, step.argument);
     }
--- a/stand_ins/caller_core.hpp
+++ b/stand_ins/caller_core.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "stand_ins/program_script.hpp"
-#include "tallyfold/protocol/messages.hpp"
+#include "tallyfold/program_api/transport/messages.hpp"
 #include "tallyfold/scheduling/cache_map.hpp"
 
 namespace tallyfold::stand_ins {
--- a/stand_ins/deployment_defaults.hpp
+++ b/stand_ins/deployment_defaults.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "stand_ins/program_script.hpp"
-#include "tallyfold/configuration/types.hpp"
+#include "tallyfold/program_api/configuration/types.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/stand_ins/engine_core.cpp
+++ b/stand_ins/engine_core.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "stand_ins/answer_content.hpp"
+#include "tallyfold/program_api/journal/conversation_prefix.hpp"
 
 namespace tallyfold::stand_ins {
 
@@ -63,7 +64,7 @@
     added.request = request;
     for (const journal::message& message : *request.prompt) {
         const prefix_point before = added.points.empty() ? prefix_point{} : added.points.back();
-        added.points.push_back(scheduling::extend_prefix(before, message));
+        added.points.push_back(journal::extend_prefix(before, message));
     }
     added.prompt_tokens = added.points.empty() ? 0 : added.points.back().tokens;
     added.pieces = request.prefix;
@@ -311,7 +312,7 @@
     }
     const prefix_point before = target.points.empty() ? prefix_point{} : target.points.back();
     const prefix_point after =
-        scheduling::extend_prefix(before, {"assistant", answer, target.pieces.size()});
+        journal::extend_prefix(before, {"assistant", answer, target.pieces.size()});
     insert_node(before.hash, after, target.pieces.size(), target.request.key.program, now);
     release_holds(target);
     ledger_entry& entry = entries_[target.entry];
--- a/stand_ins/engine_core.hpp
+++ b/stand_ins/engine_core.hpp
@@ -16,8 +16,8 @@
 #include <vector>
 
 #include "stand_ins/backend_ledger.hpp"
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/scheduler/backend_messages.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/program_api/scheduler/backend_messages.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/stand_ins/ledger_file_shell.cpp
+++ b/stand_ins/ledger_file_shell.cpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 
 #include "stand_ins/ledger_file.hpp"
-#include "tallyfold/scheduler/backend_http_codec.hpp"
+#include "tallyfold/program_api/scheduler/backend_http_codec.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/stand_ins/platform_process.hpp
+++ b/stand_ins/platform_process.hpp
@@ -5,8 +5,8 @@
 #include <atomic>
 #include <string>
 
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/scheduler/backend_messages.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/program_api/scheduler/backend_messages.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/stand_ins/platform_process_shell.cpp
+++ b/stand_ins/platform_process_shell.cpp
@@ -3,9 +3,9 @@
 #include <thread>
 
 #include "stand_ins/platform_process.hpp"
-#include "tallyfold/net/http_server.hpp"
-#include "tallyfold/net/logic_thread.hpp"
-#include "tallyfold/scheduler/backend_http_codec.hpp"
+#include "tallyfold/program_api/http/http_server.hpp"
+#include "tallyfold/program_api/process/logic_thread.hpp"
+#include "tallyfold/program_api/scheduler/backend_http_codec.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/stand_ins/program_script.hpp
+++ b/stand_ins/program_script.hpp
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/common/time.hpp"
-#include "tallyfold/journal/types.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/program_api/journal/types.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/stand_ins/relay_process_shell.cpp
+++ b/stand_ins/relay_process_shell.cpp
@@ -8,8 +8,8 @@
 #include <thread>
 
 #include "stand_ins/relay_process.hpp"
-#include "tallyfold/net/http_server.hpp"
-#include "tallyfold/net/transport.hpp"
+#include "tallyfold/program_api/http/http_server.hpp"
+#include "tallyfold/program_api/transport/transport.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/stand_ins/service_store.hpp
+++ b/stand_ins/service_store.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "stand_ins/service_core.hpp"
-#include "tallyfold/storage/file.hpp"
+#include "tallyfold/base/storage/file.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/stand_ins/service_store_shell.cpp
+++ b/stand_ins/service_store_shell.cpp
@@ -1,8 +1,8 @@
 #include <filesystem>
 
 #include "stand_ins/service_store.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
-#include "tallyfold/storage/record_format.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/base/storage/record_format.hpp"
 
 namespace tallyfold::stand_ins {
 
--- a/tests/logging/event_catalogue_test.cpp
+++ b/tests/base/logging/event_catalogue_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/logging/event_catalogue.hpp"
+#include "tallyfold/base/logging/event_catalogue.hpp"
 
 #include <fstream>
 #include <iterator>
--- a/tests/logging/line_sink_test.cpp
+++ b/tests/base/logging/line_sink_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/logging/line_sink.hpp"
+#include "tallyfold/base/logging/line_sink.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/tests/protocol/binary_codec_test.cpp
+++ b/tests/base/protocol/binary_codec_test.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
 
-#include "tallyfold/protocol/messages.hpp"
+#include "tallyfold/program_api/transport/messages.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/storage/record_reader_test.cpp
+++ b/tests/base/storage/record_reader_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/storage/record_reader.hpp"
+#include "tallyfold/base/storage/record_reader.hpp"
 
 #include "tests/support/suite.hpp"
 #include "tests/support/temporary_path.hpp"
--- a/tests/storage/segmented_log_test.cpp
+++ b/tests/base/storage/segmented_log_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/storage/segmented_log.hpp"
+#include "tallyfold/base/storage/segmented_log.hpp"
 
 #include <sys/resource.h>
 
--- a/tests/storage/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -1,10 +1,10 @@
-#include "tallyfold/storage/log_store.hpp"
+#include "tallyfold/consensus/log_store.hpp"
 
 #include <filesystem>
 #include <fstream>
 #include <set>
 
-#include "tallyfold/storage/record_format.hpp"
+#include "tallyfold/base/storage/record_format.hpp"
 #include "tests/support/suite.hpp"
 #include "tests/support/temporary_path.hpp"
 
--- a/tests/directory/operator_desk_test.cpp
+++ b/tests/plane/directory/admin_api_test.cpp
@@ -9,7 +9,7 @@
 #include <atomic>
 #include <future>
 
-#include "tallyfold/directory/operator_desk_shell.hpp"
+#include "tallyfold/plane/directory/admin_api_shell.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/directory/applied_state_notes_test.cpp
+++ b/tests/plane/directory/applied_state_cache_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/directory/applied_state_notes.hpp"
+#include "tallyfold/plane/directory/applied_state_cache.hpp"
 
 #include <fstream>
 
--- a/tests/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -1,7 +1,7 @@
-#include "tallyfold/directory/configuration_fetch.hpp"
+#include "tallyfold/plane/directory/configuration_fetch.hpp"
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/directory/configuration_proofs.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/plane/directory/configuration_proofs.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/directory/configuration_spread_test.cpp
+++ b/tests/plane/directory/configuration_spread_test.cpp
@@ -9,8 +9,8 @@
 /// took the answer of any directory node, also of one that lagged, for proof that it held the
 /// newest configuration.
 
-#include "tallyfold/directory/directory_core.hpp"
-#include "tallyfold/messaging/peer_message.hpp"
+#include "tallyfold/plane/directory/directory_core.hpp"
+#include "tallyfold/plane/messaging/peer_message.hpp"
 #include "tests/support/directory_group.hpp"
 #include "tests/support/suite.hpp"
 
--- a/tests/directory/directory_core_test.cpp
+++ b/tests/plane/directory/directory_core_test.cpp
@@ -1,7 +1,7 @@
-#include "tallyfold/directory/directory_core.hpp"
+#include "tallyfold/plane/directory/directory_core.hpp"
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/protocol/compression.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/base/protocol/compression.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/directory/break_board_test.cpp
+++ b/tests/plane/directory/failure_relay_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/directory/break_board.hpp"
+#include "tallyfold/plane/directory/failure_relay.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/directory/member_planner_test.cpp
+++ b/tests/plane/directory/member_planner_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/directory/member_planner.hpp"
+#include "tallyfold/plane/directory/member_planner.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/directory/open_changes_test.cpp
+++ b/tests/plane/directory/open_changes_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/directory/open_changes.hpp"
+#include "tallyfold/plane/directory/open_changes.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -9,9 +9,9 @@
 #include <tuple>
 #include <vector>
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/directory/configuration_fetch.hpp"
-#include "tallyfold/messaging/peer_message.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/plane/directory/configuration_fetch.hpp"
+#include "tallyfold/plane/messaging/peer_message.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/listing/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -1,6 +1,6 @@
 #include <set>
 
-#include "tallyfold/listing/types.hpp"
+#include "tallyfold/plane/discovery/types.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/listing/list_duty_test.cpp
+++ b/tests/plane/discovery/poller_election_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/listing/list_duty.hpp"
+#include "tallyfold/plane/discovery/poller_election.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/forwarding/answer_rendering_test.cpp
+++ b/tests/plane/forwarding/answer_rendering_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/forwarding/answer_rendering.hpp"
+#include "tallyfold/plane/forwarding/answer_rendering.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/forwarding/attempt_policy_test.cpp
+++ b/tests/plane/forwarding/attempt_policy_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/forwarding/attempt_policy.hpp"
+#include "tallyfold/plane/forwarding/attempt_policy.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/forwarding/backend_registry.hpp"
+#include "tallyfold/plane/forwarding/backend_registry.hpp"
 
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/forwarding/backend_subset_test.cpp
+++ b/tests/plane/forwarding/backend_subset_test.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/forwarding/backend_subset.hpp"
+#include "tallyfold/plane/forwarding/backend_subset.hpp"
 
 #include <map>
 #include <set>
 
-#include "tallyfold/common/hash.hpp"
+#include "tallyfold/base/common/hash.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/forwarding/call_ranking_test.cpp
+++ b/tests/plane/forwarding/call_ranking_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/forwarding/call_ranking.hpp"
+#include "tallyfold/plane/forwarding/call_ranking.hpp"
 
 #include <fstream>
 #include <iterator>
--- a/tests/forwarding/stream_pace_test.cpp
+++ b/tests/plane/forwarding/stream_pace_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/forwarding/stream_pace.hpp"
+#include "tallyfold/plane/forwarding/stream_pace.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/http/message_parser.hpp"
+#include "tallyfold/plane/http/message_parser.hpp"
 
-#include "tallyfold/http/event_stream.hpp"
+#include "tallyfold/plane/http/event_stream.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/http/whole_events_test.cpp
+++ b/tests/plane/http/whole_events_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/http/whole_events.hpp"
+#include "tallyfold/plane/http/whole_events.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/settings/node_settings_test.cpp
+++ b/tests/plane/process/node_settings_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/settings/node_settings.hpp"
+#include "tallyfold/plane/process/node_settings.hpp"
 
 #include "tests/support/suite.hpp"
 #include "tests/support/temporary_path.hpp"
--- a/tests/routing/configuration_change_test.cpp
+++ b/tests/plane/routing/configuration_change_test.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/routing/configuration_change.hpp"
+#include "tallyfold/plane/routing/configuration_change.hpp"
 
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/routing/routing_test.cpp
+++ b/tests/plane/routing/routing_test.cpp
@@ -1,5 +1,5 @@
-#include "tallyfold/routing/route_table.hpp"
-#include "tallyfold/routing/validation.hpp"
+#include "tallyfold/plane/routing/route_table.hpp"
+#include "tallyfold/plane/routing/validation.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/tenants/key_index_test.cpp
+++ b/tests/plane/tenants/key_index_test.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/tenants/key_index.hpp"
+#include "tallyfold/plane/tenants/key_index.hpp"
 
-#include "tallyfold/protocol/binary_codec.hpp"
-#include "tallyfold/routing/route_table.hpp"
-#include "tallyfold/routing/validation.hpp"
-#include "tallyfold/tenants/tenant_scope.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/plane/routing/route_table.hpp"
+#include "tallyfold/plane/routing/validation.hpp"
+#include "tallyfold/plane/tenants/tenant_scope.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -5,8 +5,8 @@
 #include <memory>
 #include <random>
 
-#include "tallyfold/tenants/permit_holder.hpp"
-#include "tallyfold/tenants/quota_keeper.hpp"
+#include "tallyfold/plane/tenants/permit_holder.hpp"
+#include "tallyfold/plane/tenants/permit_lender.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/turns/copy_watch_test.cpp
+++ b/tests/plane/turns/copy_watch_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/turns/copy_watch.hpp"
+#include "tallyfold/plane/turns/copy_watch.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -1,9 +1,9 @@
-#include "tallyfold/turns/quorum_operations.hpp"
+#include "tallyfold/plane/turns/quorum_operations.hpp"
 
 #include <rapidcheck.h>
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/turns/copy_progress.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/plane/turns/copy_progress.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/turns/resend_schedule_test.cpp
+++ b/tests/plane/turns/resend_schedule_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/turns/resend_schedule.hpp"
+#include "tallyfold/plane/turns/resend_schedule.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/turns/store_simulation_test.cpp
+++ b/tests/plane/turns/store_simulation_test.cpp
@@ -3,11 +3,11 @@
 #include <memory>
 #include <set>
 
-#include "tallyfold/common/random.hpp"
-#include "tallyfold/directory/store_planner.hpp"
-#include "tallyfold/turns/quorum_operations.hpp"
-#include "tallyfold/turns/store_fsm.hpp"
-#include "tallyfold/turns/turn_beginning.hpp"
+#include "tallyfold/base/common/random.hpp"
+#include "tallyfold/plane/directory/store_planner.hpp"
+#include "tallyfold/plane/turns/quorum_operations.hpp"
+#include "tallyfold/plane/turns/store_fsm.hpp"
+#include "tallyfold/plane/turns/turn_beginning.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/turns/store_table_test.cpp
+++ b/tests/plane/turns/store_table_test.cpp
@@ -1,6 +1,6 @@
 #include <rapidcheck.h>
 
-#include "tallyfold/turns/types.hpp"
+#include "tallyfold/plane/turns/types.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/turns/turn_log_test.cpp
+++ b/tests/plane/turns/turn_log_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/turns/turn_log.hpp"
+#include "tallyfold/plane/turns/turn_log.hpp"
 
 #include <filesystem>
 
--- a/tests/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -1,6 +1,6 @@
-#include "tallyfold/turns/turn_search.hpp"
+#include "tallyfold/plane/turns/turn_search.hpp"
 
-#include "tallyfold/turns/turn_beginning.hpp"
+#include "tallyfold/plane/turns/turn_beginning.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/turns/turn_book_test.cpp
+++ b/tests/plane/turns/turn_table_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/turns/turn_book.hpp"
+#include "tallyfold/plane/turns/turn_table.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -1,7 +1,7 @@
-#include "tallyfold/configuration/configuration_state.hpp"
-#include "tallyfold/configuration/json_codec.hpp"
-#include "tallyfold/control/commands/admin_commands.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/program_api/configuration/configuration_state.hpp"
+#include "tallyfold/program_api/configuration/json_codec.hpp"
+#include "tallyfold/program_api/control/commands/admin_commands.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/control/lease_assigner_test.cpp
+++ b/tests/program_api/control/lease_assigner_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/control/lease_assigner.hpp"
+#include "tallyfold/program_api/control/lease_assigner.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -1,9 +1,9 @@
 #include <nlohmann/json.hpp>
 
-#include "tallyfold/gateway/commands/parse_request.hpp"
-#include "tallyfold/gateway/gateway_core.hpp"
-#include "tallyfold/gateway/queries/render_answer.hpp"
-#include "tallyfold/journal/shard_state.hpp"
+#include "tallyfold/program_api/gateway/commands/parse_request.hpp"
+#include "tallyfold/program_api/gateway/gateway_core.hpp"
+#include "tallyfold/program_api/gateway/queries/render_answer.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/journal/shard_state_test.cpp
+++ b/tests/program_api/journal/shard_state_test.cpp
@@ -1,7 +1,7 @@
-#include "tallyfold/journal/shard_state.hpp"
+#include "tallyfold/program_api/journal/shard_state.hpp"
 
-#include "tallyfold/journal/journal_state_machine.hpp"
-#include "tallyfold/protocol/binary_codec.hpp"
+#include "tallyfold/base/protocol/binary_codec.hpp"
+#include "tallyfold/program_api/journal/journal_state_machine.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/settings/settings_test.cpp
+++ b/tests/program_api/process/settings_test.cpp
@@ -1,7 +1,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "tallyfold/settings/process_settings.hpp"
+#include "tallyfold/program_api/process/process_settings.hpp"
 #include "tests/support/suite.hpp"
 #include "tests/support/temporary_path.hpp"
 
--- a/tests/scheduler/journal_client_test.cpp
+++ b/tests/program_api/scheduler/journal_client_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/scheduler/journal_client.hpp"
+#include "tallyfold/program_api/scheduler/journal_client.hpp"
 
 #include "tests/support/suite.hpp"
 
--- a/tests/net/keys_test.cpp
+++ b/tests/program_api/transport/keys_test.cpp
@@ -3,8 +3,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "tallyfold/net/cluster_keys.hpp"
-#include "tallyfold/net/operator_keys.hpp"
+#include "tallyfold/program_api/transport/cluster_keys.hpp"
+#include "tallyfold/program_api/transport/operator_keys.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/net/peer_handshake_test.cpp
+++ b/tests/program_api/transport/peer_handshake_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/net/peer_handshake.hpp"
+#include "tallyfold/program_api/transport/peer_handshake.hpp"
 
 #include "tests/support/suite.hpp"
 #include "tests/support/temporary_path.hpp"
--- a/tests/net/transport_test.cpp
+++ b/tests/program_api/transport/transport_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/net/transport.hpp"
+#include "tallyfold/program_api/transport/transport.hpp"
 
 #include <unistd.h>
 
--- a/tests/support/directory_group.hpp
+++ b/tests/support/directory_group.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/directory/directory_core.hpp"
+#include "tallyfold/plane/directory/directory_core.hpp"
 
 namespace tallyfold::tests {
 
--- a/tests/support/replica_group.hpp
+++ b/tests/support/replica_group.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/common/random.hpp"
+#include "tallyfold/base/common/random.hpp"
 #include "tallyfold/consensus/persistence.hpp"
 #include "tallyfold/consensus/replica_fsm.hpp"
 
