--- /dev/null
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -0,0 +1,274 @@
+/// @file
+/// Pins the platform's form of a configuration and of the list of replicas: every field, every
+/// default, and the text of refusals. The platform writes both, so a change here breaks the system
+/// on it.
+
+#include "platform/configuration_format.hpp"
+#include "platform/replica_list.hpp"
+#include "tests/support/suite.hpp"
+
+namespace tallyfold::tests {
+
+using namespace platform;
+
+namespace {
+
+constexpr const char* whole_configuration = R"({
+  "Version": 18446744073709551,
+  "Routes": [
+    {"Name": "chat", "Hostname": "chat.example", "PathPrefix": "/chat/", "Type": "streaming",
+     "Resumable": true, "TimeoutMs": 4001, "TargetLatencyMs": 302, "Priority": 3,
+     "MaxAttempts": 4, "KeepsHistory": true, "RetentionS": 60.5, "Public": true,
+     "SessionAffinity": true,
+     "TrafficSplit": [{"Service": "large", "Weight": 90}, {"Service": "small", "Weight": 9.5}]},
+    {"Name": "tool", "Hostname": "tool.example", "PathPrefix": "/tool/", "Type": "idempotent",
+     "TimeoutMs": 5002, "Service": "small"}],
+  "Services": [
+    {"Name": "large", "HealthPath": "/health", "MaxConnections": 11,
+     "Engine": {"Slots": 12, "KvCapacity": 13000000000, "Stride": 14}},
+    {"Name": "small", "Engine": null}],
+  "Tenants": [
+    {"Name": "first", "ApiKeys": ["key-1", "key-2"], "Priority": 5, "RatePerS": 388.5,
+     "Burst": 15.5},
+    {"Name": "second", "RatePerS": null}],
+  "Limits": {"MaxHeaderBytes": 8193, "MaxBodyBytes": 5000000000, "HeaderTimeoutMs": 3003,
+             "IdleTimeoutMs": 15004},
+  "Unknown": 1
+})";
+
+routing::route streaming_route() {
+    routing::route route;
+    route.name = "chat";
+    route.host = "chat.example";
+    route.prefix = "/chat/";
+    route.services = {{"large", 90}, {"small", 9.5}};
+    route.repeats = routing::repeatability::at_most_once;
+    route.streaming = true;
+    route.resumable = true;
+    route.timeout_ms = 4001;
+    route.target_latency_ms = 302;
+    route.priority = 3;
+    route.max_attempts = 4;
+    route.keeps_history = true;
+    route.retention_seconds = 60.5;
+    route.is_public = true;
+    route.object_affinity = true;
+    return route;
+}
+
+/// All but the fields that must be there has its default.
+routing::route repeatable_route() {
+    routing::route route;
+    route.name = "tool";
+    route.host = "tool.example";
+    route.prefix = "/tool/";
+    route.services = {{"small", 1}};
+    route.repeats = routing::repeatability::repeatable;
+    route.streaming = false;
+    route.resumable = false;
+    route.timeout_ms = 5002;
+    route.target_latency_ms = 0;
+    route.priority = 0;
+    route.max_attempts = 1;
+    route.keeps_history = false;
+    route.retention_seconds = 0;
+    route.is_public = false;
+    route.object_affinity = false;
+    return route;
+}
+
+routing::service engine_service() {
+    routing::service service;
+    service.name = "large";
+    service.health_path = "/health";
+    service.max_connections = 11;
+    service.is_engine = true;
+    service.slots = 12;
+    service.cache_tokens = 13'000'000'000;
+    service.tokens_per_event = 14;
+    return service;
+}
+
+routing::service plain_service() {
+    routing::service service;
+    service.name = "small";
+    service.health_path = "";
+    service.max_connections = 0;
+    service.is_engine = false;
+    service.slots = 0;
+    service.cache_tokens = 0;
+    service.tokens_per_event = 1;
+    return service;
+}
+
+}  // namespace
+
+class configuration_format_fixture_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(configuration_format_fixture_test);
+    CPPUNIT_TEST(a_whole_configuration_is_read);
+    CPPUNIT_TEST(a_configuration_without_the_rest_is_read);
+    CPPUNIT_TEST(each_type_of_route_is_read);
+    CPPUNIT_TEST(numbers_below_zero_are_refused_by_name);
+    CPPUNIT_TEST(each_field_that_must_be_there_is_missed);
+    CPPUNIT_TEST(a_page_of_the_list_is_read);
+    CPPUNIT_TEST(each_state_of_a_replica_is_read);
+    CPPUNIT_TEST(each_page_is_asked_for_so);
+    CPPUNIT_TEST(each_field_of_a_replica_that_must_be_there_is_missed);
+    CPPUNIT_TEST_SUITE_END();
+
+    void a_whole_configuration_is_read() {
+        const auto parsed = parse_configuration(whole_configuration);
+        CPPUNIT_ASSERT_MESSAGE(parsed ? "" : parsed.error().reason, parsed.has_value());
+        CPPUNIT_ASSERT_EQUAL(routing::configuration_version{18'446'744'073'709'551},
+                             parsed->version);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, parsed->routes.size());
+        CPPUNIT_ASSERT(parsed->routes[0] == streaming_route());
+        CPPUNIT_ASSERT(parsed->routes[1] == repeatable_route());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, parsed->services.size());
+        CPPUNIT_ASSERT(parsed->services[0] == engine_service());
+        CPPUNIT_ASSERT(parsed->services[1] == plain_service());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, parsed->tenants.size());
+        CPPUNIT_ASSERT(parsed->tenants[0] ==
+                       (routing::tenant{"first", {"key-1", "key-2"}, 5, 388.5, 15.5}));
+        CPPUNIT_ASSERT(parsed->tenants[1] == (routing::tenant{"second", {}, 0, 0, 0}));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{8193}, parsed->limits.header_bytes);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{5'000'000'000}, parsed->limits.body_bytes);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{3003}, parsed->limits.header_timeout_ms);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{15004}, parsed->limits.idle_timeout_ms);
+    }
+
+    void a_configuration_without_the_rest_is_read() {
+        const auto parsed = parse_configuration(R"({"Version":1,"Routes":[],"Services":[]})");
+        CPPUNIT_ASSERT(parsed.has_value());
+        CPPUNIT_ASSERT(parsed->routes.empty() && parsed->services.empty());
+        CPPUNIT_ASSERT(parsed->tenants.empty());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{16'384}, parsed->limits.header_bytes);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4'194'304}, parsed->limits.body_bytes);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{3'000}, parsed->limits.header_timeout_ms);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{15'000}, parsed->limits.idle_timeout_ms);
+    }
+
+    static std::string with_route(const std::string& type, const std::string& timeout) {
+        return R"({"Version":1,"Services":[],"Routes":[{"Name":"r","Hostname":"h","PathPrefix":"/",)"
+               R"("Type":")" +
+               type + R"(","TimeoutMs":)" + timeout + "}]}";
+    }
+
+    static void assert_type(const std::string& type, bool streaming, bool repeatable) {
+        const auto parsed = parse_configuration(with_route(type, "1"));
+        CPPUNIT_ASSERT(parsed.has_value());
+        const routing::route& route = parsed->routes.front();
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(type, streaming, route.streaming);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(type, repeatable,
+                                     route.repeats == routing::repeatability::repeatable);
+        CPPUNIT_ASSERT(route.services.empty());
+    }
+
+    void each_type_of_route_is_read() {
+        assert_type("idempotent", false, true);
+        assert_type("streaming", true, false);
+        assert_type("unique", false, false);
+    }
+
+    static std::string refusal_of(const std::string& text) {
+        const auto parsed = parse_configuration(text);
+        CPPUNIT_ASSERT_MESSAGE(text, !parsed.has_value());
+        return parsed.error().reason;
+    }
+
+    void numbers_below_zero_are_refused_by_name() {
+        const std::string reason = " must be a number, and not below 0";
+        CPPUNIT_ASSERT_EQUAL("Version" + reason,
+                             refusal_of(R"({"Version":-1,"Routes":[],"Services":[]})"));
+        CPPUNIT_ASSERT_EQUAL("Version" + reason,
+                             refusal_of(R"({"Version":"1","Routes":[],"Services":[]})"));
+        CPPUNIT_ASSERT_EQUAL("TimeoutMs" + reason, refusal_of(with_route("unique", "-1")));
+        const std::string begin =
+            R"({"Version":1,"Routes":[],"Services":[],"Tenants":[{"Name":"t",)";
+        CPPUNIT_ASSERT_EQUAL("RatePerS" + reason, refusal_of(begin + R"("RatePerS":-1}]})"));
+        CPPUNIT_ASSERT_EQUAL("Burst" + reason, refusal_of(begin + R"("Burst":"1"}]})"));
+    }
+
+    /// `text` with every `name` spelt otherwise.
+    static std::string without(std::string text, const std::string& name) {
+        const std::string quoted = "\"" + name + "\"";
+        for (std::size_t at = text.find(quoted); at != std::string::npos; at = text.find(quoted)) {
+            text.replace(at, quoted.size(), "\"Other\"");
+        }
+        return text;
+    }
+
+    void each_field_that_must_be_there_is_missed() {
+        for (const std::string name : {"Version", "Routes", "Services", "Name", "Hostname",
+                                       "PathPrefix", "Type", "TimeoutMs", "Weight"}) {
+            const std::string reason = refusal_of(without(whole_configuration, name));
+            CPPUNIT_ASSERT_MESSAGE(reason, reason.find("'" + name + "'") != std::string::npos);
+        }
+    }
+
+    void a_page_of_the_list_is_read() {
+        const auto page = replica_list().read_list(
+            R"({"Instances":[{"Service":"large","Address":"10.0.0.1:80","Zone":"zone-a","Slots":12,)"
+            R"("State":"draining","Id":"i-1"},{"Service":"small","Address":"10.0.0.2:81",)"
+            R"("Id":"i-2"}],"NextPageToken":"p-50"})");
+        CPPUNIT_ASSERT(page.has_value());
+        CPPUNIT_ASSERT_EQUAL(std::string("p-50"), page->next_token);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, page->backends.size());
+        listing::listed_backend first;
+        first.service = "large";
+        first.member.name = "i-1";
+        first.member.kind = scheduling::backend_kind::engine;
+        first.member.address = "10.0.0.1:80";
+        first.member.zone = "zone-a";
+        first.member.slots = 12;
+        first.member.leaving = true;
+        first.member.listed_only = true;
+        CPPUNIT_ASSERT(page->backends[0] == first);
+        listing::listed_backend second;
+        second.service = "small";
+        second.member.name = "i-2";
+        second.member.address = "10.0.0.2:81";
+        second.member.slots = 1;
+        second.member.listed_only = true;
+        CPPUNIT_ASSERT(page->backends[1] == second);
+    }
+
+    static bool is_leaving(const std::string& state) {
+        const auto page = replica_list().read_list(
+            R"({"Instances":[{"Service":"s","Address":"10.0.0.1:80","Id":"i","State":")" + state +
+            "\"}]}");
+        CPPUNIT_ASSERT(page.has_value());
+        return page->backends.front().member.leaving;
+    }
+
+    void each_state_of_a_replica_is_read() {
+        CPPUNIT_ASSERT(!is_leaving("ready"));
+        CPPUNIT_ASSERT(is_leaving("draining"));
+        CPPUNIT_ASSERT(is_leaving("anything else"));
+    }
+
+    void each_page_is_asked_for_so() {
+        CPPUNIT_ASSERT_EQUAL(std::string("/instances"), replica_list().list_target(""));
+        CPPUNIT_ASSERT_EQUAL(std::string("/instances?PageToken=p-50"),
+                             replica_list().list_target("p-50"));
+        for (const std::string end : {"", R"(,"NextPageToken":null)", R"(,"NextPageToken":7)"}) {
+            const auto last = replica_list().read_list(R"({"Instances":[])" + end + "}");
+            CPPUNIT_ASSERT(last.has_value() && last->next_token.empty());
+        }
+    }
+
+    void each_field_of_a_replica_that_must_be_there_is_missed() {
+        const std::string page =
+            R"({"Instances":[{"Service":"s","Address":"10.0.0.1:80","Id":"i"}]})";
+        CPPUNIT_ASSERT(replica_list().read_list(page).has_value());
+        for (const std::string name : {"Instances", "Service", "Address", "Id"}) {
+            const auto read = replica_list().read_list(without(page, name));
+            CPPUNIT_ASSERT_MESSAGE(name, !read.has_value());
+            CPPUNIT_ASSERT(read.error().find("'" + name + "'") != std::string::npos);
+        }
+    }
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(configuration_format_fixture_test);
+
+}  // namespace tallyfold::tests
