--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -5,7 +5,7 @@
 
 #include "platform/operator_calls.hpp"
 #include "platform/replica_calls.hpp"
-#include "tallyfold/http/endpoint_messages.hpp"
+#include "tallyfold/plane/http/endpoint_messages.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
