--- a/tests/base/logging/event_catalogue_test.cpp
+++ b/tests/base/logging/event_catalogue_test.cpp
@@ -3,6 +3,7 @@
 #include <fstream>
 #include <iterator>
 
+#include "tests/support/source_root.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
@@ -13,7 +14,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     void numbers_grow_and_every_event_is_documented() {
-        std::ifstream file(std::string(TALLYFOLD_SOURCE_ROOT) + "/docs/EVENTS.md");
+        std::ifstream file(source_root() + "/docs/EVENTS.md");
         const std::string page((std::istreambuf_iterator<char>(file)), {});
         int last = 0;
         for (const logging::event_entry& entry : logging::event_catalogue()) {
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -15,6 +15,8 @@
 #include <map>
 #include <string>
 
+#include "tests/support/source_root.hpp"
+
 namespace {
 
 /// Tests that fail for a fault that isn't mended yet, with the reason: the lines of KNOWN-RED.txt
@@ -22,7 +24,7 @@
 std::map<std::string, std::string> known_red() {
     const std::string prefix = "test ";
     std::map<std::string, std::string> listed;
-    std::ifstream file(std::string(TALLYFOLD_SOURCE_ROOT) + "/KNOWN-RED.txt");
+    std::ifstream file(tallyfold::tests::source_root() + "/KNOWN-RED.txt");
     for (std::string line; std::getline(file, line);) {
         const std::size_t end = line.find(" |");
         if (line.starts_with(prefix) && end != std::string::npos) {
--- a/tests/plane/forwarding/call_ranking_test.cpp
+++ b/tests/plane/forwarding/call_ranking_test.cpp
@@ -3,6 +3,7 @@
 #include <fstream>
 #include <iterator>
 
+#include "tests/support/source_root.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
@@ -83,7 +84,7 @@
     }
 
     static std::string shipped_policy() {
-        std::ifstream file(std::string(TALLYFOLD_SOURCE_ROOT) + "/policies/platform.lua");
+        std::ifstream file(source_root() + "/policies/platform.lua");
         return {std::istreambuf_iterator<char>(file), {}};
     }
 
--- a/tests/program_api/journal/trace_replay_test.cpp
+++ b/tests/program_api/journal/trace_replay_test.cpp
@@ -4,6 +4,7 @@
 
 #include "tallyfold/base/protocol/binary_codec.hpp"
 #include "tallyfold/program_api/journal/journal_state_machine.hpp"
+#include "tests/support/source_root.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
@@ -119,8 +120,8 @@
 
     static void replay_all(bool with_snapshots) {
         std::size_t count = 0;
-        for (const auto& file : std::filesystem::directory_iterator(
-                 std::string(TALLYFOLD_SOURCE_ROOT) + "/tests/traces")) {
+        for (const auto& file :
+             std::filesystem::directory_iterator(source_root() + "/tests/traces")) {
             replay(file.path(), with_snapshots);
             ++count;
         }
--- a/tests/program_api/process/settings_test.cpp
+++ b/tests/program_api/process/settings_test.cpp
@@ -2,6 +2,7 @@
 #include <iterator>
 
 #include "tallyfold/program_api/process/process_settings.hpp"
+#include "tests/support/source_root.hpp"
 #include "tests/support/suite.hpp"
 #include "tests/support/temporary_path.hpp"
 
@@ -54,7 +55,7 @@
     }
 
     void every_key_is_documented() {
-        std::ifstream file(std::string(TALLYFOLD_SOURCE_ROOT) + "/docs/CONFIGURATION.md");
+        std::ifstream file(source_root() + "/docs/CONFIGURATION.md");
         const std::string page((std::istreambuf_iterator<char>(file)), {});
         for (const std::string program : {"gateway", "scheduler", "control"}) {
             for (const std::string& key : all_keys(program)) {
--- a/tests/scheduling/policy_test.cpp
+++ b/tests/scheduling/policy_test.cpp
@@ -3,6 +3,7 @@
 #include <fstream>
 #include <iterator>
 
+#include "tests/support/source_root.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
@@ -27,7 +28,7 @@
 
     void shipped_policies_compile() {
         for (const std::string name : {"huayin", "hobart"}) {
-            std::ifstream file(std::string(TALLYFOLD_SOURCE_ROOT) + "/policies/" + name + ".lua");
+            std::ifstream file(source_root() + "/policies/" + name + ".lua");
             const std::string text((std::istreambuf_iterator<char>(file)), {});
             const auto compiled = policy::compile(text);
             CPPUNIT_ASSERT_MESSAGE(compiled ? "" : compiled.error().reason, compiled.has_value());
--- a/tests/sim/found_failures_test.cpp
+++ b/tests/sim/found_failures_test.cpp
@@ -1,5 +1,6 @@
 #include "sim/policy_files.hpp"
 #include "sim/run.hpp"
+#include "tests/support/source_root.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
@@ -13,7 +14,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     static std::map<std::string, std::string> policies() {
-        return sim::read_policies(std::string(TALLYFOLD_SOURCE_ROOT) + "/policies");
+        return sim::read_policies(source_root() + "/policies");
     }
 
     void seeds_that_failed_pass() {
