--- a/src/tallyfold/plane/forwarding/admission_window.cpp
+++ b/src/tallyfold/plane/decisions/admission_window.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/forwarding/admission_window.hpp"
+#include "tallyfold/plane/decisions/admission_window.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/plane/forwarding/backend_subset.cpp
+++ b/src/tallyfold/plane/decisions/backend_subset.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/forwarding/backend_subset.hpp"
+#include "tallyfold/plane/decisions/backend_subset.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/tallyfold/plane/forwarding/attempt_policy.cpp
+++ b/src/tallyfold/plane/decisions/retry_policy.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/forwarding/attempt_policy.hpp"
+#include "tallyfold/plane/decisions/retry_policy.hpp"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-next_step attempt_policy::after(attempt_end end, duration time_left, bool broke_off) {
+next_step retry_policy::after(attempt_end end, duration time_left, bool broke_off) {
     ++sends_;
     ++sends_since_pause_;
     if (end == attempt_end::may_have_run) {
@@ -32,7 +32,7 @@
     return next_step::retry;
 }
 
-std::optional<duration> attempt_policy::pause_for_room(duration time_left, double jitter) {
+std::optional<duration> retry_policy::pause_for_room(duration time_left, double jitter) {
     // Longer pauses than the longest come from no more doublings than these.
     constexpr std::uint32_t max_doublings = 3;
     const duration whole = first_pause * (1U << std::min(pauses_, max_doublings));
--- a/src/tallyfold/plane/forwarding/attempt_policy.hpp
+++ b/src/tallyfold/plane/decisions/retry_policy.hpp
@@ -31,7 +31,7 @@
 };
 
 /// Remembers what a request's attempts have come to.
-class attempt_policy {
+class retry_policy {
   public:
     /// Attempts without a pause between them, those that did not run included: a request must not
     /// wander for ever.
@@ -48,7 +48,7 @@
 
     /// @param resumable a stream that may be continued; at the back end that it broke off at, this
     /// isn't a run of a further one
-    attempt_policy(bool repeatable, std::uint32_t max_runs, bool resumable = false)
+    retry_policy(bool repeatable, std::uint32_t max_runs, bool resumable = false)
         : repeatable_(repeatable), resumable_(resumable), max_runs_(max_runs) {}
 
     /// Notes how an attempt ended. @param time_left until the request's deadline
--- a/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
@@ -9,7 +9,7 @@
 #include <map>
 #include <memory>
 
-#include "tallyfold/plane/forwarding/admission_window.hpp"
+#include "tallyfold/plane/decisions/admission_window.hpp"
 #include "tallyfold/scheduling/call_queue.hpp"
 
 namespace tallyfold::forwarding {
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "tallyfold/base/common/random.hpp"
+#include "tallyfold/plane/decisions/backend_distrust.hpp"
+#include "tallyfold/plane/decisions/backend_subset.hpp"
 #include "tallyfold/plane/discovery/types.hpp"
-#include "tallyfold/plane/forwarding/backend_distrust.hpp"
-#include "tallyfold/plane/forwarding/backend_subset.hpp"
 #include "tallyfold/plane/process/mechanisms.hpp"
 #include "tallyfold/scheduling/engine_pace.hpp"
 #include "tallyfold/scheduling/placement.hpp"
--- a/src/tallyfold/plane/forwarding/forwarder_context.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_context.hpp
@@ -6,10 +6,10 @@
 #include <memory>
 #include <string>
 
+#include "tallyfold/plane/decisions/call_ranking.hpp"
 #include "tallyfold/plane/directory/directory_client_shell.hpp"
 #include "tallyfold/plane/forwarding/admission_queue_shell.hpp"
 #include "tallyfold/plane/forwarding/backend_registry.hpp"
-#include "tallyfold/plane/forwarding/call_ranking.hpp"
 #include "tallyfold/plane/forwarding/connection_pool_shell.hpp"
 #include "tallyfold/plane/forwarding/forwarder_metrics.hpp"
 #include "tallyfold/plane/forwarding/request_codec.hpp"
--- a/src/tallyfold/plane/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -7,8 +7,8 @@
 #include <optional>
 #include <string>
 
+#include "tallyfold/plane/decisions/retry_policy.hpp"
 #include "tallyfold/plane/forwarding/answer_rendering.hpp"
-#include "tallyfold/plane/forwarding/attempt_policy.hpp"
 #include "tallyfold/plane/forwarding/forwarder_context.hpp"
 #include "tallyfold/plane/forwarding/stream_pace.hpp"
 #include "tallyfold/plane/forwarding/turn_session_shell.hpp"
@@ -122,7 +122,7 @@
     instant deadline_{};
     /// The attempt under way.
     backend_call call_;
-    std::optional<attempt_policy> policy_;
+    std::optional<retry_policy> policy_;
     /// Level at which engines rank the request.
     std::int32_t urgency_ = 0;
     /// Body as it goes to back ends: with the line of turns before it.
--- a/tests/plane/forwarding/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/forwarding/call_ranking.hpp"
+#include "tallyfold/plane/decisions/call_ranking.hpp"
 
 #include <fstream>
 #include <iterator>
--- a/tests/plane/forwarding/attempt_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/forwarding/attempt_policy.hpp"
+#include "tallyfold/plane/decisions/retry_policy.hpp"
 
 #include "tests/support/suite.hpp"
 
@@ -6,8 +6,8 @@
 
 using namespace forwarding;
 
-class attempt_policy_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(attempt_policy_test);
+class retry_policy_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(retry_policy_test);
     CPPUNIT_TEST(what_must_not_repeat_ends_with_its_first_run);
     CPPUNIT_TEST(a_proof_that_it_did_not_run_allows_another_try);
     CPPUNIT_TEST(a_refusal_is_said_only_when_nothing_may_have_run);
@@ -23,30 +23,30 @@
     static constexpr duration second = std::chrono::seconds(1);
 
     void what_must_not_repeat_ends_with_its_first_run() {
-        attempt_policy policy(false, 3);
+        retry_policy policy(false, 3);
         CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second) == next_step::fail);
     }
 
     void a_proof_that_it_did_not_run_allows_another_try() {
-        attempt_policy policy(false, 1);
+        retry_policy policy(false, 1);
         CPPUNIT_ASSERT(policy.after(attempt_end::not_run, second) == next_step::retry);
         CPPUNIT_ASSERT(policy.after(attempt_end::not_sent, second) == next_step::retry);
         CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second) == next_step::fail);
     }
 
     void a_refusal_is_said_only_when_nothing_may_have_run() {
-        attempt_policy clean(true, 2);
-        for (std::uint32_t send = 1; send < attempt_policy::max_sends; ++send) {
+        retry_policy clean(true, 2);
+        for (std::uint32_t send = 1; send < retry_policy::max_sends; ++send) {
             CPPUNIT_ASSERT(clean.after(attempt_end::not_run, second) == next_step::retry);
         }
         CPPUNIT_ASSERT(clean.after(attempt_end::not_run, second) == next_step::refuse);
-        attempt_policy touched(true, 2);
+        retry_policy touched(true, 2);
         CPPUNIT_ASSERT(touched.after(attempt_end::may_have_run, second) == next_step::retry);
         CPPUNIT_ASSERT(touched.after(attempt_end::not_run, duration::zero()) == next_step::fail);
     }
 
     void a_repeatable_request_runs_as_often_as_its_route_allows() {
-        attempt_policy policy(true, 2);
+        retry_policy policy(true, 2);
         CPPUNIT_ASSERT(policy.may_retry_run());
         CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second) == next_step::retry);
         CPPUNIT_ASSERT(!policy.may_retry_run());
@@ -54,28 +54,28 @@
     }
 
     void no_time_left_ends_it() {
-        attempt_policy policy(true, 3);
+        retry_policy policy(true, 3);
         CPPUNIT_ASSERT(policy.after(attempt_end::not_sent, duration::zero()) == next_step::refuse);
     }
 
     void a_resumable_stream_that_broke_off_is_repeated_there() {
-        attempt_policy policy(true, 1, true);
-        for (std::uint32_t repeat = 0; repeat < attempt_policy::max_repeats_there; ++repeat) {
+        retry_policy policy(true, 1, true);
+        for (std::uint32_t repeat = 0; repeat < retry_policy::max_repeats_there; ++repeat) {
             CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second, true) ==
                            next_step::repeat_there);
         }
         CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second, true) == next_step::fail);
-        attempt_policy silent(true, 1, true);
+        retry_policy silent(true, 1, true);
         CPPUNIT_ASSERT(silent.after(attempt_end::may_have_run, second, false) == next_step::fail);
-        attempt_policy late(true, 1, true);
+        retry_policy late(true, 1, true);
         CPPUNIT_ASSERT(late.after(attempt_end::may_have_run, duration::zero(), true) ==
                        next_step::fail);
-        attempt_policy other(false, 1, false);
+        retry_policy other(false, 1, false);
         CPPUNIT_ASSERT(other.after(attempt_end::may_have_run, second, true) == next_step::fail);
     }
 
     void a_stream_that_broke_off_is_never_told_as_not_run() {
-        attempt_policy policy(true, 1, true);
+        retry_policy policy(true, 1, true);
         CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second, true) ==
                        next_step::repeat_there);
         CPPUNIT_ASSERT(policy.runs() > 0);
@@ -84,25 +84,25 @@
     }
 
     void full_back_ends_are_asked_again_while_time_is_left() {
-        attempt_policy policy(false, 1);
-        for (std::uint32_t send = 1; send < attempt_policy::max_sends; ++send) {
+        retry_policy policy(false, 1);
+        for (std::uint32_t send = 1; send < retry_policy::max_sends; ++send) {
             CPPUNIT_ASSERT(policy.after(attempt_end::not_run, second) == next_step::retry);
         }
-        CPPUNIT_ASSERT(policy.pause_for_room(second, 1) == attempt_policy::first_pause);
+        CPPUNIT_ASSERT(policy.pause_for_room(second, 1) == retry_policy::first_pause);
         CPPUNIT_ASSERT(policy.after(attempt_end::not_run, second) == next_step::retry);
-        CPPUNIT_ASSERT(policy.pause_for_room(second, 1) == 2 * attempt_policy::first_pause);
-        CPPUNIT_ASSERT(!policy.pause_for_room(attempt_policy::min_time_after_pause, 0));
+        CPPUNIT_ASSERT(policy.pause_for_room(second, 1) == 2 * retry_policy::first_pause);
+        CPPUNIT_ASSERT(!policy.pause_for_room(retry_policy::min_time_after_pause, 0));
     }
 
     void what_may_have_run_waits_for_no_room() {
-        attempt_policy policy(true, 2);
+        retry_policy policy(true, 2);
         CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second) == next_step::retry);
         CPPUNIT_ASSERT(!policy.pause_for_room(second, 0.5));
     }
 
     void any_pauses_end_before_the_time_does() {
         check_property("pauses are bounded, and leave the time that a try needs", [] {
-            attempt_policy policy(*rc::gen::arbitrary<bool>(), 1);
+            retry_policy policy(*rc::gen::arbitrary<bool>(), 1);
             RC_ASSERT(!policy.pause_for_room(second, 0.5));
             policy.after(attempt_end::not_run, second);
             duration left = std::chrono::milliseconds(*rc::gen::inRange(0, 40'000));
@@ -110,9 +110,9 @@
             while (const auto pause =
                        policy.pause_for_room(left, *rc::gen::inRange(0, 101) / 100.0)) {
                 RC_ASSERT(*pause > duration::zero());
-                RC_ASSERT(*pause <= attempt_policy::longest_pause);
+                RC_ASSERT(*pause <= retry_policy::longest_pause);
                 left -= *pause;
-                RC_ASSERT(left >= attempt_policy::min_time_after_pause);
+                RC_ASSERT(left >= retry_policy::min_time_after_pause);
                 ++pauses;
             }
             RC_ASSERT(pauses < 1000);
@@ -120,6 +120,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(attempt_policy_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(retry_policy_test);
 
 }  // namespace tallyfold::tests
--- a/tests/plane/forwarding/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/forwarding/stop_sequence.hpp"
+#include "tallyfold/plane/decisions/stop_sequence.hpp"
 
 #include "tests/support/suite.hpp"
 
