--- a/src/tallyfold/plane/decisions/retry_policy.cpp
+++ b/src/tallyfold/plane/decisions/retry_policy.cpp
@@ -6,43 +6,60 @@
 
 namespace {
 
-/// With less time than this no back end can answer.
-constexpr duration min_time = std::chrono::milliseconds(20);
+/// True when another back end's answer can follow what the caller has.
+bool may_follow(const failed_attempt& failed) {
+    switch (failed.answer) {
+        case answer_progress::none:
+            return true;
+        case answer_progress::started_resumable:
+            // Only where the back end that holds the stream could not be reached.
+            return failed.end == attempt_end::not_sent;
+        case answer_progress::started:
+            break;
+    }
+    return false;
+}
 
 }  // namespace
 
-next_step retry_policy::after(attempt_end end, duration time_left, bool broke_off) {
+next_step retry_policy::after(const failed_attempt& failed) {
+    const next_step step = next(failed);
+    const bool stays = step == next_step::retry && !may_follow(failed);
+    return stays ? next_step::give_up : step;
+}
+
+next_step retry_policy::next(const failed_attempt& failed) {
     ++sends_;
-    ++sends_since_pause_;
-    if (end == attempt_end::may_have_run) {
-        const bool repeats = resumable_ && broke_off && repeats_there_ < max_repeats_there;
-        if (repeats && time_left >= min_time) {
-            ++repeats_there_;
-            return next_step::repeat_there;
+    ++sends_since_back_off_;
+    if (failed.end == attempt_end::may_have_run) {
+        const bool resumes = resumable_ && failed.broke_off && resumes_ < max_resumes;
+        if (resumes && failed.time_left >= min_time) {
+            ++resumes_;
+            return next_step::resume;
         }
         ++runs_;
-        const bool again = repeatable_ && runs_ < max_runs_;
-        if (!again) {
-            return next_step::fail;
+        if (!repeatable_ || runs_ >= max_runs_) {
+            return next_step::give_up;
         }
     }
-    if (sends_since_pause_ >= max_sends || time_left < min_time) {
-        return give_up();
+    if (sends_since_back_off_ >= max_sends || failed.time_left < min_time) {
+        return next_step::give_up;
     }
     return next_step::retry;
 }
 
-std::optional<duration> retry_policy::pause_for_room(duration time_left, double jitter) {
+std::optional<duration> retry_policy::back_off(duration time_left, double jitter) {
     // Longer pauses than the longest come from no more doublings than these.
     constexpr std::uint32_t max_doublings = 3;
-    const duration whole = first_pause * (1U << std::min(pauses_, max_doublings));
+    const duration whole = first_back_off * (1U << std::min(back_offs_, max_doublings));
     const duration pause =
-        std::chrono::duration_cast<duration>(std::min(whole, longest_pause) * (0.5 + jitter / 2));
-    if (sends_ == 0 || runs() > 0 || time_left - pause < min_time_after_pause) {
+        std::chrono::duration_cast<duration>(std::min(whole, max_back_off) * (0.5 + jitter / 2));
+    const bool nothing_asked = sends_ == 0;
+    if (nothing_asked || may_have_run() || time_left - pause < min_time_after_back_off) {
         return std::nullopt;
     }
-    ++pauses_;
-    sends_since_pause_ = 0;
+    ++back_offs_;
+    sends_since_back_off_ = 0;
     return pause;
 }
 
--- a/src/tallyfold/plane/decisions/time_budget.hpp
+++ b/src/tallyfold/plane/decisions/time_budget.hpp
@@ -10,8 +10,8 @@
 
 class time_budget {
   public:
-    /// For callers that don't say how long they wait. Chosen, not measured: a route's own time-out,
-    /// which bounds it, is shorter as a rule.
+    /// For callers that don't say how long they wait. Chosen, not measured: the route's time-out
+    /// bounds it in any case.
     static constexpr duration default_patience = std::chrono::seconds(30);
     /// A request that reaches a node before it knows routes, back ends and stores waits so long for
     /// them. Such requests were turned away for a second before (docs/DECISIONS-UNDER-LOAD.md; the
--- /dev/null
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -0,0 +1,201 @@
+#include "tallyfold/plane/forwarding/answer_relay_shell.hpp"
+
+#include <algorithm>
+#include <asio/use_awaitable.hpp>
+
+#include "tallyfold/plane/forwarding/answer_rendering.hpp"
+
+namespace tallyfold::forwarding {
+
+namespace {
+
+/// Answers up to this many bytes are relayed whole, so that one that breaks off can be tried again.
+/// Chosen, not measured: holds the lookups' answers, and bounds what a request keeps in memory.
+constexpr std::uint64_t max_whole_answer = 64U << 10U;
+
+bool is_success(const http::message_head& head) {
+    return head.status / 100 == 2;
+}
+
+bool is_small(const http::message_head& head) {
+    return head.framing == http::body_framing::none ||
+           (head.framing == http::body_framing::length && head.content_length <= max_whole_answer);
+}
+
+/// The connection failed inside the answer's body.
+attempt_result broken_body(http::io_failure failure) {
+    attempt_result result;
+    result.end = attempt_end::may_have_run;
+    result.failure = {failure_kind::body, http::name_of(failure)};
+    result.timed_out = failure == http::io_failure::timed_out;
+    return result;
+}
+
+attempt_result failed_relay(failure_kind kind) {
+    attempt_result result;
+    result.end = attempt_end::may_have_run;
+    result.failure.kind = kind;
+    return result;
+}
+
+attempt_result answered() {
+    attempt_result result;
+    result.end = attempt_end::answered;
+    return result;
+}
+
+}  // namespace
+
+answer_relay::answer_relay(forwarder_context& context, const forwarded_request& request,
+                           caller_channel& caller, turn_session* turn)
+    : context_(context), request_(request), caller_(caller), turn_(turn) {}
+
+void answer_relay::note_first_byte(unsigned status, instant now) {
+    status_ = status;
+    if (!started_) {
+        first_byte_ = now - request_.received;
+        context_.metrics.first_byte(first_byte_);
+    }
+}
+
+answer_progress answer_relay::progress() const {
+    if (!started_) {
+        return answer_progress::none;
+    }
+    const bool resumable = request_.route.resumable && chunked_;
+    return resumable ? answer_progress::started_resumable : answer_progress::started;
+}
+
+token_count answer_relay::generated_tokens() const {
+    return events_.events() * std::max(1U, request_.service.tokens_per_event);
+}
+
+turns::held_prompt answer_relay::held_by(const backend_name& backend) const {
+    turns::held_prompt held;
+    if (request_.service.is_engine && !request_.facts.prompt.empty()) {
+        held.engine = backend;
+        held.points = request_.facts.prompt;
+        // What has been generated so far is held after the prompt's last part.
+        held.points.back().tokens += generated_tokens();
+    }
+    return held;
+}
+
+void answer_relay::learn_pace(instant sent, instant now) {
+    if (request_.service.is_engine) {
+        pace_.ended(context_.backends.pace_of(request_.service.name), sent, now);
+    }
+}
+
+asio::awaitable<attempt_result> answer_relay::relay(http::connection_pointer connection,
+                                                    backend_name backend, instant until) {
+    if (is_small(connection->head()) && !request_.route.streaming) {
+        co_return co_await relay_whole(std::move(connection), until);
+    }
+    co_return co_await relay_stream(std::move(connection), std::move(backend));
+}
+
+asio::awaitable<attempt_result> answer_relay::relay_whole(http::connection_pointer connection,
+                                                          instant until) {
+    std::string body;
+    do {
+        auto piece = co_await connection->read_body_piece(until);
+        if (!piece) {
+            co_return broken_body(piece.error());
+        }
+        body += *piece;
+    } while (!connection->message_complete());
+    if (caller_.disconnected()) {
+        co_return answered();
+    }
+    const http::message_head& head = connection->head();
+    const bool bodiless = head.framing == http::body_framing::none;
+    const relayed_framing framing{false, body.size(), bodiless};
+    std::string bytes = render_relayed_head(head, framing, caller_.keeps_connection()) + body;
+    started_ = true;
+    whole_ = co_await caller_.write(std::move(bytes));
+    co_return answered();
+}
+
+asio::awaitable<attempt_result> answer_relay::relay_stream(http::connection_pointer connection,
+                                                           backend_name backend) {
+    const http::message_head head = connection->head();
+    const bool success = is_success(head);
+    std::string outgoing;
+    if (!started_) {
+        chunked_ = head.framing != http::body_framing::length;
+        const relayed_framing framing{chunked_, head.content_length, false};
+        outgoing = render_relayed_head(head, framing, caller_.keeps_connection());
+    }
+    const bool by_events = success && chunked_ && request_.route.resumable;
+    passed_.begin_anew();
+    bool complete = false;
+    while (!complete) {
+        auto piece = co_await connection->read_body_piece(request_.budget.deadline());
+        if (!piece) {
+            attempt_result result = broken_body(piece.error());
+            result.broke_off = by_events && !result.timed_out;
+            co_return result;
+        }
+        complete = connection->message_complete();
+        if (by_events && !keep_whole_events(*piece, complete)) {
+            co_return failed_relay(failure_kind::event_missing);
+        }
+        if (success) {
+            learn_events(*piece, backend);
+        }
+        if (!piece->empty()) {
+            outgoing += chunked_ ? render_chunk(*piece) : *piece;
+        }
+        if (complete && success) {
+            const bool settled = co_await settle_turn(backend);
+            if (!settled) {
+                co_return failed_relay(failure_kind::unsettled);
+            }
+        }
+        if (complete && chunked_) {
+            outgoing += last_chunk;
+        }
+        if (outgoing.empty()) {
+            continue;
+        }
+        started_ = true;
+        const bool written = co_await caller_.write(std::move(outgoing));
+        outgoing.clear();
+        if (!written) {
+            co_return failed_relay(failure_kind::client_disconnected);
+        }
+    }
+    whole_ = true;
+    co_return answered();
+}
+
+bool answer_relay::keep_whole_events(std::string& piece, bool complete) {
+    piece = passed_.feed(piece);
+    if (!passed_.in_order()) {
+        return false;
+    }
+    if (complete) {
+        piece += passed_.partial();
+    }
+    return true;
+}
+
+void answer_relay::learn_events(const std::string& piece, const backend_name& backend) {
+    events_.feed(piece);
+    if (request_.service.is_engine) {
+        pace_.events_came(context_.backends.pace_of(request_.service.name), backend,
+                          events_.events(), http::steady_now());
+    }
+}
+
+asio::awaitable<bool> answer_relay::settle_turn(const backend_name& backend) {
+    if (turn_ == nullptr || !turn_->open()) {
+        co_return true;
+    }
+    turns::held_prompt held = held_by(backend);
+    co_return co_await turn_->settle(generated_tokens(), request_.turn_input, events_.data(),
+                                     std::move(held));
+}
+
+}  // namespace tallyfold::forwarding
--- /dev/null
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -0,0 +1,251 @@
+#include "tallyfold/plane/forwarding/backend_attempt_shell.hpp"
+
+#include <asio/use_awaitable.hpp>
+
+#include "tallyfold/plane/forwarding/request_rendering.hpp"
+
+namespace tallyfold::forwarding {
+
+namespace {
+
+/// Bytes. Chosen, not measured: four times what callers' heads may have by default.
+constexpr std::size_t max_answer_head = 64U << 10U;
+/// Answers to other requests that may stand before the one that is due. Chosen, not measured: a
+/// back end that answered twice is borne, one that lost its place is not.
+constexpr int max_surplus_answers = 2;
+/// Time that an answer which isn't relayed may take to its end. Chosen, not measured: rejections
+/// are short, and a new connection costs less than a longer wait.
+constexpr duration drain_limit = std::chrono::milliseconds(20);
+
+}  // namespace
+
+backend_attempt::backend_attempt(forwarder_context& context, const forwarded_request& request,
+                                 caller_channel& caller, answer_relay& answer, attempt_order order)
+    : context_(context),
+      request_(request),
+      caller_(caller),
+      answer_(answer),
+      order_(std::move(order)) {}
+
+void backend_attempt::abort() {
+    if (connection_) {
+        connection_->abort();
+    }
+}
+
+asio::awaitable<attempt_result> backend_attempt::run() {
+    call_ = context_.backends.started(request_.service.name, order_.backend,
+                                      request_.facts.prompt_tokens, http::steady_now());
+    attempt_result result;
+    const http::connection_pointer opened = co_await open(result);
+    if (opened && !caller_.disconnected()) {
+        connection_ = opened;
+        result = co_await exchange();
+    }
+    context_.backends.finished(call_);
+    co_return result;
+}
+
+asio::awaitable<http::connection_pointer> backend_attempt::open(attempt_result& result) {
+    const std::string& address = order_.backend.address;
+    const instant now = http::steady_now();
+    http::connection_pointer opened = context_.connections.take(address, now);
+    if (opened) {
+        co_return opened;
+    }
+    opened = std::make_shared<http::connection>(asio::ip::tcp::socket(context_.process.loop()),
+                                                http::message_kind::response, max_answer_head);
+    // Before it is connected, so that abort() ends the wait.
+    connection_ = opened;
+    context_.metrics.connected();
+    const instant limit = request_.budget.connect_deadline(now);
+    const auto connected = co_await opened->connect(address, limit);
+    if (!connected) {
+        result.failure = {failure_kind::connect, http::name_of(connected.error())};
+        context_.backends.unreachable(request_.service.name, order_.backend.name,
+                                      http::steady_now());
+        co_return nullptr;
+    }
+    co_return opened;
+}
+
+std::string backend_attempt::render_request(duration time_left) const {
+    attempt_marks marks;
+    marks.time_left = time_left;
+    marks.incarnation = order_.backend.name;
+    marks.urgency = order_.urgency;
+    marks.is_engine = request_.service.is_engine;
+    marks.last_event = answer_.last_event();
+    marks.tenant = request_.tenant_name();
+    const http::header_list headers = context_.codec.backend_headers(request_.head, marks);
+    return render_backend_request(request_.head, headers, request_.body);
+}
+
+asio::awaitable<attempt_result> backend_attempt::exchange() {
+    attempt_result result;
+    const instant now = http::steady_now();
+    const duration time_left = request_.budget.left(now);
+    if (time_left <= duration::zero()) {
+        result.failure.kind = failure_kind::no_time_left;
+        result.timed_out = true;
+        connection_->close();
+        co_return result;
+    }
+    std::string bytes = render_request(time_left);
+    const instant until = request_.budget.attempt_deadline(now, order_.leaves_time);
+    // From here on bytes may have left.
+    result.end = attempt_end::may_have_run;
+    const auto written = co_await connection_->write(std::move(bytes), until);
+    if (!written) {
+        result.failure = {failure_kind::write, http::name_of(written.error())};
+        result.timed_out = written.error() == http::io_failure::timed_out;
+        note_failure();
+        give_up_connection(result);
+        co_return result;
+    }
+    answer_facts facts;
+    if (!co_await read_matching_head(until, facts, result)) {
+        if (!caller_.disconnected()) {
+            note_failure();
+        }
+        give_up_connection(result);
+        co_return result;
+    }
+    if (facts.not_run || facts.wrong_incarnation) {
+        co_return co_await take_rejection(facts);
+    }
+    co_return co_await take_answer(facts, until);
+}
+
+asio::awaitable<bool> backend_attempt::read_matching_head(instant until, answer_facts& facts,
+                                                          attempt_result& result) {
+    for (int surplus = 0; surplus <= max_surplus_answers; ++surplus) {
+        const auto head = co_await connection_->read_head(until);
+        if (!head) {
+            result.failure = {failure_kind::answer_head, http::name_of(head.error())};
+            result.timed_out = head.error() == http::io_failure::timed_out;
+            co_return false;
+        }
+        facts = context_.codec.read_answer(connection_->head());
+        if (facts.request == request_.facts.request && connection_->head().status >= 200) {
+            co_return true;
+        }
+        // An answer to another request stands in the place of the one due.
+        if (!co_await drain_body(until)) {
+            result.failure.kind = failure_kind::surplus_answer;
+            co_return false;
+        }
+        connection_->next_message();
+    }
+    result.failure.kind = failure_kind::surplus_answers;
+    co_return false;
+}
+
+asio::awaitable<bool> backend_attempt::drain_body(instant until) {
+    while (!connection_->message_complete()) {
+        const auto piece = co_await connection_->read_body_piece(until);
+        if (!piece) {
+            co_return false;
+        }
+    }
+    co_return true;
+}
+
+asio::awaitable<attempt_result> backend_attempt::take_rejection(answer_facts facts) {
+    attempt_result result;
+    result.end = attempt_end::not_run;
+    if (facts.wrong_incarnation) {
+        result.failure.kind = failure_kind::other_incarnation;
+        context_.backends.gone(request_.service.name, order_.backend.name);
+        connection_->close();
+        co_return result;
+    }
+    result.failure.kind = failure_kind::not_executed;
+    // Full back ends reject many requests: a connection that is kept saves both ends a new one.
+    const instant until = http::steady_now() + drain_limit;
+    const bool drained = co_await drain_body(until);
+    if (drained) {
+        keep_connection(facts);
+    } else {
+        connection_->abort();
+    }
+    co_return result;
+}
+
+asio::awaitable<attempt_result> backend_attempt::take_answer(answer_facts facts, instant until) {
+    attempt_result result;
+    result.end = attempt_end::may_have_run;
+    const unsigned status = connection_->head().status;
+    const bool success = status / 100 == 2;
+    if (answer_.progress() != answer_progress::none && !success) {
+        // The caller has the head of the first answer: this one can't follow it.
+        result.failure.kind = failure_kind::resume_refused;
+        connection_->abort();
+        co_return result;
+    }
+    if (success && !facts.is_signed) {
+        result.failure.kind = failure_kind::unsigned_answer;
+        note_failure();
+        connection_->abort();
+        co_return result;
+    }
+    const instant now = http::steady_now();
+    context_.backends.answering(call_, now);
+    answer_.note_first_byte(status, now);
+    note_held_prompt();
+    result = co_await answer_.relay(connection_, order_.backend.name, until);
+    if (result.end == attempt_end::answered) {
+        finish_answered(facts);
+        co_return result;
+    }
+    if (!caller_.disconnected() && !result.timed_out) {
+        note_failure();
+    }
+    connection_->abort();
+    co_return result;
+}
+
+void backend_attempt::finish_answered(const answer_facts& facts) {
+    const bool server_error = connection_->head().status / 100 == 5;
+    if (server_error) {
+        note_failure();
+    } else {
+        context_.backends.succeeded(request_.service.name, order_.backend.name);
+        note_held_prompt();
+        answer_.learn_pace(call_.since, http::steady_now());
+    }
+    keep_connection(facts);
+}
+
+void backend_attempt::keep_connection(const answer_facts& facts) {
+    if (connection_->head().keep_alive && connection_->message_complete()) {
+        context_.connections.put(order_.backend.address, connection_, facts.idle_limit,
+                                 http::steady_now());
+    } else {
+        connection_->close();
+    }
+}
+
+void backend_attempt::give_up_connection(attempt_result& result) {
+    result.broke_off = !result.timed_out;
+    if (result.broke_off && !caller_.disconnected()) {
+        const std::string& name = order_.backend.name;
+        const std::string address = context_.backends.broke_off(name, http::steady_now());
+        if (!address.empty()) {
+            context_.connections.drop(address);
+            context_.directory.report_break(name);
+        }
+    }
+    connection_->abort();
+}
+
+void backend_attempt::note_failure() {
+    context_.backends.failed(request_.service.name, order_.backend.name, http::steady_now());
+}
+
+void backend_attempt::note_held_prompt() {
+    const turns::held_prompt held = answer_.held_by(order_.backend.name);
+    context_.backends.holds(held.engine, held.points);
+}
+
+}  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -1,146 +1,139 @@
-/// @file
-/// Who calls, by which route, and whether its tenant's limit lets the call in: the members of
-/// request_relay that come before anything is sent.
+#include "tallyfold/plane/forwarding/caller_admission_shell.hpp"
 
 #include <asio/use_awaitable.hpp>
 
 #include "tallyfold/base/logging/event_log.hpp"
-#include "tallyfold/plane/forwarding/request_relay_shell.hpp"
 
 namespace tallyfold::forwarding {
 
 namespace {
 
 /// A node that may be behind waits this long for a newer configuration before it says that there
-/// is no such route or key. Far above a question's way between zones; far inside the time within
-/// which a configuration has to be in force.
+/// is no such route or key: the time of two questions to directory nodes, the second of which is
+/// asked after 50 ms (docs/design/configuration-spread.md). Far above a round trip between zones.
 constexpr duration refresh_limit = std::chrono::milliseconds(100);
-/// Part of the time for a key's removal after which a node without proof that it holds the newest
-/// configuration trusts no key any more.
-constexpr double stale_share = 0.8;
 
 }  // namespace
 
-asio::awaitable<bool> request_relay::refresh_table() {
-    const bool confirmed = co_await context_.directory.refresh(refresh_limit);
+caller_admission::caller_admission(forwarder_context& context, const http::message_head& head,
+                                   const request_facts& facts)
+    : context_(context), head_(head), facts_(facts) {}
+
+asio::awaitable<std::optional<own_answer>> caller_admission::identify() {
     table_ = context_.routes;
-    co_return confirmed;
+    if (!table_) {
+        co_return answer_to(refusal::no_configuration);
+    }
+    std::optional<own_answer> refused = co_await find_route();
+    if (!refused) {
+        refused = co_await find_tenant();
+    }
+    co_return refused;
 }
 
-const routing::route* request_relay::known_route() const {
-    const std::string* host = request_.head.headers.find("Host");
-    return table_->find(host != nullptr ? *host : std::string{}, request_.head.path());
+asio::awaitable<bool> caller_admission::refresh_table() {
+    const bool confirmed = co_await context_.directory.refresh(refresh_limit);
+    table_ = context_.routes;
+    co_return confirmed;
 }
 
-std::string request_relay::describe_proof(duration waited) const {
-    const directory::configuration_proof& proof = context_.directory.proof();
-    const duration age = http::steady_now() - proof.asked;
-    return "version=" + std::to_string(table_->version()) +
-           " waited_ms=" + std::to_string(to_milliseconds(waited)) +
-           " proof_node=" + (proof.node.empty() ? std::string("-") : proof.node) +
-           " proof_version=" + std::to_string(proof.version) +
-           " proof_age_ms=" + (proof.node.empty() ? "-" : std::to_string(to_milliseconds(age)));
+const routing::route* caller_admission::known_route() const {
+    const std::string* host = head_.headers.find("Host");
+    return table_->find(host != nullptr ? *host : std::string{}, head_.path());
 }
 
-asio::awaitable<bool> request_relay::find_route() {
+asio::awaitable<std::optional<own_answer>> caller_admission::find_route() {
     route_ = known_route();
     if (route_ != nullptr) {
-        co_return true;
+        co_return std::nullopt;
     }
     const instant began = http::steady_now();
     const bool confirmed = co_await refresh_table();
     route_ = known_route();
     if (route_ != nullptr) {
-        co_return true;
+        co_return std::nullopt;
     }
-    outcome_ = confirmed ? "no_route" : "refused";
+    const own_answer refused = answer_to(refusal_of_unknown_route(confirmed));
     logging::write_event(logging::event_id::route_unknown,
-                         "request=" + facts_.request + " status=" + (confirmed ? "404" : "503") +
+                         "request=" + facts_.request + " status=" + std::to_string(refused.status) +
                              " " + describe_proof(http::steady_now() - began));
-    if (confirmed) {
-        co_await answer(404, "no route", retry_after::never());
-    } else {
-        co_await answer(503, "no route known, and the directory is silent",
-                        retry_after::after_recovery());
-    }
-    co_return false;
+    co_return refused;
 }
 
-asio::awaitable<bool> request_relay::identify_caller() {
+asio::awaitable<std::optional<own_answer>> caller_admission::find_tenant() {
     if (!table_->keys().required() || route_->is_public) {
-        co_return true;
+        co_return std::nullopt;
     }
     const settings::node_settings& settings = context_.process.settings();
-    const duration stale_after =
-        std::chrono::duration_cast<duration>(settings.revocation * stale_share);
-    if (settings.refuses_stale_keys &&
-        http::steady_now() - context_.directory.proof().asked > stale_after) {
-        co_await refuse_caller(503, "stale_keys", retry_after::after_recovery(), duration::zero());
-        co_return false;
+    if (settings.refuses_stale_keys && keys_are_stale(proof_age(), settings.revocation)) {
+        const own_answer refused = answer_to(refusal::stale_keys);
+        log_refusal(refused, duration::zero());
+        co_return refused;
     }
     tenant_ = table_->keys().find(facts_.credential);
     if (tenant_ != nullptr) {
-        co_return true;
+        co_return std::nullopt;
     }
     const instant began = http::steady_now();
     const bool confirmed = co_await refresh_table();
-    if (!co_await find_route()) {
-        co_return false;
+    // The route may be another one in the newer configuration, or gone.
+    std::optional<own_answer> without_route = co_await find_route();
+    if (without_route) {
+        co_return without_route;
     }
     tenant_ = table_->keys().find(facts_.credential);
     if (tenant_ != nullptr || !table_->keys().required() || route_->is_public) {
-        co_return true;
+        co_return std::nullopt;
     }
-    const duration waited = http::steady_now() - began;
-    if (confirmed) {
-        co_await refuse_caller(401, "unknown_key", retry_after::never(), waited);
-    } else {
-        co_await refuse_caller(503, "unconfirmed_key", retry_after::after_recovery(), waited);
-    }
-    co_return false;
+    const own_answer refused = answer_to(refusal_of_unknown_key(confirmed));
+    log_refusal(refused, http::steady_now() - began);
+    co_return refused;
 }
 
-asio::awaitable<bool> request_relay::take_permit() {
+asio::awaitable<std::optional<own_answer>> caller_admission::take_permit(
+    tenants::permit_need need) {
     if (tenant_ == nullptr || !tenant_->is_limited()) {
-        co_return true;
+        co_return std::nullopt;
     }
-    // A turn whose program has used nothing yet may well be its first.
-    const bool begins = turn_ && turn_->used_tokens() == 0;
-    const auto need = begins ? tenants::permit_need::new_program : tenants::permit_need::under_way;
     const tenants::permit_decision decision = co_await context_.quotas.acquire(tenant_->name, need);
     context_.metrics.permitted(decision);
     if (decision.state == tenants::permit_state::granted) {
         holds_permit_ = true;
-        co_return true;
+        co_return std::nullopt;
     }
-    const bool over_limit = decision.state == tenants::permit_state::over_limit;
-    co_await refuse_caller(over_limit ? 429 : 503, over_limit ? "over_limit" : "limit_unknown",
-                           retry_after{decision.room_after}, decision.waited);
-    co_return false;
+    const own_answer refused = answer_without_permit(decision);
+    log_refusal(refused, decision.waited);
+    co_return refused;
 }
 
-void request_relay::give_back_unused_permit() {
-    const bool ran = outcome_ == "answered" || (policy_ && policy_->runs() > 0);
-    if (holds_permit_ && !ran) {
+void caller_admission::give_back_permit() {
+    if (holds_permit_) {
         context_.quotas.give_back(tenant_->name);
     }
     holds_permit_ = false;
 }
 
-tenants::tenant_name request_relay::tenant_name() const {
-    return tenant_ != nullptr ? tenant_->name : tenants::tenant_name{};
+duration caller_admission::proof_age() const {
+    return http::steady_now() - context_.directory.proof().asked;
+}
+
+std::string caller_admission::describe_proof(duration waited) const {
+    const directory::configuration_proof& proof = context_.directory.proof();
+    const bool proved = !proof.node.empty();
+    return "version=" + std::to_string(table_->version()) +
+           " waited_ms=" + std::to_string(to_milliseconds(waited)) +
+           " proof_node=" + (proved ? proof.node : std::string("-")) +
+           " proof_version=" + std::to_string(proof.version) +
+           " proof_age_ms=" + (proved ? std::to_string(to_milliseconds(proof_age())) : "-");
 }
 
-asio::awaitable<void> request_relay::refuse_caller(unsigned status, std::string reason,
-                                                   retry_after again, duration waited) {
-    outcome_ = "refused";
+void caller_admission::log_refusal(const own_answer& answer, duration waited) const {
     logging::write_event(logging::event_id::caller_refused,
-                         "request=" + facts_.request + " status=" + std::to_string(status) +
-                             " reason=" + reason +
+                         "request=" + facts_.request + " status=" + std::to_string(answer.status) +
+                             " reason=" + answer.reason +
                              " key=" + tenants::loggable_key(facts_.credential) +
                              " tenant=" + (tenant_ != nullptr ? tenant_->name : std::string("-")) +
                              " route=" + route_->name + " " + describe_proof(waited));
-    co_await answer(status, std::move(reason), again);
 }
 
 }  // namespace tallyfold::forwarding
--- /dev/null
+++ b/src/tallyfold/plane/forwarding/caller_channel_shell.cpp
@@ -0,0 +1,44 @@
+#include "tallyfold/plane/forwarding/caller_channel_shell.hpp"
+
+#include <asio/use_awaitable.hpp>
+
+#include "tallyfold/plane/forwarding/answer_rendering.hpp"
+
+namespace tallyfold::forwarding {
+
+namespace {
+
+/// A caller that takes no byte for this long is given up. Chosen, not measured: some seconds, so
+/// that a caller's short pause costs it nothing and a dead one holds no back end for long.
+constexpr duration write_limit = std::chrono::seconds(8);
+
+}  // namespace
+
+caller_channel::caller_channel(forwarder_context& context, http::connection_pointer connection,
+                               bool keep_alive)
+    : context_(context), connection_(std::move(connection)), keep_alive_(keep_alive) {}
+
+asio::awaitable<bool> caller_channel::write(std::string bytes) {
+    const instant limit = http::steady_now() + write_limit;
+    const auto written = co_await connection_->write(std::move(bytes), limit);
+    if (!written) {
+        disconnected_ = true;
+        connection_->abort();
+    }
+    co_return written.has_value();
+}
+
+asio::awaitable<void> caller_channel::write_answer(const own_answer& answer) {
+    if (disconnected_) {
+        co_return;
+    }
+    const retry_after retry = answer.retry.spread(context_.backends.draw_jitter());
+    std::string bytes = render_own_answer(answer.status, answer.reason, retry, keeps_connection());
+    co_await write(std::move(bytes));
+}
+
+void caller_channel::watch(std::function<void()> on_disconnect) {
+    connection_->watch_close(std::move(on_disconnect));
+}
+
+}  // namespace tallyfold::forwarding
--- /dev/null
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -0,0 +1,175 @@
+#include "tallyfold/plane/forwarding/send_loop_shell.hpp"
+
+#include <algorithm>
+#include <asio/experimental/as_tuple.hpp>
+#include <asio/steady_timer.hpp>
+#include <asio/use_awaitable.hpp>
+
+#include "tallyfold/base/logging/event_log.hpp"
+
+namespace tallyfold::forwarding {
+
+namespace {
+
+retry_policy policy_for(const forwarder_context& context, const routing::route& route) {
+    const bool repeatable = route.repeats == routing::repeatability::repeatable || route.resumable;
+    const bool resumes = route.resumable && !context.is_disabled(settings::mechanism::continuation);
+    return {repeatable, std::max(1U, route.max_attempts), resumes};
+}
+
+}  // namespace
+
+send_loop::send_loop(forwarder_context& context, const forwarded_request& request,
+                     caller_channel& caller, answer_relay& answer)
+    : context_(context),
+      request_(request),
+      caller_(caller),
+      answer_(answer),
+      policy_(policy_for(context, request.route)) {}
+
+void send_loop::abort_attempt() {
+    if (attempt_) {
+        attempt_->abort();
+    }
+}
+
+backend_question send_loop::describe_for_choice() const {
+    const request_facts& facts = request_.facts;
+    backend_question question;
+    question.service = request_.service.name;
+    question.is_engine = request_.service.is_engine;
+    question.repeatable = policy_.repeatable();
+    question.object = request_.route.object_affinity ? facts.object : std::string{};
+    question.program = facts.program;
+    question.prompt = &facts.prompt;
+    question.prompt_tokens = facts.prompt_tokens;
+    question.call.tenant_priority = request_.tenant_priority();
+    question.call.priority = request_.route.priority;
+    question.call.prompt_tokens = static_cast<double>(facts.prompt_tokens);
+    question.call.max_tokens = static_cast<double>(facts.max_tokens);
+    if (facts.program_time_left) {
+        question.call.time_left_ms = static_cast<double>(to_milliseconds(*facts.program_time_left));
+    }
+    question.call.call_ms = context_.backends.pace_of(request_.service.name).call_ms();
+    question.ranking = context_.ranking.placement();
+    return question;
+}
+
+std::int32_t send_loop::urgency_of(const scheduling::call_features& call) const {
+    return context_.is_disabled(settings::mechanism::urgency) ? request_.route.priority
+                                                              : context_.ranking.urgency_of(call);
+}
+
+asio::awaitable<request_end> send_loop::run() {
+    backend_question question = describe_for_choice();
+    statistics_.urgency = urgency_of(question.call);
+    co_await wait_for_admission(question.call);
+    attempt_result last;
+    last.failure.kind = failure_kind::no_backend;
+    std::optional<chosen_backend> resumed;
+    while (!caller_.disconnected()) {
+        const auto backend =
+            resumed ? resumed : context_.backends.choose(question, http::steady_now());
+        resumed.reset();
+        if (!backend) {
+            if (!co_await back_off(question.call)) {
+                break;
+            }
+            // Those tried have all proved that they ran nothing, or retry_policy would have allowed
+            // no pause; what was full before the pause may have capacity after it.
+            question.tried.clear();
+            continue;
+        }
+        question.tried.insert(backend->name);
+        last = co_await attempt(*backend);
+        if (last.end == attempt_end::answered) {
+            break;
+        }
+        const next_step step = note_failure(*backend, last);
+        if (step == next_step::give_up) {
+            break;
+        }
+        if (step == next_step::resume) {
+            ++statistics_.resumes;
+            resumed = backend;
+        }
+    }
+    co_return end_with(last);
+}
+
+asio::awaitable<attempt_result> send_loop::attempt(chosen_backend backend) {
+    ++statistics_.sends;
+    statistics_.backend = backend.name;
+    statistics_.cached_tokens = backend.cached_tokens;
+    attempt_order order;
+    order.backend = std::move(backend);
+    order.urgency = statistics_.urgency;
+    order.leaves_time = policy_.may_retry_run() && !request_.route.streaming;
+    attempt_.emplace(context_, request_, caller_, answer_, std::move(order));
+    const attempt_result result = co_await attempt_->run();
+    attempt_.reset();
+    co_return result;
+}
+
+next_step send_loop::note_failure(const chosen_backend& backend, const attempt_result& failed) {
+    const std::string reason = text_of(failed.failure);
+    const duration time_left = request_.budget.left(http::steady_now());
+    context_.metrics.attempt_failed(reason);
+    logging::write_event(logging::event_id::attempt_failed,
+                         "request=" + request_.facts.request + " backend=" + backend.name +
+                             " reason=" + reason +
+                             " end=" + std::to_string(static_cast<int>(failed.end)) +
+                             " time_left_ms=" + std::to_string(to_milliseconds(time_left)));
+    return policy_.after({failed.end, failed.broke_off, answer_.progress(), time_left});
+}
+
+request_end send_loop::end_with(const attempt_result& last) const {
+    last_attempt ended;
+    ended.answered = last.end == attempt_end::answered;
+    ended.client_disconnected = caller_.disconnected();
+    ended.answer_started = answer_.progress() != answer_progress::none;
+    ended.may_have_run = policy_.may_have_run();
+    ended.failure = last.failure;
+    ended.timed_out = last.timed_out;
+    return end_after(ended);
+}
+
+asio::awaitable<void> send_loop::wait_for_admission(const scheduling::call_features& call) {
+    admission_queue& queue = context_.admission_queue_of(request_.service.name);
+    waiting_rank rank;
+    if (!queue.lets_in_at_once()) {
+        rank.tenant_priority = request_.tenant_priority();
+        rank.priority = request_.route.priority;
+        rank.rank = context_.ranking.order_of(call);
+    }
+    const duration longest = request_.budget.admission_wait(http::steady_now());
+    admitted_ = true;
+    const duration waited = co_await queue.enter(rank, longest);
+    context_.metrics.waited(waited);
+    statistics_.waited += waited;
+}
+
+void send_loop::leave_admission() {
+    if (admitted_) {
+        admitted_ = false;
+        context_.admission_queue_of(request_.service.name).leave();
+    }
+}
+
+asio::awaitable<bool> send_loop::back_off(const scheduling::call_features& call) {
+    const duration time_left = request_.budget.left(http::steady_now());
+    const auto pause = policy_.back_off(time_left, context_.backends.draw_jitter());
+    if (!pause || context_.is_disabled(settings::mechanism::asking_again)) {
+        co_return false;
+    }
+    ++statistics_.back_offs;
+    context_.admission_queue_of(request_.service.name).turned_away();
+    // The pause is no reason to keep other calls from being sent.
+    leave_admission();
+    asio::steady_timer timer(context_.process.loop(), *pause);
+    co_await timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
+    co_await wait_for_admission(call);
+    co_return true;
+}
+
+}  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -6,6 +6,8 @@
 
 namespace {
 
+/// Seconds, for routes that set none. Chosen, not measured: outlives the pauses of a program's
+/// tools, in which its ledger has to be kept.
 constexpr double fallback_retention_seconds = 60;
 
 }  // namespace
@@ -29,7 +31,7 @@
     return ended;
 }
 
-asio::awaitable<turns::begin_result> turn_session::begin(instant deadline, std::string& line) {
+asio::awaitable<turns::begin_result> turn_session::begin(instant deadline, std::string& history) {
     const instant started = http::steady_now();
     turns::turn_question question;
     question.reservation.program = scope_.scoped(facts_.program);
@@ -57,8 +59,8 @@
         log_refusal(begun);
     }
     for (const turns::turn_record& record : begun.chain) {
-        line += record.input;
-        line += record.output;
+        history += record.input;
+        history += record.output;
     }
     if (begun.adopted) {
         adopted_ = begun.chain;
--- a/src/tallyfold/plane/forwarding/turn_session_shell.hpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.hpp
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// The turn that one request is, at the stores: begun before it runs, settled before its answer
-/// ends. Belongs to the loop thread.
+/// The turn of a program that one request is, at the stores: begun before the request runs, which
+/// reserves its tokens and reads the conversation history, and settled before its answer ends.
+/// Belongs to the loop thread; turns/ decides.
 
 #include <asio/awaitable.hpp>
 #include <string>
@@ -13,9 +14,11 @@
 
 class turn_session {
   public:
-    /// Time that the stores get to begin a turn.
+    /// Time that the stores get to begin a turn. Chosen, not measured: room for two resends, after
+    /// 250 and 750 ms (resend_schedule); the request's own deadline ends it earlier.
     static constexpr duration begin_limit = std::chrono::milliseconds(1'500);
-    /// Time that they get to settle one whose answer waits for it.
+    /// Time that they get to settle one whose answer waits for it. Chosen, not measured: longer
+    /// than to begin, since the tokens have been spent and only a settled answer is kept.
     static constexpr duration settle_limit = std::chrono::milliseconds(2'500);
 
     /// @param facts and `route` have to outlive the session
@@ -23,8 +26,9 @@
     turn_session(forwarder_context& context, const request_facts& facts,
                  const routing::route& route, const tenants::tenant_name& tenant);
 
-    /// Reserves the turn's most tokens. @param line gets the texts of the turns before it
-    asio::awaitable<turns::begin_result> begin(instant deadline, std::string& line);
+    /// Reserves the tokens that the turn may generate.
+    /// @param history gets the inputs and outputs of the turns before it, oldest first
+    asio::awaitable<turns::begin_result> begin(instant deadline, std::string& history);
     /// Makes the end of a turn that was answered whole durable. @return false when no majority of
     /// the stores has taken it
     /// @param held what the engine that answered holds of the turn now
@@ -56,7 +60,8 @@
     turns::group_number store_group_ = 0;
     turns::map_epoch store_epoch_ = 0;
     token_count used_tokens_ = 0;
-    /// The line before the turn when another group of stores keeps it, until it is settled along.
+    /// The history before the turn when another group of stores keeps it, until this turn's group
+    /// gets it with the settlement.
     std::vector<turns::turn_record> adopted_;
     std::size_t adopted_turns_ = 0;
 };
--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -13,111 +13,165 @@
     CPPUNIT_TEST(a_refusal_is_said_only_when_nothing_may_have_run);
     CPPUNIT_TEST(a_repeatable_request_runs_as_often_as_its_route_allows);
     CPPUNIT_TEST(no_time_left_ends_it);
-    CPPUNIT_TEST(a_resumable_stream_that_broke_off_is_repeated_there);
+    CPPUNIT_TEST(a_resumable_stream_that_broke_off_is_resumed_there);
     CPPUNIT_TEST(a_stream_that_broke_off_is_never_told_as_not_run);
+    CPPUNIT_TEST(an_answer_that_has_begun_is_followed_only_by_one_that_resumes_it);
     CPPUNIT_TEST(full_back_ends_are_asked_again_while_time_is_left);
-    CPPUNIT_TEST(what_may_have_run_waits_for_no_room);
+    CPPUNIT_TEST(what_may_have_run_is_not_sent_again_after_a_pause);
     CPPUNIT_TEST(any_pauses_end_before_the_time_does);
+    CPPUNIT_TEST(any_attempts_run_no_more_often_than_allowed);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr duration second = std::chrono::seconds(1);
 
+    static next_step after(retry_policy& policy, attempt_end end, duration time_left = second,
+                           bool broke_off = false, answer_progress answer = answer_progress::none) {
+        return policy.after({end, broke_off, answer, time_left});
+    }
+
+    static void assert_refuses(const retry_policy& policy, next_step step) {
+        CPPUNIT_ASSERT(step == next_step::give_up);
+        CPPUNIT_ASSERT(!policy.may_have_run());
+    }
+
+    static void assert_fails(const retry_policy& policy, next_step step) {
+        CPPUNIT_ASSERT(step == next_step::give_up);
+        CPPUNIT_ASSERT(policy.may_have_run());
+    }
+
     void what_must_not_repeat_ends_with_its_first_run() {
         retry_policy policy(false, 3);
-        CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second) == next_step::fail);
+        assert_fails(policy, after(policy, attempt_end::may_have_run));
     }
 
     void a_proof_that_it_did_not_run_allows_another_try() {
         retry_policy policy(false, 1);
-        CPPUNIT_ASSERT(policy.after(attempt_end::not_run, second) == next_step::retry);
-        CPPUNIT_ASSERT(policy.after(attempt_end::not_sent, second) == next_step::retry);
-        CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second) == next_step::fail);
+        CPPUNIT_ASSERT(after(policy, attempt_end::not_run) == next_step::retry);
+        CPPUNIT_ASSERT(after(policy, attempt_end::not_sent) == next_step::retry);
+        assert_fails(policy, after(policy, attempt_end::may_have_run));
     }
 
     void a_refusal_is_said_only_when_nothing_may_have_run() {
         retry_policy clean(true, 2);
         for (std::uint32_t send = 1; send < retry_policy::max_sends; ++send) {
-            CPPUNIT_ASSERT(clean.after(attempt_end::not_run, second) == next_step::retry);
+            CPPUNIT_ASSERT(after(clean, attempt_end::not_run) == next_step::retry);
         }
-        CPPUNIT_ASSERT(clean.after(attempt_end::not_run, second) == next_step::refuse);
+        assert_refuses(clean, after(clean, attempt_end::not_run));
         retry_policy touched(true, 2);
-        CPPUNIT_ASSERT(touched.after(attempt_end::may_have_run, second) == next_step::retry);
-        CPPUNIT_ASSERT(touched.after(attempt_end::not_run, duration::zero()) == next_step::fail);
+        CPPUNIT_ASSERT(after(touched, attempt_end::may_have_run) == next_step::retry);
+        assert_fails(touched, after(touched, attempt_end::not_run, duration::zero()));
     }
 
     void a_repeatable_request_runs_as_often_as_its_route_allows() {
         retry_policy policy(true, 2);
         CPPUNIT_ASSERT(policy.may_retry_run());
-        CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second) == next_step::retry);
+        CPPUNIT_ASSERT(after(policy, attempt_end::may_have_run) == next_step::retry);
         CPPUNIT_ASSERT(!policy.may_retry_run());
-        CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second) == next_step::fail);
+        assert_fails(policy, after(policy, attempt_end::may_have_run));
     }
 
     void no_time_left_ends_it() {
         retry_policy policy(true, 3);
-        CPPUNIT_ASSERT(policy.after(attempt_end::not_sent, duration::zero()) == next_step::refuse);
+        assert_refuses(policy, after(policy, attempt_end::not_sent, duration::zero()));
     }
 
-    void a_resumable_stream_that_broke_off_is_repeated_there() {
+    void a_resumable_stream_that_broke_off_is_resumed_there() {
         retry_policy policy(true, 1, true);
-        for (std::uint32_t repeat = 0; repeat < retry_policy::max_repeats_there; ++repeat) {
-            CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second, true) ==
-                           next_step::repeat_there);
+        for (std::uint32_t resume = 0; resume < retry_policy::max_resumes; ++resume) {
+            CPPUNIT_ASSERT(after(policy, attempt_end::may_have_run, second, true) ==
+                           next_step::resume);
         }
-        CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second, true) == next_step::fail);
+        assert_fails(policy, after(policy, attempt_end::may_have_run, second, true));
         retry_policy silent(true, 1, true);
-        CPPUNIT_ASSERT(silent.after(attempt_end::may_have_run, second, false) == next_step::fail);
+        assert_fails(silent, after(silent, attempt_end::may_have_run, second, false));
         retry_policy late(true, 1, true);
-        CPPUNIT_ASSERT(late.after(attempt_end::may_have_run, duration::zero(), true) ==
-                       next_step::fail);
+        assert_fails(late, after(late, attempt_end::may_have_run, duration::zero(), true));
         retry_policy other(false, 1, false);
-        CPPUNIT_ASSERT(other.after(attempt_end::may_have_run, second, true) == next_step::fail);
+        assert_fails(other, after(other, attempt_end::may_have_run, second, true));
     }
 
     void a_stream_that_broke_off_is_never_told_as_not_run() {
         retry_policy policy(true, 1, true);
-        CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second, true) ==
-                       next_step::repeat_there);
-        CPPUNIT_ASSERT(policy.runs() > 0);
-        CPPUNIT_ASSERT(!policy.pause_for_room(second, 0.5));
-        CPPUNIT_ASSERT(policy.after(attempt_end::not_run, duration::zero()) == next_step::fail);
+        CPPUNIT_ASSERT(after(policy, attempt_end::may_have_run, second, true) == next_step::resume);
+        CPPUNIT_ASSERT(policy.may_have_run());
+        CPPUNIT_ASSERT(!policy.back_off(second, 0.5));
+        assert_fails(policy, after(policy, attempt_end::not_run, duration::zero()));
+    }
+
+    void an_answer_that_has_begun_is_followed_only_by_one_that_resumes_it() {
+        const auto step = [](attempt_end end, answer_progress answer, bool broke_off) {
+            retry_policy policy(true, 3, true);
+            return after(policy, end, second, broke_off, answer);
+        };
+        for (const attempt_end end :
+             {attempt_end::not_sent, attempt_end::not_run, attempt_end::may_have_run}) {
+            CPPUNIT_ASSERT(step(end, answer_progress::none, false) == next_step::retry);
+            CPPUNIT_ASSERT(step(end, answer_progress::started, false) == next_step::give_up);
+        }
+        using enum answer_progress;
+        CPPUNIT_ASSERT(step(attempt_end::not_sent, started_resumable, false) == next_step::retry);
+        CPPUNIT_ASSERT(step(attempt_end::not_run, started_resumable, false) == next_step::give_up);
+        CPPUNIT_ASSERT(step(attempt_end::may_have_run, started_resumable, false) ==
+                       next_step::give_up);
+        CPPUNIT_ASSERT(step(attempt_end::may_have_run, started_resumable, true) ==
+                       next_step::resume);
     }
 
     void full_back_ends_are_asked_again_while_time_is_left() {
         retry_policy policy(false, 1);
         for (std::uint32_t send = 1; send < retry_policy::max_sends; ++send) {
-            CPPUNIT_ASSERT(policy.after(attempt_end::not_run, second) == next_step::retry);
+            CPPUNIT_ASSERT(after(policy, attempt_end::not_run) == next_step::retry);
         }
-        CPPUNIT_ASSERT(policy.pause_for_room(second, 1) == retry_policy::first_pause);
-        CPPUNIT_ASSERT(policy.after(attempt_end::not_run, second) == next_step::retry);
-        CPPUNIT_ASSERT(policy.pause_for_room(second, 1) == 2 * retry_policy::first_pause);
-        CPPUNIT_ASSERT(!policy.pause_for_room(retry_policy::min_time_after_pause, 0));
+        CPPUNIT_ASSERT(policy.back_off(second, 1) == retry_policy::first_back_off);
+        CPPUNIT_ASSERT(after(policy, attempt_end::not_run) == next_step::retry);
+        CPPUNIT_ASSERT(policy.back_off(second, 1) == 2 * retry_policy::first_back_off);
+        CPPUNIT_ASSERT(!policy.back_off(retry_policy::min_time_after_back_off, 0));
     }
 
-    void what_may_have_run_waits_for_no_room() {
+    void what_may_have_run_is_not_sent_again_after_a_pause() {
         retry_policy policy(true, 2);
-        CPPUNIT_ASSERT(policy.after(attempt_end::may_have_run, second) == next_step::retry);
-        CPPUNIT_ASSERT(!policy.pause_for_room(second, 0.5));
+        CPPUNIT_ASSERT(after(policy, attempt_end::may_have_run) == next_step::retry);
+        CPPUNIT_ASSERT(!policy.back_off(second, 0.5));
     }
 
     void any_pauses_end_before_the_time_does() {
         check_property("pauses are bounded, and leave the time that a try needs", [] {
             retry_policy policy(*rc::gen::arbitrary<bool>(), 1);
-            RC_ASSERT(!policy.pause_for_room(second, 0.5));
-            policy.after(attempt_end::not_run, second);
+            RC_ASSERT(!policy.back_off(second, 0.5));
+            after(policy, attempt_end::not_run);
             duration left = std::chrono::milliseconds(*rc::gen::inRange(0, 40'000));
             int pauses = 0;
-            while (const auto pause =
-                       policy.pause_for_room(left, *rc::gen::inRange(0, 101) / 100.0)) {
+            while (const auto pause = policy.back_off(left, *rc::gen::inRange(0, 101) / 100.0)) {
                 RC_ASSERT(*pause > duration::zero());
-                RC_ASSERT(*pause <= retry_policy::longest_pause);
+                RC_ASSERT(*pause <= retry_policy::max_back_off);
                 left -= *pause;
-                RC_ASSERT(left >= retry_policy::min_time_after_pause);
+                RC_ASSERT(left >= retry_policy::min_time_after_back_off);
                 ++pauses;
             }
             RC_ASSERT(pauses < 1000);
         });
     }
+
+    void any_attempts_run_no_more_often_than_allowed() {
+        check_property("runs stay within the route's bound, and within one where none repeats", [] {
+            const bool repeatable = *rc::gen::arbitrary<bool>();
+            const auto max_runs = *rc::gen::inRange<std::uint32_t>(1, 5);
+            retry_policy policy(repeatable, max_runs);
+            std::uint32_t runs = 0;
+            std::uint32_t sends = 0;
+            next_step step = next_step::retry;
+            while (step == next_step::retry) {
+                const auto end = static_cast<attempt_end>(*rc::gen::inRange(0, 3));
+                runs += end == attempt_end::may_have_run ? 1 : 0;
+                ++sends;
+                step = after(policy, end, second, *rc::gen::arbitrary<bool>());
+                RC_ASSERT(policy.may_have_run() == (runs > 0));
+            }
+            RC_ASSERT(step == next_step::give_up);
+            RC_ASSERT(sends <= retry_policy::max_sends);
+            RC_ASSERT(runs <= (repeatable ? max_runs : 1));
+        });
+    }
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(retry_policy_test);
