--- a/src/tallyfold/plane/directory/applied_state_cache.cpp
+++ b/src/tallyfold/plane/directory/applied_state_cache.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
-/// A state is noted this often at most: a large one costs as much to write as a change to apply.
-constexpr duration note_interval = std::chrono::milliseconds(500);
-/// Hold the state noted last and the one before: written in turn, so that a lost power tears one
-/// of them at most.
+/// A state is saved this often at most: a large one costs as much to write as a change to apply.
+/// Chosen, not measured.
+constexpr duration save_interval = std::chrono::milliseconds(500);
+/// Hold the state saved last and the one before: written alternately, so that a loss of power
+/// damages one of them at most.
 constexpr std::array<const char*, 2> files{"/applied-state-0", "/applied-state-1"};
 
 std::pair<routing::configuration_version, turns::map_epoch> age_of(const directory_state& state) {
@@ -24,7 +25,7 @@
     return folder_ + files.at(number);
 }
 
-directory_state applied_state_cache::recall() {
+directory_state applied_state_cache::load() {
     directory_state newest;
     for (std::size_t number = 0; number < files.size(); ++number) {
         const auto payload = storage::read_single_record(path_of(number));
@@ -41,12 +42,12 @@
     return newest;
 }
 
-void applied_state_cache::note(const directory_state& applied, instant now) {
-    if (age_of(applied) == noted_ || now - noted_at_ < note_interval) {
+void applied_state_cache::save(const directory_state& applied, instant now) {
+    if (age_of(applied) == saved_ || now - saved_at_ < save_interval) {
         return;
     }
-    noted_ = age_of(applied);
-    noted_at_ = now;
+    saved_ = age_of(applied);
+    saved_at_ = now;
     if (storage::overwrite_file(path_of(next_), storage::single_record(applied.to_bytes()))) {
         next_ = 1 - next_;
     }
--- /dev/null
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -0,0 +1,66 @@
+#include "tallyfold/plane/directory/backend_list_sharing_shell.hpp"
+
+#include "tallyfold/plane/discovery/poller_election.hpp"
+
+namespace tallyfold::directory {
+
+namespace {
+
+/// Earlier lists of back ends that nodes may still hold, so that they are told differences only.
+/// Chosen, not measured: nodes report every 120 ms and the list is polled once a second, so a node
+/// rarely lags by more than one list.
+constexpr std::size_t kept_lists = 8;
+
+}  // namespace
+
+backend_list_sharing::backend_list_sharing(net::node_process& process,
+                                           const discovery::backend_list_codec& codec,
+                                           const std::unique_ptr<directory_core>& core)
+    : process_(process), core_(core), poller_(process, codec), list_(kept_lists) {}
+
+void backend_list_sharing::start() {
+    poller_.start(
+        [this](const std::vector<discovery::listed_backend>& backends) {
+            list_.see(backends, http::steady_now());
+        },
+        [this] { return polls(); });
+}
+
+bool backend_list_sharing::polls() const {
+    discovery::poller_election election;
+    election.leads = core_ && core_->leads();
+    election.known = list_.known();
+    election.age = http::steady_now() - list_.seen();
+    election.rank = core_ ? core_->rank_behind_leader() : 0;
+    return election.reads();
+}
+
+void backend_list_sharing::learn(const directory_beat& answer) {
+    for (const discovery::list_sight& sight : answer.list) {
+        list_.learn(sight, http::steady_now());
+    }
+}
+
+std::vector<discovery::list_sight> backend_list_sharing::newer_for(const node_report& report,
+                                                                   instant now) {
+    if (!report.wants_list) {
+        return {};
+    }
+    return list_.tell(report.list, std::chrono::milliseconds(report.list_age_ms), now);
+}
+
+std::optional<node_report> backend_list_sharing::question_for_leader() const {
+    if (!core_ || core_->leads() || core_->leader_address().empty()) {
+        return std::nullopt;
+    }
+    node_report report;
+    report.node = process_.settings().node;
+    // Only the list is asked for: store groups and the configuration come over the log.
+    report.stores = core_->state().stores().epoch;
+    report.list = list_.fingerprint();
+    const duration age = http::steady_now() - list_.seen();
+    report.list_age_ms = static_cast<std::uint32_t>(list_.known() ? to_milliseconds(age) : 0);
+    return report;
+}
+
+}  // namespace tallyfold::directory
--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -135,7 +135,7 @@
     for (const store_report& store : report.store) {
         store_planner_.on_report(store, now);
     }
-    return beat_for(report);
+    return answer_to(report);
 }
 
 configuration_part directory_core::receive(const configuration_request& request) {
@@ -148,21 +148,21 @@
     return has_newest ? state_.shared_configuration() : earlier_.shared_configuration();
 }
 
-directory_beat directory_core::beat_for(const node_report& report) const {
+directory_beat directory_core::answer_to(const node_report& report) const {
     const bool has_newest_stores = state_.stores().epoch >= earlier_.stores().epoch;
     const turns::store_table& shown_stores =
         has_newest_stores ? state_.stores() : earlier_.stores();
-    directory_beat beat;
-    beat.configuration = shown_configuration()->version;
+    directory_beat answer;
+    answer.configuration = shown_configuration()->version;
     if (shown_stores.epoch > report.stores) {
-        beat.newer_stores.push_back(shown_stores);
+        answer.newer_stores.push_back(shown_stores);
     }
     for (const auto& [id, member] : replica_.members().members) {
-        beat.directory_addresses.push_back(member.node);
+        answer.directory_addresses.push_back(member.node);
     }
-    beat.leader = leader_address();
-    beat.term = replica_.term();
-    return beat;
+    answer.leader = leader_address();
+    answer.term = replica_.term();
+    return answer;
 }
 
 void directory_core::answer(request_token token, answer_kind kind) {
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -100,7 +100,7 @@
     /// The part of a newer configuration that a node asks for.
     configuration_part receive(const configuration_request& request);
     /// What a reporting node lacks, as this node sees it now.
-    [[nodiscard]] directory_beat beat_for(const node_report& report) const;
+    [[nodiscard]] directory_beat answer_to(const node_report& report) const;
 
     /// Appends a command; its answer comes out of take_work().
     void submit(request_token token, const directory_command& command);
@@ -115,9 +115,9 @@
     void persisted();
 
     [[nodiscard]] const directory_state& state() const { return state_; }
-    /// Takes over a committed state that this node had applied in an earlier life, so that other
+    /// Takes over a committed state that this node had applied before its restart, so that other
     /// nodes learn it before a leader has confirmed the log. It is shown, never built upon.
-    void remember(directory_state earlier) { earlier_ = std::move(earlier); }
+    void show_earlier_state(directory_state earlier) { earlier_ = std::move(earlier); }
     [[nodiscard]] bool leads() const;
     [[nodiscard]] node_name leader_address() const;
     [[nodiscard]] consensus::term_number term() const { return replica_.term(); }
@@ -143,8 +143,8 @@
     void answer(request_token token, answer_kind kind);
     void end_read(std::uint64_t read, bool confirmed);
     void fail_pending();
-    /// The newest configuration that this node knows to have been in force, now or in an earlier
-    /// life.
+    /// The newest configuration that this node knows to have been in force, now or before its
+    /// restart.
     [[nodiscard]] const configuration_pointer& shown_configuration() const;
     void apply(const consensus::log_entry& entry);
     void note_leadership(instant now);
--- /dev/null
+++ b/src/tallyfold/plane/directory/directory_metrics.hpp
@@ -0,0 +1,36 @@
+#pragma once
+/// @file
+/// The metrics of the directory program, besides those of operators' calls (admin_api). Relies on
+/// the process's registry, which outlives it. docs/METRICS.md explains them.
+
+#include "tallyfold/plane/process/instruments.hpp"
+
+namespace tallyfold::directory {
+
+class directory_metrics {
+  public:
+    explicit directory_metrics(prometheus::Registry& registry)
+        : writes(net::add_counter(registry, "tallyfold_directory_writes_total",
+                                  "Synced writes of the directory's log")),
+          parts_sent(net::add_counter(registry, "tallyfold_directory_configuration_parts_total",
+                                      "Parts of configurations that were sent to nodes")),
+          part_bytes_sent(net::add_counter(registry,
+                                           "tallyfold_directory_configuration_part_bytes_total",
+                                           "Bytes of those parts")),
+          proofs_given(
+              net::add_counter(registry, "tallyfold_directory_configuration_proofs_total",
+                               "Questions answered with proof that nothing newer was in force")),
+          version(net::add_gauge(registry, "tallyfold_directory_configuration_version",
+                                 "Version of the configuration that this node has applied")),
+          nodes_behind(net::add_gauge(registry, "tallyfold_directory_nodes_behind",
+                                      "Nodes that last reported an older configuration")) {}
+
+    prometheus::Counter& writes;
+    prometheus::Counter& parts_sent;
+    prometheus::Counter& part_bytes_sent;
+    prometheus::Counter& proofs_given;
+    prometheus::Gauge& version;
+    prometheus::Gauge& nodes_behind;
+};
+
+}  // namespace tallyfold::directory
--- /dev/null
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -0,0 +1,175 @@
+#include "tallyfold/plane/directory/directory_replica_shell.hpp"
+
+#include <algorithm>
+#include <random>
+
+#include "tallyfold/base/logging/event_log.hpp"
+
+namespace tallyfold::directory {
+
+namespace {
+
+/// Pause before the folder is opened again after a failure. Chosen, not measured: a full disk or a
+/// remount takes seconds, and each attempt reads the whole log.
+constexpr duration reopen_interval = std::chrono::milliseconds(500);
+/// Size at which the log begins a new file, in bytes. Chosen, not measured: a few large
+/// configurations (2 MB of text, compressed to some 0.1 MB) each.
+constexpr std::uint64_t segment_bytes = 4U << 20U;
+
+/// A random number above 0.
+std::uint64_t draw_number() {
+    std::random_device source;
+    const std::uint64_t high = source();
+    return std::max<std::uint64_t>(1, (high << 32U) ^ source());
+}
+
+directory_settings core_settings_of(const settings::node_settings& settings) {
+    directory_settings chosen;
+    chosen.address = settings.directory_address();
+    chosen.seeds = settings.seed_directories();
+    chosen.first_start = settings.first_start;
+    // 2f+1 voters outlive f losses; two more keep that up while a lost one is being replaced.
+    chosen.members.max_voters = 2 * settings.losses_borne + 3;
+    chosen.members.fewest_voters = 2 * settings.losses_borne + 1;
+    chosen.stores.losses = settings.losses_borne;
+    chosen.seed = draw_number();
+    return chosen;
+}
+
+/// The identity of a replica whose folder is empty.
+consensus::replica_id new_identity(const directory_settings& settings) {
+    const bool is_seed = std::find(settings.seeds.begin(), settings.seeds.end(),
+                                   settings.address) != settings.seeds.end();
+    return settings.first_start && is_seed ? first_identity(settings.address) : draw_number();
+}
+
+void log_storage_failure(const std::string& detail) {
+    logging::write_event(logging::event_id::storage_failed, "reason=\"" + detail + "\"");
+}
+
+}  // namespace
+
+directory_replica::directory_replica(net::node_process& process, directory_metrics& metrics,
+                                     replica_handlers handlers)
+    : process_(process),
+      metrics_(metrics),
+      handlers_(std::move(handlers)),
+      cache_(process.settings().data_folder) {}
+
+void directory_replica::start() {
+    if (!open()) {
+        open_later();
+    }
+}
+
+void directory_replica::open_later() {
+    process_.after(reopen_interval, [this] { start(); });
+}
+
+void directory_replica::empty_untrusted_folder(const std::string& reason) {
+    // What the folder holds can't be trusted: this node starts as another replica and learns
+    // everything from its peers.
+    logging::write_event(logging::event_id::identity_renewed, "reason=\"" + reason + "\"");
+    storage::empty_folder(process_.settings().data_folder);
+}
+
+bool directory_replica::open() {
+    const std::string& folder = process_.settings().data_folder;
+    const directory_settings settings = core_settings_of(process_.settings());
+    const auto open_as = [&](consensus::replica_id identity) {
+        return storage::log_store::open(folder, identity, segment_bytes,
+                                        storage::tail_policy::cut_unsynced);
+    };
+    auto opened = open_as(new_identity(settings));
+    if (!opened && opened.error().failure != storage::storage_failure::input_output) {
+        empty_untrusted_folder(opened.error().detail);
+        opened = open_as(draw_number());
+    }
+    if (!opened) {
+        log_storage_failure(opened.error().detail);
+        return false;
+    }
+    store_ = std::make_unique<storage::log_store>(std::move(*opened));
+    const consensus::recovered_node& recovered = store_->recovered();
+    logging::write_event(logging::event_id::storage_opened,
+                         "identity=" + std::to_string(recovered.identity) +
+                             " cut_bytes=" + std::to_string(recovered.cut_bytes));
+    const auto group = recovered.groups.find(configuration_group);
+    const bool is_empty = group == recovered.groups.end();
+    core_ = std::make_unique<directory_core>(
+        settings, recovered.identity, is_empty ? consensus::recovered_state{} : group->second,
+        http::steady_now());
+    core_->show_earlier_state(cache_.load());
+    return true;
+}
+
+bool directory_replica::make_durable(const consensus::group_write& write) {
+    metrics_.writes.Increment();
+    const auto written = store_->write({write});
+    if (written) {
+        return true;
+    }
+    log_storage_failure(written.error().detail);
+    // Nothing that isn't durable may be sent: this replica stops until the folder can be read
+    // back.
+    store_.reset();
+    core_.reset();
+    handlers_.on_storage_lost();
+    open_later();
+    return false;
+}
+
+void directory_replica::send(std::vector<addressed_message>& messages) {
+    for (addressed_message& message : messages) {
+        handlers_.send(std::move(message));
+    }
+}
+
+bool directory_replica::do_work(directory_work work) {
+    for (const logging::event_record& event : work.events) {
+        logging::write_event(event);
+    }
+    send(work.before_sync);
+    if (work.write.has_value()) {
+        if (!make_durable(*work.write)) {
+            return false;
+        }
+        core_->persisted();
+    }
+    send(work.after_sync);
+    for (const directory_answer& answer : work.answers) {
+        handlers_.on_answer(answer);
+    }
+    for (const directory_proof& proof : work.proofs) {
+        handlers_.on_proof(proof);
+    }
+    metrics_.version.Set(static_cast<double>(core_->state().configuration().version));
+    return true;
+}
+
+void directory_replica::run_work() {
+    if (working_) {
+        return;
+    }
+    working_ = true;
+    while (core_) {
+        directory_work work = core_->take_work();
+        if (work.empty() || !do_work(std::move(work))) {
+            break;
+        }
+    }
+    working_ = false;
+}
+
+void directory_replica::tick() {
+    if (core_) {
+        core_->tick(http::steady_now());
+        run_work();
+    }
+    // The work may have found out that the folder can't be written to.
+    if (core_) {
+        cache_.save(core_->state(), http::steady_now());
+    }
+}
+
+}  // namespace tallyfold::directory
--- a/src/tallyfold/plane/directory/failure_relay.hpp
+++ b/src/tallyfold/plane/directory/failure_relay.hpp
@@ -1,8 +1,10 @@
 #pragma once
 /// @file
-/// What a directory node has been told of back ends that broke calls off, to tell it on with its
-/// beats. Not part of the log: it is old after a second. Pure.
+/// Back ends that nodes have lately reported as failed, to be passed on in the answers to all other
+/// nodes. Not replicated: a report is of no use after a second. Owns a bounded set of reports.
+/// Pure.
 
+#include <cstdint>
 #include <map>
 #include <vector>
 
@@ -13,31 +15,38 @@
 
 class failure_relay {
   public:
-    /// Told for this long: every node has asked each directory node about once by then.
+    /// Time for which a report is passed on. A node asks one directory node after another, one every
+    /// 120 ms, so by then it has asked each of up to six.
     static constexpr duration told_for = std::chrono::milliseconds(800);
-    /// More back ends than this at once are a fault that nodes find out without being told.
+    /// Back ends that are passed on at once. Chosen, not measured: more than that fail only in a
+    /// fault so large that nodes notice it without being told.
     static constexpr std::size_t max_told = 64;
 
-    void note(const backend_name& backend, instant now) {
-        const auto known = breaks_.find(backend);
-        if (known != breaks_.end() && now - known->second < discovery::same_failure_window) {
+    /// A node has reported a failure. Reports of one failure by several nodes count once, with the
+    /// first one's time; what exceeds the bound is dropped.
+    void add(const backend_name& backend, instant now) {
+        const auto known = reported_.find(backend);
+        const bool is_known = known != reported_.end();
+        if (is_known && now - known->second < discovery::same_failure_window) {
             return;
         }
-        if (known != breaks_.end() || breaks_.size() < max_told) {
-            breaks_[backend] = now;
+        if (is_known || reported_.size() < max_told) {
+            reported_[backend] = now;
         }
     }
-    [[nodiscard]] std::vector<discovery::relayed_failure> tell(instant now) {
-        std::erase_if(breaks_, [&](const auto& each) { return now - each.second > told_for; });
-        std::vector<discovery::relayed_failure> told;
-        for (const auto& [backend, at] : breaks_) {
-            told.push_back({backend, static_cast<std::uint32_t>(to_milliseconds(now - at))});
+
+    /// The failures to pass on now, with their age in milliseconds; forgets older ones.
+    [[nodiscard]] std::vector<discovery::relayed_failure> recent(instant now) {
+        std::erase_if(reported_, [&](const auto& each) { return now - each.second > told_for; });
+        std::vector<discovery::relayed_failure> failures;
+        for (const auto& [backend, at] : reported_) {
+            failures.push_back({backend, static_cast<std::uint32_t>(to_milliseconds(now - at))});
         }
-        return told;
+        return failures;
     }
 
   private:
-    std::map<backend_name, instant> breaks_;
+    std::map<backend_name, instant> reported_;
 };
 
 }  // namespace tallyfold::directory
--- /dev/null
+++ b/src/tallyfold/plane/directory/report_service_shell.cpp
@@ -0,0 +1,51 @@
+#include "tallyfold/plane/directory/report_service_shell.hpp"
+
+namespace tallyfold::directory {
+
+report_service::report_service(directory_metrics& metrics, backend_list_sharing& list,
+                               propagation_monitor& propagation)
+    : metrics_(metrics), list_(list), propagation_(propagation) {}
+
+void report_service::answer(directory_core& core, const messaging::channel_pointer& channel,
+                            const node_report& report) {
+    const instant now = http::steady_now();
+    directory_beat answer = core.receive(report, now);
+    propagation_.on_report(report, now);
+    answer.list = list_.newer_for(report, now);
+    answer.breaks = failures_.recent(now);
+    channel->send(answer);
+    if (report.question != 0) {
+        const request_token token = next_question_++;
+        questions_[token] = {channel, report};
+        core.prove(token, now);
+    }
+}
+
+void report_service::answer(directory_core& core, const messaging::channel_pointer& channel,
+                            const configuration_request& request) {
+    const configuration_part part = core.receive(request);
+    metrics_.parts_sent.Increment();
+    metrics_.part_bytes_sent.Increment(static_cast<double>(part.bytes.size()));
+    channel->send(part);
+}
+
+void report_service::take(const discovery::failure_report& report) {
+    failures_.add(report.backend, http::steady_now());
+}
+
+void report_service::end_proof(const directory_core& core, const directory_proof& proof) {
+    const auto found = questions_.find(proof.token);
+    if (found == questions_.end()) {
+        return;
+    }
+    const messaging::channel_pointer channel = found->second.channel.lock();
+    if (proof.proved && channel) {
+        directory_beat answer = core.answer_to(found->second.report);
+        answer.question = found->second.report.question;
+        channel->send(answer);
+        metrics_.proofs_given.Increment();
+    }
+    questions_.erase(found);
+}
+
+}  // namespace tallyfold::directory
--- a/src/tallyfold/plane/directory/version_tracker.cpp
+++ b/src/tallyfold/plane/directory/version_tracker.cpp
@@ -6,39 +6,41 @@
 
 namespace {
 
-/// A node reports to each of some nine directory nodes about once a second.
+/// Silence after which a node doesn't count any more: it reports to each of some nine directory
+/// nodes about once a second, so it has missed two or three reports by then.
 constexpr duration silent_after = std::chrono::seconds(3);
 
 }  // namespace
 
-void version_tracker::holds(routing::configuration_version version, instant now) {
+void version_tracker::on_applied(routing::configuration_version version, instant now) {
     if (version <= newest_) {
         return;
     }
     newest_ = version;
-    held_since_ = now;
-    told_ = false;
+    applied_at_ = now;
+    is_taken_ = false;
 }
 
-void version_tracker::reported(const node_name& node, routing::configuration_version version,
-                               instant now) {
+void version_tracker::on_report(const node_name& node, routing::configuration_version version,
+                                instant now) {
     nodes_[node] = {version, now};
 }
 
-std::size_t version_tracker::behind() const {
-    return static_cast<std::size_t>(
-        std::count_if(nodes_.begin(), nodes_.end(),
-                      [&](const auto& entry) { return entry.second.version < newest_; }));
+std::size_t version_tracker::nodes_behind() const {
+    const auto lags = [&](const auto& entry) { return entry.second.version < newest_; };
+    return static_cast<std::size_t>(std::count_if(nodes_.begin(), nodes_.end(), lags));
 }
 
-std::optional<version_tracker::spread> version_tracker::check(instant now) {
-    std::erase_if(nodes_,
-                  [&](const auto& entry) { return now - entry.second.heard > silent_after; });
-    if (told_ || nodes_.empty() || behind() > 0) {
+std::optional<version_tracker::propagation> version_tracker::take_propagated(instant now) {
+    const auto is_silent = [&](const auto& entry) {
+        return now - entry.second.heard > silent_after;
+    };
+    std::erase_if(nodes_, is_silent);
+    if (is_taken_ || nodes_.empty() || nodes_behind() > 0) {
         return std::nullopt;
     }
-    told_ = true;
-    return spread{newest_, nodes_.size(), now - held_since_};
+    is_taken_ = true;
+    return propagation{newest_, nodes_.size(), now - applied_at_};
 }
 
 }  // namespace tallyfold::directory
--- a/src/tallyfold/plane/directory/version_tracker.hpp
+++ b/src/tallyfold/plane/directory/version_tracker.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Which version of the configuration each node has reported, so that operators see how far a
-/// change has come. Pure.
+/// Which version of the configuration each node reported last, so that operators see how far a
+/// change has propagated. Owns one entry for each node heard of lately. Pure.
 
 #include <map>
 #include <optional>
@@ -14,32 +14,35 @@
 
 class version_tracker {
   public:
-    /// How a version has reached all nodes that report.
-    struct spread {
+    /// A version that all nodes that report have reached.
+    struct propagation {
         routing::configuration_version version = routing::no_version;
         std::size_t nodes = 0;
-        /// From when this directory node held it.
+        /// Time since this directory node applied it.
         duration took{};
     };
 
-    /// This directory node holds a version from now on.
-    void holds(routing::configuration_version version, instant now);
-    void reported(const node_name& node, routing::configuration_version version, instant now);
-    /// Forgets nodes that have been silent. @return a version that the last node has reached now
-    std::optional<spread> check(instant now);
-    /// Nodes that have last reported an older version.
-    [[nodiscard]] std::size_t behind() const;
+    /// This directory node has applied a version; older ones than the newest are ignored.
+    void on_applied(routing::configuration_version version, instant now);
+    /// A node holds this version.
+    void on_report(const node_name& node, routing::configuration_version version, instant now);
+    /// Forgets nodes that have been silent. @return the newest version, once, as soon as no node
+    /// lags behind it
+    std::optional<propagation> take_propagated(instant now);
+    /// Nodes that last reported an older version than the newest.
+    [[nodiscard]] std::size_t nodes_behind() const;
 
   private:
-    struct known_node {
+    struct reported_version {
         routing::configuration_version version = routing::no_version;
         instant heard{};
     };
 
     routing::configuration_version newest_ = routing::no_version;
-    instant held_since_{};
-    bool told_ = true;
-    std::map<node_name, known_node> nodes_;
+    instant applied_at_{};
+    /// True when the newest version has been returned by take_propagated().
+    bool is_taken_ = true;
+    std::map<node_name, reported_version> nodes_;
 };
 
 }  // namespace tallyfold::directory
--- a/tests/plane/directory/failure_relay_test.cpp
+++ b/tests/plane/directory/failure_relay_test.cpp
@@ -9,39 +9,39 @@
 
 class failure_relay_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(failure_relay_test);
-    CPPUNIT_TEST(a_break_is_told_with_its_age_and_then_no_more);
-    CPPUNIT_TEST(reports_of_one_break_count_once);
-    CPPUNIT_TEST(a_flood_of_breaks_is_bounded);
+    CPPUNIT_TEST(a_failure_is_passed_on_with_its_age_and_then_no_more);
+    CPPUNIT_TEST(reports_of_one_failure_count_once);
+    CPPUNIT_TEST(a_flood_of_failures_is_bounded);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant now{std::chrono::seconds(9)};
 
-    void a_break_is_told_with_its_age_and_then_no_more() {
-        failure_relay board;
-        CPPUNIT_ASSERT(board.tell(now).empty());
-        board.note("b", now);
-        const auto told = board.tell(now + milliseconds(120));
+    void a_failure_is_passed_on_with_its_age_and_then_no_more() {
+        failure_relay relay;
+        CPPUNIT_ASSERT(relay.recent(now).empty());
+        relay.add("b", now);
+        const auto told = relay.recent(now + milliseconds(120));
         CPPUNIT_ASSERT_EQUAL(std::string("b"), told.front().backend);
         CPPUNIT_ASSERT_EQUAL(120U, told.front().age_ms);
-        CPPUNIT_ASSERT(board.tell(now + failure_relay::told_for + milliseconds(1)).empty());
+        CPPUNIT_ASSERT(relay.recent(now + failure_relay::told_for + milliseconds(1)).empty());
     }
 
-    void reports_of_one_break_count_once() {
-        failure_relay board;
-        board.note("b", now);
-        board.note("b", now + milliseconds(200));
-        CPPUNIT_ASSERT_EQUAL(200U, board.tell(now + milliseconds(200)).front().age_ms);
-        // A later one is another break.
-        board.note("b", now + milliseconds(400));
-        CPPUNIT_ASSERT_EQUAL(0U, board.tell(now + milliseconds(400)).front().age_ms);
+    void reports_of_one_failure_count_once() {
+        failure_relay relay;
+        relay.add("b", now);
+        relay.add("b", now + milliseconds(200));
+        CPPUNIT_ASSERT_EQUAL(200U, relay.recent(now + milliseconds(200)).front().age_ms);
+        // A later one is another failure.
+        relay.add("b", now + milliseconds(400));
+        CPPUNIT_ASSERT_EQUAL(0U, relay.recent(now + milliseconds(400)).front().age_ms);
     }
 
-    void a_flood_of_breaks_is_bounded() {
-        failure_relay board;
+    void a_flood_of_failures_is_bounded() {
+        failure_relay relay;
         for (int number = 0; number < 1'000; ++number) {
-            board.note("b" + std::to_string(number), now);
+            relay.add("b" + std::to_string(number), now);
         }
-        CPPUNIT_ASSERT_EQUAL(failure_relay::max_told, board.tell(now).size());
+        CPPUNIT_ASSERT_EQUAL(failure_relay::max_told, relay.recent(now).size());
     }
 };
 
