--- a/src/tallyfold/plane/directory/failure_relay.hpp
+++ b/src/tallyfold/plane/directory/failure_relay.hpp
@@ -15,8 +15,8 @@
 
 class failure_relay {
   public:
-    /// Time for which a report is passed on. A node asks one directory node after another, one every
-    /// 120 ms, so by then it has asked each of up to six.
+    /// Time for which a report is passed on. A node asks one directory node after another, one
+    /// every 120 ms, so by then it has asked each of up to six.
     static constexpr duration told_for = std::chrono::milliseconds(800);
     /// Back ends that are passed on at once. Chosen, not measured: more than that fail only in a
     /// fault so large that nodes notice it without being told.
--- /dev/null
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -0,0 +1,181 @@
+#include "tallyfold/plane/directory/group_members.hpp"
+
+#include <algorithm>
+#include <map>
+#include <string>
+
+namespace tallyfold::directory {
+
+using turns::store_map;
+using turns::store_member;
+
+namespace {
+
+/// Times the first gathering after which groups are formed of fewer stores than a group's size.
+/// Chosen, not measured: 6 s, in which a machine that starts late has started.
+constexpr int gatherings_for_a_small_group = 4;
+
+/// The stores in an order in which any run of them, as long as there are zones, lies in different
+/// zones.
+store_list interleave_zones(const store_list& stores) {
+    std::map<std::string, store_list> by_zone;
+    for (const store_member& store : stores) {
+        by_zone[store.zone].push_back(store);
+    }
+    store_list ordered;
+    for (std::size_t round = 0; ordered.size() < stores.size(); ++round) {
+        for (const auto& [zone, members] : by_zone) {
+            if (round < members.size()) {
+                ordered.push_back(members[round]);
+            }
+        }
+    }
+    return ordered;
+}
+
+/// Takes out the candidate whose zone has the fewest of the members; the first of several.
+store_member take_best(store_list& candidates, const store_list& members) {
+    const auto in_zone = [&](const store_member& candidate) {
+        return std::count_if(members.begin(), members.end(), [&](const store_member& member) {
+            return member.zone == candidate.zone;
+        });
+    };
+    const auto best = std::min_element(candidates.begin(), candidates.end(),
+                                       [&](const store_member& one, const store_member& other) {
+                                           return in_zone(one) < in_zone(other);
+                                       });
+    store_member taken = *best;
+    candidates.erase(best);
+    return taken;
+}
+
+/// Members whose disks are there and aren't to be emptied.
+store_list staying_members(const store_view& view, const store_map& map) {
+    store_list members;
+    for (const store_member& member : map.current) {
+        if (!view.is_retired(member.id) && !view.is_replaced(member)) {
+            members.push_back(view.latest(member));
+        }
+    }
+    return members;
+}
+
+/// Live stores that may join the group, those on machines of present members first: a new disk in
+/// an old one's place keeps the zones as they are.
+store_list candidates_for(const store_view& view, const store_map& map, const store_list& members) {
+    store_list candidates;
+    for (const store_member& store : view.live_stores()) {
+        const bool elsewhere = view.is_in_a_group(store.id) && !map.holds(store.id);
+        const bool gone = view.is_retired(store.id) || view.is_replaced(store);
+        if (!elsewhere && !gone && !has_id(members, store.id)) {
+            candidates.push_back(store);
+        }
+    }
+    const auto is_successor = [&](const store_member& candidate) {
+        return std::any_of(map.current.begin(), map.current.end(),
+                           [&](const store_member& old) { return old.node == candidate.node; });
+    };
+    std::stable_partition(candidates.begin(), candidates.end(), is_successor);
+    return candidates;
+}
+
+/// Takes silent members out while the group has more than its size.
+void drop_surplus(const store_view& view, store_list& members) {
+    for (auto member = members.begin(); member != members.end();) {
+        const bool is_surplus = members.size() > view.settings().group_size();
+        const bool leaves = is_surplus && view.is_silent(member->id);
+        member = leaves ? members.erase(member) : member + 1;
+    }
+}
+
+}  // namespace
+
+store_list choose_members(const store_view& view, const store_map& map) {
+    store_list members = staying_members(view, map);
+    store_list candidates = candidates_for(view, map, members);
+    while (members.size() < view.settings().group_size() && !candidates.empty()) {
+        members.push_back(take_best(candidates, members));
+    }
+    for (store_member& member : members) {
+        if (view.is_silent(member.id) && !candidates.empty()) {
+            member = take_best(candidates, members);
+        }
+    }
+    drop_surplus(view, members);
+    return members;
+}
+
+bool has_too_few(const store_view& view, const store_list& members, const store_map& map) {
+    return members.size() < std::min(view.settings().group_size(), map.current.size());
+}
+
+std::optional<store_map> begin_change(const store_view& view, const store_map& map) {
+    if (!view.has_listened()) {
+        return std::nullopt;
+    }
+    store_list members = choose_members(view, map);
+    if (has_too_few(view, members, map) || same_members(members, map.current)) {
+        return std::nullopt;
+    }
+    return with_members(map, map.current, std::move(members));
+}
+
+bool copies_suffice(const store_view& view, const store_map& map) {
+    const auto has_copied = [&](const store_member& member) {
+        return view.has_copied(member, map);
+    };
+    const auto stays_or_has_copied = [&](const store_member& member) {
+        return has_id(map.current, member.id) || has_copied(member);
+    };
+    const auto whole = std::count_if(map.next.begin(), map.next.end(), has_copied);
+    // A member that stays and is away doesn't hold the change up: while it is open, the loss of one
+    // more disk stops the group.
+    const std::size_t majority = map.next.size() / 2 + 1;
+    const std::size_t needed = map.next.size() - majority + 1;
+    return std::all_of(map.next.begin(), map.next.end(), stays_or_has_copied) &&
+           static_cast<std::size_t>(whole) >= needed;
+}
+
+std::optional<store_map> continue_change(const store_view& view, const store_map& map) {
+    if (copies_suffice(view, map)) {
+        return with_members(map, map.next, {});
+    }
+    // A joining store that died would hold the change up for ever: plan again without it.
+    const auto will_not_copy = [&](const store_member& member) {
+        return !view.has_copied(member, map) && !view.is_live(member.id);
+    };
+    if (!view.has_listened() || std::none_of(map.next.begin(), map.next.end(), will_not_copy)) {
+        return std::nullopt;
+    }
+    store_list members = choose_members(view, map);
+    if (has_too_few(view, members, map) || same_members(members, map.next)) {
+        return std::nullopt;
+    }
+    return with_members(map, map.current, std::move(members));
+}
+
+std::optional<change_store_groups> form_groups(const store_view& view) {
+    const store_planner_settings& settings = view.settings();
+    const store_list found = view.live_stores();
+    const bool enough =
+        found.size() >= settings.group_size() ||
+        view.listened_for() > gatherings_for_a_small_group * settings.first_gathering;
+    if (found.empty() || view.listened_for() < settings.first_gathering || !enough) {
+        return std::nullopt;
+    }
+    const store_list ordered = interleave_zones(found);
+    change_store_groups change;
+    auto position = ordered.begin();
+    for (std::size_t number = 0; number < settings.groups_of(ordered.size()); ++number) {
+        store_map map;
+        map.epoch = view.state().stores().epoch + 1 + number;
+        map.group = static_cast<turns::group_number>(number);
+        while (map.current.size() < settings.group_size() && position != ordered.end()) {
+            map.current.push_back(*position++);
+        }
+        change.maps.push_back(std::move(map));
+    }
+    return change;
+}
+
+}  // namespace tallyfold::directory
--- a/src/tallyfold/plane/directory/store_heartbeats.cpp
+++ b/src/tallyfold/plane/directory/store_heartbeats.cpp
@@ -21,12 +21,12 @@
     return found != stores_.end() && now - found->second.heard <= limit;
 }
 
-duration store_heartbeats::silence_of(store_id id, instant now) const {
+duration store_heartbeats::silent_for(store_id id, instant now) const {
     const auto found = stores_.find(id);
     return now - (found == stores_.end() ? started_ : found->second.heard);
 }
 
-bool store_heartbeats::replaced(const store_member& member, duration limit, instant now) const {
+bool store_heartbeats::is_replaced(const store_member& member, duration limit, instant now) const {
     const auto old = stores_.find(member.id);
     const instant heard = old == stores_.end() ? instant::min() : old->second.heard;
     return std::any_of(stores_.begin(), stores_.end(), [&](const auto& entry) {
@@ -36,7 +36,7 @@
     });
 }
 
-const store_member& store_heartbeats::newest(const store_member& known) const {
+const store_member& store_heartbeats::latest(const store_member& known) const {
     const auto found = stores_.find(known.id);
     return found == stores_.end() ? known : found->second.report.member;
 }
--- /dev/null
+++ b/src/tallyfold/plane/directory/store_view.cpp
@@ -0,0 +1,75 @@
+#include "tallyfold/plane/directory/store_view.hpp"
+
+#include <algorithm>
+
+namespace tallyfold::directory {
+
+using turns::store_id;
+using turns::store_map;
+using turns::store_member;
+
+bool has_id(const store_list& members, store_id id) {
+    return std::any_of(members.begin(), members.end(),
+                       [id](const store_member& member) { return member.id == id; });
+}
+
+bool same_members(store_list left, store_list right) {
+    const auto by_id = [](const store_member& one, const store_member& other) {
+        return one.id < other.id;
+    };
+    std::sort(left.begin(), left.end(), by_id);
+    std::sort(right.begin(), right.end(), by_id);
+    return left == right;
+}
+
+store_map with_members(const store_map& map, store_list current, store_list next) {
+    store_map changed = map;
+    changed.epoch = 0;
+    changed.current = std::move(current);
+    changed.next = std::move(next);
+    return changed;
+}
+
+bool store_view::is_live(store_id id) const {
+    return heartbeats_.heard_within(id, settings_.live, now_);
+}
+
+bool store_view::is_silent(store_id id) const {
+    return heartbeats_.silent_for(id, now_) > settings_.silence;
+}
+
+bool store_view::is_silent_beyond_retention(store_id id) const {
+    return heartbeats_.silent_for(id, now_) > settings_.retention;
+}
+
+bool store_view::is_replaced(const store_member& member) const {
+    return heartbeats_.is_replaced(member, settings_.live, now_);
+}
+
+bool store_view::is_retired(store_id id) const {
+    return state_.retired().contains(id);
+}
+
+bool store_view::is_in_a_group(store_id id) const {
+    return state_.stores().holds(id);
+}
+
+bool store_view::has_copied(const store_member& member, const store_map& map) const {
+    return heartbeats_.copied_epoch(member.id) == map.epoch;
+}
+
+bool store_view::is_lost(const store_member& member) const {
+    return is_replaced(member) || (is_retired(member.id) && is_silent_beyond_retention(member.id));
+}
+
+store_list store_view::live_stores() const {
+    store_list live;
+    for (const auto& [id, heartbeat] : heartbeats_.all()) {
+        if (is_live(id)) {
+            live.push_back(heartbeat.report.member);
+        }
+    }
+    return live;
+}
+
+}  // namespace tallyfold::directory
--- /dev/null
+++ b/tests/plane/directory/group_recovery_test.cpp
@@ -0,0 +1,90 @@
+#include "tallyfold/plane/directory/group_recovery.hpp"
+
+#include "tests/support/suite.hpp"
+
+namespace tallyfold::tests {
+
+using namespace directory;
+using turns::store_id;
+using turns::store_map;
+using turns::store_member;
+
+/// The rules by which a group goes on from the disks that survive, one by one; how they follow each
+/// other is in store_planner_test.
+class group_recovery_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(group_recovery_test);
+    CPPUNIT_TEST(a_disk_is_lost_when_its_machine_reports_another);
+    CPPUNIT_TEST(silence_makes_a_disk_lost_only_after_an_order_to_empty_it);
+    CPPUNIT_TEST(a_silent_member_is_waited_for_until_turns_expire);
+    CPPUNIT_TEST(a_member_that_an_open_change_leaves_out_is_given_up_once_silent);
+    CPPUNIT_TEST(members_out_of_reach_that_would_suffice_forbid_a_recovery);
+    CPPUNIT_TEST_SUITE_END();
+
+    static constexpr duration retention = std::chrono::seconds(75);
+
+    store_planner_settings settings_;
+    store_heartbeats heartbeats_;
+    directory_state state_;
+
+    static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
+    static store_member member(store_id id, const std::string& node) {
+        return {id, node, "10.0.0." + node + ":7000", "zone"};
+    }
+    static store_map three() { return {1, {member(1, "1"), member(2, "2"), member(3, "3")}, {}}; }
+
+    /// The view of a leader that began to lead at 0 ms.
+    [[nodiscard]] store_view view_at(instant now) const {
+        return {settings_, heartbeats_, state_, now};
+    }
+    void report(const store_member& store, instant now) { heartbeats_.on_report({store, 0}, now); }
+
+    void a_disk_is_lost_when_its_machine_reports_another() {
+        heartbeats_.start(at(0));
+        report(member(1, "1"), at(100));
+        CPPUNIT_ASSERT(!view_at(at(200)).is_lost(member(1, "1")));
+        report(member(10, "1"), at(200));
+        CPPUNIT_ASSERT(view_at(at(200)).is_lost(member(1, "1")));
+        CPPUNIT_ASSERT(!view_at(at(200)).is_lost(member(10, "1")));
+    }
+
+    void silence_makes_a_disk_lost_only_after_an_order_to_empty_it() {
+        heartbeats_.start(at(0));
+        const instant expired = at(0) + retention + std::chrono::milliseconds(1);
+        CPPUNIT_ASSERT(!view_at(expired).is_lost(member(1, "1")));
+        state_.apply(retire_store{"1", {1}});
+        CPPUNIT_ASSERT(!view_at(at(0) + retention).is_lost(member(1, "1")));
+        CPPUNIT_ASSERT(view_at(expired).is_lost(member(1, "1")));
+    }
+
+    void a_silent_member_is_waited_for_until_turns_expire() {
+        heartbeats_.start(at(0));
+        CPPUNIT_ASSERT(!is_given_up(view_at(at(0) + retention), three(), member(1, "1")));
+        const instant expired = at(0) + retention + std::chrono::milliseconds(1);
+        CPPUNIT_ASSERT(is_given_up(view_at(expired), three(), member(1, "1")));
+    }
+
+    void a_member_that_an_open_change_leaves_out_is_given_up_once_silent() {
+        heartbeats_.start(at(0));
+        store_map changing = three();
+        changing.next = {member(2, "2"), member(3, "3"), member(4, "4")};
+        CPPUNIT_ASSERT(!is_given_up(view_at(at(6'000)), changing, member(1, "1")));
+        CPPUNIT_ASSERT(is_given_up(view_at(at(6'001)), changing, member(1, "1")));
+        // One that the change keeps is waited for.
+        CPPUNIT_ASSERT(!is_given_up(view_at(at(6'001)), changing, member(2, "2")));
+    }
+
+    void members_out_of_reach_that_would_suffice_forbid_a_recovery() {
+        heartbeats_.start(at(0));
+        report(member(30, "3"), at(80'000));
+        // Both others are silent for longer than turns are kept: two of three may go on elsewhere.
+        CPPUNIT_ASSERT(!needs_recovery(view_at(at(80'000)), three()));
+        report(member(1, "1"), at(80'000));
+        CPPUNIT_ASSERT(needs_recovery(view_at(at(80'000)), three()));
+        report(member(2, "2"), at(80'000));
+        CPPUNIT_ASSERT(!needs_recovery(view_at(at(80'000)), three()));
+    }
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(group_recovery_test);
+
+}  // namespace tallyfold::tests
