--- a/src/tallyfold/plane/messaging/peer_message.hpp
+++ b/src/tallyfold/plane/messaging/peer_message.hpp
@@ -28,7 +28,7 @@
 
 using peer_message = std::variant<
     replica_envelope, directory::join_request, directory::node_report, directory::directory_beat,
-    turns::begin_request, turns::begin_reply, turns::chain_request, turns::chain_reply,
+    turns::begin_request, turns::begin_reply, turns::history_request, turns::history_reply,
     turns::settle_request, turns::settle_reply, turns::copy_request, turns::copy_reply,
     turns::find_request, turns::find_reply, tenants::permit_report, tenants::permit_answer,
     discovery::failure_report, directory::configuration_request, directory::configuration_part>;
--- a/src/tallyfold/plane/turns/copy_watch.hpp
+++ b/src/tallyfold/plane/turns/copy_timeout.hpp
@@ -12,29 +12,29 @@
 
 namespace tallyfold::turns {
 
-class copy_watch {
+class copy_timeout {
   public:
-    static constexpr duration min_patience = std::chrono::milliseconds(300);
-    static constexpr duration max_patience = std::chrono::milliseconds(2'400);
+    static constexpr duration min_timeout = std::chrono::milliseconds(300);
+    static constexpr duration max_timeout = std::chrono::milliseconds(2'400);
 
     /// A source was asked for a page.
-    void asked(instant now) { asked_ = now; }
+    void asked(instant now) { requested_at_ = now; }
     /// The asked source's page has come.
-    void page_came(instant now) {
-        patience_ = std::clamp((now - asked_) * 2, min_patience, max_patience);
+    void page_received(instant now) {
+        timeout_ = std::clamp((now - requested_at_) * 2, min_timeout, max_timeout);
     }
     /// True when the asked source has had its time; from then on it has more.
     bool stalled(instant now) {
-        if (now - asked_ < patience_) {
+        if (now - requested_at_ < timeout_) {
             return false;
         }
-        patience_ = std::min(patience_ * 2, max_patience);
+        timeout_ = std::min(timeout_ * 2, max_timeout);
         return true;
     }
 
   private:
-    instant asked_{};
-    duration patience_ = min_patience;
+    instant requested_at_{};
+    duration timeout_ = min_timeout;
 };
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/messages.hpp
+++ b/src/tallyfold/plane/turns/messages.hpp
@@ -38,13 +38,13 @@
     /// The turn that this one continues; empty when it begins a line.
     std::string previous;
     /// True at the store that is to send the texts of the line too.
-    bool wants_chain = false;
+    bool wants_history = false;
     /// Ends of the prompt's parts, shortest first, at the store that is to tell who holds them.
     std::vector<scheduling::prefix_point> prompt;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(operation, epoch, reservation, previous, wants_chain, prompt);
+        archive(operation, epoch, reservation, previous, wants_history, prompt);
     }
 };
 
@@ -56,18 +56,18 @@
     /// The map was older than the store's: nothing was done; the newer map is here.
     std::vector<store_map> newer_map;
     program_ledger ledger;
-    bool knows_previous = false;
-    chain_part chain;
+    bool holds_previous = false;
+    history_part history;
     /// Engines that hold most of the asked prompt, the longest first.
     std::vector<scheduling::cached_prefix> holders;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(operation, store, durable, newer_map, ledger, knows_previous, chain, holders);
+        archive(operation, store, durable, newer_map, ledger, holds_previous, history, holders);
     }
 };
 
-struct chain_request {
+struct history_request {
     operation_number operation = 0;
     std::string request;
 
@@ -77,14 +77,14 @@
     }
 };
 
-struct chain_reply {
+struct history_reply {
     operation_number operation = 0;
     store_id store = 0;
-    chain_part chain;
+    history_part history;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(operation, store, chain);
+        archive(operation, store, history);
     }
 };
 
--- a/src/tallyfold/plane/turns/quorum_operations.cpp
+++ b/src/tallyfold/plane/turns/quorum_operations.cpp
@@ -65,8 +65,8 @@
 
 void begin_operation::on_reply(const begin_reply& reply) {
     merge(ledger_, reply.ledger);
-    previous_known_ = previous_known_ || reply.knows_previous;
-    for (const turn_record& record : reply.chain.records) {
+    previous_held_ = previous_held_ || reply.holds_previous;
+    for (const turn_record& record : reply.history.records) {
         records_.emplace(record.request, record);
     }
     if (!reply.holders.empty()) {
@@ -78,8 +78,8 @@
     }
 }
 
-void begin_operation::on_chain(const chain_reply& reply) {
-    for (const turn_record& record : reply.chain.records) {
+void begin_operation::on_history(const history_reply& reply) {
+    for (const turn_record& record : reply.history.records) {
         records_.emplace(record.request, record);
     }
 }
@@ -121,7 +121,7 @@
     if (!reserved()) {
         return begin_outcome::pending;
     }
-    if (!previous_.empty() && !previous_known_) {
+    if (!previous_.empty() && !previous_held_) {
         return begin_outcome::unknown_previous;
     }
     if (budget_ > 0 && used_tokens() + reservation_.max_tokens > budget_) {
@@ -138,7 +138,7 @@
     return members_without(map_, durable_);
 }
 
-std::vector<const turn_record*> begin_operation::chain() const {
+std::vector<const turn_record*> begin_operation::history() const {
     std::vector<const turn_record*> line;
     std::string next = previous_;
     while (!next.empty()) {
--- a/src/tallyfold/plane/turns/quorum_operations.hpp
+++ b/src/tallyfold/plane/turns/quorum_operations.hpp
@@ -52,9 +52,9 @@
     /// Starts again under a newer map; older answers no longer count.
     void use_map(const store_map& map);
     void on_reply(const begin_reply& reply);
-    void on_chain(const chain_reply& reply);
+    void on_history(const history_reply& reply);
     /// Another group holds the turn that this one continues.
-    void previous_found() { previous_known_ = true; }
+    void previous_found() { previous_held_ = true; }
 
     [[nodiscard]] begin_outcome outcome() const;
     /// True once the reservation is durable at a majority.
@@ -64,7 +64,7 @@
     /// The turn whose texts are still wanted, of stores that may hold them; empty when none is.
     [[nodiscard]] std::string missing_turn() const;
     /// The line before the turn, oldest first. Valid once admitted.
-    [[nodiscard]] std::vector<const turn_record*> chain() const;
+    [[nodiscard]] std::vector<const turn_record*> history() const;
     /// Tokens that the program's other turns have used or may use.
     [[nodiscard]] token_count used_tokens() const;
     /// What of these is reserved by turns that have not ended, refused ones too: they count at
@@ -84,7 +84,7 @@
     std::set<store_id> answered_;
     std::set<store_id> durable_;
     program_ledger ledger_;
-    bool previous_known_ = false;
+    bool previous_held_ = false;
     std::map<std::string, turn_record> records_;
     std::vector<scheduling::cached_prefix> holders_;
 };
--- a/src/tallyfold/plane/turns/resend_schedule.hpp
+++ b/src/tallyfold/plane/turns/resend_backoff.hpp
@@ -13,28 +13,28 @@
 
 namespace tallyfold::turns {
 
-class resend_schedule {
+class resend_backoff {
   public:
     static constexpr duration first_interval = std::chrono::milliseconds(250);
-    static constexpr duration longest_interval = std::chrono::milliseconds(2'000);
+    static constexpr duration max_interval = std::chrono::milliseconds(2'000);
 
     /// A store has come back or told a newer map: the next ask is due at once.
-    void ask_at_once() { at_once_ = true; }
+    void resend_now() { resend_now_ = true; }
     /// When the next ask is due.
     [[nodiscard]] instant next() const { return next_; }
     /// True when the stores are to be asked now.
-    bool takes_turn(instant now) {
-        if (!at_once_ && now < next_) {
+    bool take_due(instant now) {
+        if (!resend_now_ && now < next_) {
             return false;
         }
-        at_once_ = false;
+        resend_now_ = false;
         next_ = now + interval_;
-        interval_ = std::min(interval_ * 2, longest_interval);
+        interval_ = std::min(interval_ * 2, max_interval);
         return true;
     }
 
   private:
-    bool at_once_ = false;
+    bool resend_now_ = false;
     instant next_{};
     duration interval_ = first_interval;
 };
--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 store_fsm::store_fsm(store_id self, const store_map& kept, turn_table recovered)
-    : self_(self), book_(std::move(recovered)), kept_epoch_(kept.epoch) {
+    : self_(self), turns_(std::move(recovered)), kept_epoch_(kept.epoch) {
     learn_map(kept);
     map_to_keep_ = false;
 }
@@ -48,14 +48,14 @@
 }
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from,
-                                                const chain_request& request) const {
-    return {{from, chain_reply{request.operation, self_, book_.chain_from(request.request)}}};
+                                                const history_request& request) const {
+    return {{from, history_reply{request.operation, self_, turns_.history_up_to(request.request)}}};
 }
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from,
                                                 const find_request& request) const {
     return {{from, find_reply{request.operation, self_, newer_than(request.epoch),
-                              book_.holds_turn(request.request)}}};
+                              turns_.holds_turn(request.request)}}};
 }
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from, const copy_request& request) {
@@ -134,7 +134,7 @@
 std::vector<scheduling::cached_prefix> store_fsm::holders_of(
     const std::vector<scheduling::prefix_point>& prompt) const {
     std::vector<scheduling::cached_prefix> holders = held_.find(prompt);
-    holders.resize(std::min(holders.size(), told_holders));
+    holders.resize(std::min(holders.size(), max_reported_holders));
     return holders;
 }
 
@@ -143,10 +143,10 @@
     reply.operation = request.operation;
     reply.store = self_;
     reply.durable = durable;
-    reply.ledger = book_.ledger_of(request.reservation.program);
-    reply.knows_previous = !request.previous.empty() && book_.holds_turn(request.previous);
-    if (request.wants_chain && !request.previous.empty()) {
-        reply.chain = book_.chain_from(request.previous);
+    reply.ledger = turns_.ledger_of(request.reservation.program);
+    reply.holds_previous = !request.previous.empty() && turns_.holds_turn(request.previous);
+    if (request.wants_history && !request.previous.empty()) {
+        reply.history = turns_.history_up_to(request.previous);
     }
     reply.holders = holders_of(request.prompt);
     return reply;
@@ -156,7 +156,7 @@
     copy_reply reply;
     reply.store = self_;
     reply.epoch = request.map.epoch;
-    reply.changes = book_.missing_from(request.known, request.from, copy_page_bytes, reply.next);
+    reply.changes = turns_.missing_from(request.known, request.from, copy_page_bytes, reply.next);
     return reply;
 }
 
@@ -189,7 +189,7 @@
     }
     if (durable) {
         for (const turn_change& change : changes) {
-            book_.apply(change, now);
+            turns_.apply(change, now);
         }
     }
     std::vector<addressed_reply> replies;
@@ -218,10 +218,10 @@
     if (sources.empty()) {
         return std::nullopt;
     }
-    const store_member& source = sources[copy_turn_ % sources.size()];
+    const store_member& source = sources[source_offset_ % sources.size()];
     const auto from = copied_up_to_.find(source.id);
     if (from == copied_up_to_.end()) {
-        known_ = book_.settled_requests();
+        known_ = turns_.settled_requests();
     }
     copy_request request;
     request.map = copying_->map();
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -20,7 +20,7 @@
 /// Names the connection that a request came over, for its reply.
 using peer_token = std::uint64_t;
 
-using store_reply = std::variant<begin_reply, chain_reply, settle_reply, copy_reply, find_reply>;
+using store_reply = std::variant<begin_reply, history_reply, settle_reply, copy_reply, find_reply>;
 
 struct addressed_reply {
     peer_token to = 0;
@@ -50,7 +50,7 @@
     /// @return replies that wait for nothing
     std::vector<addressed_reply> receive(peer_token from, const begin_request& request);
     std::vector<addressed_reply> receive(peer_token from, const settle_request& request);
-    std::vector<addressed_reply> receive(peer_token from, const chain_request& request) const;
+    std::vector<addressed_reply> receive(peer_token from, const history_request& request) const;
     std::vector<addressed_reply> receive(peer_token from, const find_request& request) const;
     std::vector<addressed_reply> receive(peer_token from, const copy_request& request);
     /// A page of the copy that this store makes.
@@ -72,13 +72,13 @@
     /// other: what one has sent needn't come from the next, nor be held twice.
     [[nodiscard]] std::optional<copy_order> next_copy();
     /// The source asked last has not answered: the next one is asked.
-    void copy_stalled() { ++copy_turn_; }
+    void skip_copy_source() { ++source_offset_; }
     /// The newest map for which this store holds a whole copy.
     [[nodiscard]] map_epoch copied_epoch() const { return copied_epoch_; }
     [[nodiscard]] const store_map& map() const { return map_; }
     [[nodiscard]] store_id self() const { return self_; }
-    [[nodiscard]] const turn_table& book() const { return book_; }
-    void expire(instant now, duration margin) { book_.expire(now, margin); }
+    [[nodiscard]] const turn_table& turns() const { return turns_; }
+    void expire(instant now, duration margin) { turns_.expire(now, margin); }
 
   private:
     /// One request, or one page of a copy, in the order of arrival.
@@ -88,9 +88,9 @@
     };
 
     /// Parts of prompts whose engine is remembered, at most.
-    static constexpr std::size_t remembered_parts = 20'000;
+    static constexpr std::size_t max_cached_prefixes = 20'000;
     /// Engines that a begun turn is told of, at most.
-    static constexpr std::size_t told_holders = 2;
+    static constexpr std::size_t max_reported_holders = 2;
 
     [[nodiscard]] std::vector<store_map> newer_than(map_epoch epoch) const;
     [[nodiscard]] std::vector<scheduling::cached_prefix> holders_of(
@@ -102,7 +102,7 @@
 
     store_id self_;
     store_map map_;
-    turn_table book_;
+    turn_table turns_;
     bool map_to_keep_ = false;
     /// Epoch of the map that is durable here.
     map_epoch kept_epoch_ = 0;
@@ -113,11 +113,11 @@
     std::set<std::string> known_;
     /// Where each source's copy goes on.
     std::map<store_id, std::string> copied_up_to_;
-    std::size_t copy_turn_ = 0;
+    std::size_t source_offset_ = 0;
     map_epoch copied_epoch_ = 0;
     /// Which engine holds which prompt, as the settled turns tell. In memory only: what a restart
     /// forgets costs time, not correctness.
-    scheduling::cache_map held_{remembered_parts};
+    scheduling::cache_map held_{max_cached_prefixes};
 };
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -14,28 +14,29 @@
       operation_(table.groups[group_], question_.reservation, question_.previous,
                  question_.budget) {}
 
-void turn_beginning::take_newer(const std::vector<store_map>& maps, const store_map* known) {
+void turn_beginning::resend_under_newer_map(const std::vector<store_map>& maps,
+                                            const store_map* known) {
     for (const store_map& newer : maps) {
         // A store that has gone over to another group tells that group's map: asking it again at
         // once would get the same answer, until the directory tells who took its place.
         if (known != nullptr && newer.group == known->group && newer.epoch > known->epoch) {
-            schedule_.ask_at_once();
+            schedule_.resend_now();
         }
     }
 }
 
 void turn_beginning::on_reply(const begin_reply& reply) {
-    take_newer(reply.newer_map, &operation_.map());
+    resend_under_newer_map(reply.newer_map, &operation_.map());
     if (reply.newer_map.empty()) {
         operation_.on_reply(reply);
     }
 }
 
-void turn_beginning::on_reply(const chain_reply& reply) {
-    operation_.on_chain(reply);
-    if (next_chain_.has_value()) {
+void turn_beginning::on_reply(const history_reply& reply) {
+    operation_.on_history(reply);
+    if (history_request_due_.has_value()) {
         // Whatever is still missing is asked of the next store at once.
-        next_chain_ = instant{};
+        history_request_due_ = instant{};
     }
 }
 
@@ -44,7 +45,7 @@
         return;
     }
     for (const store_map& newer : reply.newer_map) {
-        take_newer(reply.newer_map, search_->map_of(newer.group));
+        resend_under_newer_map(reply.newer_map, search_->map_of(newer.group));
     }
     search_->on_reply(reply);
 }
@@ -52,7 +53,7 @@
 void turn_beginning::reachable(store_id store) {
     const bool searching = search_.has_value() && !search_->found();
     if (operation_.map().holds(store) || searching) {
-        schedule_.ask_at_once();
+        schedule_.resend_now();
     }
 }
 
@@ -62,7 +63,7 @@
             return true;
         case begin_outcome::unknown_previous:
             return operation_.map().after_loss ||
-                   (!only_group_ && !(search_.has_value() && search_->nowhere()));
+                   (!only_group_ && !(search_.has_value() && search_->held_by_no_group()));
         case begin_outcome::admitted:
         case begin_outcome::over_budget:
             return false;
@@ -70,8 +71,9 @@
     return false;
 }
 
-bool turn_beginning::waits_in_vain() const {
-    const bool others_deny = only_group_ || (search_.has_value() && search_->all_deny());
+bool turn_beginning::cannot_be_decided() const {
+    const bool others_deny =
+        only_group_ || (search_.has_value() && search_->denied_by_all_stores());
     return operation_.outcome() == begin_outcome::unknown_previous && others_deny &&
            !operation_.map().changing() && operation_.unanswered().empty();
 }
@@ -94,11 +96,11 @@
     }
     if (!search_.has_value() || search_->turn() != wanted) {
         search_.emplace(table, wanted, group_);
-        schedule_.ask_at_once();
+        schedule_.resend_now();
     }
     if (search_->found() && !adopts_) {
         adopts_ = true;
-        next_chain_ = now;
+        history_request_due_ = now;
     }
     if (search_->found() && wanted == question_.previous) {
         operation_.previous_found();
@@ -115,8 +117,8 @@
         request.epoch = operation_.map().epoch;
         request.reservation = question_.reservation;
         request.previous = question_.previous;
-        request.wants_chain = member.id == source;
-        if (request.wants_chain) {
+        request.wants_history = member.id == source;
+        if (request.wants_history) {
             request.prompt = question_.prompt;
         }
         questions.push_back({member, std::move(request)});
@@ -129,7 +131,7 @@
     }
 }
 
-std::vector<store_member> turn_beginning::line_sources() const {
+std::vector<store_member> turn_beginning::history_sources() const {
     std::vector<store_member> sources;
     if (search_.has_value()) {
         sources = search_->sources();
@@ -139,53 +141,54 @@
     return sources;
 }
 
-void turn_beginning::ask_for_line(instant now, std::vector<store_question>& questions) {
+void turn_beginning::request_history(instant now, std::vector<store_question>& questions) {
     const std::string missing = operation_.missing_turn();
     const bool known = operation_.outcome() != begin_outcome::unknown_previous;
     if (!operation_.reserved() || !known || missing.empty()) {
-        next_chain_.reset();
+        history_request_due_.reset();
         return;
     }
-    if (!next_chain_.has_value()) {
-        next_chain_ = now + chain_patience;
+    if (!history_request_due_.has_value()) {
+        history_request_due_ = now + history_grace;
     }
-    if (now < *next_chain_) {
+    if (now < *history_request_due_) {
         return;
     }
-    if (missing != chain_missing_) {
-        chain_missing_ = missing;
-        chain_asked_.clear();
+    if (missing != requested_turn_) {
+        requested_turn_ = missing;
+        asked_for_history_.clear();
         own_group_asked_ = false;
     }
-    const std::vector<store_member> sources = line_sources();
+    const std::vector<store_member> sources = history_sources();
     const auto not_asked = [this](const store_member& member) {
-        return !chain_asked_.contains(member.id);
+        return !asked_for_history_.contains(member.id);
     };
     auto next = std::find_if(sources.begin(), sources.end(), not_asked);
     if (next == sources.end()) {
         // All have been asked: a reply may have been lost, or a store was down.
         own_group_asked_ = true;
-        chain_asked_.clear();
+        asked_for_history_.clear();
         next = sources.begin();
     }
-    chain_asked_.insert(next->id);
-    questions.push_back({*next, chain_request{number_, missing}});
-    next_chain_ = now + chain_interval;
+    asked_for_history_.insert(next->id);
+    questions.push_back({*next, history_request{number_, missing}});
+    history_request_due_ = now + history_resend_interval;
 }
 
 std::vector<store_question> turn_beginning::due(instant now, const store_table& table,
                                                 const store_choice& nearest) {
     std::vector<store_question> questions;
     search_elsewhere(now, table);
-    if (schedule_.takes_turn(now)) {
+    if (schedule_.take_due(now)) {
         ask_stores(table, nearest, questions);
     }
-    ask_for_line(now, questions);
+    request_history(now, questions);
     return questions;
 }
 
 instant turn_beginning::next_due() const {
-    return next_chain_.has_value() ? std::min(*next_chain_, schedule_.next()) : schedule_.next();
+    return history_request_due_.has_value() ? std::min(*history_request_due_, schedule_.next())
+                                            : schedule_.next();
 }
 
 begun_turn turn_beginning::outcome() const {
@@ -202,7 +205,7 @@
     switch (operation_.outcome()) {
         case begin_outcome::admitted:
             begun.result = begin_result::admitted;
-            for (const turn_record* record : operation_.chain()) {
+            for (const turn_record* record : operation_.history()) {
                 begun.chain.push_back(*record);
             }
             begun.adopted = adopts_;
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -12,7 +12,7 @@
 
 #include "tallyfold/base/common/time.hpp"
 #include "tallyfold/plane/turns/quorum_operations.hpp"
-#include "tallyfold/plane/turns/resend_schedule.hpp"
+#include "tallyfold/plane/turns/resend_backoff.hpp"
 #include "tallyfold/plane/turns/turn_search.hpp"
 
 namespace tallyfold::turns {
@@ -49,15 +49,15 @@
 /// What is to be sent to a store.
 struct store_question {
     store_member store;
-    std::variant<begin_request, chain_request, find_request> body;
+    std::variant<begin_request, history_request, find_request> body;
 };
 
 class turn_beginning {
   public:
     /// Another store is asked for texts that are missing after this time.
-    static constexpr duration chain_interval = std::chrono::milliseconds(250);
+    static constexpr duration history_resend_interval = std::chrono::milliseconds(250);
     /// The nearest store may be this much later than the majority before another sends the texts.
-    static constexpr duration chain_patience = std::chrono::milliseconds(15);
+    static constexpr duration history_grace = std::chrono::milliseconds(15);
 
     /// Chooses the store that tells the line and the prompt's holders; 0 for none.
     using store_choice = std::function<store_id(const store_map&)>;
@@ -66,7 +66,7 @@
     turn_beginning(operation_number number, turn_question question, const store_table& table);
 
     void on_reply(const begin_reply& reply);
-    void on_reply(const chain_reply& reply);
+    void on_reply(const history_reply& reply);
     void on_reply(const find_reply& reply);
     /// The store can be reached again: what it may have missed is asked again at once.
     void reachable(store_id store);
@@ -75,7 +75,7 @@
     [[nodiscard]] bool undecided() const;
     /// True when it is undecided only since the turn to go on from may have been lost: all stores
     /// have answered, and waiting longer tells nothing more.
-    [[nodiscard]] bool waits_in_vain() const;
+    [[nodiscard]] bool cannot_be_decided() const;
     /// What is to be sent now.
     std::vector<store_question> due(instant now, const store_table& table,
                                     const store_choice& nearest);
@@ -85,15 +85,15 @@
     [[nodiscard]] begun_turn outcome() const;
 
   private:
-    void take_newer(const std::vector<store_map>& maps, const store_map* known);
+    void resend_under_newer_map(const std::vector<store_map>& maps, const store_map* known);
     /// The turn that other groups are to be asked for; empty when the own group has all.
     [[nodiscard]] std::string wanted_elsewhere() const;
     void search_elsewhere(instant now, const store_table& table);
     void ask_stores(const store_table& table, const store_choice& nearest,
                     std::vector<store_question>& questions);
-    void ask_for_line(instant now, std::vector<store_question>& questions);
+    void request_history(instant now, std::vector<store_question>& questions);
     /// Stores that may hold texts of the line, the likeliest first.
-    [[nodiscard]] std::vector<store_member> line_sources() const;
+    [[nodiscard]] std::vector<store_member> history_sources() const;
 
     operation_number number_;
     turn_question question_;
@@ -104,12 +104,12 @@
     std::optional<turn_search> search_;
     /// Something of the line was found in another group.
     bool adopts_ = false;
-    resend_schedule schedule_;
+    resend_backoff schedule_;
     /// When another store is asked for missing texts; nothing while none is missing.
-    std::optional<instant> next_chain_;
+    std::optional<instant> history_request_due_;
     /// The turn whose text is wanted, and the stores that were asked for it.
-    std::string chain_missing_;
-    std::set<store_id> chain_asked_;
+    std::string requested_turn_;
+    std::set<store_id> asked_for_history_;
     /// Each store of the own group was asked for it.
     bool own_group_asked_ = false;
 };
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -30,7 +30,7 @@
     }
     std::erase_if(stores_, [&](const auto& entry) { return !table_.holds(entry.first); });
     for (const store_member& member : table_.all()) {
-        known_store& store = stores_[member.id];
+        store_connection& store = stores_[member.id];
         if (store.link && store.link->address() == member.address) {
             continue;
         }
@@ -55,7 +55,7 @@
             waiting->begin->reachable(store);
             waiting->timer.cancel();
         } else if (waiting->settle != nullptr && waiting->settle->map().holds(store)) {
-            waiting->schedule.ask_at_once();
+            waiting->schedule.resend_now();
             waiting->timer.cancel();
         }
     }
@@ -89,7 +89,7 @@
     const store_map& known = waiting->settle->map();
     for (const store_map& newer : reply.newer_map) {
         if (newer.group == known.group && newer.epoch > known.epoch) {
-            waiting->schedule.ask_at_once();
+            waiting->schedule.resend_now();
         }
     }
     waiting->settle->on_reply(reply);
@@ -104,8 +104,8 @@
     if (const auto* begun = std::get_if<begin_reply>(&message)) {
         learn(begun->newer_map);
         on_beginning(*begun);
-    } else if (const auto* chain = std::get_if<chain_reply>(&message)) {
-        on_beginning(*chain);
+    } else if (const auto* history = std::get_if<history_reply>(&message)) {
+        on_beginning(*history);
     } else if (const auto* found = std::get_if<find_reply>(&message)) {
         learn(found->newer_map);
         on_beginning(*found);
@@ -161,7 +161,7 @@
     waiting->begin = &beginning;
     const instant started = http::steady_now();
     const auto choose = [this](const store_map& map) { return nearest(map); };
-    while (beginning.undecided() && !beginning.waits_in_vain()) {
+    while (beginning.undecided() && !beginning.cannot_be_decided()) {
         const instant now = http::steady_now();
         if (now >= deadline) {
             break;
@@ -189,7 +189,7 @@
         if (now >= deadline) {
             break;
         }
-        if (waiting->schedule.takes_turn(now)) {
+        if (waiting->schedule.take_due(now)) {
             operation.use_map(table_.groups[group]);
             for (const store_member& member : operation.unanswered()) {
                 settle_request request;
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -40,9 +40,9 @@
         turn_beginning* begin = nullptr;
         settle_operation* settle = nullptr;
         /// Of a settlement; a beginning has its own.
-        resend_schedule schedule;
+        resend_backoff schedule;
     };
-    struct known_store {
+    struct store_connection {
         messaging::link_pointer link;
         instant heard{};
     };
@@ -65,7 +65,7 @@
     net::node_process& process_;
     std::function<void(const store_map&)> newer_map_handler_;
     store_table table_;
-    std::map<store_id, known_store> stores_;
+    std::map<store_id, store_connection> stores_;
     std::map<operation_number, std::shared_ptr<waiting_operation>> operations_;
     operation_number next_operation_ = 1;
     std::size_t settling_ = 0;
--- a/src/tallyfold/plane/turns/turn_search.cpp
+++ b/src/tallyfold/plane/turns/turn_search.cpp
@@ -52,7 +52,7 @@
     return stores;
 }
 
-bool turn_search::nowhere() const {
+bool turn_search::held_by_no_group() const {
     const auto says_no = [](const auto& entry) {
         const asked_group& asked = entry.second;
         return !asked.map.after_loss && asked.map.suffices_of_current(asked.without);
@@ -60,7 +60,7 @@
     return !found() && std::all_of(groups_.begin(), groups_.end(), says_no);
 }
 
-bool turn_search::all_deny() const {
+bool turn_search::denied_by_all_stores() const {
     return !found() && std::all_of(groups_.begin(), groups_.end(), [](const auto& entry) {
         const asked_group& asked = entry.second;
         const std::vector<store_member> members = asked.map.all();
--- a/src/tallyfold/plane/turns/turn_search.hpp
+++ b/src/tallyfold/plane/turns/turn_search.hpp
@@ -32,10 +32,10 @@
     /// before it the holders lack.
     [[nodiscard]] std::vector<store_member> sources() const;
     /// True once it is sure that no group holds the turn.
-    [[nodiscard]] bool nowhere() const;
+    [[nodiscard]] bool held_by_no_group() const;
     /// True once every store of every group, none of which changes, has said that it doesn't hold
     /// the turn: asking again tells nothing more.
-    [[nodiscard]] bool all_deny() const;
+    [[nodiscard]] bool denied_by_all_stores() const;
     /// Requests to the stores that haven't answered under their group's map.
     struct question {
         store_member store;
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -11,7 +11,7 @@
 #include "tallyfold/plane/messaging/peer_link_shell.hpp"
 #include "tallyfold/plane/process/instruments.hpp"
 #include "tallyfold/plane/process/node_process_shell.hpp"
-#include "tallyfold/plane/turns/copy_watch.hpp"
+#include "tallyfold/plane/turns/copy_timeout.hpp"
 #include "tallyfold/plane/turns/store_fsm.hpp"
 #include "tallyfold/plane/turns/turn_log.hpp"
 
@@ -57,7 +57,7 @@
     void repair();
     void use_stores(const store_table& stores);
     void copy_more();
-    void watch_copy();
+    void check_copy_timeout();
     messaging::link_pointer link_to(const store_member& source);
     [[nodiscard]] directory::store_report describe() const;
 
@@ -74,7 +74,7 @@
     map_epoch logged_copy_ = 0;
     store_id asked_source_ = 0;
     bool copying_ = false;
-    copy_watch copy_watch_;
+    copy_timeout copy_timeout_;
     bool ask_next_ = false;
     instant failure_logged_{};
     prometheus::Counter& changes_;
@@ -121,8 +121,8 @@
     store_.emplace(log_->identity(), log_->kept_map(), std::move(recovered));
     logging::write_event(logging::event_id::storage_opened,
                          "identity=" + std::to_string(log_->identity()) +
-                             " turns=" + std::to_string(store_->book().turn_count()) +
-                             " programs=" + std::to_string(store_->book().program_count()) +
+                             " turns=" + std::to_string(store_->turns().turn_count()) +
+                             " programs=" + std::to_string(store_->turns().program_count()) +
                              " cut_bytes=" + std::to_string(log_->cut_bytes()));
     return true;
 }
@@ -145,8 +145,8 @@
     } else if (const auto* settle = std::get_if<settle_request>(&message)) {
         changes_.Increment();
         replies = store_->receive(from, *settle);
-    } else if (const auto* chain = std::get_if<chain_request>(&message)) {
-        replies = store_->receive(from, *chain);
+    } else if (const auto* history = std::get_if<history_request>(&message)) {
+        replies = store_->receive(from, *history);
     } else if (const auto* find = std::get_if<find_request>(&message)) {
         replies = store_->receive(from, *find);
     } else if (const auto* copy = std::get_if<copy_request>(&message)) {
@@ -197,7 +197,7 @@
     const bool durable = make_durable(write);
     const std::vector<addressed_reply> replies = store_->written(durable, http::steady_now());
     answer(replies);
-    bytes_.Set(static_cast<double>(store_->book().bytes()));
+    bytes_.Set(static_cast<double>(store_->turns().bytes()));
     if (durable && log_->wants_rotation()) {
         begin_segment();
     }
@@ -213,8 +213,8 @@
         logged_copy_ = store_->copied_epoch();
         logging::write_event(logging::event_id::store_copied,
                              "epoch=" + std::to_string(logged_copy_) +
-                                 " turns=" + std::to_string(store_->book().turn_count()) +
-                                 " programs=" + std::to_string(store_->book().program_count()));
+                                 " turns=" + std::to_string(store_->turns().turn_count()) +
+                                 " programs=" + std::to_string(store_->turns().program_count()));
     }
 }
 
@@ -248,9 +248,9 @@
 }
 
 bool store_node::begin_segment() {
-    const turn_table& book = store_->book();
-    const auto pages = [&book](const std::string& from, std::string& next) {
-        return book.missing_from({}, from, segment_page_bytes, next);
+    const turn_table& table = store_->turns();
+    const auto pages = [&table](const std::string& from, std::string& next) {
+        return table.missing_from({}, from, segment_page_bytes, next);
     };
     const auto rotated = log_->rotate(pages);
     if (!rotated) {
@@ -267,7 +267,7 @@
     if (begin_segment()) {
         logging::write_event(logging::event_id::storage_opened,
                              "identity=" + std::to_string(log_->identity()) + " turns=" +
-                                 std::to_string(store_->book().turn_count()) + " repaired=yes");
+                                 std::to_string(store_->turns().turn_count()) + " repaired=yes");
     }
 }
 
@@ -289,7 +289,7 @@
                     store_->receive(*reply);
                     // Another disk at the asked one's address says nothing of the copy.
                     if (reply->store == asked_source_) {
-                        copy_watch_.page_came(http::steady_now());
+                        copy_timeout_.page_received(http::steady_now());
                         ask_next_ = true;
                     }
                     gather();
@@ -309,18 +309,18 @@
     if (!order.has_value()) {
         sources_.clear();
         copying_ = false;
-        copy_watch_ = copy_watch{};
+        copy_timeout_ = copy_timeout{};
         return;
     }
     copying_ = true;
     asked_source_ = order->source.id;
-    copy_watch_.asked(http::steady_now());
+    copy_timeout_.asked(http::steady_now());
     link_to(order->source)->send(order->request);
 }
 
-void store_node::watch_copy() {
-    if (copying_ && copy_watch_.stalled(http::steady_now())) {
-        store_->copy_stalled();
+void store_node::check_copy_timeout() {
+    if (copying_ && copy_timeout_.stalled(http::steady_now())) {
+        store_->skip_copy_source();
         copy_more();
     }
 }
@@ -344,7 +344,7 @@
     }
     process_.every(expiry_interval, [this] { store_->expire(http::steady_now(), expiry_margin); });
     process_.every(repair_interval, [this] { repair(); });
-    process_.every(copy_check_interval, [this] { watch_copy(); });
+    process_.every(copy_check_interval, [this] { check_copy_timeout(); });
     return process_.run([this] { process_.after(stop_delay, [this] { process_.finish(); }); },
                         [this](const settings::node_settings& settings) {
                             directory_.use_seeds(settings.seed_directories());
--- a/src/tallyfold/plane/turns/turn_table.cpp
+++ b/src/tallyfold/plane/turns/turn_table.cpp
@@ -72,8 +72,8 @@
     return turns_.contains(request);
 }
 
-chain_part turn_table::chain_from(const std::string& request) const {
-    chain_part part;
+history_part turn_table::history_up_to(const std::string& request) const {
+    history_part part;
     std::string next = request;
     while (!next.empty()) {
         const auto found = turns_.find(next);
@@ -147,7 +147,7 @@
 std::vector<turn_change> turn_table::missing_from(const std::set<std::string>& known,
                                                   const std::string& from, std::size_t limit_bytes,
                                                   std::string& next) const {
-    // Only what goes into the page is copied: a book holds many times as much.
+    // Only what goes into the page is copied: a table holds many times as much.
     std::vector<turn_change> page;
     std::size_t bytes = 0;
     next.clear();
--- a/src/tallyfold/plane/turns/turn_table.hpp
+++ b/src/tallyfold/plane/turns/turn_table.hpp
@@ -14,11 +14,11 @@
 
 namespace tallyfold::turns {
 
-/// One change of the book, as the log on disk holds it.
+/// One change of the table, as the log on disk holds it.
 using turn_change = std::variant<turn_reservation, turn_settlement>;
 
 /// A line of turns, newest first, as far as one store knows it.
-struct chain_part {
+struct history_part {
     std::vector<turn_record> records;
     /// The turn at which the walk ended because it is not held here; empty when it is whole.
     std::string missing;
@@ -36,7 +36,7 @@
     [[nodiscard]] program_ledger ledger_of(const std::string& program) const;
     [[nodiscard]] bool holds_turn(const std::string& request) const;
     /// Walks from `request` back to the first turn of its line.
-    [[nodiscard]] chain_part chain_from(const std::string& request) const;
+    [[nodiscard]] history_part history_up_to(const std::string& request) const;
 
     /// Forgets what has outlived its retention, with `margin` on top.
     void expire(instant now, duration margin);
@@ -44,7 +44,7 @@
     /// Identifiers of the settled requests held here; a copy leaves these out.
     [[nodiscard]] std::set<std::string> settled_requests() const;
     /// Changes that bring a store that holds `known` up to this one, about `limit_bytes` of
-    /// them, from the request after `from` on; with nothing known, the whole book page by page.
+    /// them, from the request after `from` on; with nothing known, the whole table page by page.
     /// @param next where to go on; empty at the end
     [[nodiscard]] std::vector<turn_change> missing_from(const std::set<std::string>& known,
                                                         const std::string& from,
--- a/tests/plane/turns/copy_watch_test.cpp
+++ b/tests/plane/turns/copy_timeout_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/turns/copy_watch.hpp"
+#include "tallyfold/plane/turns/copy_timeout.hpp"
 
 #include "tests/support/suite.hpp"
 
@@ -6,8 +6,8 @@
 
 using namespace turns;
 
-class copy_watch_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(copy_watch_test);
+class copy_timeout_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(copy_timeout_test);
     CPPUNIT_TEST(loaded_sources_get_the_time_that_a_page_takes);
     CPPUNIT_TEST(a_dead_source_is_left_soon);
     CPPUNIT_TEST(any_page_time_up_to_the_most_gets_through);
@@ -17,12 +17,12 @@
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
     /// Milliseconds until a source that needs `page_time` has given a page; 0 when none ever comes.
-    static int time_to_page(copy_watch& watch, int page_time) {
+    static int time_to_page(copy_timeout& watch, int page_time) {
         int asked = 0;
         watch.asked(at(0));
         for (int now = 0; now < 60'000; now += check_interval) {
             if (now - asked >= page_time) {
-                watch.page_came(at(now));
+                watch.page_received(at(now));
                 return now;
             }
             if (watch.stalled(at(now))) {
@@ -35,14 +35,14 @@
     }
 
     void loaded_sources_get_the_time_that_a_page_takes() {
-        copy_watch watch;
+        copy_timeout watch;
         // 500 ms a page: with a patience of 300 ms no page would ever come.
         CPPUNIT_ASSERT_EQUAL(800, time_to_page(watch, 500));
         CPPUNIT_ASSERT_EQUAL(500, time_to_page(watch, 500));
     }
 
     void a_dead_source_is_left_soon() {
-        copy_watch watch;
+        copy_timeout watch;
         watch.asked(at(1'000));
         CPPUNIT_ASSERT(!watch.stalled(at(1'299)));
         CPPUNIT_ASSERT(watch.stalled(at(1'300)));
@@ -50,7 +50,7 @@
 
     void any_page_time_up_to_the_most_gets_through() {
         check_property("no load that a source can bear keeps a copy from its pages", [] {
-            copy_watch watch;
+            copy_timeout watch;
             for (int page = 0; page < 5; ++page) {
                 const int page_time = *rc::gen::inRange(1, 2'300);
                 RC_ASSERT(time_to_page(watch, page_time) > 0);
@@ -59,6 +59,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(copy_watch_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(copy_timeout_test);
 
 }  // namespace tallyfold::tests
--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -106,19 +106,19 @@
     void a_line_is_put_together_from_several_stores() {
         begin_operation begin = operation(map_of({1, 2, 3}), "b");
         begin_reply first = durable(1);
-        first.knows_previous = true;
-        first.chain.records = {{"b", "a", "in-b", "out-b"}};
+        first.holds_previous = true;
+        first.history.records = {{"b", "a", "in-b", "out-b"}};
         begin.on_reply(first);
         begin.on_reply(durable(2));
         CPPUNIT_ASSERT(begin.reserved());
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
         CPPUNIT_ASSERT_EQUAL(std::string("a"), begin.missing_turn());
-        chain_reply rest;
-        rest.chain.records = {{"a", "", "in-a", "out-a"}};
-        begin.on_chain(rest);
+        history_reply rest;
+        rest.history.records = {{"a", "", "in-a", "out-a"}};
+        begin.on_history(rest);
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::admitted);
-        CPPUNIT_ASSERT_EQUAL(std::string("a"), begin.chain().front()->request);
-        CPPUNIT_ASSERT_EQUAL(std::string("b"), begin.chain().back()->request);
+        CPPUNIT_ASSERT_EQUAL(std::string("a"), begin.history().front()->request);
+        CPPUNIT_ASSERT_EQUAL(std::string("b"), begin.history().back()->request);
     }
 
     /// Runs two begins against stores that take their messages in an order drawn by a seed.
--- a/tests/plane/turns/resend_schedule_test.cpp
+++ b/tests/plane/turns/resend_backoff_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/turns/resend_schedule.hpp"
+#include "tallyfold/plane/turns/resend_backoff.hpp"
 
 #include "tests/support/suite.hpp"
 
@@ -6,8 +6,8 @@
 
 using namespace turns;
 
-class resend_schedule_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(resend_schedule_test);
+class resend_backoff_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(resend_backoff_test);
     CPPUNIT_TEST(slow_stores_are_asked_ever_less_often);
     CPPUNIT_TEST(a_store_that_came_back_is_asked_at_once);
     CPPUNIT_TEST_SUITE_END();
@@ -15,10 +15,10 @@
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
     void slow_stores_are_asked_ever_less_often() {
-        resend_schedule schedule;
+        resend_backoff schedule;
         int asked = 0;
         for (int now = 1'000; now < 2'500; ++now) {
-            asked += schedule.takes_turn(at(now)) ? 1 : 0;
+            asked += schedule.take_due(at(now)) ? 1 : 0;
         }
         // At 0, 250 and 750 ms of the 1,500 that a begin may take; with a fixed interval it were
         // six.
@@ -26,15 +26,15 @@
     }
 
     void a_store_that_came_back_is_asked_at_once() {
-        resend_schedule schedule;
-        CPPUNIT_ASSERT(schedule.takes_turn(at(1'000)));
-        CPPUNIT_ASSERT(!schedule.takes_turn(at(1'001)));
-        schedule.ask_at_once();
-        CPPUNIT_ASSERT(schedule.takes_turn(at(1'002)));
-        CPPUNIT_ASSERT(!schedule.takes_turn(at(1'003)));
+        resend_backoff schedule;
+        CPPUNIT_ASSERT(schedule.take_due(at(1'000)));
+        CPPUNIT_ASSERT(!schedule.take_due(at(1'001)));
+        schedule.resend_now();
+        CPPUNIT_ASSERT(schedule.take_due(at(1'002)));
+        CPPUNIT_ASSERT(!schedule.take_due(at(1'003)));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(resend_schedule_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(resend_backoff_test);
 
 }  // namespace tallyfold::tests
--- a/tests/plane/turns/store_simulation_test.cpp
+++ b/tests/plane/turns/store_simulation_test.cpp
@@ -291,8 +291,8 @@
                 taken.ledger.clear();
             }
             turn.on_reply(taken);
-        } else if (const auto* chain = std::get_if<chain_reply>(&body)) {
-            turn.on_reply(*chain);
+        } else if (const auto* history = std::get_if<history_reply>(&body)) {
+            turn.on_reply(*history);
         } else if (const auto* reply = std::get_if<find_reply>(&body)) {
             learn(reply->newer_map);
             find_reply taken = *reply;
@@ -362,7 +362,7 @@
         }
         const store_id asking = machines_[number].identity;
         if (random_.chance(0.3)) {
-            machines_[number].store->copy_stalled();
+            machines_[number].store->skip_copy_source();
         }
         std::optional<copy_order> order = machines_[number].store->next_copy();
         if (order.has_value()) {
@@ -610,23 +610,24 @@
     /// What a store answers, with all else at rest.
     store_reply answer_of(const store_question& question) {
         const machine& asked = machines_[std::stoul(question.store.address)];
-        const turn_table& book = asked.store->book();
+        const turn_table& table = asked.store->turns();
         if (const auto* begin = std::get_if<begin_request>(&question.body)) {
             begin_reply reply;
             reply.operation = begin->operation;
             reply.store = asked.identity;
             reply.durable = true;
-            reply.knows_previous = book.holds_turn(begin->previous);
-            if (begin->wants_chain) {
-                reply.chain = book.chain_from(begin->previous);
+            reply.holds_previous = table.holds_turn(begin->previous);
+            if (begin->wants_history) {
+                reply.history = table.history_up_to(begin->previous);
             }
             return reply;
         }
-        if (const auto* chain = std::get_if<chain_request>(&question.body)) {
-            return chain_reply{chain->operation, asked.identity, book.chain_from(chain->request)};
+        if (const auto* history = std::get_if<history_request>(&question.body)) {
+            return history_reply{history->operation, asked.identity,
+                                 table.history_up_to(history->request)};
         }
         const auto& find = std::get<find_request>(question.body);
-        return find_reply{find.operation, asked.identity, {}, book.holds_turn(find.request)};
+        return find_reply{find.operation, asked.identity, {}, table.holds_turn(find.request)};
     }
 
     bool continues(const std::string& turn, const std::string& program) {
--- a/tests/plane/turns/turn_log_test.cpp
+++ b/tests/plane/turns/turn_log_test.cpp
@@ -21,9 +21,9 @@
                 turn_record{request, "", std::string(bytes, 'i'), std::string(bytes, 'o')}};
     }
 
-    turn_log open(turn_table& book) const {
+    turn_log open(turn_table& table) const {
         auto opened = turn_log::open(
-            folder_.text(), 7, [&book](const turn_change& change) { book.apply(change, {}); });
+            folder_.text(), 7, [&table](const turn_change& change) { table.apply(change, {}); });
         CPPUNIT_ASSERT(opened.has_value());
         return std::move(*opened);
     }
@@ -36,7 +36,7 @@
         return bytes;
     }
 
-    /// A store has no memory for a second copy of its book: each page has to be in the file
+    /// A store has no memory for a second copy of its table: each page has to be in the file
     /// before the next one is made.
     void a_new_segment_is_written_while_its_pages_are_made() {
         turn_table empty;
@@ -58,16 +58,16 @@
     }
 
     void a_new_segment_holds_what_the_book_holds() {
-        turn_table book;
+        turn_table table;
         for (int number = 0; number < 300; ++number) {
-            book.apply(turn("t" + std::to_string(number), 50), {});
-            book.apply(turn_reservation{"other", "r" + std::to_string(number), 12, 1'000}, {});
+            table.apply(turn("t" + std::to_string(number), 50), {});
+            table.apply(turn_reservation{"other", "r" + std::to_string(number), 12, 1'000}, {});
         }
         {
             turn_table empty;
             turn_log log = open(empty);
-            CPPUNIT_ASSERT(log.rotate([&book](const std::string& from, std::string& next) {
-                                  return book.missing_from({}, from, 2'000, next);
+            CPPUNIT_ASSERT(log.rotate([&table](const std::string& from, std::string& next) {
+                                  return table.missing_from({}, from, 2'000, next);
                               })
                                .has_value());
             CPPUNIT_ASSERT(log.append({turn("late", 10)}).has_value());
@@ -75,7 +75,7 @@
         turn_table read_back;
         const turn_log log = open(read_back);
         CPPUNIT_ASSERT_EQUAL(std::size_t{301}, read_back.turn_count());
-        CPPUNIT_ASSERT_EQUAL(book.ledger_of("other").size(), read_back.ledger_of("other").size());
+        CPPUNIT_ASSERT_EQUAL(table.ledger_of("other").size(), read_back.ledger_of("other").size());
         CPPUNIT_ASSERT(read_back.holds_turn("late"));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, log.cut_bytes());
     }
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -45,11 +45,11 @@
         search.on_reply(says(10, false));
         search.on_reply(says(11, false));
         search.on_reply(says(20, false));
-        CPPUNIT_ASSERT(!search.nowhere());
+        CPPUNIT_ASSERT(!search.held_by_no_group());
         search.on_reply(says(20, false));
-        CPPUNIT_ASSERT(!search.nowhere());
+        CPPUNIT_ASSERT(!search.held_by_no_group());
         search.on_reply(says(22, false));
-        CPPUNIT_ASSERT(search.nowhere());
+        CPPUNIT_ASSERT(search.held_by_no_group());
         CPPUNIT_ASSERT(!search.found());
     }
 
@@ -62,7 +62,7 @@
         search.on_reply(says(11, false));
         search.on_reply(says(20, false));
         search.on_reply(says(22, false));
-        CPPUNIT_ASSERT(!search.nowhere());
+        CPPUNIT_ASSERT(!search.held_by_no_group());
     }
 
     void a_store_with_a_newer_map_says_nothing() {
@@ -73,7 +73,7 @@
         search.on_reply(says(11, false));
         search.on_reply({1, 20, {newer}, false});
         search.on_reply({1, 21, {newer}, false});
-        CPPUNIT_ASSERT(!search.nowhere());
+        CPPUNIT_ASSERT(!search.held_by_no_group());
     }
 
     void a_newer_map_asks_its_group_again() {
@@ -87,9 +87,9 @@
         search.use_table(table);
         search.on_reply(says(21, false));
         search.on_reply(says(22, false));
-        CPPUNIT_ASSERT(!search.nowhere());
+        CPPUNIT_ASSERT(!search.held_by_no_group());
         search.on_reply(says(29, false));
-        CPPUNIT_ASSERT(search.nowhere());
+        CPPUNIT_ASSERT(search.held_by_no_group());
     }
 
     static begin_reply reserved(store_id store) {
@@ -146,10 +146,10 @@
         begun.on_reply(reserved(1));
         CPPUNIT_ASSERT(begun.undecided());
         // The third store may hold it.
-        CPPUNIT_ASSERT(!begun.waits_in_vain());
+        CPPUNIT_ASSERT(!begun.cannot_be_decided());
         begun.on_reply(reserved(2));
         CPPUNIT_ASSERT(begun.undecided());
-        CPPUNIT_ASSERT(begun.waits_in_vain());
+        CPPUNIT_ASSERT(begun.cannot_be_decided());
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unavailable);
     }
 
@@ -164,9 +164,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.size());
         CPPUNIT_ASSERT_EQUAL(holder, questions.front().store.id);
         CPPUNIT_ASSERT_EQUAL(std::string("t"),
-                             std::get<chain_request>(questions.front().body).request);
-        chain_reply line{1, holder, {}};
-        line.chain.records = {{"t", "s", "in-t", "out-t"}, {"s", "", "in-s", "out-s"}};
+                             std::get<history_request>(questions.front().body).request);
+        history_reply line{1, holder, {}};
+        line.history.records = {{"t", "s", "in-t", "out-t"}, {"s", "", "in-s", "out-s"}};
         begun.on_reply(line);
         const begun_turn outcome = begun.outcome();
         CPPUNIT_ASSERT(outcome.result == begin_result::admitted);
--- a/tests/plane/turns/turn_table_test.cpp
+++ b/tests/plane/turns/turn_table_test.cpp
@@ -26,70 +26,70 @@
     }
 
     void a_late_reservation_does_not_reopen_a_settled_turn() {
-        turn_table book;
-        book.apply(turn_settlement{"program", "a", 18, 60'000, std::nullopt}, at(0));
-        book.apply(turn_reservation{"program", "a", 288, 60'000}, at(0));
-        const ledger_entry entry = book.ledger_of("program").at("a");
+        turn_table table;
+        table.apply(turn_settlement{"program", "a", 18, 60'000, std::nullopt}, at(0));
+        table.apply(turn_reservation{"program", "a", 288, 60'000}, at(0));
+        const ledger_entry entry = table.ledger_of("program").at("a");
         CPPUNIT_ASSERT(entry.settled);
         CPPUNIT_ASSERT_EQUAL(token_count{18}, entry.tokens);
     }
 
     void a_line_is_walked_back_to_its_first_turn() {
-        turn_table book;
-        book.apply(whole("a", ""), at(0));
-        book.apply(whole("b", "a"), at(0));
-        book.apply(whole("c", "b"), at(0));
-        const chain_part part = book.chain_from("c");
+        turn_table table;
+        table.apply(whole("a", ""), at(0));
+        table.apply(whole("b", "a"), at(0));
+        table.apply(whole("c", "b"), at(0));
+        const history_part part = table.history_up_to("c");
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, part.records.size());
         CPPUNIT_ASSERT_EQUAL(std::string("a"), part.records.back().request);
         CPPUNIT_ASSERT(part.missing.empty());
     }
 
     void a_line_tells_which_turn_is_missing() {
-        turn_table book;
-        book.apply(whole("b", "a"), at(0));
-        CPPUNIT_ASSERT_EQUAL(std::string("a"), book.chain_from("b").missing);
+        turn_table table;
+        table.apply(whole("b", "a"), at(0));
+        CPPUNIT_ASSERT_EQUAL(std::string("a"), table.history_up_to("b").missing);
     }
 
     void a_living_turn_keeps_the_line_behind_it() {
-        turn_table book;
-        book.apply(whole("a", ""), at(0));
-        book.apply(whole("b", "a"), at(50));
-        book.expire(at(100), duration::zero());
-        CPPUNIT_ASSERT(book.holds_turn("a"));
-        book.expire(at(111), duration::zero());
-        CPPUNIT_ASSERT(!book.holds_turn("a"));
-        CPPUNIT_ASSERT(!book.holds_turn("b"));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, book.bytes());
+        turn_table table;
+        table.apply(whole("a", ""), at(0));
+        table.apply(whole("b", "a"), at(50));
+        table.expire(at(100), duration::zero());
+        CPPUNIT_ASSERT(table.holds_turn("a"));
+        table.expire(at(111), duration::zero());
+        CPPUNIT_ASSERT(!table.holds_turn("a"));
+        CPPUNIT_ASSERT(!table.holds_turn("b"));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, table.bytes());
     }
 
     void contents_rebuild_the_same_book() {
-        turn_table book;
-        book.apply(turn_reservation{"other", "r", 288, 60'000}, at(0));
-        book.apply(whole("a", ""), at(0));
-        book.apply(whole("b", "a"), at(0));
+        turn_table table;
+        table.apply(turn_reservation{"other", "r", 288, 60'000}, at(0));
+        table.apply(whole("a", ""), at(0));
+        table.apply(whole("b", "a"), at(0));
         turn_table rebuilt;
         constexpr std::size_t one_page = 1U << 20U;
         std::string next;
-        for (const turn_change& change : book.missing_from({}, "", one_page, next)) {
+        for (const turn_change& change : table.missing_from({}, "", one_page, next)) {
             rebuilt.apply(change, at(0));
         }
-        CPPUNIT_ASSERT(book.ledger_of("program") == rebuilt.ledger_of("program"));
-        CPPUNIT_ASSERT(book.ledger_of("other") == rebuilt.ledger_of("other"));
-        CPPUNIT_ASSERT(book.chain_from("b").records == rebuilt.chain_from("b").records);
+        CPPUNIT_ASSERT(table.ledger_of("program") == rebuilt.ledger_of("program"));
+        CPPUNIT_ASSERT(table.ledger_of("other") == rebuilt.ledger_of("other"));
+        CPPUNIT_ASSERT(table.history_up_to("b").records == rebuilt.history_up_to("b").records);
     }
 
     void a_copy_comes_in_pages_and_leaves_out_what_is_known() {
-        turn_table book;
+        turn_table table;
         for (const char* request : {"a", "b", "c", "d"}) {
-            book.apply(whole(request, ""), at(0));
+            table.apply(whole(request, ""), at(0));
         }
         std::string next;
         std::set<std::string> copied;
         int pages = 0;
         do {
             const std::string from = next;
-            for (const turn_change& change : book.missing_from({"b"}, from, 1, next)) {
+            for (const turn_change& change : table.missing_from({"b"}, from, 1, next)) {
                 copied.insert(std::get<turn_settlement>(change).request);
             }
             ++pages;
@@ -100,30 +100,31 @@
     }
 
     void an_adopted_line_is_held_whole_and_copied() {
-        turn_table book;
+        turn_table table;
         turn_settlement own = whole("c", "b");
         own.adopted = {{"a", "", "in-a", "out-a"}, {"b", "a", "in-b", "out-b"}};
-        book.apply(own, at(0));
-        CPPUNIT_ASSERT(book.chain_from("c").missing.empty());
+        table.apply(own, at(0));
+        CPPUNIT_ASSERT(table.history_up_to("c").missing.empty());
         turn_table copy;
         std::string next;
-        for (const turn_change& change : book.missing_from({}, "", 1U << 20U, next)) {
+        for (const turn_change& change : table.missing_from({}, "", 1U << 20U, next)) {
             copy.apply(change, at(0));
         }
-        CPPUNIT_ASSERT(copy.chain_from("c").missing.empty());
+        CPPUNIT_ASSERT(copy.history_up_to("c").missing.empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, copy.turn_count());
     }
 
     void an_adopted_turn_keeps_what_its_own_program_paid() {
-        turn_table book;
-        book.apply(turn_settlement{"other", "a", 40, 60'000, turn_record{"a", "", "in-a", "out-a"}},
-                   at(0));
+        turn_table table;
+        table.apply(
+            turn_settlement{"other", "a", 40, 60'000, turn_record{"a", "", "in-a", "out-a"}},
+            at(0));
         turn_settlement own = whole("b", "a");
         own.adopted = {{"a", "", "in-a", "out-a"}};
-        book.apply(own, at(0));
+        table.apply(own, at(0));
         turn_table copy;
         std::string next;
-        for (const turn_change& change : book.missing_from({}, "", 1U << 20U, next)) {
+        for (const turn_change& change : table.missing_from({}, "", 1U << 20U, next)) {
             copy.apply(change, at(0));
         }
         CPPUNIT_ASSERT_EQUAL(token_count{40}, copy.ledger_of("other").at("a").tokens);
