--- /dev/null
+++ b/src/tallyfold/plane/turns/answer_tally.cpp
@@ -0,0 +1,56 @@
+#include "tallyfold/plane/turns/answer_tally.hpp"
+
+namespace tallyfold::turns {
+
+std::string describe(const answer_count& count) {
+    return "store_answers=" + std::to_string(count.answers) +
+           " durable=" + std::to_string(count.durable) +
+           " unlisted=" + std::to_string(count.unlisted) +
+           " changing=" + (count.changing ? "yes" : "no") +
+           " after_loss=" + (count.after_loss ? "yes" : "no");
+}
+
+bool is_write_quorum(const store_map& map, const std::set<store_id>& durable) {
+    return map.suffices_of_current(durable) && (!map.changing() || is_majority(map.next, durable));
+}
+
+void answer_tally::use_map(const store_map& map) {
+    if (map.epoch <= map_.epoch) {
+        return;
+    }
+    map_ = map;
+    answered_.clear();
+    durable_.clear();
+}
+
+void answer_tally::add(store_id store, bool durable) {
+    answered_.insert(store);
+    if (durable) {
+        durable_.insert(store);
+    }
+}
+
+std::vector<store_member> answer_tally::unanswered() const {
+    std::vector<store_member> left;
+    for (const store_member& member : map_.all()) {
+        if (!durable_.contains(member.id)) {
+            left.push_back(member);
+        }
+    }
+    return left;
+}
+
+answer_count answer_tally::count() const {
+    answer_count count;
+    count.answers = answered_.size();
+    count.changing = map_.changing();
+    count.after_loss = map_.after_loss;
+    for (const store_id store : answered_) {
+        const bool listed = map_.holds(store);
+        count.durable += listed && durable_.contains(store) ? 1 : 0;
+        count.unlisted += listed ? 0 : 1;
+    }
+    return count;
+}
+
+}  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/quorum_operations.cpp
+++ b/src/tallyfold/plane/turns/quorum_operations.cpp
@@ -4,88 +4,34 @@
 
 namespace tallyfold::turns {
 
-namespace {
-
-/// True when `answered` suffices for a write under `map`.
-bool write_quorum(const store_map& map, const std::set<store_id>& answered) {
-    return map.suffices_of_current(answered) &&
-           (!map.changing() || is_majority(map.next, answered));
-}
-
-std::vector<store_member> members_without(const store_map& map,
-                                          const std::set<store_id>& answered) {
-    std::vector<store_member> left;
-    for (const store_member& member : map.all()) {
-        if (!answered.contains(member.id)) {
-            left.push_back(member);
-        }
-    }
-    return left;
-}
-
-answer_count count_answers(const store_map& map, const std::set<store_id>& answered,
-                           const std::set<store_id>& durable) {
-    answer_count count;
-    count.answers = answered.size();
-    count.changing = map.changing();
-    count.after_loss = map.after_loss;
-    for (const store_id store : answered) {
-        const bool listed = map.holds(store);
-        count.durable += listed && durable.contains(store) ? 1 : 0;
-        count.unlisted += listed ? 0 : 1;
-    }
-    return count;
-}
-
-}  // namespace
-
-std::string describe(const answer_count& count) {
-    return "store_answers=" + std::to_string(count.answers) +
-           " durable=" + std::to_string(count.durable) +
-           " unlisted=" + std::to_string(count.unlisted) +
-           " changing=" + (count.changing ? "yes" : "no") +
-           " after_loss=" + (count.after_loss ? "yes" : "no");
-}
-
 begin_operation::begin_operation(store_map map, turn_reservation reservation, std::string previous,
                                  token_count budget)
-    : map_(std::move(map)),
+    : tally_(std::move(map)),
       reservation_(std::move(reservation)),
       previous_(std::move(previous)),
       budget_(budget) {}
 
-void begin_operation::use_map(const store_map& map) {
-    if (map.epoch <= map_.epoch) {
-        return;
+void begin_operation::store_records(const history_part& part) {
+    for (const turn_record& record : part.records) {
+        records_.emplace(record.request, record);
     }
-    map_ = map;
-    answered_.clear();
-    durable_.clear();
 }
 
 void begin_operation::on_reply(const begin_reply& reply) {
+    if (!reply.newer_map.empty()) {
+        return;
+    }
     merge(ledger_, reply.ledger);
     previous_held_ = previous_held_ || reply.holds_previous;
-    for (const turn_record& record : reply.history.records) {
-        records_.emplace(record.request, record);
-    }
+    store_records(reply.history);
     if (!reply.holders.empty()) {
         holders_ = reply.holders;
     }
-    answered_.insert(reply.store);
-    if (reply.durable) {
-        durable_.insert(reply.store);
-    }
+    tally_.add(reply.store, reply.durable);
 }
 
 void begin_operation::on_history(const history_reply& reply) {
-    for (const turn_record& record : reply.history.records) {
-        records_.emplace(record.request, record);
-    }
-}
-
-bool begin_operation::reserved() const {
-    return write_quorum(map_, durable_);
+    store_records(reply.history);
 }
 
 token_count begin_operation::used_tokens() const {
@@ -118,65 +64,34 @@
 }
 
 begin_outcome begin_operation::outcome() const {
-    if (!reserved()) {
-        return begin_outcome::pending;
-    }
-    if (!previous_.empty() && !previous_held_) {
-        return begin_outcome::unknown_previous;
+    begin_evidence evidence;
+    evidence.reserved = reserved();
+    if (!previous_.empty()) {
+        evidence.previous = previous_held_ ? previous_turn::held : previous_turn::not_held;
     }
-    if (budget_ > 0 && used_tokens() + reservation_.max_tokens > budget_) {
-        return begin_outcome::over_budget;
-    }
-    return missing_turn().empty() ? begin_outcome::admitted : begin_outcome::pending;
-}
-
-answer_count begin_operation::answers() const {
-    return count_answers(map_, answered_, durable_);
-}
-
-std::vector<store_member> begin_operation::unanswered() const {
-    return members_without(map_, durable_);
+    evidence.history_complete = missing_turn().empty();
+    evidence.used_tokens = used_tokens();
+    evidence.max_tokens = reservation_.max_tokens;
+    evidence.budget = budget_;
+    return decide_begin(evidence);
 }
 
 std::vector<const turn_record*> begin_operation::history() const {
-    std::vector<const turn_record*> line;
+    std::vector<const turn_record*> records;
     std::string next = previous_;
     while (!next.empty()) {
         const turn_record& record = records_.at(next);
-        line.push_back(&record);
+        records.push_back(&record);
         next = record.previous;
     }
-    std::reverse(line.begin(), line.end());
-    return line;
-}
-
-void settle_operation::use_map(const store_map& map) {
-    if (map.epoch > map_.epoch) {
-        map_ = map;
-        answered_.clear();
-        durable_.clear();
-    }
+    std::reverse(records.begin(), records.end());
+    return records;
 }
 
 void settle_operation::on_reply(const settle_reply& reply) {
     if (reply.newer_map.empty()) {
-        answered_.insert(reply.store);
+        tally_.add(reply.store, reply.durable);
     }
-    if (reply.durable) {
-        durable_.insert(reply.store);
-    }
-}
-
-answer_count settle_operation::answers() const {
-    return count_answers(map_, answered_, durable_);
-}
-
-bool settle_operation::done() const {
-    return write_quorum(map_, durable_);
-}
-
-std::vector<store_member> settle_operation::unanswered() const {
-    return members_without(map_, durable_);
 }
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -2,22 +2,27 @@
 
 #include <algorithm>
 
+#include "tallyfold/plane/turns/store_rules.hpp"
+
 namespace tallyfold::turns {
 
 namespace {
 
+/// Texts that one page of a copy holds, about, in bytes. Chosen, not measured: small enough that a
+/// page doesn't hold up the turns that are served beside it for long.
 constexpr std::size_t copy_page_bytes = 128U << 10U;
 
 }  // namespace
 
 store_fsm::store_fsm(store_id self, const store_map& kept, turn_table recovered)
-    : self_(self), turns_(std::move(recovered)), kept_epoch_(kept.epoch) {
+    : self_(self), turns_(std::move(recovered)), durable_epoch_(kept.epoch) {
     learn_map(kept);
-    map_to_keep_ = false;
+    map_unwritten_ = false;
 }
 
 std::vector<store_map> store_fsm::newer_than(map_epoch epoch) const {
-    return map_.epoch > epoch ? std::vector<store_map>{map_} : std::vector<store_map>{};
+    return accepts_epoch(map_.epoch, epoch) ? std::vector<store_map>{}
+                                            : std::vector<store_map>{map_};
 }
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from, const begin_request& request) {
@@ -37,7 +42,7 @@
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from, const settle_request& request) {
     for (const scheduling::prefix_point& point : request.held.points) {
-        held_.stored(request.held.engine, point);
+        prompt_holders_.stored(request.held.engine, point);
     }
     std::vector<store_map> newer = newer_than(request.epoch);
     if (newer.empty()) {
@@ -59,8 +64,8 @@
 }
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from, const copy_request& request) {
-    // From here on no write under an older map is taken. What was taken before stands ahead in
-    // the queue, so the copy holds it too.
+    // From here on no write under an older map is taken. What was taken before is ahead in the
+    // queue, so that the copy holds it too.
     learn_map(request.map);
     waiting_.push_back({from, request});
     return {};
@@ -75,9 +80,9 @@
         return false;
     }
     map_ = map;
-    map_to_keep_ = true;
+    map_unwritten_ = true;
     copying_.reset();
-    copied_up_to_.clear();
+    copy_positions_.clear();
     if (map.changing()) {
         copying_.emplace(map, self_);
         if (!copying_->wanted()) {
@@ -88,19 +93,18 @@
 }
 
 bool store_fsm::learn_table(const store_table& table) {
-    std::vector<const store_map*> concerned;
+    std::vector<const store_map*> concerning;
     for (const store_map& map : table.groups) {
-        const bool was_member = map_.epoch > 0 && map.group == map_.group;
-        if (map.holds(self_) || was_member) {
-            concerned.push_back(&map);
+        if (concerns_store(map, self_, map_)) {
+            concerning.push_back(&map);
         }
     }
     // A store that has changed its group learns of its leaving first.
     std::sort(
-        concerned.begin(), concerned.end(),
+        concerning.begin(), concerning.end(),
         [](const store_map* left, const store_map* right) { return left->epoch < right->epoch; });
     bool newer = false;
-    for (const store_map* map : concerned) {
+    for (const store_map* map : concerning) {
         newer = learn_map(*map) || newer;
     }
     return newer;
@@ -118,10 +122,10 @@
 
 store_write store_fsm::take_write() {
     store_write write;
-    if (map_to_keep_) {
+    if (map_unwritten_) {
         write.map = map_;
-        map_to_keep_ = false;
-        keeping_epoch_ = map_.epoch;
+        map_unwritten_ = false;
+        writing_epoch_ = map_.epoch;
     }
     writing_ = std::move(waiting_);
     waiting_.clear();
@@ -133,7 +137,7 @@
 
 std::vector<scheduling::cached_prefix> store_fsm::holders_of(
     const std::vector<scheduling::prefix_point>& prompt) const {
-    std::vector<scheduling::cached_prefix> holders = held_.find(prompt);
+    std::vector<scheduling::cached_prefix> holders = prompt_holders_.find(prompt);
     holders.resize(std::min(holders.size(), max_reported_holders));
     return holders;
 }
@@ -160,12 +164,12 @@
     return reply;
 }
 
-void store_fsm::note_copied(const copy_reply& reply) {
+void store_fsm::on_copy_page(const copy_reply& reply) {
     if (!copying_.has_value() || reply.epoch != copying_->epoch()) {
         return;
     }
     if (!reply.next.empty()) {
-        copied_up_to_[reply.store] = reply.next;
+        copy_positions_[reply.store] = reply.next;
         return;
     }
     copying_->finished(reply.store);
@@ -175,22 +179,24 @@
     }
 }
 
-std::vector<addressed_reply> store_fsm::written(bool durable, instant now) {
-    const std::vector<waiting_work> batch = std::move(writing_);
-    writing_.clear();
-    if (durable) {
-        kept_epoch_ = std::max(kept_epoch_, keeping_epoch_);
-    } else if (keeping_epoch_ > kept_epoch_) {
-        map_to_keep_ = true;
-    }
+void store_fsm::take_over(const std::vector<waiting_work>& batch, instant now) {
+    durable_epoch_ = std::max(durable_epoch_, writing_epoch_);
     std::vector<turn_change> changes;
     for (const waiting_work& work : batch) {
         append_changes(work, changes);
     }
+    for (const turn_change& change : changes) {
+        turns_.apply(change, now);
+    }
+}
+
+std::vector<addressed_reply> store_fsm::written(bool durable, instant now) {
+    const std::vector<waiting_work> batch = std::move(writing_);
+    writing_.clear();
     if (durable) {
-        for (const turn_change& change : changes) {
-            turns_.apply(change, now);
-        }
+        take_over(batch, now);
+    } else if (writing_epoch_ > durable_epoch_) {
+        map_unwritten_ = true;
     }
     std::vector<addressed_reply> replies;
     for (const waiting_work& work : batch) {
@@ -199,12 +205,11 @@
         } else if (const auto* settle = std::get_if<settle_request>(&work.body)) {
             replies.push_back({work.from, settle_reply{settle->operation, self_, durable, {}}});
         } else if (const auto* copy = std::get_if<copy_request>(&work.body)) {
-            // The fence has to outlive a restart, or a write could still slip past the copy.
-            if (kept_epoch_ >= copy->map.epoch) {
+            if (may_send_copy(durable_epoch_, copy->map.epoch)) {
                 replies.push_back({work.from, answer(*copy)});
             }
         } else if (durable) {
-            note_copied(std::get<copy_reply>(work.body));
+            on_copy_page(std::get<copy_reply>(work.body));
         }
     }
     return replies;
@@ -219,14 +224,14 @@
         return std::nullopt;
     }
     const store_member& source = sources[source_offset_ % sources.size()];
-    const auto from = copied_up_to_.find(source.id);
-    if (from == copied_up_to_.end()) {
-        known_ = turns_.settled_requests();
+    const auto from = copy_positions_.find(source.id);
+    if (from == copy_positions_.end()) {
+        held_requests_ = turns_.settled_requests();
     }
     copy_request request;
     request.map = copying_->map();
-    request.known = known_;
-    request.from = from == copied_up_to_.end() ? std::string{} : from->second;
+    request.known = held_requests_;
+    request.from = from == copy_positions_.end() ? std::string{} : from->second;
     return copy_order{source, std::move(request)};
 }
 
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -1,8 +1,11 @@
 #pragma once
 /// @file
-/// One store, a member of one group or waiting to become one, as a pure state machine: messages in,
-/// writes and replies out. The shell makes each write durable before it hands out the replies that
-/// depend on it.
+/// One store, a member of one group or a spare that belongs to none, as a pure state machine:
+/// messages in, writes and replies out. The shell makes each write durable before it sends the
+/// replies that depend on it.
+///
+/// Owns the turns and ledgers in memory, the map in force here, and the progress of a copy. Relies
+/// on store_rules for what it refuses, and on copy_progress for when a copy is whole.
 
 #include <cstdint>
 #include <optional>
@@ -44,16 +47,17 @@
 
 class store_fsm {
   public:
+    /// @param kept the map that was durable at the last stop; epoch 0 for none
     /// @param recovered what the disk held
     store_fsm(store_id self, const store_map& kept, turn_table recovered);
 
-    /// @return replies that wait for nothing
+    /// Takes a request. @return replies that need no write; the others come from written()
     std::vector<addressed_reply> receive(peer_token from, const begin_request& request);
     std::vector<addressed_reply> receive(peer_token from, const settle_request& request);
     std::vector<addressed_reply> receive(peer_token from, const history_request& request) const;
     std::vector<addressed_reply> receive(peer_token from, const find_request& request) const;
     std::vector<addressed_reply> receive(peer_token from, const copy_request& request);
-    /// A page of the copy that this store makes.
+    /// A page of the copy that this store fetches.
     void receive(const copy_reply& reply);
     /// Takes over a newer map of the group that this store belongs to, or did. @return true when
     /// it was newer
@@ -62,22 +66,25 @@
     /// @return true when anything was newer
     bool learn_table(const store_table& table);
 
-    [[nodiscard]] bool has_work() const { return !waiting_.empty() || map_to_keep_; }
-    /// Takes what has gathered; written() has to follow.
+    /// True when take_write() has something to do.
+    [[nodiscard]] bool has_work() const { return !waiting_.empty() || map_unwritten_; }
+    /// Takes the work that has gathered; written() has to follow.
     store_write take_write();
-    /// @param durable false when the disk refused; nothing of the write is taken over then
+    /// The write taken last has ended. @param durable false when the disk refused it: nothing of it
+    /// is taken over, and the requests are answered as not durable
     std::vector<addressed_reply> written(bool durable, instant now);
 
-    /// What to ask which store for now; nothing when no copy is under way. One source after the
-    /// other: what one has sent needn't come from the next, nor be held twice.
+    /// The next page to ask for, and of which store; nothing when no copy is under way. One source
+    /// after the other: what one has sent needn't come from the next, nor be held twice.
     [[nodiscard]] std::optional<copy_order> next_copy();
-    /// The source asked last has not answered: the next one is asked.
+    /// The source asked last has not answered in time: the next one is asked.
     void skip_copy_source() { ++source_offset_; }
-    /// The newest map for which this store holds a whole copy.
+    /// Epoch of the newest map for which this store has fetched a whole copy; 0 for none.
     [[nodiscard]] map_epoch copied_epoch() const { return copied_epoch_; }
     [[nodiscard]] const store_map& map() const { return map_; }
     [[nodiscard]] store_id self() const { return self_; }
     [[nodiscard]] const turn_table& turns() const { return turns_; }
+    /// Removes what has outlived its retention by more than `margin`.
     void expire(instant now, duration margin) { turns_.expire(now, margin); }
 
   private:
@@ -87,37 +94,43 @@
         std::variant<begin_request, settle_request, copy_request, copy_reply> body;
     };
 
-    /// Parts of prompts whose engine is remembered, at most.
+    /// Parts of prompts whose engine is remembered, at most. Chosen, not measured: some MB of
+    /// memory.
     static constexpr std::size_t max_cached_prefixes = 20'000;
-    /// Engines that a begun turn is told of, at most.
+    /// Engines that a reply names, at most. Chosen, not measured: the engine that served the turn
+    /// before, and the one before it in case the first is full.
     static constexpr std::size_t max_reported_holders = 2;
 
     [[nodiscard]] std::vector<store_map> newer_than(map_epoch epoch) const;
     [[nodiscard]] std::vector<scheduling::cached_prefix> holders_of(
         const std::vector<scheduling::prefix_point>& prompt) const;
     void append_changes(const waiting_work& work, std::vector<turn_change>& changes) const;
+    /// What is durable now takes effect.
+    void take_over(const std::vector<waiting_work>& batch, instant now);
     [[nodiscard]] begin_reply answer(const begin_request& request, bool durable) const;
     [[nodiscard]] copy_reply answer(const copy_request& request) const;
-    void note_copied(const copy_reply& reply);
+    void on_copy_page(const copy_reply& reply);
 
     store_id self_;
     store_map map_;
     turn_table turns_;
-    bool map_to_keep_ = false;
-    /// Epoch of the map that is durable here.
-    map_epoch kept_epoch_ = 0;
-    map_epoch keeping_epoch_ = 0;
+    /// The map in force is newer than the one handed out for writing.
+    bool map_unwritten_ = false;
+    /// Epochs of the map that is durable here, and of the one being written.
+    map_epoch durable_epoch_ = 0;
+    map_epoch writing_epoch_ = 0;
     std::vector<waiting_work> waiting_;
     std::vector<waiting_work> writing_;
     std::optional<copy_progress> copying_;
-    std::set<std::string> known_;
-    /// Where each source's copy goes on.
-    std::map<store_id, std::string> copied_up_to_;
+    /// Requests that this store held when it asked the current source first: they aren't sent.
+    std::set<std::string> held_requests_;
+    /// The last request of the page before, at each source that has sent one.
+    std::map<store_id, std::string> copy_positions_;
     std::size_t source_offset_ = 0;
     map_epoch copied_epoch_ = 0;
-    /// Which engine holds which prompt, as the settled turns tell. In memory only: what a restart
+    /// Which engine holds which prompt, from the settled turns. In memory only: what a restart
     /// forgets costs time, not correctness.
-    scheduling::cache_map held_{max_cached_prefixes};
+    scheduling::cache_map prompt_holders_{max_cached_prefixes};
 };
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -15,27 +15,25 @@
                  question_.budget) {}
 
 void turn_beginning::resend_under_newer_map(const std::vector<store_map>& maps,
-                                            const store_map* known) {
+                                            const store_map* used) {
     for (const store_map& newer : maps) {
-        // A store that has gone over to another group tells that group's map: asking it again at
-        // once would get the same answer, until the directory tells who took its place.
-        if (known != nullptr && newer.group == known->group && newer.epoch > known->epoch) {
-            schedule_.resend_now();
+        // A store that has moved to another group answers with that group's map. Asking it again at
+        // once would get the same answer until the directory says who took its place.
+        if (used != nullptr && newer.group == used->group && newer.epoch > used->epoch) {
+            backoff_.resend_now();
         }
     }
 }
 
 void turn_beginning::on_reply(const begin_reply& reply) {
     resend_under_newer_map(reply.newer_map, &operation_.map());
-    if (reply.newer_map.empty()) {
-        operation_.on_reply(reply);
-    }
+    operation_.on_reply(reply);
 }
 
 void turn_beginning::on_reply(const history_reply& reply) {
     operation_.on_history(reply);
     if (history_request_due_.has_value()) {
-        // Whatever is still missing is asked of the next store at once.
+        // The next store is asked at once for what is still missing.
         history_request_due_ = instant{};
     }
 }
@@ -53,17 +51,25 @@
 void turn_beginning::reachable(store_id store) {
     const bool searching = search_.has_value() && !search_->found();
     if (operation_.map().holds(store) || searching) {
-        schedule_.resend_now();
+        backoff_.resend_now();
     }
 }
 
+bool turn_beginning::previous_unknown() const {
+    return operation_.outcome() == begin_outcome::unknown_previous;
+}
+
 bool turn_beginning::undecided() const {
     switch (operation_.outcome()) {
         case begin_outcome::pending:
             return true;
-        case begin_outcome::unknown_previous:
-            return operation_.map().after_loss ||
-                   (!only_group_ && !(search_.has_value() && search_->held_by_no_group()));
+        case begin_outcome::unknown_previous: {
+            absence_evidence evidence;
+            evidence.own_group_after_loss = operation_.map().after_loss;
+            evidence.is_only_group = only_group_;
+            evidence.denied_by_other_groups = search_.has_value() && search_->held_by_no_group();
+            return !is_known_absent(evidence);
+        }
         case begin_outcome::admitted:
         case begin_outcome::over_budget:
             return false;
@@ -74,18 +80,19 @@
 bool turn_beginning::cannot_be_decided() const {
     const bool others_deny =
         only_group_ || (search_.has_value() && search_->denied_by_all_stores());
-    return operation_.outcome() == begin_outcome::unknown_previous && others_deny &&
-           !operation_.map().changing() && operation_.unanswered().empty();
+    const bool own_group_answered = !operation_.map().changing() && operation_.unanswered().empty();
+    return previous_unknown() && others_deny && own_group_answered;
 }
 
 std::string turn_beginning::wanted_elsewhere() const {
     if (only_group_ || !operation_.reserved()) {
         return {};
     }
-    if (operation_.outcome() == begin_outcome::unknown_previous) {
+    if (previous_unknown()) {
         return question_.previous;
     }
-    // A store that came from another group may know a turn of that group without all of its line.
+    // A store that came from another group may hold a turn of that group without all the turns
+    // before it.
     return own_group_asked_ ? operation_.missing_turn() : std::string{};
 }
 
@@ -96,7 +103,7 @@
     }
     if (!search_.has_value() || search_->turn() != wanted) {
         search_.emplace(table, wanted, group_);
-        schedule_.resend_now();
+        backoff_.resend_now();
     }
     if (search_->found() && !adopts_) {
         adopts_ = true;
@@ -143,8 +150,7 @@
 
 void turn_beginning::request_history(instant now, std::vector<store_question>& questions) {
     const std::string missing = operation_.missing_turn();
-    const bool known = operation_.outcome() != begin_outcome::unknown_previous;
-    if (!operation_.reserved() || !known || missing.empty()) {
+    if (!operation_.reserved() || previous_unknown() || missing.empty()) {
         history_request_due_.reset();
         return;
     }
@@ -165,7 +171,8 @@
     };
     auto next = std::find_if(sources.begin(), sources.end(), not_asked);
     if (next == sources.end()) {
-        // All have been asked: a reply may have been lost, or a store was down.
+        // All have been asked, and again from the first: a reply may have been lost, or a store
+        // was down.
         own_group_asked_ = true;
         asked_for_history_.clear();
         next = sources.begin();
@@ -179,7 +186,7 @@
                                                 const store_choice& nearest) {
     std::vector<store_question> questions;
     search_elsewhere(now, table);
-    if (schedule_.take_due(now)) {
+    if (backoff_.take_due(now)) {
         ask_stores(table, nearest, questions);
     }
     request_history(now, questions);
@@ -187,8 +194,8 @@
 }
 
 instant turn_beginning::next_due() const {
-    return history_request_due_.has_value() ? std::min(*history_request_due_, schedule_.next())
-                                            : schedule_.next();
+    return history_request_due_.has_value() ? std::min(*history_request_due_, backoff_.next())
+                                            : backoff_.next();
 }
 
 begun_turn turn_beginning::outcome() const {
--- a/src/tallyfold/plane/turns/turn_search.cpp
+++ b/src/tallyfold/plane/turns/turn_search.cpp
@@ -36,7 +36,7 @@
             asked.holds = true;
             holders_.push_back(*member);
         } else if (reply.newer_map.empty()) {
-            asked.without.insert(reply.store);
+            asked.denials.insert(reply.store);
         }
     }
 }
@@ -53,11 +53,11 @@
 }
 
 bool turn_search::held_by_no_group() const {
-    const auto says_no = [](const auto& entry) {
+    const auto denied_by_quorum = [](const auto& entry) {
         const asked_group& asked = entry.second;
-        return !asked.map.after_loss && asked.map.suffices_of_current(asked.without);
+        return !asked.map.after_loss && asked.map.suffices_of_current(asked.denials);
     };
-    return !found() && std::all_of(groups_.begin(), groups_.end(), says_no);
+    return !found() && std::all_of(groups_.begin(), groups_.end(), denied_by_quorum);
 }
 
 bool turn_search::denied_by_all_stores() const {
@@ -66,7 +66,7 @@
         const std::vector<store_member> members = asked.map.all();
         return !asked.map.changing() &&
                std::all_of(members.begin(), members.end(), [&](const store_member& member) {
-                   return asked.without.contains(member.id);
+                   return asked.denials.contains(member.id);
                });
     });
 }
@@ -75,7 +75,7 @@
     std::vector<question> questions;
     for (const auto& [number, asked] : groups_) {
         for (const store_member& member : asked.map.all()) {
-            if (!asked.without.contains(member.id)) {
+            if (!asked.denials.contains(member.id)) {
                 questions.push_back({member, {operation, asked.map.epoch, request_}});
             }
         }
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -314,12 +314,12 @@
     }
     copying_ = true;
     asked_source_ = order->source.id;
-    copy_timeout_.asked(http::steady_now());
+    copy_timeout_.page_requested(http::steady_now());
     link_to(order->source)->send(order->request);
 }
 
 void store_node::check_copy_timeout() {
-    if (copying_ && copy_timeout_.stalled(http::steady_now())) {
+    if (copying_ && copy_timeout_.expired(http::steady_now())) {
         store_->skip_copy_source();
         copy_more();
     }
--- /dev/null
+++ b/tests/plane/turns/begin_rules_test.cpp
@@ -0,0 +1,76 @@
+#include "tallyfold/plane/turns/begin_rules.hpp"
+
+#include "tests/support/suite.hpp"
+
+namespace tallyfold::tests {
+
+using namespace turns;
+
+class begin_rules_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(begin_rules_test);
+    CPPUNIT_TEST(nothing_is_decided_before_the_reservation_is_durable);
+    CPPUNIT_TEST(an_unknown_previous_turn_goes_before_the_budget);
+    CPPUNIT_TEST(a_budget_may_be_used_up_and_not_exceeded);
+    CPPUNIT_TEST(an_admission_waits_for_the_history_and_a_refusal_does_not);
+    CPPUNIT_TEST(a_turn_is_absent_only_when_no_group_can_hold_it);
+    CPPUNIT_TEST_SUITE_END();
+
+    static begin_evidence reserved_turn() {
+        begin_evidence evidence;
+        evidence.reserved = true;
+        evidence.history_complete = true;
+        evidence.max_tokens = 100;
+        return evidence;
+    }
+
+    void nothing_is_decided_before_the_reservation_is_durable() {
+        begin_evidence evidence = reserved_turn();
+        evidence.reserved = false;
+        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::pending);
+        evidence.previous = previous_turn::not_held;
+        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::pending);
+        evidence.budget = 1;
+        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::pending);
+    }
+
+    void an_unknown_previous_turn_goes_before_the_budget() {
+        begin_evidence evidence = reserved_turn();
+        evidence.previous = previous_turn::not_held;
+        evidence.budget = 1;
+        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::unknown_previous);
+        evidence.previous = previous_turn::held;
+        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::over_budget);
+    }
+
+    void a_budget_may_be_used_up_and_not_exceeded() {
+        begin_evidence evidence = reserved_turn();
+        evidence.used_tokens = 150;
+        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::admitted);
+        evidence.budget = 250;
+        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::admitted);
+        evidence.budget = 249;
+        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::over_budget);
+    }
+
+    void an_admission_waits_for_the_history_and_a_refusal_does_not() {
+        begin_evidence evidence = reserved_turn();
+        evidence.previous = previous_turn::held;
+        evidence.history_complete = false;
+        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::pending);
+        evidence.budget = 99;
+        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::over_budget);
+    }
+
+    void a_turn_is_absent_only_when_no_group_can_hold_it() {
+        CPPUNIT_ASSERT(!is_known_absent({false, false, false}));
+        CPPUNIT_ASSERT(is_known_absent({false, true, false}));
+        CPPUNIT_ASSERT(is_known_absent({false, false, true}));
+        // After a loss of disks it may have existed, whatever the others say.
+        CPPUNIT_ASSERT(!is_known_absent({true, true, false}));
+        CPPUNIT_ASSERT(!is_known_absent({true, false, true}));
+    }
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(begin_rules_test);
+
+}  // namespace tallyfold::tests
--- a/tests/plane/turns/copy_timeout_test.cpp
+++ b/tests/plane/turns/copy_timeout_test.cpp
@@ -17,17 +17,17 @@
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
     /// Milliseconds until a source that needs `page_time` has given a page; 0 when none ever comes.
-    static int time_to_page(copy_timeout& watch, int page_time) {
+    static int time_to_page(copy_timeout& timeout, int page_time) {
         int asked = 0;
-        watch.asked(at(0));
+        timeout.page_requested(at(0));
         for (int now = 0; now < 60'000; now += check_interval) {
             if (now - asked >= page_time) {
-                watch.page_received(at(now));
+                timeout.page_received(at(now));
                 return now;
             }
-            if (watch.stalled(at(now))) {
+            if (timeout.expired(at(now))) {
                 // The next source is as loaded as this one.
-                watch.asked(at(now));
+                timeout.page_requested(at(now));
                 asked = now;
             }
         }
@@ -35,25 +35,25 @@
     }
 
     void loaded_sources_get_the_time_that_a_page_takes() {
-        copy_timeout watch;
-        // 500 ms a page: with a patience of 300 ms no page would ever come.
-        CPPUNIT_ASSERT_EQUAL(800, time_to_page(watch, 500));
-        CPPUNIT_ASSERT_EQUAL(500, time_to_page(watch, 500));
+        copy_timeout timeout;
+        // 500 ms a page: with a timeout of 300 ms no page would ever come.
+        CPPUNIT_ASSERT_EQUAL(800, time_to_page(timeout, 500));
+        CPPUNIT_ASSERT_EQUAL(500, time_to_page(timeout, 500));
     }
 
     void a_dead_source_is_left_soon() {
-        copy_timeout watch;
-        watch.asked(at(1'000));
-        CPPUNIT_ASSERT(!watch.stalled(at(1'299)));
-        CPPUNIT_ASSERT(watch.stalled(at(1'300)));
+        copy_timeout timeout;
+        timeout.page_requested(at(1'000));
+        CPPUNIT_ASSERT(!timeout.expired(at(1'299)));
+        CPPUNIT_ASSERT(timeout.expired(at(1'300)));
     }
 
     void any_page_time_up_to_the_most_gets_through() {
         check_property("no load that a source can bear keeps a copy from its pages", [] {
-            copy_timeout watch;
+            copy_timeout timeout;
             for (int page = 0; page < 5; ++page) {
                 const int page_time = *rc::gen::inRange(1, 2'300);
-                RC_ASSERT(time_to_page(watch, page_time) > 0);
+                RC_ASSERT(time_to_page(timeout, page_time) > 0);
             }
         });
     }
