--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -126,8 +126,6 @@
         options.control_nodes = names("control-");
         options.journal_groups = settings_.journal_groups;
         options.shard_count = settings_.shard_count;
-        options.placement = settings_.strategy;
-        options.stream_stall = settings_.stream_stall;
         options.seed = seed;
         scheduler->core = std::make_unique<scheduler::scheduler_core>(options, now);
     } else if (auto* gateway = dynamic_cast<gateway_node*>(&base)) {
--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -32,16 +32,12 @@
     std::size_t tools = 2;
     std::uint32_t shard_count = 16;
     std::uint32_t journal_groups = 2;
-    scheduling::strategy strategy = scheduling::strategy::policy;
     stand_ins::engine_settings engine;
     double tool_hang_share = 0;
     /// Lines of the configuration that the operator submits at the start.
     std::map<std::string, std::string> policies;
     std::map<std::string, configuration::class_settings> classes;
     configuration::tenant_settings tenant;
-    duration stream_stall = std::chrono::milliseconds(5000);
-    /// How long the simulated callers wait without a sign of life.
-    duration caller_patience = std::chrono::seconds(8);
     std::uint64_t snapshot_interval = 400;
     std::uint64_t seed = 1;
     /// The run ends at the latest this long after its start.
@@ -85,8 +81,6 @@
     bool finished = false;
     instant started{};
     instant ended{};
-    token_count prefilled = 0;
-    token_count rebuilt = 0;
     std::vector<duration> leader_gaps;
 };
 
@@ -131,7 +125,6 @@
     [[nodiscard]] bool is_voter_everywhere(const std::string& node) const;
     [[nodiscard]] bool callers_done() const;
     [[nodiscard]] std::vector<std::string> names(const std::string& prefix) const;
-    [[nodiscard]] configuration::configuration_version accepted_version() const;
     /// True while every group has a leader that has committed in its term.
     [[nodiscard]] bool control_serves() const;
     [[nodiscard]] bool drained(const std::string& node) const;
--- a/sim/world_run.cpp
+++ b/sim/world_run.cpp
@@ -74,7 +74,6 @@
     for (std::size_t index = 0; index < scripts.size(); ++index) {
         stand_ins::caller_core::settings options;
         options.run = "run" + std::to_string(settings_.seed) + "-";
-        options.patience = settings_.caller_patience;
         callers_.push_back(std::make_unique<stand_ins::caller_core>(
             options, scripts[index], "c" + std::to_string(index), program_id{}, program_id{}));
         stand_ins::caller_core* caller = callers_.back().get();
@@ -141,8 +140,6 @@
             }
         }
     }
-    seen_.prefilled = prefill_->prefilled();
-    seen_.rebuilt = prefill_->rebuilt();
     return seen_;
 }
 
@@ -191,16 +188,6 @@
                   [this, record] { operator_loop(record); });
 }
 
-configuration::configuration_version world::accepted_version() const {
-    configuration::configuration_version newest = 0;
-    for (const operator_record& record : seen_.operators) {
-        if (record.result && record.result->status == configuration::change_status::accepted) {
-            newest = std::max(newest, record.result->version);
-        }
-    }
-    return newest;
-}
-
 void world::sample_configuration() {
     events_.after(sample_interval, [this] { sample_configuration(); });
     for (const auto& [name, node] : nodes_) {
