--- a/src/tallyfold/plane/discovery/poller_election.hpp
+++ b/src/tallyfold/plane/discovery/poller_election.hpp
@@ -1,10 +1,11 @@
 #pragma once
 /// @file
-/// Which node reads the list of back ends. Pure.
+/// Which node polls the list of back ends. Pure; directory nodes and forwarders ask it before each
+/// poll.
 ///
-/// Each call of the list is paid for, and all nodes together have a rate. One reader suffices: the
-/// leader reads, the others ask the leader for what has changed. The others take over one after
-/// the other when what they know has grown old: the leader is gone, or can't reach the list.
+/// Each poll of the list is paid for, and all nodes together have a rate. One poller suffices: the
+/// directory's leader polls, the other nodes get what has changed from it. They take over one after
+/// the other when what they know has grown old: the leader has failed, or can't reach the list.
 
 #include <algorithm>
 #include <cstddef>
@@ -18,29 +19,35 @@
     bool leads = false;
     /// Some list is known here.
     bool known = false;
-    /// Since some node saw the list that is known.
+    /// Since some node polled the list that is known.
     duration age{};
     /// Place among the nodes that don't lead, from 0 on.
     std::size_t rank = 0;
 
-    /// What a reader tells each second is at most 1.3 s old at the others; a little more than that.
+    /// Age of the list at which the first node behind the leader polls. A little above the 1.3 s
+    /// that a list polled each second is old at other nodes at most.
     static constexpr duration first_successor_after = std::chrono::milliseconds(1'500);
+    /// The same for each further node, so that one poll is told before the next node begins.
+    /// Chosen, not measured: a poll and its message take some ms.
     static constexpr duration next_successor_after = std::chrono::milliseconds(150);
 
+    /// True when this node is to poll now.
     [[nodiscard]] bool reads() const {
         const auto place = static_cast<std::int64_t>(rank);
         return leads || !known || age > first_successor_after + next_successor_after * place;
     }
 };
 
-/// A forwarder reads a list that nobody has seen for this long: after the last of the directory's
-/// nodes had its turn.
-constexpr duration forwarder_reads_after = std::chrono::milliseconds(2'400);
+/// Age of the list at which a forwarder polls it itself: when seven nodes of the directory behind
+/// its leader would have polled (1.5 s and six times 0.15 s). Chosen, not measured.
+constexpr duration forwarder_polls_after = std::chrono::milliseconds(2'400);
 
-/// True when a forwarder is to read the list itself. One that has just started waits to be told:
+/// True when a forwarder is to poll the list itself. One that has just started waits to be told:
 /// hundreds that restart together would exceed the list's rate, and keep each other from it.
-[[nodiscard]] inline bool forwarder_reads(instant seen, instant started, instant now) {
-    return now - std::max(seen, started) > forwarder_reads_after;
+/// @param seen when some node polled the list that is known here
+/// @param started when this process started
+[[nodiscard]] inline bool forwarder_polls(instant seen, instant started, instant now) {
+    return now - std::max(seen, started) > forwarder_polls_after;
 }
 
 }  // namespace tallyfold::discovery
--- /dev/null
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -0,0 +1,175 @@
+#include "tallyfold/plane/forwarding/caller_listener_shell.hpp"
+
+#include <asio/co_spawn.hpp>
+#include <asio/detached.hpp>
+
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/base/net/tcp_sockets_shell.hpp"
+#include "tallyfold/plane/forwarding/answer_rendering.hpp"
+
+namespace tallyfold::forwarding {
+
+namespace {
+
+/// Time for a refusal or an interim answer to be written. Chosen, not measured: a caller that reads
+/// takes them at once.
+constexpr duration write_limit = std::chrono::seconds(2);
+
+}  // namespace
+
+caller_listener::caller_listener(forwarder_context& context)
+    : context_(context), acceptor_(context.process.loop()) {}
+
+std::string caller_listener::start(const std::string& address) {
+    std::string problem = net::listen_on(acceptor_, address);
+    if (problem.empty()) {
+        accept();
+    }
+    return problem;
+}
+
+void caller_listener::take_no_more() {
+    takes_requests_ = false;
+    std::error_code ignored;
+    acceptor_.close(ignored);
+    // A caller that kept its connection would bring a request too late for its answer.
+    for (const auto& caller : idle_) {
+        caller->close();
+    }
+}
+
+void caller_listener::cut_off_requests() {
+    for (const auto& relay : under_way_) {
+        relay->cut_off();
+    }
+}
+
+routing::caller_limits caller_listener::limits() const {
+    return context_.routes ? context_.routes->source().limits : routing::caller_limits{};
+}
+
+void caller_listener::accept() {
+    acceptor_.async_accept([this](const std::error_code& error, asio::ip::tcp::socket socket) {
+        if (error == asio::error::operation_aborted) {
+            return;
+        }
+        if (!error) {
+            auto caller = std::make_shared<http::connection>(
+                std::move(socket), http::message_kind::request, limits().header_bytes);
+            asio::co_spawn(context_.process.loop(), serve_caller(std::move(caller)),
+                           asio::detached);
+        }
+        accept();
+    });
+}
+
+asio::awaitable<void> caller_listener::serve_caller(http::connection_pointer caller) {
+    while (caller->open() && takes_requests_) {
+        if (!co_await serve_next_request(caller)) {
+            break;
+        }
+        caller->next_message();
+    }
+    caller->close();
+}
+
+asio::awaitable<bool> caller_listener::serve_next_request(http::connection_pointer caller) {
+    const duration idle_limit = std::chrono::milliseconds(limits().idle_timeout_ms);
+    idle_.insert(caller);
+    const auto waited = co_await caller->wait_for_message(http::steady_now() + idle_limit);
+    idle_.erase(caller);
+    if (!waited) {
+        co_return false;
+    }
+    caller_request request;
+    ++reading_;
+    const bool read = co_await read_request(caller, request);
+    --reading_;
+    if (!read) {
+        co_return false;
+    }
+    auto relay = std::make_shared<request_relay>(context_, caller, std::move(request));
+    under_way_.insert(relay);
+    const bool keep_connection = co_await relay->serve();
+    under_way_.erase(relay);
+    co_return keep_connection;
+}
+
+asio::awaitable<bool> caller_listener::read_request(http::connection_pointer caller,
+                                                    caller_request& request) {
+    // One request is read by one configuration's limits.
+    const routing::caller_limits bounds = limits();
+    if (!co_await read_head(caller, bounds, request)) {
+        co_return false;
+    }
+    if (request.head.headers.find("Expect") != nullptr) {
+        std::string interim = "HTTP/1.1 100 Continue\r\n\r\n";
+        co_await caller->write(std::move(interim), http::steady_now() + write_limit);
+    }
+    if (!co_await read_body(caller, bounds, request)) {
+        co_return false;
+    }
+    request.received = http::steady_now();
+    co_return true;
+}
+
+asio::awaitable<bool> caller_listener::read_head(http::connection_pointer caller,
+                                                 routing::caller_limits bounds,
+                                                 caller_request& request) {
+    const duration head_limit = std::chrono::milliseconds(bounds.header_timeout_ms);
+    const auto head = co_await caller->read_head(http::steady_now() + head_limit);
+    if (!head) {
+        if (head.error() == http::io_failure::timed_out) {
+            co_await reject(caller, 408, "the head did not come in time");
+        } else if (head.error() == http::io_failure::head_too_large) {
+            co_await reject(caller, 431, "the head is too large");
+        } else if (head.error() == http::io_failure::malformed) {
+            co_await reject(caller, 400, "not an HTTP request");
+        }
+        co_return false;
+    }
+    request.head = caller->head();
+    if (request.head.content_length > bounds.body_bytes) {
+        co_await reject(caller, 413, "the body is too large");
+        co_return false;
+    }
+    co_return true;
+}
+
+asio::awaitable<bool> caller_listener::read_body(http::connection_pointer caller,
+                                                 routing::caller_limits bounds,
+                                                 caller_request& request) {
+    const duration idle_limit = std::chrono::milliseconds(bounds.idle_timeout_ms);
+    while (true) {
+        auto piece = co_await caller->read_body_piece(http::steady_now() + idle_limit);
+        if (!piece) {
+            if (piece.error() == http::io_failure::timed_out) {
+                co_await reject(caller, 408, "the body did not come in time");
+            } else if (piece.error() == http::io_failure::malformed) {
+                co_await reject(caller, 400, "the body is malformed");
+            }
+            co_return false;
+        }
+        request.body += *piece;
+        if (request.body.size() > bounds.body_bytes) {
+            co_await reject(caller, 413, "the body is too large");
+            co_return false;
+        }
+        if (caller->message_complete()) {
+            co_return true;
+        }
+    }
+}
+
+asio::awaitable<void> caller_listener::reject(http::connection_pointer caller, unsigned status,
+                                              std::string reason) {
+    logging::write_event(logging::event_id::call_refused,
+                         "status=" + std::to_string(status) + " reason=\"" + reason + "\"");
+    context_.metrics.finished("rejected", duration::zero());
+    std::string bytes = render_own_answer(status, reason, retry_after::never(), false);
+    const instant limit = http::steady_now() + write_limit;
+    co_await caller->write(std::move(bytes), limit);
+    caller->close();
+}
+
+}  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -1,10 +1,7 @@
 #include "tallyfold/plane/forwarding/forwarder_shell.hpp"
 
 #include <algorithm>
-#include <asio/co_spawn.hpp>
-#include <asio/detached.hpp>
 #include <optional>
-#include <set>
 
 #include "tallyfold/base/common/hash.hpp"
 #include "tallyfold/base/logging/event_log.hpp"
@@ -13,19 +10,26 @@
 #include "tallyfold/plane/directory/directory_client_shell.hpp"
 #include "tallyfold/plane/discovery/list_poller_shell.hpp"
 #include "tallyfold/plane/discovery/poller_election.hpp"
-#include "tallyfold/plane/forwarding/request_relay_shell.hpp"
+#include "tallyfold/plane/forwarding/caller_listener_shell.hpp"
+#include "tallyfold/plane/forwarding/forwarder_context.hpp"
 
 namespace tallyfold::forwarding {
 
 namespace {
 
+/// How often silence suspicion looks at the calls under way. A seventh of its least limit (700 ms).
 constexpr duration silence_check_interval = std::chrono::milliseconds(100);
+/// How often the policy's file is read. Chosen, not measured: operators revise policies by hand.
 constexpr duration policy_check_interval = std::chrono::seconds(1);
+/// How often idle connections are looked through. Chosen, not measured: below the margin of 0.9 s
+/// at which connection_pool gives them up.
 constexpr duration housekeeping_interval = std::chrono::milliseconds(500);
+/// How often a stop looks at what is left. Chosen, not measured: small beside the 600 ms that
+/// stop_sequence reserves before the kill.
 constexpr duration stop_check_interval = std::chrono::milliseconds(50);
-constexpr duration write_limit = std::chrono::seconds(2);
-/// Nodes that refuse stale keys renew the proof that theirs are the newest so often within the time
-/// for a key's removal: three times before they would refuse.
+/// Proofs that a node's keys are the newest, asked for within the time that a key's removal may
+/// take, where stale keys are refused. Three of four may be lost before requests are refused.
+/// Chosen, not measured.
 constexpr int proofs_in_revocation = 4;
 
 directory::directory_client_settings client_settings(const settings::node_settings& settings) {
@@ -36,6 +40,8 @@
     return chosen;
 }
 
+/// One forwarder: owns its parts and wires them together. What a request's way is, request_relay
+/// says; where callers come in, caller_listener.
 class forwarder_node {
   public:
     forwarder_node(const settings::node_settings& settings, const request_codec& codec,
@@ -43,23 +49,24 @@
     int run();
 
   private:
-    void accept();
-    asio::awaitable<void> serve_caller(http::connection_pointer caller);
-    asio::awaitable<bool> read_request(http::connection_pointer caller, caller_request& request);
-    asio::awaitable<void> reject(http::connection_pointer caller, unsigned status,
-                                 std::string reason);
+    void follow_directory();
+    void follow_backend_list();
+    void start_periodic_work();
+    /// @return why callers or readiness checks can't be served; empty when they are
+    std::string listen();
     void use_configuration(const directory::configuration_pointer& configuration);
+    /// Takes the list as it stands now. @param changed since the last time
     void use_list(bool changed);
-    void learn_breaks(const std::vector<discovery::relayed_failure>& told);
+    /// Failures at back ends that other nodes have reported.
+    void learn_failures(const std::vector<discovery::relayed_failure>& reported);
+    /// Reads the operators' policy; one that fails leaves the one before it in force.
     void read_policy();
-    void adjust_gates();
+    /// Has the admission queues follow the engines' pace.
+    void adjust_admission();
+    void suspect_silent_backends();
     void stop();
     void continue_stop();
-    void take_no_more();
-    void cut_off_what_is_left();
-    [[nodiscard]] bool takes_requests() const { return !stop_ || stop_->takes_requests(); }
     [[nodiscard]] bool ready() const;
-    [[nodiscard]] routing::caller_limits limits() const;
 
     net::node_process process_;
     forwarder_metrics metrics_;
@@ -72,12 +79,9 @@
     discovery::list_memory list_;
     call_ranking ranking_;
     forwarder_context context_;
-    asio::ip::tcp::acceptor callers_;
+    caller_listener callers_;
     http::endpoint_server readiness_;
-    std::set<std::shared_ptr<request_relay>> under_way_;
-    /// Callers' connections that wait for their next request.
-    std::set<http::connection_pointer> idle_callers_;
-    std::size_t reading_ = 0;
+    /// Set while the node stops.
     std::optional<stop_sequence> stop_;
 };
 
@@ -95,17 +99,13 @@
       poller_(process_, lists),
       context_{process_, codec,    directory_, quotas_, turns_, backends_, connections_,
                metrics_, ranking_, {},         nullptr, {},     false},
-      callers_(process_.loop()),
+      callers_(context_),
       readiness_(process_.loop(), settings.readiness_address, 0) {}
 
 bool forwarder_node::ready() const {
     return context_.routes && backends_.has_list() && turns_.knows_stores() && !context_.stopping;
 }
 
-routing::caller_limits forwarder_node::limits() const {
-    return context_.routes ? context_.routes->source().limits : routing::caller_limits{};
-}
-
 void forwarder_node::use_configuration(const directory::configuration_pointer& configuration) {
     context_.routes = std::make_shared<routing::route_table>(configuration);
     quotas_.use(configuration->tenants);
@@ -129,16 +129,16 @@
                              " leaving=" + std::to_string(leaving));
 }
 
-void forwarder_node::learn_breaks(const std::vector<discovery::relayed_failure>& told) {
+void forwarder_node::learn_failures(const std::vector<discovery::relayed_failure>& reported) {
     const instant now = http::steady_now();
-    for (const discovery::relayed_failure& each : told) {
-        const instant at = now - std::chrono::milliseconds(each.age_ms);
-        const std::string address = backends_.broke_off(each.backend, at);
+    for (const discovery::relayed_failure& failure : reported) {
+        const instant at = now - std::chrono::milliseconds(failure.age_ms);
+        const std::string address = backends_.broke_off(failure.backend, at);
         if (!address.empty()) {
             connections_.drop(address);
             logging::write_event(
                 logging::event_id::backend_doubted,
-                "backend=" + each.backend + " told_age_ms=" + std::to_string(each.age_ms));
+                "backend=" + failure.backend + " told_age_ms=" + std::to_string(failure.age_ms));
         }
     }
 }
@@ -157,126 +157,32 @@
     }
 }
 
-void forwarder_node::adjust_gates() {
+void forwarder_node::adjust_admission() {
     const instant now = http::steady_now();
     double max_slowdown = 1;
     std::size_t waiting = 0;
-    for (auto& [service, gate] : context_.admission_queues) {
-        const bool bounded_before = gate.window().size() > 0;
+    for (auto& [service, queue] : context_.admission_queues) {
+        const bool bounded_before = queue.window().size() > 0;
         const double slowdown = backends_.pace_of(service).slowdown(now);
-        gate.adjust(slowdown);
+        queue.adjust(slowdown);
         max_slowdown = std::max(max_slowdown, slowdown);
-        waiting += gate.waiting();
-        if (const bool bounded = gate.window().size() > 0; bounded != bounded_before) {
+        waiting += queue.waiting();
+        if (const bool bounded = queue.window().size() > 0; bounded != bounded_before) {
             logging::write_event(
                 bounded ? logging::event_id::calls_bounded : logging::event_id::calls_unbounded,
                 "service=" + service + " slowdown=" + std::to_string(slowdown) +
-                    " running=" + std::to_string(gate.window().running()) +
-                    " waiting=" + std::to_string(gate.waiting()));
+                    " running=" + std::to_string(queue.window().running()) +
+                    " waiting=" + std::to_string(queue.waiting()));
         }
     }
     metrics_.paced(max_slowdown, waiting);
 }
 
-void forwarder_node::accept() {
-    callers_.async_accept([this](const std::error_code& error, asio::ip::tcp::socket socket) {
-        if (error == asio::error::operation_aborted) {
-            return;
-        }
-        if (!error) {
-            auto caller = std::make_shared<http::connection>(
-                std::move(socket), http::message_kind::request, limits().header_bytes);
-            asio::co_spawn(process_.loop(), serve_caller(std::move(caller)), asio::detached);
-        }
-        accept();
-    });
-}
-
-asio::awaitable<void> forwarder_node::reject(http::connection_pointer caller, unsigned status,
-                                             std::string reason) {
-    logging::write_event(logging::event_id::call_refused,
-                         "status=" + std::to_string(status) + " reason=\"" + reason + "\"");
-    metrics_.finished("rejected", duration::zero());
-    std::string bytes = render_own_answer(status, reason, retry_after::never(), false);
-    const instant limit = http::steady_now() + write_limit;
-    co_await caller->write(std::move(bytes), limit);
-    caller->close();
-}
-
-asio::awaitable<bool> forwarder_node::read_request(http::connection_pointer caller,
-                                                   caller_request& request) {
-    const routing::caller_limits bounds = limits();
-    const duration head_limit = std::chrono::milliseconds(bounds.header_timeout_ms);
-    const duration idle_limit = std::chrono::milliseconds(bounds.idle_timeout_ms);
-    const auto head = co_await caller->read_head(http::steady_now() + head_limit);
-    if (!head) {
-        if (head.error() == http::io_failure::timed_out) {
-            co_await reject(caller, 408, "the head did not come in time");
-        } else if (head.error() == http::io_failure::head_too_large) {
-            co_await reject(caller, 431, "the head is too large");
-        } else if (head.error() == http::io_failure::malformed) {
-            co_await reject(caller, 400, "not an HTTP request");
-        }
-        co_return false;
-    }
-    request.head = caller->head();
-    if (request.head.content_length > bounds.body_bytes) {
-        co_await reject(caller, 413, "the body is too large");
-        co_return false;
-    }
-    if (const std::string* expect = request.head.headers.find("Expect"); expect != nullptr) {
-        std::string interim = "HTTP/1.1 100 Continue\r\n\r\n";
-        co_await caller->write(std::move(interim), http::steady_now() + write_limit);
-    }
-    while (true) {
-        auto piece = co_await caller->read_body_piece(http::steady_now() + idle_limit);
-        if (!piece) {
-            if (piece.error() == http::io_failure::timed_out) {
-                co_await reject(caller, 408, "the body did not come in time");
-            } else if (piece.error() == http::io_failure::malformed) {
-                co_await reject(caller, 400, "the body is malformed");
-            }
-            co_return false;
-        }
-        request.body += *piece;
-        if (request.body.size() > bounds.body_bytes) {
-            co_await reject(caller, 413, "the body is too large");
-            co_return false;
-        }
-        if (caller->message_complete()) {
-            break;
-        }
-    }
-    request.received = http::steady_now();
-    co_return true;
-}
-
-asio::awaitable<void> forwarder_node::serve_caller(http::connection_pointer caller) {
-    while (caller->open() && takes_requests()) {
-        const duration idle_limit = std::chrono::milliseconds(limits().idle_timeout_ms);
-        idle_callers_.insert(caller);
-        const auto waited = co_await caller->wait_for_message(http::steady_now() + idle_limit);
-        idle_callers_.erase(caller);
-        if (!waited) {
-            break;
-        }
-        caller_request request;
-        ++reading_;
-        const bool read = co_await read_request(caller, request);
-        --reading_;
-        if (!read) {
-            break;
-        }
-        auto relay = std::make_shared<request_relay>(context_, caller, std::move(request));
-        under_way_.insert(relay);
-        const bool keep = co_await relay->serve();
-        under_way_.erase(relay);
-        if (!keep) {
-            break;
-        }
-        caller->next_message();
+void forwarder_node::suspect_silent_backends() {
+    for (const backend_name& name : backends_.suspect_silent(http::steady_now())) {
+        logging::write_event(logging::event_id::backend_ejected,
+                             "backend=" + name + " reason=silent");
     }
-    caller->close();
 }
 
 void forwarder_node::stop() {
@@ -288,13 +194,13 @@
 }
 
 void forwarder_node::continue_stop() {
-    const work_left left{under_way_.size() + reading_, turns_.settling()};
+    const work_left left{callers_.requests_under_way(), turns_.settling()};
     switch (stop_->next(http::steady_now(), left)) {
         case stop_step::take_no_more:
-            take_no_more();
+            callers_.take_no_more();
             break;
         case stop_step::finish:
-            cut_off_what_is_left();
+            callers_.cut_off_requests();
             process_.after(stop_check_interval, [this] { process_.finish(); });
             return;
         case stop_step::wait:
@@ -303,22 +209,7 @@
     process_.after(stop_check_interval, [this] { continue_stop(); });
 }
 
-void forwarder_node::take_no_more() {
-    std::error_code ignored;
-    callers_.close(ignored);
-    // A caller that kept its connection would bring a request too late for its answer.
-    for (const auto& caller : idle_callers_) {
-        caller->close();
-    }
-}
-
-void forwarder_node::cut_off_what_is_left() {
-    for (const auto& relay : under_way_) {
-        relay->cut_off();
-    }
-}
-
-int forwarder_node::run() {
+void forwarder_node::follow_directory() {
     directory_.start(
         [this](const directory::configuration_pointer& configuration) {
             use_configuration(configuration);
@@ -331,8 +222,12 @@
         },
         {});
     quotas_.start();
-    directory_.on_breaks(
-        [this](const std::vector<discovery::relayed_failure>& told) { learn_breaks(told); });
+    directory_.on_breaks([this](const std::vector<discovery::relayed_failure>& reported) {
+        learn_failures(reported);
+    });
+}
+
+void forwarder_node::follow_backend_list() {
     // The directory's nodes read the list and tell it; this node reads it itself only when they
     // haven't for a while.
     directory_.share_list(list_, [this](bool changed) { use_list(changed); });
@@ -341,28 +236,36 @@
             use_list(list_.see(backends, http::steady_now()));
         },
         [this, started = http::steady_now()] {
-            return discovery::forwarder_reads(list_.seen(), started, http::steady_now());
+            return discovery::forwarder_polls(list_.seen(), started, http::steady_now());
         });
+}
+
+void forwarder_node::start_periodic_work() {
     read_policy();
     process_.every(policy_check_interval, [this] { read_policy(); });
     process_.every(housekeeping_interval, [this] { connections_.expire(http::steady_now()); });
-    process_.every(admission_window::interval, [this] { adjust_gates(); });
-    process_.every(silence_check_interval, [this] {
-        for (const backend_name& name : backends_.suspect_silent(http::steady_now())) {
-            logging::write_event(logging::event_id::backend_ejected,
-                                 "backend=" + name + " reason=silent");
-        }
-    });
-    std::string problem = net::listen_on(callers_, process_.settings().callers_address);
-    if (problem.empty()) {
-        accept();
-        problem = readiness_.start(
-            [this](const http::endpoint_request&) -> asio::awaitable<http::endpoint_response> {
-                http::endpoint_response response;
-                response.status = ready() ? 200 : 503;
-                co_return response;
-            });
+    process_.every(admission_window::interval, [this] { adjust_admission(); });
+    process_.every(silence_check_interval, [this] { suspect_silent_backends(); });
+}
+
+std::string forwarder_node::listen() {
+    const std::string problem = callers_.start(process_.settings().callers_address);
+    if (!problem.empty()) {
+        return problem;
     }
+    return readiness_.start(
+        [this](const http::endpoint_request&) -> asio::awaitable<http::endpoint_response> {
+            http::endpoint_response response;
+            response.status = ready() ? 200 : 503;
+            co_return response;
+        });
+}
+
+int forwarder_node::run() {
+    follow_directory();
+    follow_backend_list();
+    start_periodic_work();
+    const std::string problem = listen();
     if (!problem.empty()) {
         logging::write_event(logging::event_id::settings_refused, "reason=\"" + problem + "\"");
         return 1;
--- a/src/tallyfold/plane/forwarding/forwarder_shell.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.hpp
@@ -1,6 +1,8 @@
 #pragma once
 /// @file
-/// The forwarder program: callers' connections on one side, back ends on the other.
+/// The forwarder program: takes callers' requests and relays them to back ends. Owns all parts of
+/// the process; relies on the directory (configuration, members, list of back ends), on the stores
+/// of turns and on the lender of rate-limit permits.
 
 #include "tallyfold/plane/discovery/backend_list_codec.hpp"
 #include "tallyfold/plane/forwarding/request_codec.hpp"
--- a/tests/plane/discovery/poller_election_test.cpp
+++ b/tests/plane/discovery/poller_election_test.cpp
@@ -20,11 +20,11 @@
 
     void a_forwarder_that_has_just_started_waits_to_be_told() {
         const instant started = at(100'000);
-        CPPUNIT_ASSERT(!discovery::forwarder_reads(instant{}, started, at(100'050)));
-        CPPUNIT_ASSERT(discovery::forwarder_reads(instant{}, started, at(102'450)));
+        CPPUNIT_ASSERT(!discovery::forwarder_polls(instant{}, started, at(100'050)));
+        CPPUNIT_ASSERT(discovery::forwarder_polls(instant{}, started, at(102'450)));
         // Told once, it reads when nobody has seen the list for as long.
-        CPPUNIT_ASSERT(!discovery::forwarder_reads(at(101'000), started, at(103'300)));
-        CPPUNIT_ASSERT(discovery::forwarder_reads(at(101'000), started, at(103'500)));
+        CPPUNIT_ASSERT(!discovery::forwarder_polls(at(101'000), started, at(103'300)));
+        CPPUNIT_ASSERT(discovery::forwarder_polls(at(101'000), started, at(103'500)));
     }
 
     void the_leader_reads() { CPPUNIT_ASSERT((poller_election{true, true, after(0), 0}.reads())); }
