--- a/policies/hobart.lua
+++ b/policies/hobart.lua
@@ -6,7 +6,9 @@
   return call.started_ms
 end
 
--- Cost in prompt tokens; a cached history is given up only when its engine is full.
+-- Cost of an engine in prompt tokens: what it must read counts twice, a full engine as 400 tokens, a full
+-- cache as 2,000 where nothing of the call is cached. So a cached history is left only when its engine is
+-- full. The factors are chosen, not measured by themselves.
 function place(call, engine)
   local busy = engine.outstanding / engine.slots
   local fill = 2000 * engine.cache_fill
@@ -14,7 +16,7 @@
   return 2 * engine.uncached_tokens + engine.pending_prefill_tokens + 400 * busy + fill
 end
 
--- What it would cost to rebuild.
+-- Value of keeping a history cached: the tokens that it would cost to rebuild.
 function retain(program)
   return program.history_tokens
 end
--- a/policies/platform.lua
+++ b/policies/platform.lua
@@ -1,29 +1,34 @@
--- The users' platform, both deployments: what a program still has decides how urgent its calls are.
+-- The forwarders' policy, both deployments: the time that a program has left decides how urgent its calls
+-- are. docs/POLICIES.md explains the functions and the units.
 
--- Lower goes first among the calls of one priority that wait: the least time left, but for programs that
--- can't end in time any more, which go behind, the least late first.
+-- Rank among the waiting calls of one priority, lower first: the least time left. Programs with less time
+-- than half of a usual call can't end in time any more and go behind, the least late first; 1,000,000 ms is
+-- above any time left. Half: chosen, not measured.
 function order(call)
   local left = call.time_left_ms
   if left < call.call_ms / 2 then return 1000000 - left end
   return left
 end
 
--- Cost in milliseconds. Reading stalls every stream of the engine, so it counts several times; what this
--- node has waiting there is read before; each call of its own that runs there stands for those of other
--- nodes; and an engine whose events come slowly is busy with others' calls, or slow itself.
+-- Cost of an engine in milliseconds. Reading a prompt stalls every stream of the engine, so it counts several
+-- times (6); what this node has waiting there is read before; each call of its own that runs there stands for
+-- those of other nodes (5 ms each); and an engine whose events come slowly is busy with others' calls, or slow
+-- itself. Worth of scale-1 and scale-2, seeds 111 to 113 (docs/DECISIONS-UNDER-LOAD.md): 6 and 5 with the gap
+-- 0.731; 3 and 2.5 without it 0.724, with three times the gap 0.707; 6 and 2.5 without it 0.722.
 function place(call, engine)
   return 6 * engine.read_ms + engine.pending_read_ms + 5 * engine.outstanding
     + engine.gap_ms - engine.idle_gap_ms
 end
 
--- What it would cost to rebuild.
+-- Value of keeping a history cached: the tokens that it would cost to rebuild.
 function retain(program)
   return program.history_tokens
 end
 
--- Level at the engines, 0 first: the less time a program has left, the more urgent; its class doesn't
--- count, since long sessions have the more time to spare. A program that is late already still has
--- to end before it is given up, so it goes before those with time.
+-- Level at the engines, 0 first, by the milliseconds that the program has left. Its class doesn't count: long
+-- sessions have more time to spare. A program that is late already still has to end before its caller gives
+-- up, so it goes before those with time. Against the class's priority alone 0.767, 0.771, 0.867 -> 0.779,
+-- 0.812, 0.900 (docs/design/platform.md); the steps themselves are chosen, not measured.
 function urgency(call)
   local left = call.time_left_ms
   if left <= 0 then return 2 end
--- a/src/tallyfold/plane/decisions/call_ranking.hpp
+++ b/src/tallyfold/plane/decisions/call_ranking.hpp
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// How a forwarder ranks calls: by the operators' policy, or by the class's priority alone while
-/// there is none. Pure; the shell reads the policy's file.
+/// How a forwarder ranks calls: by the operators' policy; while there is none, or where it fails,
+/// waiting calls by the time they have left, and calls at engines by their route's priority. Pure;
+/// owns the policy in force, whose file the forwarder reads.
 
 #include <cstdint>
 #include <memory>
@@ -17,7 +18,7 @@
 
 class call_ranking {
   public:
-    /// The engines' most and least urgent levels.
+    /// The engines' most and least urgent levels, as the platform's engines define them.
     static constexpr std::int32_t most_urgent = 0;
     static constexpr std::int32_t least_urgent = 9;
 
--- a/src/tallyfold/plane/decisions/stop_sequence.hpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.hpp
@@ -29,11 +29,14 @@
 
 class stop_sequence {
   public:
-    /// What is still under way this long before the process is killed is cut off.
+    /// What is still under way this long before the process is killed is cut off. Chosen, not
+    /// measured: for the ends of turns to be written and the connections to be closed.
     static constexpr duration reserve_before_kill = std::chrono::milliseconds(600);
     /// The platform asks for readiness once a second and believes the second answer.
-    static constexpr duration least_taking = std::chrono::milliseconds(2'200);
-    static constexpr duration most_taking = std::chrono::milliseconds(3'000);
+    /// So requests are taken for two such periods and a margin at least; longer helps only callers
+    /// that the platform is slow to send elsewhere.
+    static constexpr duration min_taking = std::chrono::milliseconds(2'200);
+    static constexpr duration max_taking = std::chrono::milliseconds(3'000);
 
     /// @param grace time from the stop's request to the kill
     /// @param longest_request time that a request may take at most, by the configuration in force
--- a/src/tallyfold/plane/discovery/backend_failures.hpp
+++ b/src/tallyfold/plane/discovery/backend_failures.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// How nodes tell each other that a back end broke a call off before any byte of its answer.
+/// Messages by which nodes report that a back end broke a call off before any byte of its answer.
+/// A node reports to all directory nodes; their heartbeats relay it to every node.
 
 #include <cstdint>
 
@@ -9,7 +10,8 @@
 
 namespace tallyfold::discovery {
 
-/// Several nodes notice the same break of a back end about this far apart.
+/// Reports of one back end within this time are of the same failure: nodes notice it about this far
+/// apart. Chosen, not measured.
 constexpr duration same_failure_window = std::chrono::milliseconds(300);
 
 /// A node to all directory nodes.
@@ -23,7 +25,7 @@
     }
 };
 
-/// Such a break, as a directory node tells it on.
+/// Such a failure, as a directory node relays it.
 struct relayed_failure {
     backend_name backend;
     /// Since it was reported, in milliseconds, when the message left.
--- a/src/tallyfold/plane/discovery/backend_list_codec.hpp
+++ b/src/tallyfold/plane/discovery/backend_list_codec.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// How the list of back ends is asked for and spelt is not this plane's matter: it sees the list
-/// through this interface.
+/// Interface to the deployment's form of the list of back ends, implemented by the platform
+/// adapter: how a page is requested, and how its body is decoded.
 
 #include <string>
 #include <tl/expected.hpp>
@@ -15,6 +15,7 @@
     virtual ~backend_list_codec() = default;
     /// Path and query of one page of the list. @param token empty for the first
     [[nodiscard]] virtual std::string list_target(const std::string& token) const = 0;
+    /// @param body of the answer @return the page, or why the body isn't one
     [[nodiscard]] virtual tl::expected<backend_page, std::string> read_list(
         const std::string& body) const = 0;
 };
--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -12,11 +12,20 @@
 
 namespace {
 
+/// Pause between two polls. Chosen: a back end that is leaving has to get no new work after a few
+/// seconds, and each poll is paid for.
 constexpr duration poll_interval = std::chrono::milliseconds(1000);
+/// Pause after a poll that failed, and between looks at whether this node is to poll. Chosen, not
+/// measured.
 constexpr duration retry_interval = std::chrono::milliseconds(300);
+/// Time for one page. Chosen, not measured: below the poll interval.
 constexpr duration answer_limit = std::chrono::milliseconds(900);
-constexpr std::size_t largest_head = 16U << 10U;
+/// Bytes of an answer's head at most; the usual bound of HTTP servers.
+constexpr std::size_t max_head_bytes = 16U << 10U;
+/// Pages of one list at most, so that a list that names a next page for ever ends.
 constexpr std::size_t max_pages = 1'000;
+/// Nodes shift their polls by up to this many milliseconds, by the hash of their names.
+constexpr std::uint64_t max_phase_ms = 400;
 
 }  // namespace
 
@@ -35,7 +44,7 @@
     const std::string address = process_.settings().backend_list_address;
     if (!connection_ || connection_->stale()) {
         connection_ = std::make_shared<http::connection>(
-            asio::ip::tcp::socket(process_.loop()), http::message_kind::response, largest_head);
+            asio::ip::tcp::socket(process_.loop()), http::message_kind::response, max_head_bytes);
         const auto connected = co_await connection_->connect(address, deadline);
         if (!connected) {
             co_return tl::unexpected("connect: " + std::string(http::name_of(connected.error())));
@@ -101,7 +110,8 @@
 asio::awaitable<void> list_poller::poll() {
     asio::steady_timer timer(process_.loop());
     // Nodes that start together must not all ask in the same instant for ever.
-    const auto phase = static_cast<std::int64_t>(stable_hash(process_.settings().node) % 400);
+    const auto phase =
+        static_cast<std::int64_t>(stable_hash(process_.settings().node) % max_phase_ms);
     bool lost = false;
     bool first = true;
     while (true) {
--- a/src/tallyfold/plane/discovery/list_poller_shell.hpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.hpp
@@ -1,6 +1,8 @@
 #pragma once
 /// @file
-/// Asks for the list of back ends, page by page, again and again. Belongs to the loop thread.
+/// Polls the deployment's list of back ends, page by page, while this node is to
+/// (poller_election). Owns the connection to the list; backend_list_codec spells the requests.
+/// Belongs to the loop thread.
 
 #include <asio/awaitable.hpp>
 #include <functional>
--- a/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
@@ -4,9 +4,12 @@
 
 namespace {
 
-/// A connection is given up this long before its back end would close it.
+/// A connection is given up this long before its back end would close it, so that no request is
+/// written to one that closes. Chosen, not measured: a back end's clock of whole seconds, and the
+/// way.
 constexpr duration closing_margin = std::chrono::milliseconds(900);
-/// For back ends that don't say how long they wait.
+/// Idle time of connections to back ends that don't say how long they keep them. Chosen, not
+/// measured: below the limits that HTTP servers usually have.
 constexpr duration default_idle_limit = std::chrono::seconds(10);
 
 }  // namespace
--- a/src/tallyfold/plane/forwarding/connection_pool_shell.hpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Idle connections to back ends, kept for reuse: a new one costs time at both ends. Belongs to
-/// the loop thread.
+/// Idle connections to back ends, kept for reuse: a new one costs time at both ends. Owns them
+/// while no request uses them. Belongs to the loop thread.
 
 #include <map>
 #include <optional>
@@ -27,6 +27,7 @@
   private:
     struct idle_connection {
         http::connection_pointer connection;
+        /// When it is given up.
         instant until{};
     };
     std::map<std::string, std::vector<idle_connection>> idle_;
--- a/src/tallyfold/scheduling/cache_map.hpp
+++ b/src/tallyfold/scheduling/cache_map.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Guess of which engine holds which cached prefix, fed by late events and own dispatches.
+/// Estimate of which engine holds which cached prefix, fed by late events and own dispatches. Pure.
 ///
-/// A wrong guess costs time, never correctness: the engine finds out what it really holds.
+/// A wrong estimate costs time, never correctness: the engine finds out what it really holds.
 
 #include <cstdint>
 #include <list>
@@ -63,7 +63,8 @@
     [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
   private:
-    /// Distinct engines that a lookup returns at most.
+    /// Distinct engines that a lookup returns at most. Chosen, not measured: as many as placement
+    /// samples besides.
     static constexpr std::size_t matches_limit = 4;
     struct holder {
         std::uint32_t engine = 0;
--- a/src/tallyfold/scheduling/call_queue.hpp
+++ b/src/tallyfold/scheduling/call_queue.hpp
@@ -31,6 +31,7 @@
   public:
     /// Every `oldest_every`-th call taken is the one that has waited longest, so that a call is
     /// served after at most oldest_every times the calls that were ahead of it at its arrival.
+    /// Chosen, not measured.
     static constexpr std::uint64_t oldest_every = 8;
 
     void push(const queued_call& call);
--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -6,13 +6,18 @@
 
 namespace {
 
-/// Prompts shorter than this say more of the way than of the engine.
+/// Prompts shorter than this, in tokens, say more of the network than of the engine. Chosen, not
+/// measured: at 0.01 ms a token 10 ms, a few times the way between zones.
 constexpr token_count min_tokens = 1'000;
-/// A lower value is taken over by this part, a higher one by the other: what an idle engine does is
-/// near the least that is seen, and one odd sample mustn't decide it.
-constexpr double fall = 0.2;
-constexpr double rise = 0.0005;
-/// Weight of a new event in the mean of an engine, and of a new stream in the mean of all.
+/// Parts, 0 to 1, by which the estimate of an idle engine's time moves to a lower and to a higher
+/// sample. An idle engine's time is near the least that is seen, and one odd sample mustn't decide
+/// it. Chosen, not measured: five low samples take the estimate two thirds of the way, 2,000 high
+/// ones as far, so that a burst doesn't pass for idle.
+constexpr double weight_of_lower_sample = 0.2;
+constexpr double weight_of_higher_sample = 0.0005;
+/// Weights, 0 to 1, of a new sample in the moving averages: of one engine's time between events,
+/// over some five answers, and of what is usual over all engines, over some 20. Chosen, not
+/// measured.
 constexpr double engine_weight = 0.2;
 constexpr double usual_weight = 0.05;
 
@@ -20,11 +25,13 @@
     return std::chrono::duration<double, std::milli>(value).count();
 }
 
+/// Moves an estimate of the least that is seen towards a sample; 0 stands for no estimate.
 void follow_least(double& value, double sample) {
     if (value <= 0) {
         value = sample;
     } else {
-        value += (sample - value) * (sample < value ? fall : rise);
+        value +=
+            (sample - value) * (sample < value ? weight_of_lower_sample : weight_of_higher_sample);
     }
 }
 
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -1,9 +1,11 @@
 #pragma once
 /// @file
-/// How quickly engines work, learned from the answers that pass: prompt tokens read a millisecond,
-/// the time between events, and how much slower than on an idle engine that is now. Pure.
+/// How quickly the engines of one service work, learned from the answers that are relayed:
+/// milliseconds that an engine needs for a token of a prompt, the time between events, and how much
+/// slower than on an idle engine that is now. Pure; backend_registry owns one for each service.
+/// Placement weighs engines by it, admission_window bounds running calls by the slowdown.
 ///
-/// Nothing here is told by a deployment: slow, cold and busy engines show up in what they send.
+/// No deployment's figures enter: slow, cold and busy engines show up in what they send.
 
 #include <cstddef>
 #include <map>
@@ -17,7 +19,8 @@
 
 class engine_pace {
   public:
-    /// An engine whose latest event is older than this counts as working at the usual pace.
+    /// An engine whose latest event is older than this counts as working at the usual pace. Chosen,
+    /// not measured: some tens of events, which come 25 to 76 ms apart.
     static constexpr duration memory = std::chrono::milliseconds(1'500);
 
     /// An engine has read `tokens` that it lacked, and sent its first byte after `took`.
@@ -54,7 +57,9 @@
         double gap_ms = 0;
         instant at{};
     };
-    /// Events whose distances the slowdown is taken from.
+    /// The slowdown is the median of the latest samples of all engines: of this many at most, not
+    /// older than this, and 1 with fewer than `min_gaps`. Chosen, not measured: three adjustments
+    /// of admission_window, and few enough to follow a burst that begins.
     static constexpr std::size_t kept_gaps = 64;
     static constexpr duration recent = std::chrono::milliseconds(300);
     static constexpr std::size_t min_gaps = 5;
