--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -7,7 +7,6 @@
 
 namespace tallyfold::forwarding {
 
-using scheduling::backend_pool;
 using scheduling::backend_state;
 
 namespace {
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -65,7 +65,8 @@
 
 asio::awaitable<void> caller_listener::serve_caller(http::connection_pointer caller) {
     while (caller->open() && takes_requests_) {
-        if (!co_await serve_next_request(caller)) {
+        const bool keep_connection = co_await serve_next_request(caller);
+        if (!keep_connection) {
             break;
         }
         caller->next_message();
@@ -99,22 +100,21 @@
                                                     caller_request& request) {
     // One request is read by one configuration's limits.
     const routing::caller_limits bounds = limits();
-    if (!co_await read_head(caller, bounds, request)) {
+    const bool head_read = co_await read_head(caller, bounds, request);
+    if (!head_read) {
         co_return false;
     }
     if (request.head.headers.find("Expect") != nullptr) {
         std::string interim = "HTTP/1.1 100 Continue\r\n\r\n";
         co_await caller->write(std::move(interim), http::steady_now() + write_limit);
     }
-    if (!co_await read_body(caller, bounds, request)) {
-        co_return false;
-    }
+    const bool body_read = co_await read_body(caller, bounds, request);
     request.received = http::steady_now();
-    co_return true;
+    co_return body_read;
 }
 
 asio::awaitable<bool> caller_listener::read_head(http::connection_pointer caller,
-                                                 routing::caller_limits bounds,
+                                                 const routing::caller_limits& bounds,
                                                  caller_request& request) {
     const duration head_limit = std::chrono::milliseconds(bounds.header_timeout_ms);
     const auto head = co_await caller->read_head(http::steady_now() + head_limit);
@@ -137,7 +137,7 @@
 }
 
 asio::awaitable<bool> caller_listener::read_body(http::connection_pointer caller,
-                                                 routing::caller_limits bounds,
+                                                 const routing::caller_limits& bounds,
                                                  caller_request& request) {
     const duration idle_limit = std::chrono::milliseconds(bounds.idle_timeout_ms);
     while (true) {
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
@@ -40,10 +40,10 @@
     asio::awaitable<bool> serve_next_request(http::connection_pointer caller);
     /// Reads one request. @return false when none came whole; the caller has been told why
     asio::awaitable<bool> read_request(http::connection_pointer caller, caller_request& request);
-    asio::awaitable<bool> read_head(http::connection_pointer caller, routing::caller_limits bounds,
-                                    caller_request& request);
-    asio::awaitable<bool> read_body(http::connection_pointer caller, routing::caller_limits bounds,
-                                    caller_request& request);
+    asio::awaitable<bool> read_head(http::connection_pointer caller,
+                                    const routing::caller_limits& bounds, caller_request& request);
+    asio::awaitable<bool> read_body(http::connection_pointer caller,
+                                    const routing::caller_limits& bounds, caller_request& request);
     asio::awaitable<void> reject(http::connection_pointer caller, unsigned status,
                                  std::string reason);
     [[nodiscard]] routing::caller_limits limits() const;
