--- /dev/null
+++ b/src/tallyfold/plane/turns/copy_client_shell.cpp
@@ -0,0 +1,73 @@
+#include "tallyfold/plane/turns/copy_client_shell.hpp"
+
+#include <asio/post.hpp>
+#include <memory>
+#include <optional>
+
+#include "tallyfold/plane/http/connection_shell.hpp"
+
+namespace tallyfold::turns {
+
+copy_client::copy_client(asio::io_context& loop, store_fsm& store, std::function<void()> on_page)
+    : loop_(loop), store_(store), on_page_(std::move(on_page)) {}
+
+messaging::link_pointer copy_client::link_to(const store_member& source) {
+    messaging::link_pointer& link = links_[source.address];
+    if (link) {
+        return link;
+    }
+    link = std::make_shared<messaging::peer_link>(loop_, source.address);
+    link->start(
+        [this](const messaging::peer_message& message) {
+            if (const auto* reply = std::get_if<copy_reply>(&message)) {
+                on_reply(*reply);
+            }
+        },
+        [this](bool up, const std::string&) {
+            // A lost link isn't logged: the timeout leads to the next source.
+            if (up) {
+                asio::post(loop_, [this] { request_page(); });
+            }
+        });
+    return link;
+}
+
+void copy_client::on_reply(const copy_reply& reply) {
+    store_.receive(reply);
+    // A reply of another disk at the source's address doesn't end the wait for the source.
+    if (reply.store == source_) {
+        timeout_.page_received(http::steady_now());
+        page_received_ = true;
+    }
+    on_page_();
+}
+
+void copy_client::request_page() {
+    const std::optional<copy_order> order = store_.next_copy();
+    if (!order.has_value()) {
+        links_.clear();
+        copying_ = false;
+        timeout_ = copy_timeout{};
+        return;
+    }
+    copying_ = true;
+    source_ = order->source.id;
+    timeout_.page_requested(http::steady_now());
+    link_to(order->source)->send(order->request);
+}
+
+void copy_client::on_page_written() {
+    if (page_received_) {
+        page_received_ = false;
+        request_page();
+    }
+}
+
+void copy_client::check_timeout() {
+    if (copying_ && timeout_.expired(http::steady_now())) {
+        store_.skip_copy_source();
+        request_page();
+    }
+}
+
+}  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/copy_progress.hpp
+++ b/src/tallyfold/plane/turns/copy_progress.hpp
@@ -1,6 +1,9 @@
 #pragma once
 /// @file
 /// How far a store has copied what it needs to serve under a new map. Pure.
+///
+/// Owns the sources that have sent all they hold. Relies on store_map::copies_needed for how many
+/// that takes.
 
 #include <set>
 
--- a/src/tallyfold/plane/turns/messages.hpp
+++ b/src/tallyfold/plane/turns/messages.hpp
@@ -1,6 +1,8 @@
 #pragma once
 /// @file
-/// Messages between the nodes that forward turns and the stores that keep them.
+/// Messages between the nodes that forward turns and the stores that keep them, and between stores.
+///
+/// The order of the fields in serialize() is their form on the wire; names may change.
 
 #include <cstdint>
 #include <set>
@@ -16,8 +18,8 @@
 /// Matches a reply to its request, unique within one life of the asking process.
 using operation_number = std::uint64_t;
 
-/// An engine that holds a prompt, with what it made after it. A hint: stores keep it in memory
-/// only.
+/// An engine that holds a prompt in its cache, with what it generated after it. A hint: stores keep
+/// it in memory only.
 struct held_prompt {
     /// Empty when no engine is known to hold it.
     backend_name engine;
@@ -30,16 +32,17 @@
     }
 };
 
-/// Asks a store to reserve a turn and to tell what it knows of its program and its line.
+/// Asks a store to reserve a turn, and for the program's ledger and the turn's history.
 struct begin_request {
     operation_number operation = 0;
     map_epoch epoch = 0;
     turn_reservation reservation;
-    /// The turn that this one continues; empty when it begins a line.
+    /// Request of the turn that this one continues; empty for the first of a history.
     std::string previous;
-    /// True at the store that is to send the texts of the line too.
+    /// True at the store that is to send the texts of the history too.
     bool wants_history = false;
-    /// Ends of the prompt's parts, shortest first, at the store that is to tell who holds them.
+    /// Ends of the prompt's parts, shortest first, at the store that is to name the engines that
+    /// hold them.
     std::vector<scheduling::prefix_point> prompt;
 
     template <class Archive>
@@ -58,7 +61,7 @@
     program_ledger ledger;
     bool holds_previous = false;
     history_part history;
-    /// Engines that hold most of the asked prompt, the longest first.
+    /// Engines that hold most of the prompt, the longest part first.
     std::vector<scheduling::cached_prefix> holders;
 
     template <class Archive>
@@ -67,6 +70,7 @@
     }
 };
 
+/// Asks a store for a turn and those before it.
 struct history_request {
     operation_number operation = 0;
     std::string request;
@@ -88,7 +92,7 @@
     }
 };
 
-/// Asks a store whether it holds a turn, of a program that another group keeps.
+/// Asks a store of another group whether it holds a turn whose program isn't known.
 struct find_request {
     operation_number operation = 0;
     /// Of the asked store's group.
@@ -104,7 +108,7 @@
 struct find_reply {
     operation_number operation = 0;
     store_id store = 0;
-    /// The map was older than the store's: its answer says nothing; the newer map is here.
+    /// The map was older than the store's: the answer doesn't count; the newer map is here.
     std::vector<store_map> newer_map;
     bool held = false;
 
@@ -114,6 +118,7 @@
     }
 };
 
+/// Asks a store to make a turn's end durable.
 struct settle_request {
     operation_number operation = 0;
     map_epoch epoch = 0;
@@ -138,17 +143,18 @@
     }
 };
 
-/// A store that joins asks another for what it lacks. The asked store takes the map over first,
-/// so that no write under an older map can slip past the copy.
+/// A store that joins asks another for a page of what it lacks. The source takes the map over
+/// first, so that no write under an older map follows the copy.
 struct copy_request {
     store_map map;
-    std::set<std::string> known;
-    /// Go on after this request's identifier.
-    std::string from;
+    /// Settled requests that the joining store holds already.
+    std::set<std::string> held;
+    /// The page begins after this request's identifier.
+    std::string after;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(map, known, from);
+        archive(map, held, after);
     }
 };
 
@@ -156,7 +162,7 @@
     store_id store = 0;
     map_epoch epoch = 0;
     std::vector<turn_change> changes;
-    /// Where to go on; empty when the copy is complete.
+    /// The last request of the page; empty when the copy is complete.
     std::string next;
 
     template <class Archive>
--- /dev/null
+++ b/src/tallyfold/plane/turns/store_folder_shell.cpp
@@ -0,0 +1,71 @@
+#include "tallyfold/plane/turns/store_folder_shell.hpp"
+
+#include <algorithm>
+#include <random>
+
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/plane/http/connection_shell.hpp"
+
+namespace tallyfold::turns {
+
+namespace {
+
+/// A random identity other than 0, which stands for none. Two of 64 bits don't collide in practice.
+store_id draw_identity() {
+    std::random_device source;
+    const std::uint64_t high = source();
+    return std::max<std::uint64_t>(1, (high << 32U) ^ source());
+}
+
+tl::expected<turn_log, storage::storage_error> read_folder(const std::string& folder,
+                                                           turn_table& recovered) {
+    // The age of what is read back isn't known. Its retention starts anew, which keeps it longer.
+    const instant now = http::steady_now();
+    return turn_log::open(folder, draw_identity(), [&recovered, now](const turn_change& change) {
+        recovered.apply(change, now);
+    });
+}
+
+/// The map that was durable at the last stop. One that can't be read counts as none: the store then
+/// learns the one in force from the directory.
+store_map read_map(const turn_log& log) {
+    const auto kept = log.kept_map();
+    if (!kept) {
+        logging::write_event(logging::event_id::storage_failed,
+                             "reason=\"" + kept.error().detail + "\"");
+    }
+    return kept.value_or(store_map{});
+}
+
+}  // namespace
+
+std::optional<opened_store> open_store(const std::string& folder) {
+    turn_table recovered;
+    auto opened = read_folder(folder, recovered);
+    if (!opened && opened.error().failure != storage::storage_failure::input_output) {
+        // The other stores hold what this folder lost: start as another store.
+        logging::write_event(logging::event_id::identity_renewed,
+                             "reason=\"" + opened.error().detail + "\"");
+        storage::empty_folder(folder);
+        recovered = turn_table{};
+        opened = read_folder(folder, recovered);
+    }
+    if (!opened) {
+        logging::write_event(logging::event_id::storage_failed,
+                             "reason=\"" + opened.error().detail + "\"");
+        return std::nullopt;
+    }
+    store_fsm state(opened->identity(), read_map(*opened), std::move(recovered));
+    log_opened(*opened, state.turns(),
+               "programs=" + std::to_string(state.turns().program_count()) +
+                   " cut_bytes=" + std::to_string(opened->cut_bytes()));
+    return opened_store{std::move(*opened), std::move(state)};
+}
+
+void log_opened(const turn_log& log, const turn_table& turns, const std::string& detail) {
+    logging::write_event(logging::event_id::storage_opened,
+                         "identity=" + std::to_string(log.identity()) +
+                             " turns=" + std::to_string(turns.turn_count()) + " " + detail);
+}
+
+}  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -160,7 +160,9 @@
     copy_reply reply;
     reply.store = self_;
     reply.epoch = request.map.epoch;
-    reply.changes = turns_.missing_from(request.known, request.from, copy_page_bytes, reply.next);
+    change_page page = turns_.page_after(request.after, request.held, copy_page_bytes);
+    reply.changes = std::move(page.changes);
+    reply.next = std::move(page.next);
     return reply;
 }
 
@@ -230,8 +232,8 @@
     }
     copy_request request;
     request.map = copying_->map();
-    request.known = held_requests_;
-    request.from = from == copy_positions_.end() ? std::string{} : from->second;
+    request.held = held_requests_;
+    request.after = from == copy_positions_.end() ? std::string{} : from->second;
     return copy_order{source, std::move(request)};
 }
 
--- /dev/null
+++ b/src/tallyfold/plane/turns/store_writer_shell.cpp
@@ -0,0 +1,81 @@
+#include "tallyfold/plane/turns/store_writer_shell.hpp"
+
+#include "tallyfold/base/logging/event_log.hpp"
+#include "tallyfold/plane/http/connection_shell.hpp"
+#include "tallyfold/plane/process/instruments.hpp"
+#include "tallyfold/plane/turns/store_folder_shell.hpp"
+
+namespace tallyfold::turns {
+
+namespace {
+
+/// A disk that goes on refusing is logged this often. Chosen, not measured: often enough to be seen
+/// at once, and 43,200 lines a day at most.
+constexpr duration failure_log_interval = std::chrono::seconds(2);
+/// Texts that one record of a fresh segment holds, about, in bytes. Chosen, not measured: a store's
+/// memory needs room for one page beside the turns, not for all of them twice.
+constexpr std::size_t segment_page_bytes = 64U << 10U;
+
+}  // namespace
+
+store_writer::store_writer(turn_log log, prometheus::Registry& metrics)
+    : log_(std::move(log)),
+      syncs_(net::add_counter(metrics, "tallyfold_store_syncs_total", "Synced writes")),
+      failures_(net::add_counter(metrics, "tallyfold_store_write_failures_total",
+                                 "Writes that the disk refused")) {}
+
+bool store_writer::make_durable(const store_write& write) {
+    if (write.empty()) {
+        return true;
+    }
+    if (log_.failed()) {
+        return false;
+    }
+    tl::expected<void, storage::storage_error> written;
+    if (write.map.has_value()) {
+        written = log_.keep_map(*write.map);
+    }
+    if (written && !write.changes.empty()) {
+        syncs_.Increment();
+        written = log_.append(write.changes);
+    }
+    if (!written) {
+        note_failure(written.error());
+    }
+    return written.has_value();
+}
+
+void store_writer::note_failure(const storage::storage_error& error) {
+    failures_.Increment();
+    const instant now = http::steady_now();
+    if (now - failure_logged_ < failure_log_interval) {
+        return;
+    }
+    failure_logged_ = now;
+    logging::write_event(logging::event_id::storage_failed, "reason=\"" + error.detail + "\"");
+}
+
+bool store_writer::begin_segment(const turn_table& turns) {
+    const auto rotated = log_.rotate([&turns](const std::string& after) {
+        return turns.page_after(after, {}, segment_page_bytes);
+    });
+    if (!rotated) {
+        note_failure(rotated.error());
+    }
+    return rotated.has_value();
+}
+
+void store_writer::rotate_if_grown(const turn_table& turns) {
+    if (log_.wants_rotation()) {
+        // When the disk refuses, the log counts as failed, and repair() tries again.
+        begin_segment(turns);
+    }
+}
+
+void store_writer::repair(const turn_table& turns) {
+    if (log_.failed() && begin_segment(turns)) {
+        log_opened(log_, turns, "repaired=yes");
+    }
+}
+
+}  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -87,24 +87,32 @@
                                  storage::single_record(protocol::encode(map)));
 }
 
-store_map turn_log::kept_map() const {
-    const auto payload = storage::read_single_record(folder_ + "/" + std::string(map_name));
+tl::expected<store_map, storage_error> turn_log::kept_map() const {
+    const std::string path = folder_ + "/" + std::string(map_name);
+    if (!fs::exists(path)) {
+        return store_map{};
+    }
+    const auto payload = storage::read_single_record(path);
     if (!payload) {
-        return {};
+        return tl::unexpected(payload.error());
+    }
+    const auto map = protocol::decode<store_map>(*payload);
+    if (!map) {
+        return tl::unexpected(
+            storage_error{storage_failure::damaged, path + ": " + map.error().reason});
     }
-    return protocol::decode<store_map>(*payload).value_or(store_map{});
+    return *map;
 }
 
 tl::expected<void, storage_error> turn_log::rotate(const change_pages& contents) {
-    std::string from;
+    std::string after;
     return log_.rewrite([&](std::string& bytes) {
-        std::string next;
-        const std::vector<turn_change> page = contents(from, next);
-        if (!page.empty()) {
-            storage::append_record(bytes, protocol::encode(page));
+        const change_page page = contents(after);
+        if (!page.changes.empty()) {
+            storage::append_record(bytes, protocol::encode(page.changes));
         }
-        from = std::move(next);
-        return !from.empty();
+        after = page.next;
+        return !after.empty();
     });
 }
 
--- a/src/tallyfold/plane/turns/turn_log.hpp
+++ b/src/tallyfold/plane/turns/turn_log.hpp
@@ -1,7 +1,9 @@
 #pragma once
 /// @file
 /// The durable log of one store: segments of records, each record one synced batch of changes.
-/// Not thread-safe.
+/// Beside it the folder holds the store's identity and the map that it serves under.
+///
+/// Owns the folder's files. Relies on base/storage for checksums and syncs. Not thread-safe.
 
 #include <cstdint>
 #include <functional>
@@ -14,13 +16,13 @@
 
 namespace tallyfold::turns {
 
-/// Gives the changes after the request `from`, about a page of them, and in `next` where to go on;
-/// `next` is empty at the end.
-using change_pages =
-    std::function<std::vector<turn_change>(const std::string& from, std::string& next)>;
+/// Gives the page that begins after the request `after`; empty for the first one.
+using change_pages = std::function<change_page(const std::string& after)>;
 
 class turn_log {
   public:
+    /// A segment is rewritten at this size at the earliest. Chosen, not measured: it is read back
+    /// within a start, and rewritten rarely enough.
     static constexpr std::uint64_t default_segment_bytes = 8U << 20U;
 
     /// Opens the folder and reads it back; draws `fresh_identity` when it is empty.
@@ -37,13 +39,14 @@
     /// Keeps the map that this store serves under: once it is synced, older ones stay refused
     /// after a restart too.
     tl::expected<void, storage::storage_error> keep_map(const store_map& map);
-    /// The map that was kept last; one without an epoch when there is none.
-    [[nodiscard]] store_map kept_map() const;
+    /// The map that was kept last; one of epoch 0 when there is none.
+    [[nodiscard]] tl::expected<store_map, storage::storage_error> kept_map() const;
     /// True when the segment has grown well beyond what it started with.
     [[nodiscard]] bool wants_rotation() const { return log_.wants_rewrite(); }
     [[nodiscard]] bool failed() const { return log_.failed(); }
 
     [[nodiscard]] store_id identity() const { return identity_; }
+    /// Bytes of a record at the end that was written in part when the process stopped.
     [[nodiscard]] std::uint64_t cut_bytes() const { return log_.cut_bytes(); }
 
   private:
--- a/src/tallyfold/plane/turns/turn_store_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.hpp
@@ -1,6 +1,10 @@
 #pragma once
 /// @file
-/// The program that keeps turns: a turn_table on a disk, between sockets.
+/// The program that keeps turns: takes requests from sockets, hands them to store_fsm, and sends
+/// the replies once the disk has synced what they depend on.
+///
+/// Owns the process's parts. store_folder opens the data, store_writer makes writes durable,
+/// copy_client fetches what a joining store lacks.
 
 #include "tallyfold/plane/process/node_settings.hpp"
 
--- a/src/tallyfold/plane/turns/turn_table.cpp
+++ b/src/tallyfold/plane/turns/turn_table.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Bytes that one turn takes beside its texts, about.
+/// Bytes that one turn takes beside its texts, about: keys, strings' and map nodes' overhead.
+/// Estimated, not measured.
 constexpr std::size_t turn_overhead = 256;
 
 std::size_t size_of(const turn_record& record) {
@@ -15,10 +16,10 @@
 
 }  // namespace
 
-turn_table::program_entry& turn_table::touch(const std::string& program, std::uint32_t retention_ms,
+turn_table::program_entry& turn_table::renew(const std::string& program, std::uint32_t retention_ms,
                                              instant now) {
     program_entry& entry = programs_[program];
-    entry.touched = now;
+    entry.last_changed = now;
     entry.retention = std::max<duration>(entry.retention, std::chrono::milliseconds(retention_ms));
     return entry;
 }
@@ -34,35 +35,34 @@
     bytes_ += size_of(record);
 }
 
-void turn_table::apply(const turn_change& change, instant now) {
-    if (const auto* reservation = std::get_if<turn_reservation>(&change)) {
-        program_entry& entry = touch(reservation->program, reservation->retention_ms, now);
-        requests_[reservation->request] = reservation->program;
-        const ledger_entry reserved{reservation->max_tokens, false};
-        const auto [position, added] = entry.requests.try_emplace(reservation->request, reserved);
-        if (!added) {
-            merge(position->second, reserved);
-        }
-        return;
-    }
-    const auto& settlement = std::get<turn_settlement>(change);
-    program_entry& entry = touch(settlement.program, settlement.retention_ms, now);
+void turn_table::reserve(const turn_reservation& reservation, instant now) {
+    program_entry& entry = renew(reservation.program, reservation.retention_ms, now);
+    requests_[reservation.request] = reservation.program;
+    merge(entry.requests, {{reservation.request, {reservation.max_tokens, false}}});
+}
+
+void turn_table::settle(const turn_settlement& settlement, instant now) {
+    program_entry& entry = renew(settlement.program, settlement.retention_ms, now);
     requests_[settlement.request] = settlement.program;
-    const ledger_entry settled{settlement.tokens, true};
-    const auto [position, added] = entry.requests.try_emplace(settlement.request, settled);
-    if (!added) {
-        merge(position->second, settled);
-    }
+    merge(entry.requests, {{settlement.request, {settlement.tokens, true}}});
     if (settlement.record.has_value()) {
         store_record(settlement, *settlement.record, now);
     }
     for (const turn_record& record : settlement.adopted) {
         store_record(settlement, record, now);
-        // Unless it is known already, with its own program and what it cost there.
+        // One that is held already keeps its own program, and what it cost there.
         requests_.try_emplace(record.request, settlement.program);
     }
 }
 
+void turn_table::apply(const turn_change& change, instant now) {
+    if (const auto* reservation = std::get_if<turn_reservation>(&change)) {
+        reserve(*reservation, now);
+    } else {
+        settle(std::get<turn_settlement>(change), now);
+    }
+}
+
 program_ledger turn_table::ledger_of(const std::string& program) const {
     const auto found = programs_.find(program);
     return found == programs_.end() ? program_ledger{} : found->second.requests;
@@ -88,7 +88,6 @@
 }
 
 void turn_table::expire(instant now, duration margin) {
-    // A turn keeps the whole line behind it: what a living turn continues from stays too.
     std::set<std::string> kept;
     for (const auto& [request, entry] : turns_) {
         if (now - entry.stored <= entry.retention + margin) {
@@ -100,12 +99,12 @@
         }
     }
     std::erase_if(turns_, [&](const auto& entry) {
-        const bool gone = !kept.contains(entry.first);
-        bytes_ -= gone ? size_of(entry.second.record) : 0;
-        return gone;
+        const bool expired = !kept.contains(entry.first);
+        bytes_ -= expired ? size_of(entry.second.record) : 0;
+        return expired;
     });
     std::erase_if(programs_, [&](const auto& entry) {
-        return now - entry.second.touched > entry.second.retention + margin;
+        return now - entry.second.last_changed > entry.second.retention + margin;
     });
     index_requests();
 }
@@ -144,26 +143,24 @@
     return settled;
 }
 
-std::vector<turn_change> turn_table::missing_from(const std::set<std::string>& known,
-                                                  const std::string& from, std::size_t limit_bytes,
-                                                  std::string& next) const {
-    // Only what goes into the page is copied: a table holds many times as much.
-    std::vector<turn_change> page;
+change_page turn_table::page_after(const std::string& after, const std::set<std::string>& held,
+                                   std::size_t limit_bytes) const {
+    // Only what goes into the page is copied: the table holds many times as much.
+    change_page page;
     std::size_t bytes = 0;
-    next.clear();
     std::string last;
-    for (auto entry = requests_.upper_bound(from); entry != requests_.end(); ++entry) {
+    for (auto entry = requests_.upper_bound(after); entry != requests_.end(); ++entry) {
         const auto& [request, program] = *entry;
-        if (known.contains(request)) {
+        if (held.contains(request)) {
             continue;
         }
         if (bytes >= limit_bytes) {
-            next = last;
+            page.next = last;
             return page;
         }
         const auto turn = turns_.find(request);
         bytes += turn != turns_.end() ? size_of(turn->second.record) : turn_overhead;
-        page.push_back(change_of(request, program));
+        page.changes.push_back(change_of(request, program));
         last = request;
     }
     return page;
--- a/src/tallyfold/plane/turns/turn_table.hpp
+++ b/src/tallyfold/plane/turns/turn_table.hpp
@@ -1,6 +1,9 @@
 #pragma once
 /// @file
-/// Everything one store keeps: ledgers of programs, and turns. Pure; the shell makes it durable.
+/// Everything that one store holds in memory: ledgers of programs, and turns. Pure; store_fsm
+/// applies what the disk has synced.
+///
+/// Owns records, retentions and the order in which a copy goes through them. Relies on nothing.
 
 #include <map>
 #include <optional>
@@ -14,13 +17,14 @@
 
 namespace tallyfold::turns {
 
-/// One change of the table, as the log on disk holds it.
+/// One change of the table, as the log on disk and copies hold it.
 using turn_change = std::variant<turn_reservation, turn_settlement>;
 
-/// A line of turns, newest first, as far as one store knows it.
+/// A conversation history, newest turn first, as far as one store holds it.
 struct history_part {
     std::vector<turn_record> records;
-    /// The turn at which the walk ended because it is not held here; empty when it is whole.
+    /// The turn at which the walk back ended because it is not held here; empty for a whole
+    /// history.
     std::string missing;
 
     template <class Archive>
@@ -29,27 +33,39 @@
     }
 };
 
+/// Part of a table, for a copy or a fresh segment of the log.
+struct change_page {
+    std::vector<turn_change> changes;
+    /// The last request of the page, after which the next page begins; empty at the end.
+    std::string next;
+};
+
 class turn_table {
   public:
+    /// Takes a change over. Ledgers and records depend neither on the order of changes nor on how
+    /// often one is applied.
     void apply(const turn_change& change, instant now);
 
+    /// Empty for a program that isn't held.
     [[nodiscard]] program_ledger ledger_of(const std::string& program) const;
     [[nodiscard]] bool holds_turn(const std::string& request) const;
-    /// Walks from `request` back to the first turn of its line.
+    /// The turn `request` and those before it.
     [[nodiscard]] history_part history_up_to(const std::string& request) const;
 
-    /// Forgets what has outlived its retention, with `margin` on top.
+    /// Removes what has outlived its retention by more than `margin`. A turn that is kept keeps the
+    /// whole history before it.
     void expire(instant now, duration margin);
 
     /// Identifiers of the settled requests held here; a copy leaves these out.
     [[nodiscard]] std::set<std::string> settled_requests() const;
-    /// Changes that bring a store that holds `known` up to this one, about `limit_bytes` of
-    /// them, from the request after `from` on; with nothing known, the whole table page by page.
-    /// @param next where to go on; empty at the end
-    [[nodiscard]] std::vector<turn_change> missing_from(const std::set<std::string>& known,
-                                                        const std::string& from,
-                                                        std::size_t limit_bytes,
-                                                        std::string& next) const;
+    /// Changes that make another table hold what this one holds.
+    /// @param after the page begins with the request after this one; empty for the first page
+    /// @param held requests that the other table holds already
+    /// @param limit_bytes size at which the page ends, about; one change goes in however large
+    [[nodiscard]] change_page page_after(const std::string& after,
+                                         const std::set<std::string>& held,
+                                         std::size_t limit_bytes) const;
+    /// Bytes of the turns' texts, with an estimate of what each takes beside them.
     [[nodiscard]] std::size_t bytes() const { return bytes_; }
     [[nodiscard]] std::size_t turn_count() const { return turns_.size(); }
     [[nodiscard]] std::size_t program_count() const { return programs_.size(); }
@@ -58,7 +74,7 @@
     struct program_entry {
         program_ledger requests;
         duration retention{};
-        instant touched{};
+        instant last_changed{};
     };
     struct turn_entry {
         turn_record record;
@@ -67,7 +83,10 @@
         instant stored{};
     };
 
-    program_entry& touch(const std::string& program, std::uint32_t retention_ms, instant now);
+    /// The program's entry, with its retention begun anew; created when it isn't held.
+    program_entry& renew(const std::string& program, std::uint32_t retention_ms, instant now);
+    void reserve(const turn_reservation& reservation, instant now);
+    void settle(const turn_settlement& settlement, instant now);
     void store_record(const turn_settlement& settlement, const turn_record& record, instant now);
     [[nodiscard]] turn_change change_of(const std::string& request,
                                         const std::string& program) const;
@@ -75,7 +94,7 @@
 
     std::map<std::string, program_entry> programs_;
     std::map<std::string, turn_entry> turns_;
-    /// Program of every request that is held, in the order in which a copy goes through them.
+    /// Program of every request that is held; a copy goes through them in this order.
     std::map<std::string, std::string> requests_;
     std::size_t bytes_ = 0;
 };
--- a/src/tallyfold/plane/turns/types.hpp
+++ b/src/tallyfold/plane/turns/types.hpp
@@ -1,6 +1,9 @@
 #pragma once
 /// @file
 /// Turns of programs as the stores keep them, and which group of stores keeps which program.
+///
+/// Values that go over the wire and to disk: the order of the fields in serialize() is their form.
+/// Owns the rules of merging ledgers and of majorities under a map; decides nothing else.
 
 #include <cstdint>
 #include <map>
@@ -24,9 +27,10 @@
 /// damaged number is told apart.
 constexpr group_number max_groups = 4'096;
 
-/// What one request of a program may have cost, or has cost. It only ever goes from its most to
-/// its actual, so merging two copies needs no order.
+/// What one request of a program may cost, or has cost. It only ever goes from its upper bound to
+/// its actual cost, so merging two copies needs no order.
 struct ledger_entry {
+    /// The upper bound while the request is open, the actual cost once it is settled.
     token_count tokens = 0;
     bool settled = false;
 
@@ -40,7 +44,8 @@
 /// Requests of one program, by their identifier.
 using program_ledger = std::map<std::string, ledger_entry>;
 
-/// Takes into `target` what `other` knows better.
+/// Takes into `target` what `other` has newer: a settled entry goes before an open one; of two
+/// alike, the larger one counts, so that a budget is never exceeded.
 void merge(ledger_entry& target, const ledger_entry& other);
 void merge(program_ledger& target, const program_ledger& other);
 
@@ -48,7 +53,7 @@
 struct turn_record {
     /// Identifier of the turn's request.
     std::string request;
-    /// The turn that it continues; empty for the first of its line.
+    /// Request of the turn that it continues; empty for the first of its history.
     std::string previous;
     std::string input;
     /// Data of each event of the answer, each followed by a line feed.
@@ -65,7 +70,9 @@
 struct turn_reservation {
     std::string program;
     std::string request;
+    /// Upper bound of what the turn may use.
     token_count max_tokens = 0;
+    /// How long the program's ledger and the turn are kept after the program's last change.
     std::uint32_t retention_ms = 0;
 
     template <class Archive>
@@ -81,8 +88,8 @@
     token_count tokens = 0;
     std::uint32_t retention_ms = 0;
     std::optional<turn_record> record;
-    /// The line before the turn when another group kept it: a program that goes on with another's
-    /// turn brings that line along, so that its own group holds lines whole.
+    /// The history before the turn when another group keeps it: a program that continues another
+    /// program's turn copies that history into its own group, which so holds histories whole.
     std::vector<turn_record> adopted = {};
 
     template <class Archive>
@@ -91,6 +98,7 @@
     }
 };
 
+/// One store, as a map lists it.
 struct store_member {
     store_id id = 0;
     /// Name and address ("ip:port" between the system's own processes) of its machine.
@@ -119,15 +127,18 @@
     /// Turns may have been lost with the disks: while this is set, one that no store holds isn't
     /// known not to exist.
     bool after_loss = false;
-    /// Members that were silent when the others went on without them. They may hold what nobody
-    /// else does: when one is back, the group copies from it.
+    /// Members that were silent when the others went on without them. They may hold what no other
+    /// store holds: when one is back, the group copies from it.
     std::vector<store_member> absent = {};
 
+    /// True while members are being replaced.
     [[nodiscard]] bool changing() const { return !next.empty(); }
+    /// True when either list has the store.
     [[nodiscard]] bool holds(store_id id) const;
     /// Members of both lists, each once.
     [[nodiscard]] std::vector<store_member> all() const;
-    /// True when `answered` holds as many of `current` as an answer about what is kept takes.
+    /// True when `answered` has a quorum of `current`: a majority, or all of them while a change
+    /// after a loss of disks is under way.
     [[nodiscard]] bool suffices_of_current(const std::set<store_id>& answered) const;
     /// Members of `current` from which a store has to copy to hold all that may have been
     /// acknowledged: every set that suffices has one of them.
@@ -154,7 +165,7 @@
     /// Members of all groups, each once.
     [[nodiscard]] std::vector<store_member> all() const;
     /// Takes over one group's map when it is newer; `epoch` stays, since others may have changed
-    /// too. @return true when it was newer, and its number sane
+    /// too. @return true when it was newer, and its group number within max_groups
     bool take(const store_map& map);
     /// Takes over what is newer in another table. @return true when anything was
     bool take(const store_table& other);
@@ -166,7 +177,7 @@
     }
 };
 
-/// Fields of a log line that tells a group's map.
+/// Fields of a log line about a group's map.
 std::string describe(const store_map& map);
 
 /// True when more than half of `members` are in `answered`.
--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(an_unknown_turn_is_known_by_a_majority_only);
     CPPUNIT_TEST(the_budget_counts_open_turns_at_their_most);
     CPPUNIT_TEST(a_change_of_the_map_asks_both_majorities);
-    CPPUNIT_TEST(a_line_is_put_together_from_several_stores);
+    CPPUNIT_TEST(a_history_is_put_together_from_several_stores);
     CPPUNIT_TEST(two_turns_that_begin_at_once_never_both_overlook_each_other);
     CPPUNIT_TEST(a_copy_meets_every_majority);
     CPPUNIT_TEST(a_new_disk_at_an_old_address_is_no_source);
@@ -103,7 +103,7 @@
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::admitted);
     }
 
-    void a_line_is_put_together_from_several_stores() {
+    void a_history_is_put_together_from_several_stores() {
         begin_operation begin = operation(map_of({1, 2, 3}), "b");
         begin_reply first = durable(1);
         first.holds_previous = true;
--- a/tests/plane/turns/store_fsm_test.cpp
+++ b/tests/plane/turns/store_fsm_test.cpp
@@ -8,12 +8,12 @@
 
 class store_fsm_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_fsm_test);
-    CPPUNIT_TEST(a_begun_turn_is_told_which_engine_holds_its_prompt);
-    CPPUNIT_TEST(the_engine_that_a_line_moved_to_is_told_first);
-    CPPUNIT_TEST(a_store_that_isnt_asked_tells_no_engine);
+    CPPUNIT_TEST(a_begin_is_answered_with_the_engine_that_holds_its_prompt);
+    CPPUNIT_TEST(the_engine_that_a_history_moved_to_is_named_first);
+    CPPUNIT_TEST(a_store_that_isnt_asked_names_no_engine);
     CPPUNIT_TEST(a_store_that_changes_its_group_refuses_the_old_one);
-    CPPUNIT_TEST(a_store_that_stands_by_takes_no_part);
-    CPPUNIT_TEST(a_store_tells_whether_it_holds_a_turn);
+    CPPUNIT_TEST(a_spare_store_takes_no_part);
+    CPPUNIT_TEST(a_store_answers_whether_it_holds_a_turn);
     CPPUNIT_TEST_SUITE_END();
 
     static store_fsm store() { return {1, store_map{}, turn_table{}}; }
@@ -28,7 +28,7 @@
         store.written(true, instant{});
     }
 
-    /// The holders that a turn with this prompt is told.
+    /// The engines that a begin with this prompt is answered with.
     static std::vector<scheduling::cached_prefix> begin(
         store_fsm& store, const std::vector<scheduling::prefix_point>& prompt) {
         begin_request request;
@@ -42,7 +42,7 @@
         return std::get<begin_reply>(replies.front().body).holders;
     }
 
-    void a_begun_turn_is_told_which_engine_holds_its_prompt() {
+    void a_begin_is_answered_with_the_engine_that_holds_its_prompt() {
         store_fsm asked = store();
         settle(asked, "engine-1", 1500);
         const auto holders = begin(asked, {{7, 1000}, {8, 1900}});
@@ -55,7 +55,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{1500}, opening.front().tokens);
     }
 
-    void the_engine_that_a_line_moved_to_is_told_first() {
+    void the_engine_that_a_history_moved_to_is_named_first() {
         store_fsm asked = store();
         settle(asked, "engine-1", 1500);
         settle(asked, "engine-2", 2400);
@@ -65,7 +65,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{1500}, holders.back().tokens);
     }
 
-    void a_store_that_isnt_asked_tells_no_engine() {
+    void a_store_that_isnt_asked_names_no_engine() {
         store_fsm asked = store();
         settle(asked, "engine-1", 1500);
         CPPUNIT_ASSERT(begin(asked, {}).empty());
@@ -97,15 +97,14 @@
         CPPUNIT_ASSERT(!moved.learn_table({4, {map_of(0, 3, {2, 3, 7}), map_of(1, 4, {1, 5, 6})}}));
     }
 
-    void a_store_that_stands_by_takes_no_part() {
-        store_fsm standing_by = store();
-        CPPUNIT_ASSERT(
-            !standing_by.learn_table({2, {map_of(0, 1, {7, 2, 3}), map_of(1, 2, {4, 5, 6})}}));
-        CPPUNIT_ASSERT_EQUAL(map_epoch{0}, standing_by.map().epoch);
-        CPPUNIT_ASSERT(!standing_by.next_copy().has_value());
+    void a_spare_store_takes_no_part() {
+        store_fsm spare = store();
+        CPPUNIT_ASSERT(!spare.learn_table({2, {map_of(0, 1, {7, 2, 3}), map_of(1, 2, {4, 5, 6})}}));
+        CPPUNIT_ASSERT_EQUAL(map_epoch{0}, spare.map().epoch);
+        CPPUNIT_ASSERT(!spare.next_copy().has_value());
     }
 
-    void a_store_tells_whether_it_holds_a_turn() {
+    void a_store_answers_whether_it_holds_a_turn() {
         store_fsm asked = store();
         settle_request request;
         request.settlement = {"program", "t", 1, 60'000, turn_record{"t", "", "in", "out"}};
@@ -114,7 +113,7 @@
             return std::get<find_reply>(asked.receive(2, find_request{1, 0, turn}).front().body)
                 .held;
         };
-        // What isn't durable yet isn't told.
+        // What isn't durable yet doesn't count.
         CPPUNIT_ASSERT(!held("t"));
         asked.take_write();
         asked.written(true, instant{});
--- a/tests/plane/turns/store_table_test.cpp
+++ b/tests/plane/turns/store_table_test.cpp
@@ -42,10 +42,10 @@
         // Epoch 4 may have changed the other group: the directory is still asked from 3 on.
         CPPUNIT_ASSERT_EQUAL(map_epoch{3}, table.epoch);
         CPPUNIT_ASSERT(table.holds(7) && !table.holds(6));
-        store_table told = two_groups();
-        told.epoch = 5;
-        told.groups[0] = map_of(0, 4, {1, 2, 8});
-        CPPUNIT_ASSERT(table.take(told));
+        store_table newer = two_groups();
+        newer.epoch = 5;
+        newer.groups[0] = map_of(0, 4, {1, 2, 8});
+        CPPUNIT_ASSERT(table.take(newer));
         CPPUNIT_ASSERT_EQUAL(map_epoch{5}, table.epoch);
         CPPUNIT_ASSERT(table.holds(8) && table.holds(7));
     }
--- a/tests/plane/turns/turn_log_test.cpp
+++ b/tests/plane/turns/turn_log_test.cpp
@@ -45,13 +45,13 @@
         constexpr int pages = 5;
         int made = 0;
         std::uint64_t before = bytes_on_disk();
-        const auto rotated = log.rotate([&](const std::string&, std::string& next) {
+        const auto rotated = log.rotate([&](const std::string&) {
             const std::uint64_t now = bytes_on_disk();
             CPPUNIT_ASSERT(made == 0 || now >= before + 2 * page_bytes);
             before = now;
             ++made;
-            next = made < pages ? std::to_string(made) : std::string{};
-            return std::vector<turn_change>{turn("t" + std::to_string(made), page_bytes)};
+            const std::string next = made < pages ? std::to_string(made) : std::string{};
+            return change_page{{turn("t" + std::to_string(made), page_bytes)}, next};
         });
         CPPUNIT_ASSERT(rotated.has_value());
         CPPUNIT_ASSERT_EQUAL(pages, made);
@@ -66,8 +66,8 @@
         {
             turn_table empty;
             turn_log log = open(empty);
-            CPPUNIT_ASSERT(log.rotate([&table](const std::string& from, std::string& next) {
-                                  return table.missing_from({}, from, 2'000, next);
+            CPPUNIT_ASSERT(log.rotate([&table](const std::string& after) {
+                                  return table.page_after(after, {}, 2'000);
                               })
                                .has_value());
             CPPUNIT_ASSERT(log.append({turn("late", 10)}).has_value());
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -9,13 +9,13 @@
 
 class turn_search_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(turn_search_test);
-    CPPUNIT_TEST(nobody_holds_it_only_when_each_group_says_so_by_majority);
+    CPPUNIT_TEST(no_group_holds_it_only_when_a_majority_of_each_denies_it);
     CPPUNIT_TEST(one_store_that_holds_it_suffices);
-    CPPUNIT_TEST(a_store_with_a_newer_map_says_nothing);
+    CPPUNIT_TEST(a_reply_with_a_newer_map_does_not_count);
     CPPUNIT_TEST(a_newer_map_asks_its_group_again);
     CPPUNIT_TEST(a_group_without_majority_leaves_a_turn_undecided);
     CPPUNIT_TEST(what_may_have_been_lost_is_undecided_and_not_waited_for);
-    CPPUNIT_TEST(a_line_of_another_group_is_brought_along);
+    CPPUNIT_TEST(a_history_of_another_group_is_adopted);
     CPPUNIT_TEST(a_store_that_changed_its_group_is_not_asked_again_at_once);
     CPPUNIT_TEST_SUITE_END();
 
@@ -36,41 +36,41 @@
         }
         return table;
     }
-    static find_reply says(store_id store, bool held) { return {1, store, {}, held}; }
+    static find_reply answer(store_id store, bool held) { return {1, store, {}, held}; }
     static store_id no_store(const store_map& /*map*/) { return 0; }
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
-    void nobody_holds_it_only_when_each_group_says_so_by_majority() {
+    void no_group_holds_it_only_when_a_majority_of_each_denies_it() {
         turn_search search(three_groups(), "t", 0);
-        search.on_reply(says(10, false));
-        search.on_reply(says(11, false));
-        search.on_reply(says(20, false));
+        search.on_reply(answer(10, false));
+        search.on_reply(answer(11, false));
+        search.on_reply(answer(20, false));
         CPPUNIT_ASSERT(!search.held_by_no_group());
-        search.on_reply(says(20, false));
+        search.on_reply(answer(20, false));
         CPPUNIT_ASSERT(!search.held_by_no_group());
-        search.on_reply(says(22, false));
+        search.on_reply(answer(22, false));
         CPPUNIT_ASSERT(search.held_by_no_group());
         CPPUNIT_ASSERT(!search.found());
     }
 
     void one_store_that_holds_it_suffices() {
         turn_search search(three_groups(), "t", 0);
-        search.on_reply(says(10, false));
-        search.on_reply(says(21, true));
+        search.on_reply(answer(10, false));
+        search.on_reply(answer(21, true));
         CPPUNIT_ASSERT(search.found());
         CPPUNIT_ASSERT_EQUAL(store_id{21}, search.sources().front().id);
-        search.on_reply(says(11, false));
-        search.on_reply(says(20, false));
-        search.on_reply(says(22, false));
+        search.on_reply(answer(11, false));
+        search.on_reply(answer(20, false));
+        search.on_reply(answer(22, false));
         CPPUNIT_ASSERT(!search.held_by_no_group());
     }
 
-    void a_store_with_a_newer_map_says_nothing() {
+    void a_reply_with_a_newer_map_does_not_count() {
         turn_search search(three_groups(), "t", 0);
         store_map newer = three_groups().groups[2];
         newer.epoch = 9;
-        search.on_reply(says(10, false));
-        search.on_reply(says(11, false));
+        search.on_reply(answer(10, false));
+        search.on_reply(answer(11, false));
         search.on_reply({1, 20, {newer}, false});
         search.on_reply({1, 21, {newer}, false});
         CPPUNIT_ASSERT(!search.held_by_no_group());
@@ -79,16 +79,16 @@
     void a_newer_map_asks_its_group_again() {
         turn_search search(three_groups(), "t", 0);
         for (const store_id id : {10, 11, 20}) {
-            search.on_reply(says(id, false));
+            search.on_reply(answer(id, false));
         }
         store_table table = three_groups();
         table.groups[2].epoch = 9;
         table.groups[2].current[1] = member(29);
         search.use_table(table);
-        search.on_reply(says(21, false));
-        search.on_reply(says(22, false));
+        search.on_reply(answer(21, false));
+        search.on_reply(answer(22, false));
         CPPUNIT_ASSERT(!search.held_by_no_group());
-        search.on_reply(says(29, false));
+        search.on_reply(answer(29, false));
         CPPUNIT_ASSERT(search.held_by_no_group());
     }
 
@@ -123,12 +123,12 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, questions.size());
         const group_number other = (group + 1) % 3;
         const group_number silent = (group + 2) % 3;
-        begun.on_reply(says(10 * other, false));
-        begun.on_reply(says(10 * other + 1, false));
-        begun.on_reply(says(10 * silent, false));
+        begun.on_reply(answer(10 * other, false));
+        begun.on_reply(answer(10 * other + 1, false));
+        begun.on_reply(answer(10 * silent, false));
         CPPUNIT_ASSERT(begun.undecided());
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unavailable);
-        begun.on_reply(says(10 * silent + 2, false));
+        begun.on_reply(answer(10 * silent + 2, false));
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unknown_previous);
     }
 
@@ -153,21 +153,21 @@
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unavailable);
     }
 
-    void a_line_of_another_group_is_brought_along() {
+    void a_history_of_another_group_is_adopted() {
         const store_table table = three_groups();
         group_number group = 0;
         turn_beginning begun = beginning(table, group);
         begun.due(at(1), table, no_store);
         const store_id holder = 10 * ((group + 1) % 3) + 2;
-        begun.on_reply(says(holder, true));
+        begun.on_reply(answer(holder, true));
         const auto questions = begun.due(at(2), table, no_store);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.size());
         CPPUNIT_ASSERT_EQUAL(holder, questions.front().store.id);
         CPPUNIT_ASSERT_EQUAL(std::string("t"),
                              std::get<history_request>(questions.front().body).request);
-        history_reply line{1, holder, {}};
-        line.history.records = {{"t", "s", "in-t", "out-t"}, {"s", "", "in-s", "out-s"}};
-        begun.on_reply(line);
+        history_reply reply{1, holder, {}};
+        reply.history.records = {{"t", "s", "in-t", "out-t"}, {"s", "", "in-s", "out-s"}};
+        begun.on_reply(reply);
         const begun_turn outcome = begun.outcome();
         CPPUNIT_ASSERT(outcome.result == begin_result::admitted);
         CPPUNIT_ASSERT(outcome.adopted);
--- a/tests/plane/turns/turn_table_test.cpp
+++ b/tests/plane/turns/turn_table_test.cpp
@@ -9,12 +9,12 @@
 class turn_table_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(turn_table_test);
     CPPUNIT_TEST(a_late_reservation_does_not_reopen_a_settled_turn);
-    CPPUNIT_TEST(a_line_is_walked_back_to_its_first_turn);
-    CPPUNIT_TEST(a_line_tells_which_turn_is_missing);
-    CPPUNIT_TEST(a_living_turn_keeps_the_line_behind_it);
+    CPPUNIT_TEST(a_history_is_walked_back_to_its_first_turn);
+    CPPUNIT_TEST(a_history_names_the_turn_that_is_missing);
+    CPPUNIT_TEST(a_kept_turn_keeps_the_history_before_it);
     CPPUNIT_TEST(contents_rebuild_the_same_book);
     CPPUNIT_TEST(a_copy_comes_in_pages_and_leaves_out_what_is_known);
-    CPPUNIT_TEST(an_adopted_line_is_held_whole_and_copied);
+    CPPUNIT_TEST(an_adopted_history_is_held_whole_and_copied);
     CPPUNIT_TEST(an_adopted_turn_keeps_what_its_own_program_paid);
     CPPUNIT_TEST_SUITE_END();
 
@@ -34,7 +34,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{18}, entry.tokens);
     }
 
-    void a_line_is_walked_back_to_its_first_turn() {
+    void a_history_is_walked_back_to_its_first_turn() {
         turn_table table;
         table.apply(whole("a", ""), at(0));
         table.apply(whole("b", "a"), at(0));
@@ -45,13 +45,13 @@
         CPPUNIT_ASSERT(part.missing.empty());
     }
 
-    void a_line_tells_which_turn_is_missing() {
+    void a_history_names_the_turn_that_is_missing() {
         turn_table table;
         table.apply(whole("b", "a"), at(0));
         CPPUNIT_ASSERT_EQUAL(std::string("a"), table.history_up_to("b").missing);
     }
 
-    void a_living_turn_keeps_the_line_behind_it() {
+    void a_kept_turn_keeps_the_history_before_it() {
         turn_table table;
         table.apply(whole("a", ""), at(0));
         table.apply(whole("b", "a"), at(50));
@@ -70,8 +70,7 @@
         table.apply(whole("b", "a"), at(0));
         turn_table rebuilt;
         constexpr std::size_t one_page = 1U << 20U;
-        std::string next;
-        for (const turn_change& change : table.missing_from({}, "", one_page, next)) {
+        for (const turn_change& change : table.page_after("", {}, one_page).changes) {
             rebuilt.apply(change, at(0));
         }
         CPPUNIT_ASSERT(table.ledger_of("program") == rebuilt.ledger_of("program"));
@@ -88,10 +87,11 @@
         std::set<std::string> copied;
         int pages = 0;
         do {
-            const std::string from = next;
-            for (const turn_change& change : table.missing_from({"b"}, from, 1, next)) {
+            const change_page page = table.page_after(next, {"b"}, 1);
+            for (const turn_change& change : page.changes) {
                 copied.insert(std::get<turn_settlement>(change).request);
             }
+            next = page.next;
             ++pages;
         } while (!next.empty());
         const std::set<std::string> expected{"a", "c", "d"};
@@ -99,15 +99,14 @@
         CPPUNIT_ASSERT(pages >= 3);
     }
 
-    void an_adopted_line_is_held_whole_and_copied() {
+    void an_adopted_history_is_held_whole_and_copied() {
         turn_table table;
         turn_settlement own = whole("c", "b");
         own.adopted = {{"a", "", "in-a", "out-a"}, {"b", "a", "in-b", "out-b"}};
         table.apply(own, at(0));
         CPPUNIT_ASSERT(table.history_up_to("c").missing.empty());
         turn_table copy;
-        std::string next;
-        for (const turn_change& change : table.missing_from({}, "", 1U << 20U, next)) {
+        for (const turn_change& change : table.page_after("", {}, 1U << 20U).changes) {
             copy.apply(change, at(0));
         }
         CPPUNIT_ASSERT(copy.history_up_to("c").missing.empty());
@@ -123,8 +122,7 @@
         own.adopted = {{"a", "", "in-a", "out-a"}};
         table.apply(own, at(0));
         turn_table copy;
-        std::string next;
-        for (const turn_change& change : table.missing_from({}, "", 1U << 20U, next)) {
+        for (const turn_change& change : table.page_after("", {}, 1U << 20U).changes) {
             copy.apply(change, at(0));
         }
         CPPUNIT_ASSERT_EQUAL(token_count{40}, copy.ledger_of("other").at("a").tokens);
