--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// Elections of a replica: when it asks for votes, when it gives its own, and when it stops
-/// leading. The members of replica_fsm that replicate the log stand in replica_fsm.cpp.
+/// leading. Members of replica_fsm.
 
 #include "tallyfold/consensus/replica_fsm.hpp"
 
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -5,6 +5,9 @@
 /// The protocol is Raft (Ongaro and Ousterhout, 2014) with pre-vote, leader stickiness, read
 /// index, learners, and membership change one replica at a time. The caller hands in messages
 /// and the time, takes `ready` work out, makes it durable, and reports back with `persisted`.
+///
+/// Owns the log in memory, the terms and the votes. Relies on the caller to sync before it sends
+/// ready::messages_after_sync, and to hand in times that never go back.
 
 #include <deque>
 #include <map>
@@ -147,6 +150,11 @@
                                instant now);
     void on_read_index_reply(const replica_message& message, const read_index_reply& body);
 
+    /// The message is of the leader of the current term, or of a newer one.
+    void follow(const replica_message& message, instant now);
+    using entry_iterator = std::vector<log_entry>::const_iterator;
+    /// Stores the entries that the log lacks; one of another term replaces what follows it too.
+    void store_missing(entry_iterator entry, entry_iterator end);
     void append_own(entry_kind kind, std::string payload);
     void store_entry(const log_entry& entry);
     void truncate_from(log_index index);
--- a/src/tallyfold/consensus/replica_reads.cpp
+++ b/src/tallyfold/consensus/replica_reads.cpp
@@ -1,7 +1,6 @@
 /// @file
 /// Reads of a replica (Raft's read index): how a leader, or a replica that asks the leader,
-/// confirms that its state is the newest. The members of replica_fsm that replicate the log stand
-/// in replica_fsm.cpp.
+/// confirms that its state is the newest. Members of replica_fsm.
 
 #include <algorithm>
 
