--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -15,12 +15,28 @@
 
 namespace {
 
+/// Chosen, not measured: bytes that one read takes at most.
 constexpr std::size_t read_size = 16U << 10U;
-/// Bytes that the other machine doesn't acknowledge for this long end the connection.
+/// Bytes that the other machine doesn't acknowledge for this long end the connection. Chosen, not
+/// measured: several retransmissions within a zone or between zones.
 constexpr duration silence_limit = std::chrono::milliseconds(2'500);
 /// Completion of an operation as a tuple, so that errors are values.
 constexpr auto as_values = asio::experimental::as_tuple(asio::use_awaitable);
 
+/// What an idle connection would read next.
+enum class next_input : std::uint8_t { nothing_yet, bytes, end };
+
+next_input peek(asio::ip::tcp::socket& socket) {
+    char byte = 0;
+    const ssize_t count =
+        ::recv(socket.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
+    if (count > 0) {
+        return next_input::bytes;
+    }
+    const bool nothing = count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    return nothing ? next_input::nothing_yet : next_input::end;
+}
+
 }  // namespace
 
 std::string_view name_of(io_failure failure) {
@@ -46,8 +62,8 @@
         std::chrono::duration_cast<duration>(std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-connection::connection(asio::ip::tcp::socket socket, message_kind kind, std::size_t largest_head)
-    : socket_(std::move(socket)), watchdog_(socket_.get_executor()), parser_(kind, largest_head) {
+connection::connection(asio::ip::tcp::socket socket, message_kind kind, std::size_t max_head_bytes)
+    : socket_(std::move(socket)), watchdog_(socket_.get_executor()), parser_(kind, max_head_bytes) {
     if (socket_.is_open()) {
         net::tune_socket(socket_, silence_limit);
     }
@@ -67,6 +83,7 @@
             return;
         }
         self->expired_ = true;
+        // Fails only on a closed socket, whose operations have ended already.
         std::error_code ignored;
         self->socket_.cancel(ignored);
     });
@@ -205,31 +222,22 @@
         if (error || !self || self->watch_ != number || !self->socket_.is_open()) {
             return;
         }
-        char byte = 0;
-        const ssize_t count =
-            ::recv(self->socket_.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
-        const bool nothing = count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-        if (count <= 0 && !nothing) {
+        if (peek(self->socket_) == next_input::end) {
             closed();
         }
     });
 }
 
 bool connection::stale() {
-    if (!socket_.is_open() || !input_.empty()) {
-        return true;
-    }
-    char byte = 0;
-    const ssize_t count =
-        ::recv(socket_.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
-    return !(count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
+    return !socket_.is_open() || !input_.empty() || peek(socket_) != next_input::nothing_yet;
 }
 
 void connection::close() {
     disarm();
     ++watch_;
-    std::error_code ignored;
     watchdog_.cancel();
+    // The other side may have ended it before, and nothing is left to do about a socket that fails.
+    std::error_code ignored;
     if (socket_.is_open()) {
         socket_.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
         socket_.close(ignored);
@@ -238,6 +246,7 @@
 
 void connection::abort() {
     if (socket_.is_open()) {
+        // A connection that fails here has ended already, and not in order.
         std::error_code ignored;
         socket_.set_option(asio::socket_base::linger(true, 0), ignored);
         disarm();
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -2,6 +2,9 @@
 /// @file
 /// One TCP connection that speaks HTTP/1.1, with a deadline on each operation. Belongs to the
 /// loop thread; every call is made there.
+///
+/// Owns the socket and what has been read of the current message. Relies on message_parser for the
+/// syntax. Deadlines are points on steady_now()'s time line.
 
 #include <asio/awaitable.hpp>
 #include <asio/ip/tcp.hpp>
@@ -22,7 +25,9 @@
     closed,
     /// It broke off: a reset, or an end inside a message.
     broken,
+    /// The deadline has passed.
     timed_out,
+    /// Nothing listens at the address, or it isn't one.
     refused,
     malformed,
     head_too_large,
@@ -37,7 +42,8 @@
 class connection : public std::enable_shared_from_this<connection> {
   public:
     /// @param kind what is read here: requests at a server, responses at a client
-    connection(asio::ip::tcp::socket socket, message_kind kind, std::size_t largest_head);
+    /// @param max_head_bytes of first line and headers together
+    connection(asio::ip::tcp::socket socket, message_kind kind, std::size_t max_head_bytes);
     ~connection();
     connection(const connection&) = delete;
     connection& operator=(const connection&) = delete;
@@ -50,6 +56,7 @@
     asio::awaitable<tl::expected<void, io_failure>> wait_for_message(instant deadline);
     /// Body bytes as they come; an empty text once the message is complete.
     asio::awaitable<tl::expected<std::string, io_failure>> read_body_piece(instant deadline);
+    /// Writes all of `bytes`, or fails.
     asio::awaitable<tl::expected<void, io_failure>> write(std::string bytes, instant deadline);
 
     [[nodiscard]] const message_head& head() const { return parser_.head(); }
@@ -63,7 +70,7 @@
     void stop_watching() { ++watch_; }
     /// True when an idle connection has bytes or an end waiting, and so cannot be used again.
     [[nodiscard]] bool stale();
-    /// Bytes of the current write that the system took so far are not known to be none.
+    /// False only while it is certain that no byte has left since forget_sent().
     [[nodiscard]] bool sent_any() const { return sent_any_; }
     void forget_sent() { sent_any_ = false; }
 
--- a/src/tallyfold/plane/http/endpoint_server_shell.cpp
+++ b/src/tallyfold/plane/http/endpoint_server_shell.cpp
@@ -9,16 +9,21 @@
 
 namespace {
 
-constexpr std::size_t largest_head = 16U << 10U;
+/// Bytes of a request line and its headers. Chosen, not measured: operators' tools send a few
+/// hundred.
+constexpr std::size_t max_head_bytes = 16U << 10U;
+/// Chosen, not measured: a kept connection without a request is closed after this time.
 constexpr duration idle_limit = std::chrono::seconds(30);
+/// Chosen, not measured: time for a whole request to arrive, large configurations too.
 constexpr duration request_limit = std::chrono::seconds(10);
+/// Chosen, not measured: time for an answer to leave.
 constexpr duration write_limit = std::chrono::seconds(10);
 
 }  // namespace
 
 endpoint_server::endpoint_server(asio::io_context& loop, std::string address,
-                                 std::size_t largest_body)
-    : loop_(loop), address_(std::move(address)), largest_body_(largest_body), acceptor_(loop) {}
+                                 std::size_t max_body_bytes)
+    : loop_(loop), address_(std::move(address)), max_body_bytes_(max_body_bytes), acceptor_(loop) {}
 
 std::string endpoint_server::start(handler on_request) {
     on_request_ = std::move(on_request);
@@ -36,54 +41,67 @@
         }
         if (!error) {
             auto caller = std::make_shared<connection>(std::move(socket), message_kind::request,
-                                                       largest_head);
+                                                       max_head_bytes);
             asio::co_spawn(loop_, serve(std::move(caller)), asio::detached);
         }
         accept();
     });
 }
 
+asio::awaitable<std::optional<std::string>> endpoint_server::read_body(connection_pointer caller,
+                                                                       instant deadline) {
+    std::string body;
+    do {
+        auto piece = co_await caller->read_body_piece(deadline);
+        if (!piece) {
+            co_return std::nullopt;
+        }
+        body += *piece;
+    } while (body.size() <= max_body_bytes_ && !caller->message_complete());
+    co_return body;
+}
+
+asio::awaitable<std::optional<endpoint_server::answer>> endpoint_server::answer_request(
+    connection_pointer caller, instant deadline) {
+    answer given;
+    const auto read = co_await caller->read_head(deadline);
+    if (!read && read.error() != io_failure::malformed) {
+        co_return std::nullopt;
+    }
+    if (!read) {
+        given.response.status = 400;
+        co_return given;
+    }
+    const message_head head = caller->head();
+    std::optional<std::string> body = co_await read_body(caller, deadline);
+    if (!body.has_value()) {
+        co_return std::nullopt;
+    }
+    if (body->size() > max_body_bytes_) {
+        given.response.status = 413;
+        co_return given;
+    }
+    given.keep_alive = head.keep_alive;
+    // Named, since GCC 12 destroys aggregate temporaries of a co_await twice.
+    endpoint_request request{head.method, head.target, std::move(*body)};
+    given.response = co_await on_request_(std::move(request));
+    co_return given;
+}
+
 asio::awaitable<void> endpoint_server::serve(connection_pointer caller) {
     while (caller->open()) {
         const auto waited = co_await caller->wait_for_message(steady_now() + idle_limit);
         if (!waited) {
             co_return;
         }
-        const instant deadline = steady_now() + request_limit;
-        const auto read = co_await caller->read_head(deadline);
-        endpoint_response response;
-        bool keep = false;
-        if (!read) {
-            if (read.error() != io_failure::malformed) {
-                co_return;
-            }
-            response.status = 400;
-        } else {
-            const message_head head = caller->head();
-            std::string body;
-            bool too_large = false;
-            while (!too_large) {
-                auto piece = co_await caller->read_body_piece(deadline);
-                if (!piece) {
-                    co_return;
-                }
-                body += *piece;
-                too_large = body.size() > largest_body_;
-                if (caller->message_complete()) {
-                    break;
-                }
-            }
-            keep = head.keep_alive && !too_large;
-            if (too_large) {
-                response.status = 413;
-            } else {
-                // Named, since GCC 12 destroys aggregate temporaries of a co_await twice.
-                endpoint_request request{head.method, head.target, std::move(body)};
-                response = co_await on_request_(std::move(request));
-            }
+        const std::optional<answer> given =
+            co_await answer_request(caller, steady_now() + request_limit);
+        if (!given.has_value()) {
+            co_return;
         }
-        const auto written =
-            co_await caller->write(render_response(response, keep), steady_now() + write_limit);
+        const bool keep = given->keep_alive;
+        const auto written = co_await caller->write(render_response(given->response, keep),
+                                                    steady_now() + write_limit);
         if (!written || !keep) {
             caller->close();
             co_return;
@@ -92,9 +110,4 @@
     }
 }
 
-void endpoint_server::stop() {
-    std::error_code ignored;
-    acceptor_.close(ignored);
-}
-
 }  // namespace tallyfold::http
--- a/src/tallyfold/plane/http/message_parser.cpp
+++ b/src/tallyfold/plane/http/message_parser.cpp
@@ -7,7 +7,7 @@
 struct message_parser::state {
     http_parser parser{};
     message_kind kind = message_kind::request;
-    std::size_t largest_head = 0;
+    std::size_t max_head_bytes = 0;
     std::size_t head_bytes = 0;
     message_head head;
     std::string field_name;
@@ -32,6 +32,18 @@
         body.clear();
     }
 
+    void add_to_name(std::string_view part) {
+        if (in_value) {
+            store_field();
+        }
+        field_name += part;
+    }
+
+    void add_to_value(std::string_view part) {
+        in_value = true;
+        field_value += part;
+    }
+
     void store_field() {
         if (!field_name.empty()) {
             head.headers.add(std::move(field_name), std::move(field_value));
@@ -43,6 +55,7 @@
 
     /// Bytes of the head as it stands on the wire, about.
     [[nodiscard]] std::size_t head_size() const {
+        // The colon and space of a field, and the two characters that end its line.
         constexpr std::size_t line_overhead = 4;
         std::size_t size = head.target.size() + line_overhead;
         for (const header_field& field : head.headers.fields()) {
@@ -95,68 +108,67 @@
 
 }  // namespace
 
-message_parser::message_parser(message_kind kind, std::size_t largest_head)
+message_parser::message_parser(message_kind kind, std::size_t max_head_bytes)
     : state_(std::make_unique<state>()) {
     state_->kind = kind;
-    state_->largest_head = largest_head;
+    state_->max_head_bytes = max_head_bytes;
     state_->begin();
 }
 
 message_parser::~message_parser() = default;
 
-tl::expected<std::size_t, parse_failure> message_parser::feed(std::string_view bytes) {
-    static const http_parser_settings callbacks = [] {
-        http_parser_settings chosen;
-        http_parser_settings_init(&chosen);
-        chosen.on_url = [](http_parser* parser, const char* at, std::size_t length) {
+const http_parser_settings& message_parser::callbacks() {
+    static const http_parser_settings chosen = [] {
+        http_parser_settings settings;
+        http_parser_settings_init(&settings);
+        settings.on_url = [](http_parser* parser, const char* at, std::size_t length) {
             state_of<state>(parser).head.target.append(at, length);
             return 0;
         };
-        chosen.on_header_field = [](http_parser* parser, const char* at, std::size_t length) {
-            state& own = state_of<state>(parser);
-            if (own.in_value) {
-                own.store_field();
-            }
-            own.field_name.append(at, length);
+        settings.on_header_field = [](http_parser* parser, const char* at, std::size_t length) {
+            state_of<state>(parser).add_to_name({at, length});
             return 0;
         };
-        chosen.on_header_value = [](http_parser* parser, const char* at, std::size_t length) {
-            state& own = state_of<state>(parser);
-            own.in_value = true;
-            own.field_value.append(at, length);
+        settings.on_header_value = [](http_parser* parser, const char* at, std::size_t length) {
+            state_of<state>(parser).add_to_value({at, length});
             return 0;
         };
-        chosen.on_headers_complete = [](http_parser* parser) {
+        settings.on_headers_complete = [](http_parser* parser) {
             state_of<state>(parser).finish_head();
             return 0;
         };
-        chosen.on_body = [](http_parser* parser, const char* at, std::size_t length) {
+        settings.on_body = [](http_parser* parser, const char* at, std::size_t length) {
             state_of<state>(parser).body.append(at, length);
             return 0;
         };
-        chosen.on_message_complete = [](http_parser* parser) {
+        settings.on_message_complete = [](http_parser* parser) {
             state_of<state>(parser).complete = true;
             // What follows belongs to another message.
             http_parser_pause(parser, 1);
             return 0;
         };
-        return chosen;
+        return settings;
     }();
+    return chosen;
+}
+
+bool message_parser::head_fits(std::size_t consumed) {
+    state_->head_bytes += consumed;
+    const std::size_t size = state_->head_complete ? state_->head_size() : state_->head_bytes;
+    return size <= state_->max_head_bytes;
+}
+
+tl::expected<std::size_t, parse_failure> message_parser::feed(std::string_view bytes) {
     if (bytes.empty()) {
         return 0;
     }
     state_->started = true;
     const bool in_head = !state_->head_complete;
     const std::size_t consumed =
-        http_parser_execute(&state_->parser, &callbacks, bytes.data(), bytes.size());
+        http_parser_execute(&state_->parser, &callbacks(), bytes.data(), bytes.size());
     const http_errno failure = HTTP_PARSER_ERRNO(&state_->parser);
-    if (in_head) {
-        state_->head_bytes += consumed;
-        const std::size_t size = state_->head_complete ? state_->head_size() : state_->head_bytes;
-        const bool too_large = size > state_->largest_head;
-        if (too_large || failure == HPE_HEADER_OVERFLOW) {
-            return tl::unexpected(parse_failure::head_too_large);
-        }
+    if (in_head && (!head_fits(consumed) || failure == HPE_HEADER_OVERFLOW)) {
+        return tl::unexpected(parse_failure::head_too_large);
     }
     if (failure == HPE_PAUSED) {
         http_parser_pause(&state_->parser, 0);
--- a/src/tallyfold/plane/http/message_parser.hpp
+++ b/src/tallyfold/plane/http/message_parser.hpp
@@ -2,6 +2,8 @@
 /// @file
 /// Incremental parser of one HTTP/1.1 message after another, on http_parser. Pure: bytes in,
 /// head and body out.
+///
+/// Owns the head and the body bytes of the current message. Relies on http_parser for the syntax.
 
 #include <cstdint>
 #include <memory>
@@ -11,16 +13,22 @@
 
 #include "tallyfold/plane/http/message.hpp"
 
+struct http_parser_settings;
+
 namespace tallyfold::http {
 
-enum class parse_failure : std::uint8_t { malformed, head_too_large };
+enum class parse_failure : std::uint8_t {
+    /// Not HTTP/1.1, or a wish to leave HTTP (upgrade).
+    malformed,
+    head_too_large,
+};
 
 enum class message_kind : std::uint8_t { request, response };
 
 class message_parser {
   public:
-    /// @param largest_head bytes of request line and headers together that are accepted
-    message_parser(message_kind kind, std::size_t largest_head);
+    /// @param max_head_bytes bytes of request line and headers together that are accepted
+    message_parser(message_kind kind, std::size_t max_head_bytes);
     ~message_parser();
     message_parser(const message_parser&) = delete;
     message_parser& operator=(const message_parser&) = delete;
@@ -43,6 +51,10 @@
 
   private:
     struct state;
+    static const http_parser_settings& callbacks();
+    /// @param consumed bytes of the head that were parsed just now
+    bool head_fits(std::size_t consumed);
+
     std::unique_ptr<state> state_;
 };
 
--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -65,7 +65,7 @@
     }
     std::string frame = encode_frame(message);
     queued_bytes_ += frame.size();
-    if (queued_bytes_ > largest_queue) {
+    if (queued_bytes_ > max_queued_bytes) {
         fail("its queue is full");
         return;
     }
@@ -105,6 +105,7 @@
 }
 
 void frame_channel::close() {
+    // The channel has ended whether the socket closes in order or not.
     std::error_code ignored;
     socket_.close(ignored);
     // The handlers stay alive until the call under way has returned.
--- a/src/tallyfold/plane/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -1,6 +1,9 @@
 #pragma once
 /// @file
 /// One TCP connection that carries frames both ways. Belongs to the loop thread.
+///
+/// Owns the socket and the frames that wait to be sent. Relies on peer_message for their form. A
+/// frame that is too long or doesn't decode ends the connection: what follows can't be trusted.
 
 #include <array>
 #include <asio/ip/tcp.hpp>
@@ -26,8 +29,6 @@
     void send(const peer_message& message);
     void close();
     [[nodiscard]] bool open() const { return socket_.is_open(); }
-    /// Bytes that wait for the peer.
-    [[nodiscard]] std::size_t queued_bytes() const { return queued_bytes_; }
 
   private:
     void read_more();
@@ -35,7 +36,10 @@
     void write_next();
     void fail(const std::string& reason);
 
-    static constexpr std::size_t largest_queue = 8U << 20U;
+    /// Bytes that may wait for one peer. Chosen, not measured: beyond it the peer has stopped
+    /// reading, and a node's memory is for many peers.
+    static constexpr std::size_t max_queued_bytes = 8U << 20U;
+    /// Chosen, not measured: bytes that one read takes at most.
     static constexpr std::size_t read_size = 16U << 10U;
 
     asio::ip::tcp::socket socket_;
--- a/src/tallyfold/plane/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -10,9 +10,13 @@
 /// Short, since the opening packet to a machine that is just coming back is lost, and the system
 /// itself sends it again only after a second.
 constexpr auto connect_timeout = std::chrono::milliseconds(250);
+/// Pause before the next attempt. Chosen, not measured: a restarted process is reached within a
+/// tenth of a second, and one that is away costs some 16 packets a second.
 constexpr auto retry_pause = std::chrono::milliseconds(60);
-/// Bytes that another machine doesn't acknowledge for this long end the connection.
+/// Bytes that another machine doesn't acknowledge for this long end the connection. Chosen, not
+/// measured: below the 1.5 s that a begin at the stores may take.
 constexpr duration silence_limit = std::chrono::milliseconds(1'200);
+/// An idle connection is probed after this time. Chosen, not measured.
 constexpr std::chrono::seconds idle_limit(3);
 
 void tune(asio::ip::tcp::socket& socket) {
@@ -46,39 +50,44 @@
     timer_.async_wait([weak = weak_from_this(), number](const std::error_code& error) {
         const auto self = weak.lock();
         if (!error && self && self->attempt_ == number) {
+            // Ends the attempt; a socket that can't be closed leaves nothing to do.
             std::error_code ignored;
             self->socket_.close(ignored);
         }
     });
-    socket_.async_connect(
-        *endpoint, [weak = weak_from_this(), number](const std::error_code& error) {
-            const auto self = weak.lock();
-            if (!self || self->attempt_ != number || self->stopped_) {
-                return;
+    socket_.async_connect(*endpoint,
+                          [weak = weak_from_this(), number](const std::error_code& error) {
+                              const auto self = weak.lock();
+                              if (self && self->attempt_ == number && !self->stopped_) {
+                                  self->on_attempt_ended(error);
+                              }
+                          });
+}
+
+void peer_link::on_attempt_ended(const std::error_code& error) {
+    ++attempt_;
+    timer_.cancel();
+    if (error) {
+        // Not logged: the link's state hasn't changed, and it is tried several times a second.
+        retry_later();
+        return;
+    }
+    tune(socket_);
+    channel_ = std::make_shared<frame_channel>(std::move(socket_));
+    channel_->start(
+        [weak = weak_from_this()](const peer_message& message) {
+            if (const auto link = weak.lock(); link && link->on_message_) {
+                link->on_message_(message);
             }
-            ++self->attempt_;
-            self->timer_.cancel();
-            if (error) {
-                self->retry_later();
-                return;
-            }
-            tune(self->socket_);
-            self->channel_ = std::make_shared<frame_channel>(std::move(self->socket_));
-            self->channel_->start(
-                [weak](const peer_message& message) {
-                    if (const auto link = weak.lock(); link && link->on_message_) {
-                        link->on_message_(message);
-                    }
-                },
-                [weak](const std::string& reason) {
-                    if (const auto link = weak.lock()) {
-                        link->lost(reason);
-                    }
-                });
-            if (self->on_state_) {
-                self->on_state_(true, {});
+        },
+        [weak = weak_from_this()](const std::string& reason) {
+            if (const auto link = weak.lock()) {
+                link->lost(reason);
             }
         });
+    if (on_state_) {
+        on_state_(true, {});
+    }
 }
 
 void peer_link::lost(const std::string& reason) {
@@ -121,6 +130,7 @@
     stopped_ = true;
     ++attempt_;
     timer_.cancel();
+    // The link has ended whether the socket closes in order or not.
     std::error_code ignored;
     socket_.close(ignored);
     if (channel_) {
@@ -162,9 +172,4 @@
     });
 }
 
-void peer_server::stop() {
-    std::error_code ignored;
-    acceptor_.close(ignored);
-}
-
 }  // namespace tallyfold::messaging
--- a/src/tallyfold/plane/messaging/peer_link_shell.hpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.hpp
@@ -1,7 +1,10 @@
 #pragma once
 /// @file
-/// A connection to one other node that is made again whenever it breaks. Belongs to the loop
-/// thread.
+/// Connections between nodes of the forwarding plane: peer_link to one other node, made again
+/// whenever it breaks, and peer_server for those that others make. Belong to the loop thread.
+///
+/// A link owns its socket and the pauses between attempts. Messages aren't kept over a lost
+/// connection: callers send again what they still need once the link is up.
 
 #include <asio/io_context.hpp>
 #include <asio/steady_timer.hpp>
@@ -24,6 +27,7 @@
     peer_link(const peer_link&) = delete;
     peer_link& operator=(const peer_link&) = delete;
 
+    /// Connects, and goes on doing so until stop().
     void start(message_handler on_message, state_handler on_state);
     /// Sends when connected; drops the message otherwise.
     void send(const peer_message& message);
@@ -35,6 +39,8 @@
 
   private:
     void connect();
+    /// @param error unset when the connection is made
+    void on_attempt_ended(const std::error_code& error);
     void retry_later();
     void lost(const std::string& reason);
 
@@ -45,6 +51,7 @@
     channel_pointer channel_;
     message_handler on_message_;
     state_handler on_state_;
+    /// Number of the attempt under way; handlers of earlier ones do nothing.
     std::uint64_t attempt_ = 0;
     bool stopped_ = false;
 };
@@ -58,10 +65,10 @@
     using message_handler =
         std::function<void(const channel_pointer& channel, const peer_message&)>;
 
+    /// @param address "ip:port" to listen on
     peer_server(asio::io_context& loop, std::string address);
     /// @return an error text, or empty
     std::string start(message_handler on_message);
-    void stop();
 
   private:
     void accept();
