--- /dev/null
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -0,0 +1,204 @@
+/// @file
+/// What follows an attempt that failed: a resumed stream, a retry, a request whose outcome is open
+/// and is asked for, or the failure as the call's outcome.
+
+#include <algorithm>
+
+#include "tallyfold/program_api/scheduler/scheduler_core.hpp"
+
+namespace tallyfold::scheduler {
+
+namespace {
+
+using journal::answer_code;
+using journal::call_kind;
+using journal::outcome;
+using journal::ran_state;
+using logging::event_id;
+
+constexpr duration resume_pause = std::chrono::milliseconds(100);
+constexpr std::uint32_t resume_limit = 2;
+constexpr duration seal_patience = std::chrono::milliseconds(300);
+constexpr duration seal_patience_limit = std::chrono::seconds(3);
+/// Callers of a request with an open outcome are told so after this long; asking goes on.
+constexpr duration resolving_patience = std::chrono::seconds(4);
+constexpr std::uint32_t unknown_retry_after_ms = 1000;
+
+std::string describe(const attempt_key& key) {
+    return "program=" + key.program + " sequence=" + std::to_string(key.sequence) +
+           " attempt=" + std::to_string(key.attempt);
+}
+
+}  // namespace
+
+void scheduler_core::on_attempt_failed(const attempt_failed& failed, instant now) {
+    active_call* call = find_call(failed.key);
+    if (call == nullptr || call->state != call_state::running) {
+        return;
+    }
+    const bool told_so =
+        failed.kind == failure_kind::refused || failed.kind == failure_kind::leaving;
+    if (!told_so) {
+        count_backend_failure(*call, now);
+    }
+    call->free_retry = failed.kind == failure_kind::leaving;
+    if (told_so || failed.kind == failure_kind::unreachable) {
+        // The back end said so, or got nothing: the attempt has not run.
+        release_slot(*call);
+        journal_failure(*call, ran_state::no, now);
+        return;
+    }
+    if (may_resume(*call, failed.kind)) {
+        ++call->resumes;
+        ++counters_.resumes;
+        event(event_id::call_resumed,
+              describe(failed.key) + " offset=" + std::to_string(call->pieces.size()));
+        call->state = call_state::resuming;
+        call->next_try = now + resume_pause;
+        return;
+    }
+    release_slot(*call);
+    if (call->request.kind != call_kind::model) {
+        event(event_id::outcome_open, describe(failed.key) + " backend=" + call->target);
+        start_resolving(*call, now);
+        return;
+    }
+    // The attempt may still be generating there for nobody.
+    order(cancel_stream{call->target, failed.key});
+    const bool settled = call->start_settled || failed.kind != failure_kind::broken;
+    if (!settled && now < call->start_limit) {
+        call->state = call_state::fencing;
+        return;
+    }
+    journal_failure(*call, ran_state::unknown, now);
+}
+
+void scheduler_core::count_backend_failure(const active_call& call, instant now) {
+    scheduling::backend_pool& backends = pool_for(call.request.kind);
+    const scheduling::backend_state* before = backends.find(call.target);
+    const bool was_available = before != nullptr && backends.available(*before, now);
+    backends.failed(call.target, now);
+    const scheduling::backend_state* after = backends.find(call.target);
+    if (was_available && after != nullptr && !backends.available(*after, now)) {
+        event(event_id::backend_ejected, "backend=" + call.target);
+    }
+}
+
+bool scheduler_core::may_resume(const active_call& call, failure_kind kind) {
+    return call.request.kind == call_kind::model && kind == failure_kind::broken &&
+           call.resumes < resume_limit && pool_for(call.request.kind).find(call.target) != nullptr;
+}
+
+void scheduler_core::start_resolving(active_call& call, instant now) {
+    call.state = call_state::resolving;
+    call.resolving_since = now;
+    call.seal_tries = 0;
+    resolve(call, now);
+}
+
+void scheduler_core::take_over(active_call& call, instant now) {
+    // An earlier owner began the attempt. It may run, or start late: until that is settled no
+    // further attempt begins.
+    set_start_limit(call, now);
+    if (call.request.kind != call_kind::model) {
+        start_resolving(call, now);
+        return;
+    }
+    call.state = call_state::resuming;
+    call.next_try = now;
+}
+
+void scheduler_core::journal_failure(active_call& call, ran_state ran, instant now) {
+    call.state = call_state::failing;
+    const journal::fail_attempt change{call.request.program, call.request.sequence, call.attempt,
+                                       ran};
+    journal_.append(append_key_of(call),
+                    journal::journal_command(journal::owner_command{
+                        call.shard, call.epoch, journal::program_change(change)}),
+                    now);
+}
+
+void scheduler_core::on_attempt_failed_journalled(const journal::fail_attempt& change,
+                                                  instant now) {
+    active_call* call = find_call({change.program, change.sequence, change.attempt});
+    if (call == nullptr || call->state != call_state::failing) {
+        return;
+    }
+    const journal::program_record* program = record_of(change.program);
+    const auto record = program == nullptr ? nullptr : &program->calls;
+    if (record != nullptr && record->contains(change.sequence)) {
+        call->maybe_ran = record->at(change.sequence).maybe_ran;
+    }
+    retry_or_give_up(*call, now);
+}
+
+void scheduler_core::retry_or_give_up(active_call& call, instant now) {
+    const journal::program_record* program = record_of(call.request.program);
+    const configuration::class_settings* settings =
+        program == nullptr ? nullptr : configuration().program_class(program->program_class);
+    const std::string class_name = program == nullptr ? std::string{} : program->program_class;
+    const bool attempts_left = call.attempt < settings_.attempt_limit;
+    const bool allowed = settings != nullptr && attempts_left &&
+                         (call.free_retry || retry_budgets_[class_name].spend());
+    if (allowed) {
+        ++counters_.retries;
+        event(event_id::call_retried, describe(key_of(call)) + " backend=" + call.target);
+        note(call.request.program, call.request.sequence, "retry after " + call.target, now);
+        call.resumes = 0;
+        enqueue(call);
+        return;
+    }
+    outcome result;
+    result.code = answer_code::backend_failed;
+    result.ran = call.maybe_ran ? ran_state::unknown : ran_state::no;
+    result.detail = "the back end failed and the retries are used up";
+    result.retry_after_ms = retry_after();
+    if (result.ran == ran_state::no) {
+        // The journal shows it released: the same request may begin again.
+        reply_all(call, result);
+        drop_call(call.id);
+        return;
+    }
+    // The program must be able to go on: the failure is the call's outcome, for good.
+    result.retry_after_ms = 0;
+    finish_call(call, std::move(result), {}, 0, now);
+}
+
+void scheduler_core::resolve(active_call& call, instant now) {
+    if (call.request.repeatable && now >= call.start_limit && call.seal_tries > 0) {
+        // It cannot start any more; whether it ran matters little for a request that may repeat.
+        journal_failure(call, ran_state::unknown, now);
+        return;
+    }
+    const std::uint32_t doublings = std::min(call.seal_tries, 4U);
+    call.next_try = now + std::min(seal_patience * (1 << doublings), seal_patience_limit);
+    ++call.seal_tries;
+    if (now - call.resolving_since > resolving_patience && !call.waiters.empty()) {
+        outcome result;
+        result.code = answer_code::outcome_unknown;
+        result.ran = ran_state::unknown;
+        result.detail =
+            "the back end cannot be asked whether the request ran; repeat it later "
+            "with the same identity";
+        result.retry_after_ms = unknown_retry_after_ms;
+        reply_all(call, result);
+    }
+    order(seal_request{call.target, key_of(call)});
+}
+
+void scheduler_core::on_seal_answered(const seal_answered& answered, instant now) {
+    active_call* call = find_call(answered.key);
+    if (call == nullptr || call->state != call_state::resolving) {
+        return;
+    }
+    event(event_id::outcome_resolved,
+          describe(answered.key) + " ran=" + (answered.ran ? "yes" : "no"));
+    if (answered.ran) {
+        on_request_answered({answered.key, answered.answer}, now);
+        return;
+    }
+    call->free_retry = true;
+    journal_failure(*call, ran_state::no, now);
+}
+
+}  // namespace tallyfold::scheduler
--- a/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// What follows a begin: pieces, answers, failures, retries, open outcomes, and the end.
+/// What follows a begin that goes well: the journal's word, pieces, answers, the end. Failures and
+/// what is done about them: attempt_failure.cpp.
 
 #include <algorithm>
 
@@ -16,14 +17,6 @@
 using journal::ran_state;
 using logging::event_id;
 
-constexpr duration resume_pause = std::chrono::milliseconds(100);
-constexpr std::uint32_t resume_limit = 2;
-constexpr duration seal_patience = std::chrono::milliseconds(300);
-constexpr duration seal_patience_limit = std::chrono::seconds(3);
-/// Callers of a request with an open outcome are told so after this long; asking goes on.
-constexpr duration resolving_patience = std::chrono::seconds(4);
-constexpr std::uint32_t unknown_retry_after_ms = 1000;
-
 std::string join(const std::vector<std::string>& pieces) {
     std::string whole;
     for (const std::string& piece : pieces) {
@@ -32,11 +25,6 @@
     return whole;
 }
 
-std::string describe(const attempt_key& key) {
-    return "program=" + key.program + " sequence=" + std::to_string(key.sequence) +
-           " attempt=" + std::to_string(key.attempt);
-}
-
 }  // namespace
 
 void scheduler_core::on_append_finished(const finished_append& finished, instant now) {
@@ -58,38 +46,44 @@
     if (finished.result == journal_error::none) {
         (void)shard->second.state.apply(command->change);
     }
-    if (const auto* opened = std::get_if<journal::open_program>(&command->change)) {
-        program_runtime& runtime = programs_[opened->id];
-        outcome result;
-        if (finished.result == journal_error::none) {
-            ++counters_.programs_opened;
-            result.ran = ran_state::yes;
-            result.answer = opened->id;
-        } else {
-            result.code = finished.result == journal_error::program_exists
-                              ? answer_code::identity_conflict
-                              : answer_code::program_closed;
-            result.detail = "the program could not be opened";
-        }
-        for (const waiter& asker : runtime.open_waiters) {
-            reply(asker, result);
-        }
-        runtime.open_waiters.clear();
-    } else if (const auto* begun = std::get_if<journal::begin_attempt>(&command->change)) {
+    on_change_journalled(finished, command->change, now);
+}
+
+void scheduler_core::on_change_journalled(const finished_append& finished,
+                                          const journal::program_change& change, instant now) {
+    const bool applied = finished.result == journal_error::none;
+    if (const auto* opened = std::get_if<journal::open_program>(&change)) {
+        on_program_opened(*opened, finished.result);
+    } else if (const auto* begun = std::get_if<journal::begin_attempt>(&change)) {
         on_attempt_begun(finished, *begun, now);
-    } else if (const auto* failed = std::get_if<journal::fail_attempt>(&command->change)) {
+    } else if (const auto* failed = std::get_if<journal::fail_attempt>(&change)) {
         on_attempt_failed_journalled(*failed, now);
-    } else if (const auto* ended = std::get_if<journal::end_call>(&command->change)) {
-        if (finished.result == journal_error::none) {
-            on_call_ended(*ended, now);
-        }
-    } else if (const auto* closed = std::get_if<journal::close_program>(&command->change)) {
-        if (finished.result == journal_error::none) {
-            on_program_closed(*closed, finished.key.shard, now);
-        }
+    } else if (const auto* ended = std::get_if<journal::end_call>(&change); ended && applied) {
+        on_call_ended(*ended, now);
+    } else if (const auto* closed = std::get_if<journal::close_program>(&change);
+               closed && applied) {
+        on_program_closed(*closed, finished.key.shard, now);
     }
 }
 
+void scheduler_core::on_program_opened(const journal::open_program& opened, journal_error refused) {
+    outcome result;
+    if (refused == journal_error::none) {
+        ++counters_.programs_opened;
+        result.ran = ran_state::yes;
+        result.answer = opened.id;
+    } else {
+        result.code = refused == journal_error::program_exists ? answer_code::identity_conflict
+                                                               : answer_code::program_closed;
+        result.detail = "the program could not be opened";
+    }
+    program_runtime& runtime = programs_[opened.id];
+    for (const waiter& asker : runtime.open_waiters) {
+        reply(asker, result);
+    }
+    runtime.open_waiters.clear();
+}
+
 void scheduler_core::on_attempt_begun(const finished_append& finished,
                                       const journal::begin_attempt& change, instant now) {
     active_call* call = find_call({change.program, change.sequence, change.attempt});
@@ -259,169 +253,6 @@
                        std::chrono::milliseconds(settings->idle_timeout_ms)});
 }
 
-void scheduler_core::on_attempt_failed(const attempt_failed& failed, instant now) {
-    active_call* call = find_call(failed.key);
-    if (call == nullptr || call->state != call_state::running) {
-        return;
-    }
-    scheduling::backend_pool& backends = pool_for(call->request.kind);
-    if (failed.kind != failure_kind::refused && failed.kind != failure_kind::leaving) {
-        const scheduling::backend_state* before = backends.find(call->target);
-        const bool was_available = before != nullptr && backends.available(*before, now);
-        backends.failed(call->target, now);
-        const scheduling::backend_state* after = backends.find(call->target);
-        if (was_available && after != nullptr && !backends.available(*after, now)) {
-            event(event_id::backend_ejected, "backend=" + call->target);
-        }
-    }
-    const bool proved_idle = failed.kind == failure_kind::refused ||
-                             failed.kind == failure_kind::leaving ||
-                             failed.kind == failure_kind::unreachable;
-    call->free_retry = failed.kind == failure_kind::leaving;
-    if (proved_idle) {
-        release_slot(*call);
-        journal_failure(*call, ran_state::no, now);
-        return;
-    }
-    const bool model = call->request.kind == call_kind::model;
-    if (model && failed.kind == failure_kind::broken && call->resumes < resume_limit &&
-        backends.find(call->target) != nullptr) {
-        ++call->resumes;
-        ++counters_.resumes;
-        event(event_id::call_resumed,
-              describe(failed.key) + " offset=" + std::to_string(call->pieces.size()));
-        call->state = call_state::resuming;
-        call->next_try = now + resume_pause;
-        return;
-    }
-    release_slot(*call);
-    if (!model) {
-        event(event_id::outcome_open, describe(failed.key) + " backend=" + call->target);
-        start_resolving(*call, now);
-        return;
-    }
-    // The attempt may still be generating there for nobody.
-    order(cancel_stream{call->target, failed.key});
-    const bool settled = call->start_settled || failed.kind != failure_kind::broken;
-    if (!settled && now < call->start_limit) {
-        call->state = call_state::fencing;
-        return;
-    }
-    journal_failure(*call, ran_state::unknown, now);
-}
-
-void scheduler_core::start_resolving(active_call& call, instant now) {
-    call.state = call_state::resolving;
-    call.resolving_since = now;
-    call.seal_tries = 0;
-    resolve(call, now);
-}
-
-void scheduler_core::take_over(active_call& call, instant now) {
-    // An earlier owner began the attempt. It may run, or start late: until that is settled no
-    // further attempt begins.
-    set_start_limit(call, now);
-    if (call.request.kind != call_kind::model) {
-        start_resolving(call, now);
-        return;
-    }
-    call.state = call_state::resuming;
-    call.next_try = now;
-}
-
-void scheduler_core::journal_failure(active_call& call, ran_state ran, instant now) {
-    call.state = call_state::failing;
-    const journal::fail_attempt change{call.request.program, call.request.sequence, call.attempt,
-                                       ran};
-    journal_.append(append_key_of(call),
-                    journal::journal_command(journal::owner_command{
-                        call.shard, call.epoch, journal::program_change(change)}),
-                    now);
-}
-
-void scheduler_core::on_attempt_failed_journalled(const journal::fail_attempt& change,
-                                                  instant now) {
-    active_call* call = find_call({change.program, change.sequence, change.attempt});
-    if (call == nullptr || call->state != call_state::failing) {
-        return;
-    }
-    const journal::program_record* program = record_of(change.program);
-    const auto record = program == nullptr ? nullptr : &program->calls;
-    if (record != nullptr && record->contains(change.sequence)) {
-        call->maybe_ran = record->at(change.sequence).maybe_ran;
-    }
-    retry_or_give_up(*call, now);
-}
-
-void scheduler_core::retry_or_give_up(active_call& call, instant now) {
-    const journal::program_record* program = record_of(call.request.program);
-    const configuration::class_settings* settings =
-        program == nullptr ? nullptr : configuration().program_class(program->program_class);
-    const std::string class_name = program == nullptr ? std::string{} : program->program_class;
-    const bool attempts_left = call.attempt < settings_.attempt_limit;
-    const bool allowed = settings != nullptr && attempts_left &&
-                         (call.free_retry || retry_budgets_[class_name].spend());
-    if (allowed) {
-        ++counters_.retries;
-        event(event_id::call_retried, describe(key_of(call)) + " backend=" + call.target);
-        note(call.request.program, call.request.sequence, "retry after " + call.target, now);
-        call.resumes = 0;
-        enqueue(call);
-        return;
-    }
-    outcome result;
-    result.code = answer_code::backend_failed;
-    result.ran = call.maybe_ran ? ran_state::unknown : ran_state::no;
-    result.detail = "the back end failed and the retries are used up";
-    result.retry_after_ms = retry_after();
-    if (result.ran == ran_state::no) {
-        // The journal shows it released: the same request may begin again.
-        reply_all(call, result);
-        drop_call(call.id);
-        return;
-    }
-    // The program must be able to go on: the failure is the call's outcome, for good.
-    result.retry_after_ms = 0;
-    finish_call(call, std::move(result), {}, 0, now);
-}
-
-void scheduler_core::resolve(active_call& call, instant now) {
-    if (call.request.repeatable && now >= call.start_limit && call.seal_tries > 0) {
-        // It cannot start any more; whether it ran matters little for a request that may repeat.
-        journal_failure(call, ran_state::unknown, now);
-        return;
-    }
-    const std::uint32_t doublings = std::min(call.seal_tries, 4U);
-    call.next_try = now + std::min(seal_patience * (1 << doublings), seal_patience_limit);
-    ++call.seal_tries;
-    if (now - call.resolving_since > resolving_patience && !call.waiters.empty()) {
-        outcome result;
-        result.code = answer_code::outcome_unknown;
-        result.ran = ran_state::unknown;
-        result.detail =
-            "the back end cannot be asked whether the request ran; repeat it later "
-            "with the same identity";
-        result.retry_after_ms = unknown_retry_after_ms;
-        reply_all(call, result);
-    }
-    order(seal_request{call.target, key_of(call)});
-}
-
-void scheduler_core::on_seal_answered(const seal_answered& answered, instant now) {
-    active_call* call = find_call(answered.key);
-    if (call == nullptr || call->state != call_state::resolving) {
-        return;
-    }
-    event(event_id::outcome_resolved,
-          describe(answered.key) + " ran=" + (answered.ran ? "yes" : "no"));
-    if (answered.ran) {
-        on_request_answered({answered.key, answered.answer}, now);
-        return;
-    }
-    call->free_retry = true;
-    journal_failure(*call, ran_state::no, now);
-}
-
 void scheduler_core::release_slot(active_call& call) {
     if (!call.slot_held) {
         return;
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -265,14 +265,28 @@
 
     // Progress of attempts (commands/attempt_progress.cpp).
     void on_append_finished(const finished_append& finished, instant now);
+    /// The journal has applied a change, or refused it for good.
+    void on_change_journalled(const finished_append& finished,
+                              const journal::program_change& change, instant now);
+    void on_program_opened(const journal::open_program& opened, journal::journal_error refused);
     void on_attempt_begun(const finished_append& finished, const journal::begin_attempt& change,
                           instant now);
-    void on_attempt_failed_journalled(const journal::fail_attempt& change, instant now);
     void on_call_ended(const journal::end_call& change, instant now);
     void on_pieces(const stream_pieces& pieces, instant now);
     void on_stream_finished(const stream_finished& finished, instant now);
     void on_request_answered(const request_answered& answered, instant now);
+    void finish_call(active_call& call, journal::outcome result,
+                     std::vector<journal::message> appended, token_count charged, instant now);
+    void release_slot(active_call& call);
+    void drop_call(scheduling::ticket id);
+
+    // Failed attempts (commands/attempt_failure.cpp).
     void on_attempt_failed(const attempt_failed& failed, instant now);
+    /// Books a failure to the back end of the call's attempt, and logs when that ejects it.
+    void count_backend_failure(const active_call& call, instant now);
+    /// True when the engine may be asked to go on with the call's stream.
+    [[nodiscard]] bool may_resume(const active_call& call, failure_kind kind);
+    void on_attempt_failed_journalled(const journal::fail_attempt& change, instant now);
     void on_seal_answered(const seal_answered& answered, instant now);
     void resolve(active_call& call, instant now);
     void start_resolving(active_call& call, instant now);
@@ -280,11 +294,7 @@
     void set_start_limit(active_call& call, instant now);
     [[nodiscard]] backend_clock start_limit_there(const active_call& call);
     void journal_failure(active_call& call, journal::ran_state ran, instant now);
-    void finish_call(active_call& call, journal::outcome result,
-                     std::vector<journal::message> appended, token_count charged, instant now);
     void retry_or_give_up(active_call& call, instant now);
-    void release_slot(active_call& call);
-    void drop_call(scheduling::ticket id);
 
     // Queries (queries/inspect_program.cpp).
     void on_inspect(const waiter& asker, const protocol::inspect_call& call,
