--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -16,12 +16,18 @@
 using journal::ran_state;
 using logging::event_id;
 
+// Chosen, not measured, all of these.
+/// Time for an engine's connection to come back before its stream is asked for again.
 constexpr duration resume_pause = std::chrono::milliseconds(100);
+/// Resumes of one attempt; after them the attempt counts as failed.
 constexpr std::uint32_t resume_limit = 2;
+/// Time between two questions whether a request ran: doubled each time, up to the limit.
 constexpr duration seal_patience = std::chrono::milliseconds(300);
 constexpr duration seal_patience_limit = std::chrono::seconds(3);
-/// Callers of a request with an open outcome are told so after this long; asking goes on.
+/// Callers of a request with an open outcome are told so after this long; asking goes on. Half of
+/// the time that a caller waits for a sign of life (8 s in stand_ins/caller_core).
 constexpr duration resolving_patience = std::chrono::seconds(4);
+/// When such a caller may ask again.
 constexpr std::uint32_t unknown_retry_after_ms = 1000;
 
 std::string describe(const attempt_key& key) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -38,12 +38,6 @@
     return journal::shard_of(id, settings_.shard_count);
 }
 
-scheduler_core::owned_shard* scheduler_core::serving_shard(const program_id& id) {
-    const auto found = shards_.find(shard_number(id));
-    const bool serves = found != shards_.end() && found->second.phase != shard_phase::loading;
-    return serves ? &found->second : nullptr;
-}
-
 scheduler_core::active_call* scheduler_core::call_of(const program_id& id) {
     const auto found = call_of_program_.find(id);
     return found == call_of_program_.end() ? nullptr : &calls_.at(found->second);
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -3,6 +3,10 @@
 /// The scheduler as pure logic: owns shards of programs, and decides when and where each call
 /// runs. Inputs are messages and the time; outputs are messages, orders to back ends, events.
 ///
+/// Owns the copies of its shards, the calls under way and what it believes of back ends; relies on
+/// the journal of control (journal_client) for what must survive, on membership/control_session for
+/// leases and configuration, and on scheduling/ for order and placement.
+///
 /// The functions are spread over commands/ (what changes a program), queries/ (what reads one)
 /// and this folder (leases, configuration, back ends).
 
@@ -212,6 +216,10 @@
     void on_contents(const protocol::shard_contents& contents, instant now);
     void on_configuration(const protocol::configuration_update& update);
     void lose_shard(shard_id shard);
+    /// Ends a lost shard's call here: its callers are told that the program has moved.
+    void drop_moved_call(scheduling::ticket id);
+    /// Forgets a lost shard's programs and tells who waits for their opening or closing.
+    void forget_programs(shard_id shard);
     void load_shards(instant now);
     void release_idle_shards(instant now);
     void compile_policies();
@@ -229,11 +237,16 @@
 
     // Commands (commands/*.cpp).
     void on_request(const node_name& from, const protocol::scheduler_request& request, instant now);
+    void run_command(const waiter& asker, const protocol::scheduler_call& command,
+                     owned_shard& shard, shard_id number, instant now);
     /// True for a repeat of a call that is under way here: it may wait for the same answer.
     bool repeats_active(const protocol::scheduler_call& call);
     void touch(const program_id& id, instant now);
     void on_open(const waiter& asker, const protocol::open_call& call, owned_shard& shard,
                  shard_id number, instant now);
+    /// What is wrong with an opening by itself and by the configuration; the shard isn't asked.
+    [[nodiscard]] std::optional<journal::outcome> refuse_open(
+        const journal::open_program& wanted) const;
     void on_call(const waiter& asker, const protocol::program_call& call, owned_shard& shard,
                  shard_id number, instant now);
     void on_close(const waiter& asker, const protocol::close_call& call, owned_shard& shard,
@@ -246,8 +259,17 @@
     std::optional<journal::outcome> refuse_call(const protocol::program_call& call,
                                                 const journal::program_record& program,
                                                 instant now);
+    /// Turns, budget and queues: what a new call is refused for, and a repeat isn't.
+    std::optional<journal::outcome> refuse_over_limit(const protocol::program_call& call,
+                                                      const journal::program_record& program,
+                                                      const configuration::class_settings& settings,
+                                                      const configuration::tenant_settings& tenant);
     void admit(const waiter& asker, const protocol::program_call& call,
                const journal::program_record& program, shard_id number, instant now);
+    /// Counts the time since the program's last call ended.
+    void add_pause(const program_id& id, instant now);
+    /// The prompt of a model call: the program's history and the new messages.
+    void set_prompt(active_call& active, const journal::program_record& program);
     void enqueue(active_call& call);
     void close_program(const program_id& id, shard_id number, const std::string& reason,
                        instant now);
@@ -302,7 +324,6 @@
 
     // Small helpers.
     [[nodiscard]] shard_id shard_number(const program_id& id) const;
-    owned_shard* serving_shard(const program_id& id);
     active_call* find_call(const attempt_key& key);
     active_call* call_of(const program_id& id);
     [[nodiscard]] const journal::program_record* record_of(const program_id& id) const;
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -13,9 +13,22 @@
 
 using logging::event_id;
 
+/// How long a group's leader may take to send a shard's contents before it is asked again. Chosen,
+/// not measured: several round trips between zones.
 constexpr duration shard_read_patience = std::chrono::milliseconds(300);
+/// When callers of a program that has moved may ask its new owner. Chosen, not measured: as long as
+/// leaders take between two looks at the leases.
 constexpr std::uint32_t moved_retry_after_ms = 100;
 
+journal::outcome moved(journal::ran_state ran) {
+    journal::outcome result;
+    result.code = journal::answer_code::owner_changed;
+    result.ran = ran;
+    result.detail = "the program has moved to another scheduler; send the request again";
+    result.retry_after_ms = moved_retry_after_ms;
+    return result;
+}
+
 }  // namespace
 
 void scheduler_core::on_leases(const node_name& from, const protocol::lease_update& update,
@@ -100,40 +113,39 @@
         }
     }
     for (const scheduling::ticket id : lost) {
-        active_call& call = calls_.at(id);
-        journal::outcome result;
-        result.code = journal::answer_code::owner_changed;
-        // A begin that was handed to the journal may be committed: only a call that was still
-        // queued is known not to have run.
-        const bool untouched = call.state == call_state::queued && !call.maybe_ran;
-        result.ran = untouched ? journal::ran_state::no : journal::ran_state::unknown;
-        result.detail = "the program has moved to another scheduler; send the request again";
-        result.retry_after_ms = moved_retry_after_ms;
-        reply_all(call, result);
-        if (call.state == call_state::running && call.request.kind == journal::call_kind::model) {
-            order(cancel_stream{call.target, key_of(call)});
-        }
-        drop_call(id);
+        drop_moved_call(id);
+    }
+    forget_programs(number);
+    shards_.erase(found);
+}
+
+void scheduler_core::drop_moved_call(scheduling::ticket id) {
+    active_call& call = calls_.at(id);
+    // A begin that was handed to the journal may be committed: only a call that was still
+    // queued is known not to have run.
+    const bool untouched = call.state == call_state::queued && !call.maybe_ran;
+    reply_all(call, moved(untouched ? journal::ran_state::no : journal::ran_state::unknown));
+    if (call.state == call_state::running && call.request.kind == journal::call_kind::model) {
+        order(cancel_stream{call.target, key_of(call)});
     }
+    drop_call(id);
+}
+
+void scheduler_core::forget_programs(shard_id number) {
     // Programs whose opening was still on its way to the journal have waiters too.
-    journal::outcome moved;
-    moved.code = journal::answer_code::owner_changed;
-    moved.ran = journal::ran_state::unknown;
-    moved.retry_after_ms = moved_retry_after_ms;
-    moved.detail = "the program has moved to another scheduler; send the request again";
+    const journal::outcome answer = moved(journal::ran_state::unknown);
     std::erase_if(programs_, [&](const auto& entry) {
         if (shard_number(entry.first) != number) {
             return false;
         }
         for (const waiter& asker : entry.second.open_waiters) {
-            reply(asker, moved);
+            reply(asker, answer);
         }
         for (const waiter& asker : entry.second.close_waiters) {
-            reply(asker, moved);
+            reply(asker, answer);
         }
         return true;
     });
-    shards_.erase(found);
 }
 
 void scheduler_core::drain() {
