--- a/src/tallyfold/program_api/control/control_core.hpp
+++ b/src/tallyfold/program_api/control/control_core.hpp
@@ -1,7 +1,13 @@
 #pragma once
 /// @file
 /// One control node as pure logic: replicas of all groups, their state machines, the nodes'
-/// heartbeats, and the shard leases that the leaders hand out.
+/// heartbeats, and the shard leases that the leaders hand out. Owns the groups' replicas and state
+/// machines; relies on consensus/ for agreement, and on the shell for durable batches: what a batch
+/// holds back goes out once persisted() has confirmed it. plane/directory is the forwarding plane's
+/// counterpart, one group, without programs.
+///
+/// The functions are spread over control_core.cpp (inputs, time), replica_output.cpp (what the
+/// replicas have ready) and members_and_leases.cpp (the leaders' duties).
 
 #include <map>
 #include <optional>
@@ -160,6 +166,9 @@
     void send_leases(const protocol::node_heartbeat& heartbeat, group_id group,
                      const group_runtime& runtime);
     void answer_read(group_id group, const pending_read& read);
+    /// Takes what one replica has ready into `batch`, and into `marks` what its sync will confirm.
+    void collect_work(group_id group, group_runtime& runtime, storage_batch& batch,
+                      std::vector<batch_mark>& marks);
     void apply_ready(group_id group, group_runtime& runtime, consensus::ready& work);
     void apply_entry(group_id group, group_runtime& runtime, const consensus::log_entry& entry);
     void finish_append(group_id group, const pending_append& append, bool committed,
