--- a/src/tallyfold/program_api/transport/transport.hpp
+++ b/src/tallyfold/program_api/transport/transport.hpp
@@ -1,7 +1,9 @@
 #pragma once
 /// @file
-/// Connections between the system's own processes: TCP, an HMAC handshake, framed messages,
-/// and heartbeats with deadlines both ways.
+/// Connections between the program API's processes: TCP, an HMAC handshake, framed messages, and
+/// heartbeats with deadlines both ways. Owns its thread and all sockets; a node that is lost is
+/// told to the handler, never waited for. The forwarding plane's nodes have no keys and one thread
+/// each: plane/messaging/peer_link is their counterpart.
 
 #include <functional>
 #include <map>
