--- a/apps/tallyfold_prove.cpp
+++ b/apps/tallyfold_prove.cpp
@@ -21,6 +21,13 @@
     std::map<std::string, std::uint64_t> faults;
 };
 
+/// What all runs gave together.
+struct summary {
+    std::map<std::string, property_row> rows;
+    std::vector<std::int64_t> leader_gaps_ms;
+    std::uint64_t failed_runs = 0;
+};
+
 void print_list() {
     for (const auto& property : tallyfold::sim::properties()) {
         std::cout << property.name << ": " << property.statement << "\n  faults:";
@@ -36,86 +43,80 @@
     }
 }
 
-}  // namespace
+void print_trace(std::uint64_t seed, const std::map<std::string, std::string>& policies,
+                 const std::string& wanted) {
+    (void)tallyfold::sim::run_with_faults(seed, policies, [&wanted](const std::string& text) {
+        if (text.find(wanted) != std::string::npos) {
+            std::cout << text << '\n';
+        }
+    });
+}
 
-int main(int argument_count, char** arguments) {
-    TCLAP::CmdLine line("Simulated fault runs of the whole system", ' ', "0.1.0");
-    TCLAP::ValueArg<std::uint64_t> seeds("", "seeds", "Number of seeds", false, 20, "N", line);
-    TCLAP::ValueArg<std::uint64_t> first("", "first-seed", "First seed", false, 1, "S", line);
-    TCLAP::ValueArg<std::string> only("", "property", "Judge this property only", false, "", "NAME",
-                                      line);
-    TCLAP::ValueArg<std::string> folder("", "policies", "Folder of the shipped policies", false,
-                                        "policies", "folder", line);
-    TCLAP::ValueArg<unsigned> threads("", "threads", "Runs at once", false,
-                                      std::thread::hardware_concurrency(), "N", line);
-    TCLAP::ValueArg<std::string> trace("", "trace", "Print the first seed's lines that hold this",
-                                       false, "", "text", line);
-    TCLAP::SwitchArg list("", "list", "Print the properties and how each is proved", line);
-    line.parse(argument_count, arguments);
-    if (list.getValue()) {
-        print_list();
-        return 0;
+/// @return true when the run violated the property
+bool judge(const run_result& result, const tallyfold::sim::property& property, property_row& row) {
+    ++row.runs;
+    for (const std::string& fault : property.faults) {
+        const auto found = result.faults.find(fault);
+        row.faults[fault] += found == result.faults.end() ? 0 : found->second;
     }
-    const auto policies = tallyfold::sim::read_policies(folder.getValue());
-    if (trace.isSet()) {
-        const std::string wanted = trace.getValue();
-        (void)tallyfold::sim::run_with_faults(first.getValue(), policies,
-                                              [&wanted](const std::string& text) {
-                                                  if (text.find(wanted) != std::string::npos) {
-                                                      std::cout << text << '\n';
-                                                  }
-                                              });
-        return 0;
+    const auto violated = result.violations.find(property.name);
+    if (violated == result.violations.end()) {
+        return false;
     }
-    std::map<std::string, property_row> rows;
-    std::map<std::string, std::uint64_t> faults;
-    std::vector<std::int64_t> gaps;
-    std::uint64_t failed_runs = 0;
+    ++row.violated_runs;
+    std::cout << "VIOLATION " << property.name << " seed " << result.seed << " plan " << result.plan
+              << ": " << violated->second.front() << " (of " << violated->second.size()
+              << ")\n  replay: scripts/prove --seeds 1"
+              << " --first-seed " << result.seed << " --property " << property.name << "\n";
+    return true;
+}
+
+/// @param only the property to judge; empty for all
+void add_run(const run_result& result, const std::string& only, summary& all) {
+    bool failed = false;
+    for (const auto& property : tallyfold::sim::properties()) {
+        if (only.empty() || property.name == only) {
+            failed = judge(result, property, all.rows[property.name]) || failed;
+        }
+    }
+    all.failed_runs += failed ? 1 : 0;
+    for (const auto gap : result.leader_gaps) {
+        all.leader_gaps_ms.push_back(tallyfold::to_milliseconds(gap));
+    }
+}
+
+struct seed_range {
+    std::uint64_t first = 1;
+    std::uint64_t count = 0;
+};
+
+summary run_seeds(const seed_range& seeds, const std::string& only, unsigned threads,
+                  const std::map<std::string, std::string>& policies) {
+    summary all;
     std::mutex mutex;
-    std::atomic<std::uint64_t> next{first.getValue()};
-    const std::uint64_t end = first.getValue() + seeds.getValue();
+    std::atomic<std::uint64_t> next{seeds.first};
     const auto work = [&] {
+        const std::uint64_t end = seeds.first + seeds.count;
         for (std::uint64_t seed = next++; seed < end; seed = next++) {
             const run_result result = tallyfold::sim::run_with_faults(seed, policies);
             const std::lock_guard lock(mutex);
-            bool failed = false;
-            for (const auto& property : tallyfold::sim::properties()) {
-                if (!only.getValue().empty() && property.name != only.getValue()) {
-                    continue;
-                }
-                property_row& row = rows[property.name];
-                ++row.runs;
-                for (const std::string& fault : property.faults) {
-                    const auto found = result.faults.find(fault);
-                    row.faults[fault] += found == result.faults.end() ? 0 : found->second;
-                }
-                const auto violated = result.violations.find(property.name);
-                if (violated == result.violations.end()) {
-                    continue;
-                }
-                failed = true;
-                ++row.violated_runs;
-                std::cout << "VIOLATION " << property.name << " seed " << seed << " plan "
-                          << result.plan << ": " << violated->second.front() << " (of "
-                          << violated->second.size() << ")\n  replay: scripts/prove --seeds 1"
-                          << " --first-seed " << seed << " --property " << property.name << "\n";
-            }
-            failed_runs += failed ? 1 : 0;
-            for (const auto gap : result.leader_gaps) {
-                gaps.push_back(tallyfold::to_milliseconds(gap));
-            }
+            add_run(result, only, all);
         }
     };
     std::vector<std::thread> workers;
-    for (unsigned index = 0; index < std::max(1U, threads.getValue()); ++index) {
+    for (unsigned index = 0; index < std::max(1U, threads); ++index) {
         workers.emplace_back(work);
     }
     for (std::thread& worker : workers) {
         worker.join();
     }
+    return all;
+}
+
+void print_rows(const summary& all) {
     for (const auto& property : tallyfold::sim::properties()) {
-        const auto row = rows.find(property.name);
-        if (row == rows.end()) {
+        const auto row = all.rows.find(property.name);
+        if (row == all.rows.end()) {
             continue;
         }
         std::cout << property.name << ": seeds " << row->second.runs << ", violated "
@@ -125,22 +126,63 @@
         }
         std::cout << '\n';
     }
+}
+
+void print_leader_gaps(std::vector<std::int64_t> gaps) {
     std::sort(gaps.begin(), gaps.end());
     if (!gaps.empty()) {
         std::cout << "control without a leader (sampled each 250 ms): " << gaps.size()
                   << " times, median " << gaps[gaps.size() / 2] << " ms, p99 "
                   << gaps[gaps.size() * 99 / 100] << " ms\n";
     }
-    std::uint64_t not_injected = 0;
+}
+
+/// Faults that no run had, though there were enough runs for every one. @return their number
+std::uint64_t print_not_injected(const summary& all, std::uint64_t seeds) {
     constexpr std::uint64_t seeds_for_every_fault = 200;
-    for (const auto& [name, row] : rows) {
+    std::uint64_t not_injected = 0;
+    for (const auto& [name, row] : all.rows) {
         for (const auto& [fault, count] : row.faults) {
-            if (count == 0 && seeds.getValue() >= seeds_for_every_fault) {
+            if (count == 0 && seeds >= seeds_for_every_fault) {
                 std::cout << "NOT INJECTED " << fault << ", which concerns " << name << '\n';
                 ++not_injected;
             }
         }
     }
-    std::cout << seeds.getValue() - failed_runs << " passed, " << failed_runs << " failed\n";
-    return failed_runs == 0 && not_injected == 0 ? 0 : 1;
+    return not_injected;
+}
+
+}  // namespace
+
+int main(int argument_count, char** arguments) {
+    TCLAP::CmdLine line("Simulated fault runs of the whole system", ' ', "0.1.0");
+    TCLAP::ValueArg<std::uint64_t> seeds("", "seeds", "Number of seeds", false, 20, "N", line);
+    TCLAP::ValueArg<std::uint64_t> first("", "first-seed", "First seed", false, 1, "S", line);
+    TCLAP::ValueArg<std::string> only("", "property", "Judge this property only", false, "", "NAME",
+                                      line);
+    TCLAP::ValueArg<std::string> folder("", "policies", "Folder of the shipped policies", false,
+                                        "policies", "folder", line);
+    TCLAP::ValueArg<unsigned> threads("", "threads", "Runs at once", false,
+                                      std::thread::hardware_concurrency(), "N", line);
+    TCLAP::ValueArg<std::string> trace("", "trace", "Print the first seed's lines that hold this",
+                                       false, "", "text", line);
+    TCLAP::SwitchArg list("", "list", "Print the properties and how each is proved", line);
+    line.parse(argument_count, arguments);
+    if (list.getValue()) {
+        print_list();
+        return 0;
+    }
+    const auto policies = tallyfold::sim::read_policies(folder.getValue());
+    if (trace.isSet()) {
+        print_trace(first.getValue(), policies, trace.getValue());
+        return 0;
+    }
+    const summary all = run_seeds({first.getValue(), seeds.getValue()}, only.getValue(),
+                                  threads.getValue(), policies);
+    print_rows(all);
+    print_leader_gaps(all.leader_gaps_ms);
+    const std::uint64_t not_injected = print_not_injected(all, seeds.getValue());
+    std::cout << seeds.getValue() - all.failed_runs << " passed, " << all.failed_runs
+              << " failed\n";
+    return all.failed_runs == 0 && not_injected == 0 ? 0 : 1;
 }
--- /dev/null
+++ b/sim/fault_injection.cpp
@@ -0,0 +1,306 @@
+/// @file
+/// The faults that plans put into a simulated run, each drawn by the plan's random source, and
+/// their repair.
+
+#include "sim/fault_plan.hpp"
+
+namespace tallyfold::sim {
+
+namespace {
+
+/// Time between two looks whether a repaired node votes, or a drained one is empty.
+constexpr duration repair_poll = std::chrono::milliseconds(50);
+
+duration milliseconds(std::int64_t count) {
+    return std::chrono::milliseconds(count);
+}
+
+}  // namespace
+
+std::string fault_plan::pick(const std::string& prefix) {
+    const std::vector<std::string> names = world_.names(prefix);
+    return names[random_.below(names.size())];
+}
+
+std::size_t fault_plan::controls_in_trouble() const {
+    std::size_t count = 0;
+    for (const std::string& name : world_.names("control-")) {
+        count += !world_.alive(name) || world_.frozen(name) || troubled_.contains(name) ? 1 : 0;
+    }
+    return count;
+}
+
+bool fault_plan::may_harm_control() const {
+    return controls_in_trouble() == 0 && !repairing_;
+}
+
+void fault_plan::restart_later(const std::string& node, std::int64_t low_ms, std::int64_t high_ms) {
+    world_.events().after(milliseconds(random_.between(low_ms, high_ms)),
+                          [this, node] { world_.restart(node); });
+}
+
+void fault_plan::inject_crash() {
+    const std::uint64_t draw = random_.below(4);
+    if (draw <= 1) {
+        const std::string leader = world_.leader_of(
+            static_cast<group_id>(random_.below(world_.settings().journal_groups + 1)));
+        const std::string victim = draw == 0 && !leader.empty() ? leader : pick("control-");
+        // Short blackouts of all control nodes are part of it, too.
+        const bool allowed = may_harm_control() || random_.chance(0.15);
+        if (allowed && world_.alive(victim) && !repairing_) {
+            world_.count("kill_control");
+            world_.kill(victim);
+            restart_later(victim, 300, 4000);
+        }
+    } else if (draw == 2) {
+        const std::string victim = pick("scheduler-");
+        if (world_.alive(victim)) {
+            world_.count("kill_scheduler");
+            world_.kill(victim);
+            restart_later(victim, 200, 5000);
+        }
+    } else {
+        const std::string victim = pick("gateway-");
+        if (world_.alive(victim)) {
+            world_.count("kill_gateway");
+            world_.kill(victim);
+            restart_later(victim, 200, 2000);
+        }
+    }
+}
+
+void fault_plan::inject_silence() {
+    switch (random_.below(6)) {
+        case 0:
+            freeze_scheduler();
+            break;
+        case 1:
+            freeze_leader();
+            break;
+        case 2:
+            cut_off_control();
+            break;
+        case 3:
+            cut_one_way();
+            break;
+        case 4:
+            slow_links();
+            break;
+        default:
+            jump_clock();
+            break;
+    }
+}
+
+void fault_plan::freeze_scheduler() {
+    const std::string victim = pick("scheduler-");
+    if (world_.alive(victim)) {
+        world_.count("freeze_scheduler");
+        world_.freeze(victim);
+        world_.events().after(milliseconds(random_.between(1500, 9000)),
+                              [this, victim] { world_.thaw(victim); });
+    }
+}
+
+void fault_plan::freeze_leader() {
+    const std::string leader = world_.leader_of(
+        static_cast<group_id>(random_.below(world_.settings().journal_groups + 1)));
+    if (!leader.empty() && may_harm_control()) {
+        world_.count("freeze_control");
+        world_.freeze(leader);
+        world_.events().after(milliseconds(random_.between(1500, 9000)),
+                              [this, leader] { world_.thaw(leader); });
+    }
+}
+
+void fault_plan::cut_off_control() {
+    // One control node cut off from everybody, without any error.
+    const std::string victim = pick("control-");
+    if (!may_harm_control()) {
+        return;
+    }
+    world_.count("cut_silent");
+    troubled_.insert(victim);
+    for (const char* prefix : {"control-", "scheduler-", "gateway-"}) {
+        for (const std::string& other : world_.names(prefix)) {
+            world_.cut(victim, other, true);
+        }
+    }
+    world_.events().after(milliseconds(random_.between(2000, 8000)), [this, victim] {
+        troubled_.erase(victim);
+        world_.heal_links();
+    });
+}
+
+void fault_plan::cut_one_way() {
+    const std::string from = pick(random_.chance(0.5) ? "control-" : "scheduler-");
+    const std::string to = pick(random_.chance(0.5) ? "control-" : "gateway-");
+    if (from == to) {
+        return;
+    }
+    world_.count("cut_one_way");
+    world_.cut(from, to, false);
+    world_.events().after(milliseconds(random_.between(2000, 5000)),
+                          [this] { world_.heal_links(); });
+}
+
+void fault_plan::slow_links() {
+    const std::string victim = pick(random_.chance(0.5) ? "control-" : "scheduler-");
+    world_.count("slow_link");
+    world_.slow(victim, milliseconds(random_.between(20, 120)));
+    world_.set_chaotic(true);
+    world_.count("chaotic_network");
+    world_.events().after(milliseconds(random_.between(1000, 4000)),
+                          [this] { world_.heal_links(); });
+}
+
+void fault_plan::jump_clock() {
+    const std::string victim = pick(random_.chance(0.5) ? "control-" : "scheduler-");
+    world_.count("clock_jump");
+    world_.jump_clock(victim, milliseconds(random_.between(500, 60'000)));
+}
+
+void fault_plan::inject_disk_loss() {
+    const std::string victim = pick("control-");
+    if (!may_harm_control() || !world_.control_serves()) {
+        return;
+    }
+    world_.count("lose_disk");
+    repairing_ = true;
+    world_.lose_disk(victim);
+    const std::int64_t away = random_.between(100, 2000);
+    world_.events().after(milliseconds(away), [this, victim] {
+        world_.restart(victim);
+        await_repair(victim);
+    });
+}
+
+void fault_plan::await_repair(const std::string& repaired) {
+    if (!world_.is_voter_everywhere(repaired)) {
+        world_.events().after(repair_poll, [this, repaired] { await_repair(repaired); });
+        return;
+    }
+    repairing_ = false;
+    if (world_.events().now() > end_ || !random_.chance(0.7)) {
+        return;
+    }
+    // A second machine fails right after the repair, some of the time with its disk.
+    std::string second = pick("control-");
+    if (second == repaired || !world_.alive(second) || !may_harm_control()) {
+        return;
+    }
+    world_.count("second_failure");
+    if (random_.chance(0.5)) {
+        repairing_ = true;
+        world_.lose_disk(second);
+        world_.events().after(milliseconds(random_.between(100, 1500)), [this, second] {
+            world_.restart(second);
+            await_repair(second);
+        });
+        return;
+    }
+    world_.kill(second);
+    restart_later(second, 500, 3000);
+}
+
+void fault_plan::inject_back_end_fault() {
+    const std::uint64_t draw = random_.below(5);
+    if (draw == 0) {
+        const std::string victim = pick("engine-");
+        if (world_.alive(victim)) {
+            world_.count("kill_engine");
+            world_.count("lose_cache");
+            world_.kill(victim);
+            restart_later(victim, 500, 4000);
+        }
+    } else if (draw == 1) {
+        const std::string victim = pick("app-");
+        if (world_.alive(victim)) {
+            world_.count("kill_app");
+            world_.kill(victim);
+            restart_later(victim, 300, 3000);
+        }
+    } else if (draw == 2) {
+        const std::string victim = pick("engine-");
+        if (world_.alive(victim)) {
+            world_.count("freeze_engine");
+            world_.freeze(victim);
+            world_.events().after(milliseconds(random_.between(1000, 7000)),
+                                  [this, victim] { world_.thaw(victim); });
+        }
+    } else if (draw == 3) {
+        // Never the last ones: somebody has to serve.
+        world_.count("leave_engine");
+        world_.leave("engine-1");
+    } else {
+        world_.count("leave_app");
+        world_.leave("app-1");
+    }
+}
+
+void fault_plan::inject_planned_stop() {
+    const bool scheduler = random_.chance(0.6);
+    const std::string victim = scheduler ? "scheduler-1" : "gateway-1";
+    if (scheduler && random_.chance(0.4)) {
+        world_.count("leave_engine");
+        world_.leave("engine-1");
+        return;
+    }
+    if (!world_.alive(victim) || troubled_.contains(victim)) {
+        return;
+    }
+    troubled_.insert(victim);
+    world_.count(scheduler ? "drain_scheduler" : "drain_gateway");
+    world_.drain(victim);
+    await_drain(victim);
+}
+
+void fault_plan::await_drain(const std::string& victim) {
+    if (!world_.drained(victim)) {
+        world_.events().after(repair_poll, [this, victim] { await_drain(victim); });
+        return;
+    }
+    // The process has ended, and a new one takes its place.
+    world_.kill(victim);
+    troubled_.erase(victim);
+    restart_later(victim, 200, 1500);
+}
+
+void fault_plan::inject_operator_action() {
+    const auto make = [&](double weight, std::uint64_t version) {
+        configuration::change_command command;
+        command.command_identity = "op-" + std::to_string(next_command_++);
+        command.operator_name = "operator";
+        command.key = {configuration::item_kind::tenant, "race"};
+        command.expected_version = version;
+        command.body = configuration::tenant_settings{weight, 100};
+        return command;
+    };
+    // Two operators submit from equal versions; each repeats until an answer arrives.
+    const std::uint64_t version = next_command_ / 2;
+    world_.count("operator_race");
+    world_.count("operator_resend");
+    world_.submit_change(make(1.0 + random_.unit(), version));
+    world_.submit_change(make(3.0 + random_.unit(), version));
+    if (random_.chance(0.3)) {
+        // A process sleeps through hundreds of changes.
+        const std::string sleeper = pick(random_.chance(0.5) ? "scheduler-" : "gateway-");
+        if (!world_.alive(sleeper)) {
+            return;
+        }
+        world_.count("far_behind");
+        world_.kill(sleeper);
+        restart_later(sleeper, 2000, 6000);
+        for (int change = 0; change < 150; ++change) {
+            configuration::change_command command;
+            command.command_identity = "bulk-" + std::to_string(next_command_++);
+            command.operator_name = "operator";
+            command.key = {configuration::item_kind::tenant, "bulk-" + command.command_identity};
+            command.body = configuration::tenant_settings{};
+            world_.submit_change(command);
+        }
+        next_command_ += next_command_ % 2 == 0 ? 1 : 0;
+    }
+}
+
+}  // namespace tallyfold::sim
--- a/sim/fault_plan.hpp
+++ b/sim/fault_plan.hpp
@@ -40,7 +40,14 @@
     void schedule_next();
     void inject();
     void inject_crash();
+    void inject_any();
     void inject_silence();
+    void freeze_scheduler();
+    void freeze_leader();
+    void cut_off_control();
+    void cut_one_way();
+    void slow_links();
+    void jump_clock();
     void inject_disk_loss();
     void inject_back_end_fault();
     void inject_planned_stop();
--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -9,12 +9,6 @@
 
 namespace {
 
-constexpr duration sync_time = std::chrono::microseconds(900);
-/// A connection that passes nothing for this long is given up by both ends.
-constexpr duration silence_limit = std::chrono::milliseconds(1200);
-constexpr duration silence_check = std::chrono::milliseconds(100);
-constexpr duration reset_delay = std::chrono::milliseconds(2);
-constexpr duration sample_interval = std::chrono::milliseconds(250);
 constexpr std::array<const char*, 4> zone_names{"zone-a", "zone-b", "zone-c", "zone-d"};
 
 }  // namespace
@@ -101,54 +95,17 @@
     base.frozen = false;
     base.backlog.clear();
     ++base.generation;
-    const instant now = local_now(base);
     const std::uint64_t seed = combine_hash(settings_.seed, stable_hash(name, base.generation));
     if (auto* control = dynamic_cast<control_node*>(&base)) {
-        control::control_settings options;
-        options.node = name;
-        options.journal_groups = settings_.journal_groups;
-        options.shard_count = settings_.shard_count;
-        options.peers = names("control-");
-        options.snapshot_interval = settings_.snapshot_interval;
-        options.seed = seed;
-        consensus::recovered_node recovered;
-        recovered.identity = control->identity;
-        for (const auto& [group, durable] : control->disk) {
-            recovered.groups[group] = durable.state();
-        }
-        control->core = std::make_unique<control::control_core>(options, recovered, now);
-        control->admin.clear();
+        start_control(*control, seed);
     } else if (auto* scheduler = dynamic_cast<scheduler_node*>(&base)) {
-        scheduler::scheduler_settings options;
-        options.node = name;
-        options.address = name;
-        options.zone = zone_names[0];
-        options.control_nodes = names("control-");
-        options.journal_groups = settings_.journal_groups;
-        options.shard_count = settings_.shard_count;
-        options.seed = seed;
-        scheduler->core = std::make_unique<scheduler::scheduler_core>(options, now);
+        start_scheduler(*scheduler, seed);
     } else if (auto* gateway = dynamic_cast<gateway_node*>(&base)) {
-        gateway::gateway_settings options;
-        options.node = name;
-        options.control_nodes = names("control-");
-        options.shard_count = settings_.shard_count;
-        options.seed = seed;
-        gateway->core = std::make_unique<gateway::gateway_core>(options);
+        start_gateway(*gateway, seed);
     } else if (auto* engine = dynamic_cast<engine_node*>(&base)) {
-        stand_ins::engine_settings options = settings_.engine;
-        options.name = name;
-        options.seed = seed;
-        engine->leaving = false;
-        engine->core = std::make_unique<stand_ins::engine_core>(options, prefill_, now);
+        start_engine(*engine, seed);
     } else if (auto* service = dynamic_cast<service_node*>(&base)) {
-        stand_ins::service_settings options;
-        options.name = name;
-        options.seed = seed;
-        options.hang_share =
-            service->kind == scheduling::backend_kind::tool ? settings_.tool_hang_share : 0.0;
-        service->leaving = false;
-        service->core = std::make_unique<stand_ins::service_core>(options, service->disk);
+        start_service(*service, seed);
     }
     const bool ticks = dynamic_cast<engine_node*>(&base) == nullptr &&
                        dynamic_cast<service_node*>(&base) == nullptr;
@@ -157,6 +114,62 @@
     }
 }
 
+void world::start_control(control_node& node, std::uint64_t seed) {
+    control::control_settings options;
+    options.node = node.name;
+    options.journal_groups = settings_.journal_groups;
+    options.shard_count = settings_.shard_count;
+    options.peers = names("control-");
+    options.snapshot_interval = settings_.snapshot_interval;
+    options.seed = seed;
+    consensus::recovered_node recovered;
+    recovered.identity = node.identity;
+    for (const auto& [group, durable] : node.disk) {
+        recovered.groups[group] = durable.state();
+    }
+    node.core = std::make_unique<control::control_core>(options, recovered, local_now(node));
+    node.admin.clear();
+}
+
+void world::start_scheduler(scheduler_node& node, std::uint64_t seed) {
+    scheduler::scheduler_settings options;
+    options.node = node.name;
+    options.address = node.name;
+    options.zone = zone_names[0];
+    options.control_nodes = names("control-");
+    options.journal_groups = settings_.journal_groups;
+    options.shard_count = settings_.shard_count;
+    options.seed = seed;
+    node.core = std::make_unique<scheduler::scheduler_core>(options, local_now(node));
+}
+
+void world::start_gateway(gateway_node& node, std::uint64_t seed) {
+    gateway::gateway_settings options;
+    options.node = node.name;
+    options.control_nodes = names("control-");
+    options.shard_count = settings_.shard_count;
+    options.seed = seed;
+    node.core = std::make_unique<gateway::gateway_core>(options);
+}
+
+void world::start_engine(engine_node& node, std::uint64_t seed) {
+    stand_ins::engine_settings options = settings_.engine;
+    options.name = node.name;
+    options.seed = seed;
+    node.leaving = false;
+    node.core = std::make_unique<stand_ins::engine_core>(options, prefill_, local_now(node));
+}
+
+void world::start_service(service_node& node, std::uint64_t seed) {
+    stand_ins::service_settings options;
+    options.name = node.name;
+    options.seed = seed;
+    options.hang_share =
+        node.kind == scheduling::backend_kind::tool ? settings_.tool_hang_share : 0.0;
+    node.leaving = false;
+    node.core = std::make_unique<stand_ins::service_core>(options, node.disk);
+}
+
 void world::tick_loop(const std::string& name, std::uint64_t generation) {
     node_base& node = *nodes_.at(name);
     if (!node.alive || node.generation != generation) {
@@ -263,222 +276,4 @@
     }
 }
 
-void world::tell_lost(const std::string& name, const std::string& dead) {
-    auto* gateway = dynamic_cast<gateway_node*>(nodes_.at(name).get());
-    if (gateway == nullptr || !gateway->alive) {
-        return;
-    }
-    const std::uint64_t generation = gateway->generation;
-    events_.after(reset_delay, [this, name, dead, generation] {
-        auto& target = node_as<gateway_node>(name);
-        if (target.generation != generation || !network_.passes(dead, name)) {
-            return;
-        }
-        run_on(name, [this, name, dead] {
-            auto& woken = node_as<gateway_node>(name);
-            woken.core->peer_lost(dead, local_now(woken));
-            pump_gateway(woken);
-        });
-    });
-}
-
-void world::notify_lost(const std::string& dead) {
-    for (const std::string& name : names("gateway-")) {
-        tell_lost(name, dead);
-    }
-    // Callers see their connection break when a gateway dies.
-    for (auto& [token, request] : requests_) {
-        // A request that is still on its way will find no listener instead.
-        if (request.gateway == dead && request.generation != 0) {
-            const stand_ins::caller_token lost = token;
-            const std::size_t caller = request.caller;
-            events_.after(reset_delay, [this, lost, caller] {
-                requests_.erase(lost);
-                callers_[caller]->on_disconnected(lost, events_.now());
-            });
-        }
-    }
-    // Engines see their readers go.
-    for (const auto& [name, node] : nodes_) {
-        if (auto* engine = dynamic_cast<engine_node*>(node.get()); engine && engine->core) {
-            for (const auto& [key, reader] : engine->readers) {
-                if (reader.first == dead) {
-                    engine->core->detach(key, events_.now());
-                }
-            }
-        }
-    }
-}
-
-void world::watch_silence() {
-    events_.after(silence_check, [this] { watch_silence(); });
-    const instant now = events_.now();
-    for (const std::string& gateway : names("gateway-")) {
-        for (const std::string& scheduler : names("scheduler-")) {
-            const auto link = std::make_pair(gateway, scheduler);
-            const bool silent = frozen(scheduler) || !network_.passes(scheduler, gateway) ||
-                                !network_.passes(gateway, scheduler);
-            if (!silent || !alive(gateway) || frozen(gateway)) {
-                silent_since_.erase(link);
-                lost_told_.erase(link);
-                continue;
-            }
-            const auto since = silent_since_.try_emplace(link, now).first->second;
-            if (now - since > silence_limit && lost_told_.insert(link).second) {
-                auto& node = node_as<gateway_node>(gateway);
-                node.core->peer_lost(scheduler, local_now(node));
-                pump_gateway(node);
-            }
-        }
-    }
-}
-
-// --- messages between nodes ----------------------------------------------------------------
-
-void world::transmit(const std::string& from, const std::string& to,
-                     protocol::internal_message message) {
-    if (!nodes_.contains(to)) {
-        return;
-    }
-    trace_message(from, to, message);
-    if (!alive(to) && network_.passes(to, from)) {
-        // The connection is refused, and the sender's transport says so.
-        tell_lost(from, to);
-    }
-    const bool replica = std::holds_alternative<consensus::replica_message>(message);
-    if (network_.chaotic() && replica && network_.random().chance(0.05)) {
-        deliver(from, to, message);
-    }
-    deliver(from, to, std::move(message));
-}
-
-void world::deliver(const std::string& from, const std::string& to,
-                    protocol::internal_message message) {
-    if (!network_.passes(from, to)) {
-        return;
-    }
-    instant arrival = events_.now() + network_.delay(from, to);
-    const bool replica = std::holds_alternative<consensus::replica_message>(message);
-    if (network_.chaotic() && replica) {
-        arrival += duration(network_.random().between(0, 20'000));
-    } else {
-        instant& earliest = link_order_[{from, to}];
-        arrival = std::max(arrival, earliest);
-        earliest = arrival;
-    }
-    const std::uint64_t generation = nodes_.at(to)->generation;
-    events_.at(arrival, [this, from, to, generation, message = std::move(message)]() mutable {
-        if (nodes_.at(to)->generation != generation || !network_.passes(from, to)) {
-            return;
-        }
-        run_on(to, [this, from, to, message = std::move(message)] {
-            node_base& base = *nodes_.at(to);
-            const instant now = local_now(base);
-            if (auto* control = dynamic_cast<control_node*>(&base)) {
-                control->core->receive(from, message, now);
-                pump_control(*control);
-            } else if (auto* scheduler = dynamic_cast<scheduler_node*>(&base)) {
-                scheduler->core->receive(from, message, now);
-                pump_scheduler(*scheduler);
-            } else if (auto* gateway = dynamic_cast<gateway_node*>(&base)) {
-                gateway->core->receive(from, message, now);
-                pump_gateway(*gateway);
-            }
-        });
-    });
-}
-
-void world::pump_control(control_node& node) {
-    control::control_output output = node.core->take_output();
-    for (protocol::outbound_message& message : output.messages) {
-        transmit(node.name, message.to, std::move(message.message));
-    }
-    for (const control::admin_reply& reply : output.admin_replies) {
-        const auto found = node.admin.find(reply.token);
-        if (found == node.admin.end()) {
-            continue;
-        }
-        const std::size_t record = found->second;
-        node.admin.erase(found);
-        if (reply.status == control::admin_status::done) {
-            // The answer travels to the operator; it may get lost on the way.
-            events_.after(network_.delay(node.name, node.name), [this, record, reply] {
-                operator_record& known = seen_.operators[record];
-                if (!known.result.has_value() && !random_.chance(0.1)) {
-                    known.result = reply.change;
-                    known.accepted_at = events_.now();
-                }
-            });
-        }
-    }
-    if (!output.batch.has_value()) {
-        return;
-    }
-    const std::uint64_t generation = node.generation;
-    const std::string name = node.name;
-    events_.after(sync_time, [this, name, generation, batch = std::move(*output.batch)]() mutable {
-        auto& woken = node_as<control_node>(name);
-        if (!woken.alive || woken.generation != generation) {
-            return;  // It died before the sync: nothing of the batch is on the disk.
-        }
-        for (const consensus::group_write& write : batch.writes) {
-            woken.disk[write.group].apply(write);
-        }
-        run_on(name, [this, name, batch = std::move(batch)]() mutable {
-            auto& synced = node_as<control_node>(name);
-            for (protocol::outbound_message& message : batch.messages_after) {
-                transmit(name, message.to, std::move(message.message));
-            }
-            synced.core->persisted(batch.number);
-            pump_control(synced);
-        });
-    });
-}
-
-void world::pump_scheduler(scheduler_node& node) {
-    scheduler::scheduler_output output = node.core->take_output();
-    for (protocol::outbound_message& message : output.messages) {
-        transmit(node.name, message.to, std::move(message.message));
-    }
-    for (const scheduler::backend_order& order : output.orders) {
-        send_order(node, order);
-    }
-}
-
-// --- faults on links and clocks ------------------------------------------------------------
-
-void world::cut(const std::string& from, const std::string& to, bool both_ways) {
-    trace_line("cut " + from + " -> " + to + (both_ways ? " and back" : ""));
-    network_.cut(from, to);
-    if (both_ways) {
-        network_.cut(to, from);
-    }
-}
-
-void world::heal_links() {
-    trace_line("heal links");
-    network_.heal_all();
-}
-void world::slow(const std::string& node, duration extra) {
-    network_.slow(node, extra);
-}
-void world::set_chaotic(bool chaotic) {
-    network_.set_chaotic(chaotic);
-}
-
-void world::jump_clock(const std::string& node, duration ahead) {
-    nodes_.at(node)->clock_ahead += ahead;
-}
-
-void world::drain(const std::string& name) {
-    run_on(name, [this, name] {
-        node_base& base = *nodes_.at(name);
-        if (auto* scheduler = dynamic_cast<scheduler_node*>(&base)) {
-            scheduler->core->drain();
-        } else if (auto* gateway = dynamic_cast<gateway_node*>(&base)) {
-            gateway->core->drain();
-        }
-    });
-}
-
 }  // namespace tallyfold::sim
--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -140,6 +140,16 @@
 
     void build();
     void start_node(const std::string& name);
+    void start_control(control_node& node, std::uint64_t seed);
+    void start_scheduler(scheduler_node& node, std::uint64_t seed);
+    void start_gateway(gateway_node& node, std::uint64_t seed);
+    void start_engine(engine_node& node, std::uint64_t seed);
+    void start_service(service_node& node, std::uint64_t seed);
+    bool form_cluster();
+    /// @return the number of changes, and so the version that gateways are to have
+    std::uint64_t submit_configuration();
+    [[nodiscard]] bool gateways_ready(configuration::configuration_version version);
+    void start_callers();
     void tick_loop(const std::string& name, std::uint64_t generation);
     void tick_node(const std::string& name);
     void deliver(const std::string& from, const std::string& to,
@@ -148,6 +158,9 @@
                   protocol::internal_message message);
     void run_on(const std::string& node, std::function<void()> action);
     void pump_control(control_node& node);
+    void answer_operator(control_node& node, const control::admin_reply& reply);
+    /// The batch is on the node's disk, and its messages go out, once a sync's time has passed.
+    void sync_later(const control_node& node, control::storage_batch written);
     void pump_scheduler(scheduler_node& node);
     void pump_gateway(gateway_node& node);
     void pump_engine(engine_node& node);
@@ -155,6 +168,10 @@
     void wake_engine(engine_node& node, instant at);
     void wake_service(service_node& node, instant at);
     void send_order(scheduler_node& from, const scheduler::backend_order& order);
+    void give_up_later(const std::string& scheduler, std::uint64_t generation,
+                       const scheduler::run_request& request);
+    void deliver_order(const std::string& scheduler, std::uint64_t generation,
+                       const std::string& target, const scheduler::backend_order& order);
     void report_to(const std::string& scheduler, std::uint64_t generation,
                    const std::string& backend, scheduler::backend_report report);
     void on_engine_order(engine_node& node, const scheduler::backend_order& order,
@@ -162,8 +179,7 @@
     void on_service_order(service_node& node, const scheduler::backend_order& order,
                           const std::string& scheduler, std::uint64_t generation);
     void fail_order(const std::string& scheduler, std::uint64_t generation,
-                    const std::string& backend, const scheduler::backend_order& order,
-                    bool handed_over);
+                    const std::string& backend, const scheduler::backend_order& order);
     void pump_callers();
     void caller_loop();
     void send_request(const stand_ins::caller_action& action);
@@ -178,6 +194,9 @@
     void operator_loop(std::size_t record);
     void sample_configuration();
     void gather_ledger();
+    /// The configuration and the histories as their groups' leaders have them.
+    void gather_histories();
+    void gather_held_tokens();
     [[nodiscard]] instant local_now(const node_base& node) const;
     [[nodiscard]] scheduler::members_answered member_list() const;
     template <class Node>
--- a/sim/world_backends.cpp
+++ b/sim/world_backends.cpp
@@ -76,24 +76,11 @@
         report_to(name, generation, list_name, list);
         return;
     }
-    const auto found = nodes_.find(target);
-    if (found == nodes_.end()) {
+    if (!nodes_.contains(target)) {
         return;
     }
     if (const auto* request = std::get_if<scheduler::run_request>(&order)) {
-        // The shell gives the request up after its timeout, whatever became of it.
-        const scheduler::attempt_key key = request->key;
-        events_.after(request->timeout, [this, name, generation, key] {
-            if (nodes_.at(name)->generation != generation) {
-                return;
-            }
-            run_on(name, [this, name, key] {
-                auto& node = node_as<scheduler_node>(name);
-                node.core->report(scheduler::attempt_failed{key, scheduler::failure_kind::broken},
-                                  local_now(node));
-                pump_scheduler(node);
-            });
-        });
+        give_up_later(name, generation, *request);
     }
     if (!network_.passes(name, target)) {
         return;
@@ -103,40 +90,47 @@
     arrival = std::max(arrival, earliest);
     earliest = arrival;
     events_.at(arrival, [this, name, generation, target, order] {
-        node_base& base = *nodes_.at(target);
-        if (!base.alive) {
-            fail_order(name, generation, target, order, false);
+        deliver_order(name, generation, target, order);
+    });
+}
+
+void world::give_up_later(const std::string& name, std::uint64_t generation,
+                          const scheduler::run_request& request) {
+    // The shell gives the request up after its timeout, whatever became of it.
+    const scheduler::attempt_key key = request.key;
+    events_.after(request.timeout, [this, name, generation, key] {
+        if (nodes_.at(name)->generation != generation) {
             return;
         }
-        run_on(target, [this, name, generation, target, order] {
-            node_base& woken = *nodes_.at(target);
-            if (auto* engine = dynamic_cast<engine_node*>(&woken)) {
-                on_engine_order(*engine, order, name, generation);
-            } else if (auto* service = dynamic_cast<service_node*>(&woken)) {
-                on_service_order(*service, order, name, generation);
-            }
+        run_on(name, [this, name, key] {
+            auto& node = node_as<scheduler_node>(name);
+            node.core->report(scheduler::attempt_failed{key, scheduler::failure_kind::broken},
+                              local_now(node));
+            pump_scheduler(node);
         });
     });
 }
 
-void world::fail_order(const std::string& name, std::uint64_t generation,
-                       const std::string& backend, const scheduler::backend_order& order,
-                       bool handed_over) {
-    const auto kind =
-        handed_over ? scheduler::failure_kind::refused : scheduler::failure_kind::unreachable;
-    std::optional<scheduler::backend_report> report;
-    if (const auto* start = std::get_if<scheduler::start_stream>(&order)) {
-        report = scheduler::attempt_failed{start->key, kind};
-    } else if (const auto* run = std::get_if<scheduler::run_request>(&order)) {
-        report = scheduler::attempt_failed{run->key, kind};
-    } else if (const auto* resume = std::get_if<scheduler::resume_stream>(&order)) {
-        report = scheduler::attempt_failed{resume->key, scheduler::failure_kind::unknown_stream};
-    } else if (const auto* seal = std::get_if<scheduler::seal_request>(&order)) {
-        report = scheduler::seal_failed{seal->key};
-    } else if (const auto* poll = std::get_if<scheduler::poll_status>(&order)) {
-        report = scheduler::status_failed{poll->backend};
+void world::deliver_order(const std::string& name, std::uint64_t generation,
+                          const std::string& target, const scheduler::backend_order& order) {
+    if (!nodes_.at(target)->alive) {
+        fail_order(name, generation, target, order);
+        return;
     }
-    if (report.has_value()) {
+    run_on(target, [this, name, generation, target, order] {
+        node_base& woken = *nodes_.at(target);
+        if (auto* engine = dynamic_cast<engine_node*>(&woken)) {
+            on_engine_order(*engine, order, name, generation);
+        } else if (auto* service = dynamic_cast<service_node*>(&woken)) {
+            on_service_order(*service, order, name, generation);
+        }
+    });
+}
+
+void world::fail_order(const std::string& name, std::uint64_t generation,
+                       const std::string& backend, const scheduler::backend_order& order) {
+    constexpr bool handed_over = false;
+    if (const auto report = scheduler::report_no_answer(order, handed_over)) {
         events_.after(refused_delay, [this, name, generation, backend, report = *report] {
             report_to(name, generation, backend, report);
         });
--- a/sim/world_nodes.hpp
+++ b/sim/world_nodes.hpp
@@ -7,6 +7,10 @@
 namespace tallyfold::sim {
 
 constexpr duration tick_interval = std::chrono::milliseconds(10);
+/// Time between two looks at the links for silence.
+constexpr duration silence_check = std::chrono::milliseconds(100);
+/// Time between two samples of what nodes serve with.
+constexpr duration sample_interval = std::chrono::milliseconds(250);
 
 struct world::node_base {
     virtual ~node_base() = default;
--- a/sim/world_run.cpp
+++ b/sim/world_run.cpp
@@ -10,7 +10,6 @@
 
 namespace {
 
-constexpr duration sample_interval = std::chrono::milliseconds(250);
 constexpr duration boot_limit = std::chrono::seconds(20);
 
 }  // namespace
@@ -18,6 +17,22 @@
 // --- boot, run, finish ---------------------------------------------------------------------
 
 bool world::boot() {
+    if (!form_cluster()) {
+        return false;
+    }
+    const std::uint64_t changes = submit_configuration();
+    const instant limit = events_.now() + boot_limit;
+    while (!gateways_ready(changes)) {
+        if (!events_.step(limit)) {
+            return false;
+        }
+    }
+    seen_.started = events_.now();
+    start_callers();
+    return true;
+}
+
+bool world::form_cluster() {
     consensus::membership members;
     for (const std::string& name : names("control-")) {
         members.members[node_as<control_node>(name).identity] = {name, false};
@@ -29,6 +44,10 @@
         }
         pump_control(node);
     }
+    return true;
+}
+
+std::uint64_t world::submit_configuration() {
     std::uint64_t number = 0;
     const auto submit = [&](configuration::item_key key, configuration::item_body body) {
         configuration::change_command command;
@@ -47,29 +66,27 @@
     for (const auto& [name, settings] : settings_.classes) {
         submit({configuration::item_kind::program_class, name}, settings);
     }
-    const instant limit = events_.now() + boot_limit;
-    const auto ready = [&] {
-        for (const std::string& name : names("gateway-")) {
-            const auto& node = node_as<gateway_node>(name);
-            const auto& session = node.core->session();
-            if (!node.core->ready(events_.now()) || session.configuration().version() < number ||
-                session.schedulers().size() < settings_.schedulers) {
+    return number;
+}
+
+bool world::gateways_ready(configuration::configuration_version version) {
+    for (const std::string& name : names("gateway-")) {
+        const auto& node = node_as<gateway_node>(name);
+        const auto& session = node.core->session();
+        if (!node.core->ready(events_.now()) || session.configuration().version() < version ||
+            session.schedulers().size() < settings_.schedulers) {
+            return false;
+        }
+        for (shard_id shard = 0; shard < settings_.shard_count; ++shard) {
+            if (session.lease_of(shard).holder.empty()) {
                 return false;
             }
-            for (shard_id shard = 0; shard < settings_.shard_count; ++shard) {
-                if (session.lease_of(shard).holder.empty()) {
-                    return false;
-                }
-            }
-        }
-        return true;
-    };
-    while (!ready()) {
-        if (!events_.step(limit)) {
-            return false;
         }
     }
-    seen_.started = events_.now();
+    return true;
+}
+
+void world::start_callers() {
     const auto scripts = stand_ins::make_workload(settings_.workload);
     for (std::size_t index = 0; index < scripts.size(); ++index) {
         stand_ins::caller_core::settings options;
@@ -83,7 +100,6 @@
         });
     }
     events_.after(tick_interval, [this] { caller_loop(); });
-    return true;
 }
 
 void world::run() {
@@ -112,6 +128,12 @@
     for (const auto& caller : callers_) {
         seen_.callers.push_back(caller->report());
     }
+    gather_histories();
+    gather_held_tokens();
+    return seen_;
+}
+
+void world::gather_histories() {
     const std::string leader = leader_of(configuration_group);
     for (const std::string& name : names("control-")) {
         const auto& node = node_as<control_node>(name);
@@ -129,6 +151,9 @@
             }
         }
     }
+}
+
+void world::gather_held_tokens() {
     for (const auto& report : seen_.callers) {
         for (const auto& [program, ended] : report.members) {
             for (const std::string& name : names("engine-")) {
@@ -140,7 +165,6 @@
             }
         }
     }
-    return seen_;
 }
 
 void world::gather_ledger() {
