--- a/stand_ins/caller_core.cpp
+++ b/stand_ins/caller_core.cpp
@@ -190,16 +190,18 @@
         retry_at(now + std::chrono::milliseconds(result.retry_after_ms));
         return;
     }
-    if (phase_ != phase::calling) {
-        if (phase_ == phase::closing || result.code == answer_code::program_not_found) {
-            finish(now);
-            return;
-        }
+    if (phase_ == phase::calling) {
+        on_call_failed(result, now);
+        return;
+    }
+    if (phase_ != phase::closing && result.code != answer_code::program_not_found) {
         ++report_.lost;
         report_.notes.push_back(program_ + ": could not be opened: " + result.detail);
-        finish(now);
-        return;
     }
+    finish(now);
+}
+
+void caller_core::on_call_failed(const outcome& result, instant now) {
     if (result.ran == ran_state::no) {
         // The claim stands for ever: this call is not asked for again.
         report_.claims.push_back({program_, sequence_, now, instant::max()});
--- a/stand_ins/caller_core.hpp
+++ b/stand_ins/caller_core.hpp
@@ -98,6 +98,8 @@
     void finish(instant now);
     void on_ok(const journal::outcome& result, instant now);
     void on_error(const journal::outcome& result, instant now);
+    /// The call has failed for good: the program goes on with its next step, or ends.
+    void on_call_failed(const journal::outcome& result, instant now);
     void retry_at(instant when) { retry_at_ = when; }
     protocol::scheduler_call current_call() const;
 
--- a/stand_ins/program_script.cpp
+++ b/stand_ins/program_script.cpp
@@ -237,10 +237,6 @@
     return std::nullopt;
 }
 
-std::string_view to_string(deployment value) {
-    return value == deployment::huayin ? "huayin" : "hobart";
-}
-
 std::vector<std::string> tenants_of(deployment profile) {
     if (profile == deployment::huayin) {
         return {"adspark", "lotus-drama", "pixelgate", "harbour-ads"};
--- a/stand_ins/program_script.hpp
+++ b/stand_ins/program_script.hpp
@@ -17,7 +17,6 @@
 enum class deployment : std::uint8_t { huayin, hobart };
 
 std::optional<deployment> parse_deployment(std::string_view name);
-std::string_view to_string(deployment value);
 
 enum class step_kind : std::uint8_t { model, app, tool, spawn };
 
