--- a/src/tallyfold/program_api/http/http_server.hpp
+++ b/src/tallyfold/program_api/http/http_server.hpp
@@ -1,7 +1,9 @@
 #pragma once
 /// @file
-/// HTTP towards callers, operators and, in the stand-ins, schedulers. Built on RESTinio, which
-/// only http_server.cpp sees.
+/// HTTP towards callers, operators and, in the stand-ins, schedulers. Owns the server's thread; who
+/// handles an exchange answers it later, from any thread. Built on RESTinio, which only
+/// http_server.cpp sees. The forwarding plane's server, plane/http/endpoint_server, runs in its
+/// program's one loop thread instead, on http_parser (docs/design/platform.md says why).
 
 #include <functional>
 #include <memory>
--- a/src/tallyfold/program_api/process/metrics.hpp
+++ b/src/tallyfold/program_api/process/metrics.hpp
@@ -1,6 +1,8 @@
 #pragma once
 /// @file
-/// Metrics in the Prometheus text format, from snapshots that the logic threads publish.
+/// Metrics in the Prometheus text format, from snapshots that the logic threads publish: their
+/// values are read by another thread, the HTTP server's. The forwarding plane's programs have one
+/// thread, and count into a registry directly: plane/process/instruments.
 
 #include <mutex>
 #include <string>
--- a/src/tallyfold/program_api/process/process_runtime.hpp
+++ b/src/tallyfold/program_api/process/process_runtime.hpp
@@ -1,6 +1,8 @@
 #pragma once
 /// @file
-/// What the shells of all long-running processes share: health paths, start, and waiting.
+/// What the shells of the program API's long-running processes share: health paths, start, and
+/// waiting. Several threads a process; the forwarding plane's counterpart with one is
+/// plane/process/node_process.
 
 #include <atomic>
 #include <chrono>
--- a/src/tallyfold/program_api/process/process_settings.hpp
+++ b/src/tallyfold/program_api/process/process_settings.hpp
@@ -1,6 +1,8 @@
 #pragma once
 /// @file
-/// The settings of each program, read and checked. docs/CONFIGURATION.md lists every key.
+/// The settings of each program of the program API, read and checked. docs/CONFIGURATION.md lists
+/// every key. The forwarding plane's programs have settings of their own,
+/// plane/process/node_settings; both read files with base/settings.
 
 #include <string>
 #include <tl/expected.hpp>
