--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -3,6 +3,10 @@
 /// The scheduler as pure logic: owns shards of programs, and decides when and where each call
 /// runs. Inputs are messages and the time; outputs are messages, orders to back ends, events.
 ///
+/// Owns the copies of its shards, the calls under way and what it believes of back ends; relies on
+/// the journal of control (journal_client) for what must survive, on membership/control_session for
+/// leases and configuration, and on scheduling/ for order and placement.
+///
 /// The functions are spread over commands/ (what changes a program), queries/ (what reads one)
 /// and this folder (leases, configuration, back ends).
 
@@ -212,6 +216,10 @@
     void on_contents(const protocol::shard_contents& contents, instant now);
     void on_configuration(const protocol::configuration_update& update);
     void lose_shard(shard_id shard);
+    /// Ends a lost shard's call here: its callers are told that the program has moved.
+    void drop_moved_call(scheduling::ticket id);
+    /// Forgets a lost shard's programs and tells who waits for their opening or closing.
+    void forget_programs(shard_id shard);
     void load_shards(instant now);
     void release_idle_shards(instant now);
     void compile_policies();
@@ -229,11 +237,16 @@
 
     // Commands (commands/*.cpp).
     void on_request(const node_name& from, const protocol::scheduler_request& request, instant now);
+    void run_command(const waiter& asker, const protocol::scheduler_call& command,
+                     owned_shard& shard, shard_id number, instant now);
     /// True for a repeat of a call that is under way here: it may wait for the same answer.
     bool repeats_active(const protocol::scheduler_call& call);
     void touch(const program_id& id, instant now);
     void on_open(const waiter& asker, const protocol::open_call& call, owned_shard& shard,
                  shard_id number, instant now);
+    /// What is wrong with an opening by itself and by the configuration; the shard isn't asked.
+    [[nodiscard]] std::optional<journal::outcome> refuse_open(
+        const journal::open_program& wanted) const;
     void on_call(const waiter& asker, const protocol::program_call& call, owned_shard& shard,
                  shard_id number, instant now);
     void on_close(const waiter& asker, const protocol::close_call& call, owned_shard& shard,
@@ -246,8 +259,17 @@
     std::optional<journal::outcome> refuse_call(const protocol::program_call& call,
                                                 const journal::program_record& program,
                                                 instant now);
+    /// Turns, budget and queues: what a new call is refused for, and a repeat isn't.
+    std::optional<journal::outcome> refuse_over_limit(const protocol::program_call& call,
+                                                      const journal::program_record& program,
+                                                      const configuration::class_settings& settings,
+                                                      const configuration::tenant_settings& tenant);
     void admit(const waiter& asker, const protocol::program_call& call,
                const journal::program_record& program, shard_id number, instant now);
+    /// Counts the time since the program's last call ended.
+    void add_pause(const program_id& id, instant now);
+    /// The prompt of a model call: the program's history and the new messages.
+    void set_prompt(active_call& active, const journal::program_record& program);
     void enqueue(active_call& call);
     void close_program(const program_id& id, shard_id number, const std::string& reason,
                        instant now);
@@ -265,14 +287,28 @@
 
     // Progress of attempts (commands/attempt_progress.cpp).
     void on_append_finished(const finished_append& finished, instant now);
+    /// The journal has applied a change, or refused it for good.
+    void on_change_journalled(const finished_append& finished,
+                              const journal::program_change& change, instant now);
+    void on_program_opened(const journal::open_program& opened, journal::journal_error refused);
     void on_attempt_begun(const finished_append& finished, const journal::begin_attempt& change,
                           instant now);
-    void on_attempt_failed_journalled(const journal::fail_attempt& change, instant now);
     void on_call_ended(const journal::end_call& change, instant now);
     void on_pieces(const stream_pieces& pieces, instant now);
     void on_stream_finished(const stream_finished& finished, instant now);
     void on_request_answered(const request_answered& answered, instant now);
+    void finish_call(active_call& call, journal::outcome result,
+                     std::vector<journal::message> appended, token_count charged, instant now);
+    void release_slot(active_call& call);
+    void drop_call(scheduling::ticket id);
+
+    // Failed attempts (commands/attempt_failure.cpp).
     void on_attempt_failed(const attempt_failed& failed, instant now);
+    /// Books a failure to the back end of the call's attempt, and logs when that ejects it.
+    void count_backend_failure(const active_call& call, instant now);
+    /// True when the engine may be asked to go on with the call's stream.
+    [[nodiscard]] bool may_resume(const active_call& call, failure_kind kind);
+    void on_attempt_failed_journalled(const journal::fail_attempt& change, instant now);
     void on_seal_answered(const seal_answered& answered, instant now);
     void resolve(active_call& call, instant now);
     void start_resolving(active_call& call, instant now);
@@ -280,11 +316,7 @@
     void set_start_limit(active_call& call, instant now);
     [[nodiscard]] backend_clock start_limit_there(const active_call& call);
     void journal_failure(active_call& call, journal::ran_state ran, instant now);
-    void finish_call(active_call& call, journal::outcome result,
-                     std::vector<journal::message> appended, token_count charged, instant now);
     void retry_or_give_up(active_call& call, instant now);
-    void release_slot(active_call& call);
-    void drop_call(scheduling::ticket id);
 
     // Queries (queries/inspect_program.cpp).
     void on_inspect(const waiter& asker, const protocol::inspect_call& call,
@@ -292,7 +324,6 @@
 
     // Small helpers.
     [[nodiscard]] shard_id shard_number(const program_id& id) const;
-    owned_shard* serving_shard(const program_id& id);
     active_call* find_call(const attempt_key& key);
     active_call* call_of(const program_id& id);
     [[nodiscard]] const journal::program_record* record_of(const program_id& id) const;
