--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -121,14 +121,8 @@
                                                            backend_name backend) {
     const http::message_head head = connection->head();
     const bool success = is_success(head);
-    std::string outgoing;
-    if (!started_) {
-        chunked_ = head.framing != http::body_framing::length;
-        const relayed_framing framing{chunked_, head.content_length, false};
-        outgoing = render_relayed_head(head, framing, caller_.keeps_connection());
-    }
+    std::string outgoing = begin_stream(head);
     const bool by_events = success && chunked_ && request_.route.resumable;
-    passed_.begin_anew();
     bool complete = false;
     while (!complete) {
         auto piece = co_await connection->read_body_piece(request_.budget.deadline());
@@ -144,18 +138,13 @@
         if (success) {
             learn_events(*piece, backend);
         }
-        if (!piece->empty()) {
-            outgoing += chunked_ ? render_chunk(*piece) : *piece;
-        }
         if (complete && success) {
             const bool settled = co_await settle_turn(backend);
             if (!settled) {
                 co_return failed_relay(failure_kind::unsettled);
             }
         }
-        if (complete && chunked_) {
-            outgoing += last_chunk;
-        }
+        outgoing += render_piece(*piece, complete);
         if (outgoing.empty()) {
             continue;
         }
@@ -170,6 +159,27 @@
     co_return answered();
 }
 
+std::string answer_relay::begin_stream(const http::message_head& head) {
+    passed_.begin_anew();
+    if (started_) {
+        return {};
+    }
+    chunked_ = head.framing != http::body_framing::length;
+    const relayed_framing framing{chunked_, head.content_length, false};
+    return render_relayed_head(head, framing, caller_.keeps_connection());
+}
+
+std::string answer_relay::render_piece(const std::string& piece, bool complete) const {
+    if (!chunked_) {
+        return piece;
+    }
+    std::string bytes = piece.empty() ? std::string{} : render_chunk(piece);
+    if (complete) {
+        bytes += last_chunk;
+    }
+    return bytes;
+}
+
 bool answer_relay::keep_whole_events(std::string& piece, bool complete) {
     piece = passed_.feed(piece);
     if (!passed_.in_order()) {
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -53,6 +53,11 @@
     asio::awaitable<attempt_result> relay_whole(http::connection_pointer connection, instant until);
     asio::awaitable<attempt_result> relay_stream(http::connection_pointer connection,
                                                  backend_name backend);
+    /// Makes ready for a back end's stream. @return the head, when it is the caller's first
+    std::string begin_stream(const http::message_head& head);
+    /// The piece in the form in which the caller's answer is framed.
+    /// @param complete it is the last one
+    [[nodiscard]] std::string render_piece(const std::string& piece, bool complete) const;
     /// Leaves of a piece what the caller can have now. @return false when an event is missing
     bool keep_whole_events(std::string& piece, bool complete);
     /// Counts the piece's events.
--- a/src/tallyfold/plane/forwarding/forwarder_context.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_context.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// What all requests of one forwarder share. Belongs to the loop thread.
+/// What all requests of one forwarder share. Belongs to the loop thread; forwarder_node owns it and
+/// what it refers to, and outlives every request.
 
 #include <map>
 #include <memory>
@@ -33,15 +34,17 @@
     routing::traffic_splitter splitter;
     /// The configuration in force; requests under way keep the one they began with.
     std::shared_ptr<const routing::route_table> routes;
-    /// Where calls wait, by the service that runs them.
+    /// Where calls wait for admission, by the service that runs them.
     std::map<std::string, admission_queue> admission_queues;
-    /// Answers tell callers to close.
+    /// The node was asked to stop: answers tell callers to close their connections.
     bool stopping = false;
 
     /// True when a mechanism is switched off for a measurement.
     [[nodiscard]] bool is_disabled(settings::mechanism asked) const {
         return process.settings().off.contains(asked);
     }
+    /// The service's queue, made at its first call. Without the mechanism, or with a `max_slowdown`
+    /// of 0, it admits every call at once.
     admission_queue& admission_queue_of(const std::string& service) {
         const bool bounded = !is_disabled(settings::mechanism::bounded_running);
         const double max_slowdown = bounded ? process.settings().max_slowdown : 0;
--- a/src/tallyfold/plane/forwarding/stream_pace.cpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// Streams of fewer events say little of an engine's pace.
+/// Streams of fewer events say little of an engine's pace: two time spans are the fewest whose mean
+/// isn't one chance value. Chosen, not measured.
 constexpr std::uint64_t min_events = 3;
 
 }  // namespace
