--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-/// One operator's call that waits for the log.
+/// One operator's call that waits for the log's answer.
 struct admin_api::waiting_call {
     explicit waiting_call(asio::io_context& loop) : timer(loop, answer_limit) {}
     asio::steady_timer timer;
--- a/src/tallyfold/plane/directory/configuration_source.cpp
+++ b/src/tallyfold/plane/directory/configuration_source.cpp
@@ -12,9 +12,11 @@
 /// Versions from which differences are told: nodes rarely lag by more changes than come while one
 /// is fetched. Each holds some 2 MB at 6,000 routes.
 constexpr std::size_t kept_versions = 4;
-/// Contents that nodes may still be fetching while newer versions come.
+/// Contents that nodes may still be fetching while newer versions come. Chosen, not measured: two
+/// for each version kept.
 constexpr std::size_t kept_contents = 8;
-/// What one answer carries: 9 ms of a link with 30 Mbit/s, so that heartbeats don't wait behind it.
+/// What one answer carries, in bytes: 9 ms of a link with 30 Mbit/s, so that heartbeats don't wait
+/// behind it.
 constexpr std::size_t part_bytes = 32U << 10U;
 
 const routing::configuration& empty_configuration() {
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -37,7 +37,6 @@
 }
 
 void directory_client::use_seeds(const std::vector<std::string>& peers) {
-    seeds_ = {peers.begin(), peers.end()};
     for (const std::string& peer : peers) {
         add_address(peer);
     }
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -97,7 +97,6 @@
     directory_client_settings settings_;
     std::map<std::string, messaging::link_pointer> links_;
     std::string last_asked_;
-    std::set<std::string> seeds_;
     turns::store_table stores_;
     configuration_fetch fetch_;
     configuration_proofs proofs_;
