--- a/src/tallyfold/plane/directory/store_view.hpp
+++ b/src/tallyfold/plane/directory/store_view.hpp
@@ -26,8 +26,9 @@
     /// long before it judges who is silent. Chosen, not measured: five reports.
     duration live = std::chrono::milliseconds(1500);
     /// The longest time that any store keeps a turn. After it nothing can be missing any more that
-    /// was on a lost disk. Until the configuration is known: its default of 60 s for a route and
-    /// the 15 s that stores add.
+    /// was on a lost disk. store_planner::watch_losses() sets it from the configuration before each
+    /// plan; this value holds before the first. Chosen, not measured: a minute and the 15 s that
+    /// stores add.
     duration retention = std::chrono::seconds(75);
     /// At the very first start reports are gathered for this long, so that the groups are formed of
     /// all stores. Chosen, not measured: five reports.
