--- a/src/tallyfold/base/net/tcp_sockets_shell.cpp
+++ b/src/tallyfold/base/net/tcp_sockets_shell.cpp
@@ -16,6 +16,8 @@
 }  // namespace
 
 void tune_socket(asio::ip::tcp::socket& socket, duration silence_limit) {
+    // Without the option small writes may wait for an acknowledgement; the socket works all the
+    // same.
     std::error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
--- a/src/tallyfold/base/storage/segmented_log.cpp
+++ b/src/tallyfold/base/storage/segmented_log.cpp
@@ -36,6 +36,7 @@
         }
     }
     for (const fs::path& path : stale) {
+        // A file that stays costs room until the next start, which finds it again.
         std::error_code ignored;
         fs::remove(path, ignored);
     }
--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
 /// What a leader knows of one other replica: how far its log matches, and what is under way to it.
+/// Pure; replica_fsm decides what to send.
 
 #include <cstddef>
 #include <cstdint>
--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -57,11 +57,6 @@
     return "unknown";
 }
 
-instant steady_now() {
-    return instant(
-        std::chrono::duration_cast<duration>(std::chrono::steady_clock::now().time_since_epoch()));
-}
-
 connection::connection(asio::ip::tcp::socket socket, message_kind kind, std::size_t max_head_bytes)
     : socket_(std::move(socket)), watchdog_(socket_.get_executor()), parser_(kind, max_head_bytes) {
     if (socket_.is_open()) {
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -15,7 +15,7 @@
 #include <string>
 #include <tl/expected.hpp>
 
-#include "tallyfold/base/common/time.hpp"
+#include "tallyfold/base/common/steady_clock.hpp"
 #include "tallyfold/plane/http/message_parser.hpp"
 
 namespace tallyfold::http {
@@ -36,8 +36,7 @@
 /// A short name for logs.
 std::string_view name_of(io_failure failure);
 
-/// The steady clock on the time line of the pure logic.
-instant steady_now();
+using tallyfold::steady_now;
 
 class connection : public std::enable_shared_from_this<connection> {
   public:
--- a/src/tallyfold/plane/http/event_stream.cpp
+++ b/src/tallyfold/plane/http/event_stream.cpp
@@ -2,6 +2,17 @@
 
 namespace tallyfold::http {
 
+std::optional<std::string_view> event_field(std::string_view line, std::string_view name) {
+    if (!line.starts_with(name)) {
+        return std::nullopt;
+    }
+    line.remove_prefix(name.size());
+    if (line.starts_with(' ')) {
+        line.remove_prefix(1);
+    }
+    return line;
+}
+
 void event_stream_reader::feed(std::string_view bytes) {
     while (!bytes.empty()) {
         const std::size_t end = bytes.find('\n');
@@ -30,17 +41,11 @@
         return;
     }
     in_event_ = true;
-    std::string_view line = line_;
-    constexpr std::string_view field = "data:";
-    if (line.starts_with(field)) {
-        line.remove_prefix(field.size());
-        if (line.starts_with(' ')) {
-            line.remove_prefix(1);
-        }
+    if (const auto value = event_field(line_, "data:")) {
         if (has_data_) {
             event_data_ += '\n';
         }
-        event_data_ += line;
+        event_data_ += *value;
         has_data_ = true;
     }
     line_.clear();
--- a/src/tallyfold/plane/http/message.hpp
+++ b/src/tallyfold/plane/http/message.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The head of an HTTP/1.1 message, as it stood on the wire.
+/// The head of an HTTP/1.1 message, as it stood on the wire. Pure; relies on nothing.
 
 #include <cstdint>
 #include <optional>
--- a/src/tallyfold/plane/http/whole_events.cpp
+++ b/src/tallyfold/plane/http/whole_events.cpp
@@ -3,6 +3,8 @@
 #include <charconv>
 #include <optional>
 
+#include "tallyfold/plane/http/event_stream.hpp"
+
 namespace tallyfold::http {
 
 namespace {
@@ -29,20 +31,15 @@
     std::string_view id;
     while (!event.empty()) {
         const std::size_t end = event.find('\n');
-        std::string_view line = event.substr(0, end);
+        const auto value = event_field(event.substr(0, end), "id:");
         event.remove_prefix(end == std::string_view::npos ? event.size() : end + 1);
-        constexpr std::string_view field = "id:";
-        if (!line.starts_with(field)) {
+        if (!value.has_value()) {
             continue;
         }
-        line.remove_prefix(field.size());
-        if (line.starts_with(' ')) {
-            line.remove_prefix(1);
-        }
-        if (line.ends_with('\r')) {
-            line.remove_suffix(1);
+        id = *value;
+        if (id.ends_with('\r')) {
+            id.remove_suffix(1);
         }
-        id = line;
     }
     return id;
 }
--- a/src/tallyfold/plane/http/whole_events.hpp
+++ b/src/tallyfold/plane/http/whole_events.hpp
@@ -2,6 +2,9 @@
 /// @file
 /// Passes a text/event-stream on event by event, so that it can be continued by a further answer:
 /// what breaks off inside an event is held back, and an event isn't passed twice. Pure.
+///
+/// Owns the bytes of the event that isn't whole. Relies on events' identifiers, where they are
+/// numbers, to tell a repeated or a missing one.
 
 #include <cstdint>
 #include <string>
--- a/src/tallyfold/plane/turns/copy_client_shell.cpp
+++ b/src/tallyfold/plane/turns/copy_client_shell.cpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <optional>
 
-#include "tallyfold/plane/http/connection_shell.hpp"
+#include "tallyfold/base/common/steady_clock.hpp"
 
 namespace tallyfold::turns {
 
@@ -36,7 +36,7 @@
     store_.receive(reply);
     // A reply of another disk at the source's address doesn't end the wait for the source.
     if (reply.store == source_) {
-        timeout_.page_received(http::steady_now());
+        timeout_.page_received(steady_now());
         page_received_ = true;
     }
     on_page_();
@@ -52,7 +52,7 @@
     }
     copying_ = true;
     source_ = order->source.id;
-    timeout_.page_requested(http::steady_now());
+    timeout_.page_requested(steady_now());
     link_to(order->source)->send(order->request);
 }
 
@@ -64,7 +64,7 @@
 }
 
 void copy_client::check_timeout() {
-    if (copying_ && timeout_.expired(http::steady_now())) {
+    if (copying_ && timeout_.expired(steady_now())) {
         store_.skip_copy_source();
         request_page();
     }
--- a/src/tallyfold/plane/turns/store_folder_shell.cpp
+++ b/src/tallyfold/plane/turns/store_folder_shell.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <random>
 
+#include "tallyfold/base/common/steady_clock.hpp"
 #include "tallyfold/base/logging/event_log.hpp"
-#include "tallyfold/plane/http/connection_shell.hpp"
 
 namespace tallyfold::turns {
 
@@ -20,7 +20,7 @@
 tl::expected<turn_log, storage::storage_error> read_folder(const std::string& folder,
                                                            turn_table& recovered) {
     // The age of what is read back isn't known. Its retention starts anew, which keeps it longer.
-    const instant now = http::steady_now();
+    const instant now = steady_now();
     return turn_log::open(folder, draw_identity(), [&recovered, now](const turn_change& change) {
         recovered.apply(change, now);
     });
--- a/src/tallyfold/plane/turns/store_writer_shell.cpp
+++ b/src/tallyfold/plane/turns/store_writer_shell.cpp
@@ -1,7 +1,7 @@
 #include "tallyfold/plane/turns/store_writer_shell.hpp"
 
+#include "tallyfold/base/common/steady_clock.hpp"
 #include "tallyfold/base/logging/event_log.hpp"
-#include "tallyfold/plane/http/connection_shell.hpp"
 #include "tallyfold/plane/process/instruments.hpp"
 #include "tallyfold/plane/turns/store_folder_shell.hpp"
 
@@ -47,7 +47,7 @@
 
 void store_writer::note_failure(const storage::storage_error& error) {
     failures_.Increment();
-    const instant now = http::steady_now();
+    const instant now = steady_now();
     if (now - failure_logged_ < failure_log_interval) {
         return;
     }
@@ -67,7 +67,7 @@
 
 void store_writer::rotate_if_grown(const turn_table& turns) {
     if (log_.wants_rotation()) {
-        // When the disk refuses, the log counts as failed, and repair() tries again.
+        // When the disk refuses, either the next write tries again, or repair() does.
         begin_segment(turns);
     }
 }
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -13,9 +13,11 @@
 
 namespace {
 
-/// A store that says nothing for this long while it is asked gets a new connection.
+/// A store that is silent for this long while it is asked gets a new connection. Chosen, not
+/// measured: leaves half a second of the 1.5 s that a begin may take for a further try.
 constexpr duration silence_limit = std::chrono::milliseconds(900);
-/// A settlement that nobody waits for is tried for this long.
+/// A settlement whose caller doesn't wait is tried for this long. Chosen, not measured: as long as
+/// a store has to be silent before the directory replaces it.
 constexpr duration background_limit = std::chrono::seconds(6);
 
 }  // namespace
@@ -35,20 +37,20 @@
             continue;
         }
         store.link = std::make_shared<messaging::peer_link>(process_.loop(), member.address);
-        store.heard = http::steady_now();
+        store.last_heard = steady_now();
         const store_id id = member.id;
         store.link->start(
             [this, id](const messaging::peer_message& message) { on_message(id, message); },
             [this, id, address = member.address](bool up, const std::string& reason) {
                 messaging::log_link(address, "store", up, reason);
                 if (up) {
-                    ask_again(id);
+                    resend_to(id);
                 }
             });
     }
 }
 
-void turn_client::ask_again(store_id store) {
+void turn_client::resend_to(store_id store) {
     // What was asked over a lost connection didn't arrive.
     for (const auto& [number, waiting] : operations_) {
         if (waiting->begin != nullptr) {
@@ -99,7 +101,7 @@
 void turn_client::on_message(store_id store, const messaging::peer_message& message) {
     const auto known = stores_.find(store);
     if (known != stores_.end()) {
-        known->second.heard = http::steady_now();
+        known->second.last_heard = steady_now();
     }
     if (const auto* begun = std::get_if<begin_reply>(&message)) {
         learn(begun->newer_map);
@@ -133,10 +135,10 @@
     if (known == stores_.end()) {
         return;
     }
-    const instant now = http::steady_now();
-    const bool silent = now - std::max(first_sent, known->second.heard) > silence_limit;
+    const instant now = steady_now();
+    const bool silent = now - std::max(first_sent, known->second.last_heard) > silence_limit;
     if (silent) {
-        known->second.heard = now;
+        known->second.last_heard = now;
         known->second.link->reconnect("silent");
         return;
     }
@@ -159,10 +161,10 @@
     turn_beginning beginning(number, std::move(question), table_);
     const auto waiting = enlist(number);
     waiting->begin = &beginning;
-    const instant started = http::steady_now();
+    const instant started = steady_now();
     const auto choose = [this](const store_map& map) { return nearest(map); };
     while (beginning.undecided() && !beginning.cannot_be_decided()) {
-        const instant now = http::steady_now();
+        const instant now = steady_now();
         if (now >= deadline) {
             break;
         }
@@ -183,9 +185,9 @@
     settle_operation operation(table_.groups[group]);
     const auto waiting = enlist(number);
     waiting->settle = &operation;
-    const instant started = http::steady_now();
+    const instant started = steady_now();
     while (!operation.done()) {
-        const instant now = http::steady_now();
+        const instant now = steady_now();
         if (now >= deadline) {
             break;
         }
@@ -218,7 +220,8 @@
     asio::co_spawn(
         process_.loop(),
         [this, settlement = std::move(settlement)]() mutable -> asio::awaitable<void> {
-            const instant deadline = http::steady_now() + background_limit;
+            // A settlement that fails is logged by settle(); no caller waits for it.
+            const instant deadline = steady_now() + background_limit;
             held_prompt held_nowhere;
             co_await settle(std::move(settlement), std::move(held_nowhere), deadline);
             --settling_;
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -1,6 +1,9 @@
 #pragma once
 /// @file
 /// Begins and settles turns at the stores, over the network. Belongs to the loop thread.
+///
+/// Owns one connection to each store of the table, and the operations under way. Relies on
+/// turn_beginning and settle_operation for what is sent when, and for when an operation has ended.
 
 #include <asio/awaitable.hpp>
 #include <asio/steady_timer.hpp>
@@ -18,16 +21,20 @@
 
 class turn_client {
   public:
-    /// @param on_newer_map a store knew a newer map than this node
+    /// @param on_newer_map called with each map that a store has sent because it is newer than the
+    /// one that this node asked under
     turn_client(net::node_process& process, std::function<void(const store_map&)> on_newer_map);
 
+    /// Takes over what is newer in the table, and connects to its stores.
     void use_stores(const store_table& stores);
     [[nodiscard]] bool knows_stores() const { return table_.known(); }
 
+    /// Begins a turn; needs knows_stores(). @return `unavailable` when it is undecided at the
+    /// deadline
     asio::awaitable<begun_turn> begin(turn_question question, instant deadline);
-    /// @return true once the end is durable at a majority
+    /// @return true once the end is durable at a quorum, false at the deadline, which is logged
     asio::awaitable<bool> settle(turn_settlement settlement, held_prompt held, instant deadline);
-    /// Settles in the background, for turns whose end nobody waits for.
+    /// Settles in the background, for turns whose caller doesn't wait for it.
     void settle_later(turn_settlement settlement);
     /// Settlements that are still under way in the background.
     [[nodiscard]] std::size_t settling() const { return settling_; }
@@ -44,7 +51,7 @@
     };
     struct store_connection {
         messaging::link_pointer link;
-        instant heard{};
+        instant last_heard{};
     };
 
     std::shared_ptr<waiting_operation> enlist(operation_number number);
@@ -55,8 +62,8 @@
     void on_beginning(const Reply& reply);
     void on_settled(const settle_reply& reply);
     void learn(const std::vector<store_map>& newer);
-    /// The store can be reached again.
-    void ask_again(store_id store);
+    /// The store can be reached again: what was sent over the lost connection is sent again.
+    void resend_to(store_id store);
     void send(const store_member& member, const messaging::peer_message& message,
               instant first_sent);
     [[nodiscard]] store_id nearest(const store_map& map) const;
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -161,7 +161,7 @@
 void store_node::write_waiting() {
     const store_write write = store_.take_write();
     const bool durable = writer_.make_durable(write);
-    send(store_.written(durable, http::steady_now()));
+    send(store_.written(durable, steady_now()));
     bytes_.Set(static_cast<double>(store_.turns().bytes()));
     if (durable) {
         writer_.rotate_if_grown(store_.turns());
@@ -207,7 +207,7 @@
     if (store_.map().epoch > 0) {
         directory_.learn_map(store_.map());
     }
-    process_.every(expiry_interval, [this] { store_.expire(http::steady_now(), expiry_margin); });
+    process_.every(expiry_interval, [this] { store_.expire(steady_now(), expiry_margin); });
     process_.every(repair_interval, [this] { writer_.repair(store_.turns()); });
     process_.every(copy_check_interval, [this] { copy_.check_timeout(); });
     return process_.run([this] { process_.after(stop_delay, [this] { process_.finish(); }); },
