--- a/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
@@ -15,7 +15,6 @@
 using journal::journal_error;
 using journal::outcome;
 using journal::ran_state;
-using logging::event_id;
 
 std::string join(const std::vector<std::string>& pieces) {
     std::string whole;
