--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -82,7 +82,7 @@
     request.prompt_tokens = question.prompt_tokens;
     request.call = question.call;
     request.pace = &state.pace;
-    if (!question.program.empty() && !is_disabled(settings::mechanism::program_home)) {
+    if (!question.program.empty() && !is_disabled(settings::mechanism::program_affinity)) {
         request.affinity_target = scheduling::affinity_target(question.program, state.pool, now);
         request.affinity_tokens = tokens_before_newest_part(question.prompt);
     }
@@ -145,7 +145,7 @@
 }
 
 bool backend_selector::goes_by_object(const backend_question& question) const {
-    return !question.object.empty() && !is_disabled(settings::mechanism::object_home);
+    return !question.object.empty() && !is_disabled(settings::mechanism::object_affinity);
 }
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/decisions/own_answer.cpp
+++ b/src/tallyfold/plane/decisions/own_answer.cpp
@@ -41,7 +41,7 @@
 
 own_answer answer_without_permit(const tenants::permit_decision& decision) {
     own_answer answer;
-    answer.retry = retry_after{decision.room_after};
+    answer.retry = retry_after{decision.retry_after};
     if (decision.state == tenants::permit_state::over_limit) {
         answer.status = 429;
         answer.reason = "over_limit";
--- a/src/tallyfold/plane/decisions/retry_after.hpp
+++ b/src/tallyfold/plane/decisions/retry_after.hpp
@@ -28,7 +28,7 @@
 
     /// The same time or up to half as much again, so that callers who were refused together don't
     /// retry together. @param jitter 0 to 1
-    [[nodiscard]] retry_after spread(double jitter) const {
+    [[nodiscard]] retry_after with_jitter(double jitter) const {
         if (!after) {
             return *this;
         }
--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -32,10 +32,10 @@
     election.known = list_.known();
     election.age = http::steady_now() - list_.seen();
     election.rank = core_ ? core_->rank_behind_leader() : 0;
-    return election.reads();
+    return election.should_poll();
 }
 
-void backend_list_sharing::learn(const directory_beat& answer) {
+void backend_list_sharing::learn(const node_report_answer& answer) {
     for (const discovery::list_sight& sight : answer.list) {
         list_.learn(sight, http::steady_now());
     }
--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
@@ -23,7 +23,7 @@
 
     void start();
     /// Takes over what the leader's answer says of the list.
-    void learn(const directory_beat& answer);
+    void learn(const node_report_answer& answer);
     /// What the reporting node lacks; nothing when it holds the newest list or has no use for it.
     [[nodiscard]] std::vector<discovery::list_sight> newer_for(const node_report& report,
                                                                instant now);
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -50,7 +50,7 @@
     links_[address] = link;
     link->start(
         [this, address](const messaging::peer_message& message) {
-            if (const auto* answer = std::get_if<directory_beat>(&message)) {
+            if (const auto* answer = std::get_if<node_report_answer>(&message)) {
                 on_answer(address, *answer);
             } else if (const auto* part = std::get_if<configuration_part>(&message)) {
                 on_part(address, *part);
@@ -151,7 +151,7 @@
     link->send(report);
 }
 
-void directory_client::on_answer(const node_name& from, const directory_beat& answer) {
+void directory_client::on_answer(const node_name& from, const node_report_answer& answer) {
     heard_ = http::steady_now();
     log_answer(answer.configuration);
     for (const std::string& address : answer.directory_addresses) {
@@ -162,8 +162,8 @@
     if (settings_.wants_configuration) {
         fetch(from, fetch_.told(from, answer.configuration, heard_));
     }
-    if (on_breaks_ && !answer.breaks.empty()) {
-        on_breaks_(answer.breaks);
+    if (on_relayed_failures_ && !answer.backend_failures.empty()) {
+        on_relayed_failures_(answer.backend_failures);
     }
     if (answer.question != 0) {
         proofs_.answered(from, answer.question, answer.configuration);
@@ -171,7 +171,7 @@
     }
 }
 
-void directory_client::learn_stores_and_list(const directory_beat& answer) {
+void directory_client::learn_stores_and_list(const node_report_answer& answer) {
     for (const turns::store_table& stores : answer.newer_stores) {
         if (stores_.take(stores)) {
             on_stores_(stores_);
@@ -221,7 +221,7 @@
     }
 }
 
-void directory_client::report_break(const backend_name& backend) {
+void directory_client::report_failure(const backend_name& backend) {
     const discovery::failure_report report{process_.settings().node, backend};
     for (const auto& [address, link] : links_) {
         link->send(report);
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -59,10 +59,11 @@
         on_other_ = std::move(handler);
     }
     /// Tells all directory nodes that a back end broke a call off.
-    void report_break(const backend_name& backend);
+    void report_failure(const backend_name& backend);
     /// @param handler gets what other nodes have told of breaks, again and again while it is young
-    void on_breaks(std::function<void(const std::vector<discovery::relayed_failure>&)> handler) {
-        on_breaks_ = std::move(handler);
+    void on_relayed_failures(
+        std::function<void(const std::vector<discovery::relayed_failure>&)> handler) {
+        on_relayed_failures_ = std::move(handler);
     }
     /// A directory node has said who leads.
     void learn_leader(const node_name& leader, consensus::term_number term);
@@ -89,9 +90,9 @@
     void on_part(const node_name& from, const configuration_part& part);
     void wake_waiting();
     void add_address(const std::string& address);
-    void on_answer(const node_name& from, const directory_beat& answer);
+    void on_answer(const node_name& from, const node_report_answer& answer);
     /// Takes over what an answer says of the store groups and of the list of back ends.
-    void learn_stores_and_list(const directory_beat& answer);
+    void learn_stores_and_list(const node_report_answer& answer);
 
     net::node_process& process_;
     directory_client_settings settings_;
@@ -110,7 +111,7 @@
     discovery::list_memory* list_ = nullptr;
     std::function<void(bool changed)> on_list_;
     std::function<void(const messaging::peer_message&)> on_other_;
-    std::function<void(const std::vector<discovery::relayed_failure>&)> on_breaks_;
+    std::function<void(const std::vector<discovery::relayed_failure>&)> on_relayed_failures_;
     node_name leader_;
     consensus::term_number term_ = 0;
     /// When the next question for proof may be asked.
--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -98,7 +98,7 @@
     member_planner_.on_join(request, now);
 }
 
-directory_beat directory_core::receive(const node_report& report, instant now) {
+node_report_answer directory_core::receive(const node_report& report, instant now) {
     for (const store_report& store : report.store) {
         store_planner_.on_report(store, now);
     }
@@ -115,11 +115,11 @@
     return has_newest ? state_.shared_configuration() : earlier_.shared_configuration();
 }
 
-directory_beat directory_core::answer_to(const node_report& report) const {
+node_report_answer directory_core::answer_to(const node_report& report) const {
     const bool has_newest_stores = state_.stores().epoch >= earlier_.stores().epoch;
     const turns::store_table& shown_stores =
         has_newest_stores ? state_.stores() : earlier_.stores();
-    directory_beat answer;
+    node_report_answer answer;
     answer.configuration = shown_configuration()->version;
     if (shown_stores.epoch > report.stores) {
         answer.newer_stores.push_back(shown_stores);
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -35,11 +35,11 @@
     void receive(const node_name& from, const consensus::replica_message& message, instant now);
     void receive(const join_request& request, instant now);
     /// @return what the reporting node lacks; it proves nothing
-    directory_beat receive(const node_report& report, instant now);
+    node_report_answer receive(const node_report& report, instant now);
     /// The part of a newer configuration that a node asks for.
     configuration_part receive(const configuration_request& request);
     /// What a reporting node lacks, as this node sees it now.
-    [[nodiscard]] directory_beat answer_to(const node_report& report) const;
+    [[nodiscard]] node_report_answer answer_to(const node_report& report) const;
 
     /// Appends a command; its answer comes out of take_work().
     void submit(request_token token, const directory_command& command);
--- a/src/tallyfold/plane/directory/directory_links_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_links_shell.cpp
@@ -5,7 +5,7 @@
 namespace tallyfold::directory {
 
 directory_links::directory_links(net::node_process& process,
-                                 std::function<void(const directory_beat&)> on_report_answer)
+                                 std::function<void(const node_report_answer&)> on_report_answer)
     : process_(process), on_report_answer_(std::move(on_report_answer)) {}
 
 messaging::peer_link& directory_links::link_to(const node_name& address) {
@@ -14,7 +14,7 @@
         link = std::make_shared<messaging::peer_link>(process_.loop(), address);
         link->start(
             [this](const messaging::peer_message& message) {
-                if (const auto* answer = std::get_if<directory_beat>(&message)) {
+                if (const auto* answer = std::get_if<node_report_answer>(&message)) {
                     on_report_answer_(*answer);
                 }
             },
--- a/src/tallyfold/plane/directory/directory_links_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_links_shell.hpp
@@ -18,7 +18,7 @@
   public:
     /// @param on_report_answer called with each answer to a report that was sent over a link
     directory_links(net::node_process& process,
-                    std::function<void(const directory_beat&)> on_report_answer);
+                    std::function<void(const node_report_answer&)> on_report_answer);
 
     /// Sends one of the core's messages; drops those to this node itself or without an address.
     void send(addressed_message message);
@@ -29,7 +29,7 @@
     messaging::peer_link& link_to(const node_name& address);
 
     net::node_process& process_;
-    std::function<void(const directory_beat&)> on_report_answer_;
+    std::function<void(const node_report_answer&)> on_report_answer_;
     std::map<node_name, messaging::link_pointer> links_;
 };
 
--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -69,7 +69,7 @@
     : process_(settings),
       metrics_(process_.metrics()),
       replica_(process_, metrics_, make_replica_handlers()),
-      links_(process_, [this](const directory_beat& answer) { list_.learn(answer); }),
+      links_(process_, [this](const node_report_answer& answer) { list_.learn(answer); }),
       list_(process_, lists, replica_.core()),
       propagation_(metrics_),
       reports_(metrics_, list_, propagation_),
--- a/src/tallyfold/plane/directory/messages.hpp
+++ b/src/tallyfold/plane/directory/messages.hpp
@@ -52,7 +52,7 @@
 };
 
 /// A directory node's answer. Everything in it is committed.
-struct directory_beat {
+struct node_report_answer {
     /// The version that this node holds; whoever holds an older one asks for it.
     routing::configuration_version configuration = routing::no_version;
     std::vector<turns::store_table> newer_stores;
@@ -68,12 +68,12 @@
     node_name leader;
     consensus::term_number term = 0;
     /// Back ends that have broken calls off lately.
-    std::vector<discovery::relayed_failure> breaks;
+    std::vector<discovery::relayed_failure> backend_failures;
 
     template <class Archive>
     void serialize(Archive& archive) {
         archive(configuration, newer_stores, directory_addresses, list, question, leader, term,
-                breaks);
+                backend_failures);
     }
 };
 
--- a/src/tallyfold/plane/directory/permit_lending_shell.cpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.cpp
@@ -40,7 +40,7 @@
         answer = lender_.answer(report, now);
     } else {
         answer.question = report.question;
-        answer.outcome = tenants::permit_outcome::not_keeper;
+        answer.outcome = tenants::permit_outcome::not_lender;
     }
     answer.leader = core_->leader_address();
     answer.term = core_->term();
--- a/src/tallyfold/plane/directory/report_service_shell.cpp
+++ b/src/tallyfold/plane/directory/report_service_shell.cpp
@@ -9,10 +9,10 @@
 void report_service::answer(directory_core& core, const messaging::channel_pointer& channel,
                             const node_report& report) {
     const instant now = http::steady_now();
-    directory_beat answer = core.receive(report, now);
+    node_report_answer answer = core.receive(report, now);
     propagation_.on_report(report, now);
     answer.list = list_.newer_for(report, now);
-    answer.breaks = failures_.recent(now);
+    answer.backend_failures = failures_.recent(now);
     channel->send(answer);
     if (report.question != 0) {
         const request_token token = next_question_++;
@@ -40,7 +40,7 @@
     }
     const messaging::channel_pointer channel = found->second.channel.lock();
     if (proof.proved && channel) {
-        directory_beat answer = core.answer_to(found->second.report);
+        node_report_answer answer = core.answer_to(found->second.report);
         answer.question = found->second.report.question;
         channel->send(answer);
         metrics_.proofs_given.Increment();
--- a/src/tallyfold/plane/discovery/poller_election.hpp
+++ b/src/tallyfold/plane/discovery/poller_election.hpp
@@ -32,7 +32,7 @@
     static constexpr duration next_successor_after = std::chrono::milliseconds(150);
 
     /// True when this node is to poll now.
-    [[nodiscard]] bool reads() const {
+    [[nodiscard]] bool should_poll() const {
         const auto place = static_cast<std::int64_t>(rank);
         return leads || !known || age > first_successor_after + next_successor_after * place;
     }
--- a/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 asio::awaitable<duration> admission_queue::enter(waiting_rank rank, duration longest) {
-    if (lets_in_at_once()) {
+    if (admits_at_once()) {
         window_.started();
         co_return duration::zero();
     }
@@ -46,7 +46,7 @@
     admit();
 }
 
-void admission_queue::turned_away() {
+void admission_queue::rejected() {
     window_.rejected();
 }
 
--- a/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
@@ -36,13 +36,13 @@
     /// @return the time waited
     asio::awaitable<duration> enter(waiting_rank rank, duration longest);
     /// True when a call would go at once.
-    [[nodiscard]] bool lets_in_at_once() const {
+    [[nodiscard]] bool admits_at_once() const {
         return open_ || (queue_.size() == 0 && window_.has_capacity());
     }
     /// A call that enter() let go has ended, or waits for a pause before it is sent again.
     void leave();
     /// Every back end has rejected a call for lack of capacity.
-    void turned_away();
+    void rejected();
     /// Follows the engines' pace; to be called each admission_window::interval.
     void adjust(double slowdown);
 
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -70,8 +70,8 @@
     return events_.events() * std::max(1U, request_.service.tokens_per_event);
 }
 
-turns::held_prompt answer_relay::held_by(const backend_name& backend) const {
-    turns::held_prompt held;
+turns::cached_prompt answer_relay::held_by(const backend_name& backend) const {
+    turns::cached_prompt held;
     if (request_.service.is_engine && !request_.facts.prompt.empty()) {
         held.engine = backend;
         held.points = request_.facts.prompt;
@@ -203,7 +203,7 @@
     if (turn_ == nullptr || !turn_->open()) {
         co_return true;
     }
-    turns::held_prompt held = held_by(backend);
+    turns::cached_prompt held = held_by(backend);
     co_return co_await turn_->settle(generated_tokens(), request_.turn_input, events_.data(),
                                      std::move(held));
 }
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -47,7 +47,7 @@
     [[nodiscard]] const std::string& last_event() const { return passed_.last_id(); }
     [[nodiscard]] token_count generated_tokens() const;
     /// What an engine that reads and answers the request holds of it now; empty for other services.
-    [[nodiscard]] turns::held_prompt held_by(const backend_name& backend) const;
+    [[nodiscard]] turns::cached_prompt held_by(const backend_name& backend) const;
 
   private:
     asio::awaitable<attempt_result> relay_whole(http::connection_pointer connection, instant until);
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -156,7 +156,7 @@
     result.end = attempt_end::not_run;
     if (facts.wrong_incarnation) {
         result.failure.kind = failure_kind::other_incarnation;
-        context_.backends.gone(request_.service.name, order_.backend.name);
+        context_.backends.incarnation_replaced(request_.service.name, order_.backend.name);
         connection_->close();
         co_return result;
     }
@@ -190,7 +190,7 @@
         co_return result;
     }
     const instant now = http::steady_now();
-    context_.backends.answering(call_, now);
+    context_.backends.first_byte_came(call_, now);
     answer_.note_first_byte(status, now);
     note_held_prompt();
     result = co_await answer_.relay(connection_, order_.backend.name, until);
@@ -230,10 +230,11 @@
     result.broke_off = !result.timed_out;
     if (result.broke_off && !caller_.disconnected()) {
         const std::string& name = order_.backend.name;
-        const std::string address = context_.backends.broke_off(name, http::steady_now());
+        const std::string address =
+            context_.backends.note_broken_connection(name, http::steady_now());
         if (!address.empty()) {
             context_.connections.drop(address);
-            context_.directory.report_break(name);
+            context_.directory.report_failure(name);
         }
     }
     connection_->abort();
@@ -244,8 +245,8 @@
 }
 
 void backend_attempt::note_held_prompt() {
-    const turns::held_prompt held = answer_.held_by(order_.backend.name);
-    context_.backends.holds(held.engine, held.points);
+    const turns::cached_prompt held = answer_.held_by(order_.backend.name);
+    context_.backends.note_cached(held.engine, held.points);
 }
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -58,7 +58,7 @@
     return nullptr;
 }
 
-std::string backend_registry::broke_off(const backend_name& name, instant at) {
+std::string backend_registry::note_broken_connection(const backend_name& name, instant at) {
     const backend_state* failed = find(name);
     if (failed == nullptr || is_disabled(settings::mechanism::backend_distrust)) {
         return {};
@@ -77,7 +77,7 @@
     return {service, chosen.name, now, unread, true};
 }
 
-void backend_registry::answering(backend_call& call, instant now) {
+void backend_registry::first_byte_came(backend_call& call, instant now) {
     service_state& state = state_of(call.service);
     state.silence.first_byte_came(call.backend, call.since, now);
     state.pace.prompt_read(call.unread_tokens, now - call.since);
@@ -127,15 +127,15 @@
     state_of(service).pool.unreachable(name, now);
 }
 
-void backend_registry::gone(const std::string& service, const backend_name& name) {
+void backend_registry::incarnation_replaced(const std::string& service, const backend_name& name) {
     service_state& state = state_of(service);
     state.pool.set_drained(name, true);
     state.pace.forget(name);
     cache_.forget(name);
 }
 
-void backend_registry::holds(const backend_name& name,
-                             const std::vector<scheduling::prefix_point>& prompt) {
+void backend_registry::note_cached(const backend_name& name,
+                                   const std::vector<scheduling::prefix_point>& prompt) {
     for (const scheduling::prefix_point& point : prompt) {
         cache_.stored(name, point);
     }
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -47,7 +47,7 @@
     backend_call started(const std::string& service, const chosen_backend& chosen,
                          token_count prompt_tokens, instant now);
     /// The first byte of the call's answer is here.
-    void answering(backend_call& call, instant now);
+    void first_byte_came(backend_call& call, instant now);
     /// The call has ended, however.
     void finished(backend_call& call);
     /// Ejects back ends by silence suspicion. @return those that were available before
@@ -59,12 +59,12 @@
     /// Reported failures: the back end broke a call off before any byte of its answer, at this node
     /// or another.
     /// @return its address when the failure isn't known yet; empty otherwise
-    std::string broke_off(const backend_name& name, instant at);
+    std::string note_broken_connection(const backend_name& name, instant at);
     /// The back end's incarnation was replaced, whatever the list says: it gets no call until the
     /// list names a new address.
-    void gone(const std::string& service, const backend_name& name);
+    void incarnation_replaced(const std::string& service, const backend_name& name);
     /// The engine holds the parts of a prompt now: it has read them, or made them.
-    void holds(const backend_name& name, const std::vector<scheduling::prefix_point>& prompt);
+    void note_cached(const backend_name& name, const std::vector<scheduling::prefix_point>& prompt);
 
     /// How quickly the engines of a service work.
     [[nodiscard]] scheduling::engine_pace& pace_of(const std::string& service) {
--- a/src/tallyfold/plane/forwarding/caller_channel_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_channel_shell.cpp
@@ -32,7 +32,7 @@
     if (disconnected_) {
         co_return;
     }
-    const retry_after retry = answer.retry.spread(context_.backends.draw_jitter());
+    const retry_after retry = answer.retry.with_jitter(context_.backends.draw_jitter());
     std::string bytes = render_own_answer(answer.status, answer.reason, retry, keeps_connection());
     co_await write(std::move(bytes));
 }
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -103,7 +103,8 @@
       readiness_(process_.loop(), settings.readiness_address, 0) {}
 
 bool forwarder_node::ready() const {
-    return context_.routes && backends_.has_list() && turns_.knows_stores() && !context_.stopping;
+    return context_.routes && backends_.has_list() && turns_.has_store_table() &&
+           !context_.stopping;
 }
 
 void forwarder_node::use_configuration(const directory::configuration_pointer& configuration) {
@@ -133,7 +134,7 @@
     const instant now = http::steady_now();
     for (const discovery::relayed_failure& failure : reported) {
         const instant at = now - std::chrono::milliseconds(failure.age_ms);
-        const std::string address = backends_.broke_off(failure.backend, at);
+        const std::string address = backends_.note_broken_connection(failure.backend, at);
         if (!address.empty()) {
             connections_.drop(address);
             logging::write_event(
@@ -222,7 +223,7 @@
         },
         {});
     quotas_.start();
-    directory_.on_breaks([this](const std::vector<discovery::relayed_failure>& reported) {
+    directory_.on_relayed_failures([this](const std::vector<discovery::relayed_failure>& reported) {
         learn_failures(reported);
     });
 }
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -50,11 +50,11 @@
 }
 
 bool request_relay::is_ready() const {
-    return context_.routes && context_.backends.has_list() && context_.turns.knows_stores();
+    return context_.routes && context_.backends.has_list() && context_.turns.has_store_table();
 }
 
 asio::awaitable<void> request_relay::wait_until_ready() {
-    if (context_.is_disabled(settings::mechanism::early_wait)) {
+    if (context_.is_disabled(settings::mechanism::startup_wait)) {
         co_return;
     }
     const instant until = request_.received + time_budget::startup_wait;
@@ -129,7 +129,7 @@
 }
 
 asio::awaitable<std::optional<own_answer>> request_relay::begin_turn() {
-    if (!context_.turns.knows_stores()) {
+    if (!context_.turns.has_store_table()) {
         co_return answer_to(refusal::no_store);
     }
     turn_.emplace(context_, facts_, forwarded_->route, forwarded_->tenant_name());
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -13,7 +13,8 @@
 
 retry_policy policy_for(const forwarder_context& context, const routing::route& route) {
     const bool repeatable = route.repeats == routing::repeatability::repeatable || route.resumable;
-    const bool resumes = route.resumable && !context.is_disabled(settings::mechanism::continuation);
+    const bool resumes =
+        route.resumable && !context.is_disabled(settings::mechanism::stream_resume);
     return {repeatable, std::max(1U, route.max_attempts), resumes};
 }
 
@@ -137,7 +138,7 @@
 asio::awaitable<void> send_loop::wait_for_admission(const scheduling::call_features& call) {
     admission_queue& queue = context_.admission_queue_of(request_.service.name);
     waiting_rank rank;
-    if (!queue.lets_in_at_once()) {
+    if (!queue.admits_at_once()) {
         rank.tenant_priority = request_.tenant_priority();
         rank.priority = request_.route.priority;
         rank.rank = context_.ranking.order_of(call);
@@ -159,11 +160,11 @@
 asio::awaitable<bool> send_loop::back_off(const scheduling::call_features& call) {
     const duration time_left = request_.budget.left(http::steady_now());
     const auto pause = policy_.back_off(time_left, context_.backends.draw_jitter());
-    if (!pause || context_.is_disabled(settings::mechanism::asking_again)) {
+    if (!pause || context_.is_disabled(settings::mechanism::back_off)) {
         co_return false;
     }
     ++statistics_.back_offs;
-    context_.admission_queue_of(request_.service.name).turned_away();
+    context_.admission_queue_of(request_.service.name).rejected();
     // The pause is no reason to keep other calls from being sent.
     leave_admission();
     asio::steady_timer timer(context_.process.loop(), *pause);
--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -53,17 +53,17 @@
     store_epoch_ = begun.epoch;
     context_.metrics.stored(store_time_);
     for (const scheduling::cached_prefix& holder : begun.holders) {
-        context_.backends.holds(holder.engine, {{holder.hash, holder.tokens}});
+        context_.backends.note_cached(holder.engine, {{holder.hash, holder.tokens}});
     }
     if (begun.result != turns::begin_result::admitted) {
         log_refusal(begun);
     }
-    for (const turns::turn_record& record : begun.chain) {
+    for (const turns::turn_record& record : begun.history) {
         history += record.input;
         history += record.output;
     }
     if (begun.adopted) {
-        adopted_ = begun.chain;
+        adopted_ = begun.history;
         adopted_turns_ = adopted_.size();
         context_.metrics.adopted();
     }
@@ -83,7 +83,7 @@
 }
 
 asio::awaitable<bool> turn_session::settle(token_count tokens, std::string input,
-                                           std::string output, turns::held_prompt held) {
+                                           std::string output, turns::cached_prompt held) {
     turns::turn_settlement ended = settlement(tokens);
     if (route_.keeps_history) {
         ended.record =
--- a/src/tallyfold/plane/forwarding/turn_session_shell.hpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.hpp
@@ -33,7 +33,7 @@
     /// the stores has taken it
     /// @param held what the engine that answered holds of the turn now
     asio::awaitable<bool> settle(token_count tokens, std::string input, std::string output,
-                                 turns::held_prompt held);
+                                 turns::cached_prompt held);
     /// Settles in the background what was begun and not settled: the turn was not answered whole.
     void settle_unanswered(token_count tokens);
     /// True between begin() and the end.
--- a/src/tallyfold/plane/messaging/peer_message.hpp
+++ b/src/tallyfold/plane/messaging/peer_message.hpp
@@ -26,12 +26,14 @@
     }
 };
 
-using peer_message = std::variant<
-    replica_envelope, directory::join_request, directory::node_report, directory::directory_beat,
-    turns::begin_request, turns::begin_reply, turns::history_request, turns::history_reply,
-    turns::settle_request, turns::settle_reply, turns::copy_request, turns::copy_reply,
-    turns::find_request, turns::find_reply, tenants::permit_report, tenants::permit_answer,
-    discovery::failure_report, directory::configuration_request, directory::configuration_part>;
+using peer_message =
+    std::variant<replica_envelope, directory::join_request, directory::node_report,
+                 directory::node_report_answer, turns::begin_request, turns::begin_reply,
+                 turns::history_request, turns::history_reply, turns::settle_request,
+                 turns::settle_reply, turns::copy_request, turns::copy_reply, turns::find_request,
+                 turns::find_reply, tenants::permit_report, tenants::permit_answer,
+                 discovery::failure_report, directory::configuration_request,
+                 directory::configuration_part>;
 
 /// Frames longer than this are refused: nothing that is sent comes near it.
 constexpr std::size_t largest_frame = 32U << 20U;
--- a/src/tallyfold/plane/process/mechanisms.cpp
+++ b/src/tallyfold/plane/process/mechanisms.cpp
@@ -12,19 +12,19 @@
 
 constexpr std::array<named_mechanism, 14> all_mechanisms{{
     {"prompt_holders", mechanism::prompt_holders},
-    {"program_home", mechanism::program_home},
+    {"program_home", mechanism::program_affinity},
     {"bounded_running", mechanism::bounded_running},
-    {"asking_again", mechanism::asking_again},
-    {"continuation", mechanism::continuation},
+    {"asking_again", mechanism::back_off},
+    {"continuation", mechanism::stream_resume},
     {"urgency", mechanism::urgency},
     {"silence", mechanism::silence},
     {"ejection", mechanism::ejection},
-    {"early_wait", mechanism::early_wait},
+    {"early_wait", mechanism::startup_wait},
     {"backend_subset", mechanism::backend_subset},
     {"spare_permits", mechanism::spare_permits},
     {"permit_wait", mechanism::permit_wait},
     {"break_evidence", mechanism::backend_distrust},
-    {"object_home", mechanism::object_home},
+    {"object_home", mechanism::object_affinity},
 }};
 
 const named_mechanism* find(std::string_view name) {
--- a/src/tallyfold/plane/process/mechanisms.hpp
+++ b/src/tallyfold/plane/process/mechanisms.hpp
@@ -15,13 +15,13 @@
     prompt_holders,
     /// A program goes to the engine that rendezvous hashing of its identifier gives, the same at
     /// every forwarder.
-    program_home,
+    program_affinity,
     /// Calls wait at the forwarder while engines are slow or full.
     bounded_running,
     /// Full back ends are asked again while a request has time.
-    asking_again,
+    back_off,
     /// A resumable stream that breaks off goes on within its answer.
-    continuation,
+    stream_resume,
     /// The policy's level for the engines' own order; off, the route's priority.
     urgency,
     /// Back ends that keep calls without a byte are left out for a while.
@@ -29,7 +29,7 @@
     /// Back ends that fail are left out for a while.
     ejection,
     /// Requests that reach a node just before it knows its routes wait a moment.
-    early_wait,
+    startup_wait,
     /// Each node keeps to a few back ends of a service.
     backend_subset,
     /// Permits of tenants are held for calls to come; off, each call asks for its own.
@@ -40,7 +40,7 @@
     backend_distrust,
     /// Requests about an object go to the back end that rendezvous hashing of its name gives, the
     /// same at every forwarder.
-    object_home,
+    object_affinity,
 };
 
 /// @param name as in docs/CONFIGURATION.md
--- a/src/tallyfold/plane/tenants/messages.hpp
+++ b/src/tallyfold/plane/tenants/messages.hpp
@@ -61,20 +61,20 @@
     std::uint64_t ceiling = 0;
     /// When there may be room again for calls that got none, of programs under way and of new ones;
     /// in milliseconds, 0 where all got one.
-    std::uint32_t room_after_ms = 0;
-    std::uint32_t room_to_begin_ms = 0;
+    std::uint32_t retry_after_ms = 0;
+    std::uint32_t retry_new_program_after_ms = 0;
 
     bool operator==(const permit_grant&) const = default;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(tenant, ceiling, room_after_ms, room_to_begin_ms);
+        archive(tenant, ceiling, retry_after_ms, retry_new_program_after_ms);
     }
 };
 
 enum class permit_outcome : std::uint8_t {
     granted,
     /// The answering node doesn't keep permits now.
-    not_keeper,
+    not_lender,
     /// It keeps them, and needs a whole report first.
     wants_whole,
 };
--- a/src/tallyfold/plane/tenants/permit_decision.hpp
+++ b/src/tallyfold/plane/tenants/permit_decision.hpp
@@ -20,7 +20,7 @@
 struct permit_decision {
     permit_state state = permit_state::unknown;
     /// When the call may come again.
-    duration room_after{};
+    duration retry_after{};
     /// Time that the call waited for the lender.
     duration waited{};
     /// True when a question to the lender was needed.
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -150,8 +150,8 @@
     for (permit_use& use : reported_uses_) {
         const auto found = tenants_.find(use.tenant);
         if (found != tenants_.end()) {
-            found->second.room_after_ms = 0;
-            found->second.room_to_begin_ms = 0;
+            found->second.retry_after_ms = 0;
+            found->second.retry_new_program_after_ms = 0;
             found->second.told = std::move(use);
         }
     }
@@ -167,8 +167,8 @@
         found->second.ceiling = granted.ceiling;
         // A lower ceiling frees permits once the lender knows that it has come.
         found->second.told.ceiling = std::max(granted.ceiling, found->second.told.ceiling);
-        found->second.room_after_ms = granted.room_after_ms;
-        found->second.room_to_begin_ms = granted.room_to_begin_ms;
+        found->second.retry_after_ms = granted.retry_after_ms;
+        found->second.retry_new_program_after_ms = granted.retry_new_program_after_ms;
     }
 }
 
@@ -179,14 +179,14 @@
     }
 }
 
-duration permit_holder::room_after(const tenant_name& tenant, permit_need need) const {
+duration permit_holder::retry_after(const tenant_name& tenant, permit_need need) const {
     const auto found = tenants_.find(tenant);
     if (found == tenants_.end()) {
         return duration::zero();
     }
     const bool begins = need == permit_need::new_program;
-    return std::chrono::milliseconds(begins ? found->second.room_to_begin_ms
-                                            : found->second.room_after_ms);
+    return std::chrono::milliseconds(begins ? found->second.retry_new_program_after_ms
+                                            : found->second.retry_after_ms);
 }
 
 }  // namespace tallyfold::tenants
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -73,7 +73,7 @@
     /// without a lender.
     [[nodiscard]] bool lender_settles() const { return lender_settles_; }
     /// When there may be room again, as the last answer said for this tenant's waiting calls.
-    [[nodiscard]] duration room_after(const tenant_name& tenant, permit_need need) const;
+    [[nodiscard]] duration retry_after(const tenant_name& tenant, permit_need need) const;
     /// The number of the last report.
     [[nodiscard]] std::uint64_t question() const { return question_; }
     /// Tenants that are known here, with their permits at hand.
@@ -96,8 +96,8 @@
         std::uint32_t waiting_under_way = 0;
         std::uint32_t waiting_new = 0;
         /// As in the last permit_grant.
-        std::uint32_t room_after_ms = 0;
-        std::uint32_t room_to_begin_ms = 0;
+        std::uint32_t retry_after_ms = 0;
+        std::uint32_t retry_new_program_after_ms = 0;
         instant last_call{};
         /// As the lender knows it.
         permit_use told;
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -59,12 +59,12 @@
 void permit_lender::name_waiting_times(permit_grant& granted, const permit_use& use,
                                        const lendable& lent, const limit_use& held) const {
     if (lent.needed < use.needed) {
-        granted.room_after_ms = time_to_free_ms(held, use.needed - lent.needed, rules_);
+        granted.retry_after_ms = time_to_free_ms(held, use.needed - lent.needed, rules_);
     }
     if (lent.beginning < use.beginning) {
         const double open = held.limit * (1 - reserved_share);
         const double over = std::max(0.0, static_cast<double>(held.spent) - open);
-        granted.room_to_begin_ms =
+        granted.retry_new_program_after_ms =
             time_to_free_ms(held, over + use.beginning - lent.beginning, rules_);
     }
 }
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -130,7 +130,7 @@
 
 permit_decision quota_client::acquire_without_lender(const tenant_name& tenant) {
     permit_decision decision;
-    decision.room_after = usual_room_after;
+    decision.retry_after = usual_room_after;
     if (holder_.take_without_lender(tenant, http::steady_now())) {
         decision.state = permit_state::granted;
     }
@@ -175,14 +175,14 @@
 std::optional<permit_decision> quota_client::refusal_for(const tenant_name& tenant,
                                                          permit_need need, instant began,
                                                          instant now) const {
-    const duration room_after = holder_.room_after(tenant, need);
-    const bool free_in_time = now - began + room_after <= longest_wait_;
+    const duration retry_after = holder_.retry_after(tenant, need);
+    const bool free_in_time = now - began + retry_after <= longest_wait_;
     if (need == permit_need::under_way && free_in_time) {
         return std::nullopt;
     }
     permit_decision refusal;
     refusal.state = permit_state::over_limit;
-    refusal.room_after = std::max(room_after, usual_room_after);
+    refusal.retry_after = std::max(retry_after, usual_room_after);
     return refusal;
 }
 
--- a/src/tallyfold/plane/turns/messages.hpp
+++ b/src/tallyfold/plane/turns/messages.hpp
@@ -20,7 +20,7 @@
 
 /// An engine that holds a prompt in its cache, with what it generated after it. A hint: stores keep
 /// it in memory only.
-struct held_prompt {
+struct cached_prompt {
     /// Empty when no engine is known to hold it.
     backend_name engine;
     /// Ends of the prompt's parts, shortest first.
@@ -123,7 +123,7 @@
     operation_number operation = 0;
     map_epoch epoch = 0;
     turn_settlement settlement;
-    held_prompt held;
+    cached_prompt held;
 
     template <class Archive>
     void serialize(Archive& archive) {
--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -213,7 +213,7 @@
         case begin_outcome::admitted:
             begun.result = begin_result::admitted;
             for (const turn_record* record : operation_.history()) {
-                begun.chain.push_back(*record);
+                begun.history.push_back(*record);
             }
             begun.adopted = adopts_;
             break;
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -45,7 +45,7 @@
 struct begun_turn {
     begin_result result = begin_result::unavailable;
     /// The conversation history before the turn, oldest first. Only with `admitted`.
-    std::vector<turn_record> chain;
+    std::vector<turn_record> history;
     /// True when another group keeps some of that history: it has to be settled along with the
     /// turn.
     bool adopted = false;
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -178,7 +178,7 @@
     co_return beginning.outcome();
 }
 
-asio::awaitable<bool> turn_client::settle(turn_settlement settlement, held_prompt held,
+asio::awaitable<bool> turn_client::settle(turn_settlement settlement, cached_prompt held,
                                           instant deadline) {
     const operation_number number = next_operation_++;
     const group_number group = table_.group_of(settlement.program);
@@ -222,7 +222,7 @@
         [this, settlement = std::move(settlement)]() mutable -> asio::awaitable<void> {
             // A settlement that fails is logged by settle(); no caller waits for it.
             const instant deadline = steady_now() + background_limit;
-            held_prompt held_nowhere;
+            cached_prompt held_nowhere;
             co_await settle(std::move(settlement), std::move(held_nowhere), deadline);
             --settling_;
         },
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -27,13 +27,13 @@
 
     /// Takes over what is newer in the table, and connects to its stores.
     void use_stores(const store_table& stores);
-    [[nodiscard]] bool knows_stores() const { return table_.known(); }
+    [[nodiscard]] bool has_store_table() const { return table_.known(); }
 
-    /// Begins a turn; needs knows_stores(). @return `unavailable` when it is undecided at the
+    /// Begins a turn; needs has_store_table(). @return `unavailable` when it is undecided at the
     /// deadline
     asio::awaitable<begun_turn> begin(turn_question question, instant deadline);
     /// @return true once the end is durable at a quorum, false at the deadline, which is logged
-    asio::awaitable<bool> settle(turn_settlement settlement, held_prompt held, instant deadline);
+    asio::awaitable<bool> settle(turn_settlement settlement, cached_prompt held, instant deadline);
     /// Settles in the background, for turns whose caller doesn't wait for it.
     void settle_later(turn_settlement settlement);
     /// Settlements that are still under way in the background.
--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -51,17 +51,17 @@
 
     void a_tenant_without_permit_is_told_when_there_is_one() {
         tenants::permit_decision decision;
-        decision.room_after = std::chrono::milliseconds(130);
+        decision.retry_after = std::chrono::milliseconds(130);
         decision.state = tenants::permit_state::over_limit;
         const own_answer over = answer_without_permit(decision);
         assert_answer(429, request_outcome::refused, true, over);
         CPPUNIT_ASSERT_EQUAL(std::string("over_limit"), over.reason);
-        CPPUNIT_ASSERT(over.retry.after == decision.room_after);
+        CPPUNIT_ASSERT(over.retry.after == decision.retry_after);
         decision.state = tenants::permit_state::unknown;
         const own_answer unknown = answer_without_permit(decision);
         assert_answer(503, request_outcome::refused, true, unknown);
         CPPUNIT_ASSERT_EQUAL(std::string("limit_unknown"), unknown.reason);
-        CPPUNIT_ASSERT(unknown.retry.after == decision.room_after);
+        CPPUNIT_ASSERT(unknown.retry.after == decision.retry_after);
     }
 
     void keys_are_stale_after_four_fifths_of_the_time_for_their_removal() {
--- a/tests/plane/discovery/poller_election_test.cpp
+++ b/tests/plane/discovery/poller_election_test.cpp
@@ -8,7 +8,7 @@
 
 class poller_election_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(poller_election_test);
-    CPPUNIT_TEST(the_leader_reads);
+    CPPUNIT_TEST(the_leader_polls);
     CPPUNIT_TEST(a_node_that_knows_no_list_reads);
     CPPUNIT_TEST(successors_take_over_one_after_the_other);
     CPPUNIT_TEST(a_forwarder_that_has_just_started_waits_to_be_told);
@@ -27,19 +27,21 @@
         CPPUNIT_ASSERT(discovery::forwarder_polls(at(101'000), started, at(103'500)));
     }
 
-    void the_leader_reads() { CPPUNIT_ASSERT((poller_election{true, true, after(0), 0}.reads())); }
+    void the_leader_polls() {
+        CPPUNIT_ASSERT((poller_election{true, true, after(0), 0}.should_poll()));
+    }
 
     void a_node_that_knows_no_list_reads() {
-        CPPUNIT_ASSERT((poller_election{false, false, after(0), 4}.reads()));
+        CPPUNIT_ASSERT((poller_election{false, false, after(0), 4}.should_poll()));
     }
 
     void successors_take_over_one_after_the_other() {
-        CPPUNIT_ASSERT(!(poller_election{false, true, after(1'300), 0}.reads()));
-        CPPUNIT_ASSERT((poller_election{false, true, after(1'600), 0}.reads()));
-        CPPUNIT_ASSERT(!(poller_election{false, true, after(1'600), 1}.reads()));
-        CPPUNIT_ASSERT((poller_election{false, true, after(1'700), 1}.reads()));
-        CPPUNIT_ASSERT(!(poller_election{false, true, after(2'200), 5}.reads()));
-        CPPUNIT_ASSERT((poller_election{false, true, after(2'300), 5}.reads()));
+        CPPUNIT_ASSERT(!(poller_election{false, true, after(1'300), 0}.should_poll()));
+        CPPUNIT_ASSERT((poller_election{false, true, after(1'600), 0}.should_poll()));
+        CPPUNIT_ASSERT(!(poller_election{false, true, after(1'600), 1}.should_poll()));
+        CPPUNIT_ASSERT((poller_election{false, true, after(1'700), 1}.should_poll()));
+        CPPUNIT_ASSERT(!(poller_election{false, true, after(2'200), 5}.should_poll()));
+        CPPUNIT_ASSERT((poller_election{false, true, after(2'300), 5}.should_poll()));
     }
 };
 
--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -56,7 +56,7 @@
         backend_registry registry("zone", 1);
         registry.update(engines(8), now);
         const std::string victim = choices(registry, false, now).begin()->first;
-        CPPUNIT_ASSERT(!registry.broke_off(victim, now).empty());
+        CPPUNIT_ASSERT(!registry.note_broken_connection(victim, now).empty());
         CPPUNIT_ASSERT(!choices(registry, false, now).contains(victim));
         // Calls that may be repeated try it all the same.
         CPPUNIT_ASSERT(choices(registry, true, now).contains(victim));
@@ -69,7 +69,7 @@
         backend_registry registry("zone", 1);
         registry.update(engines(4), now);
         for (int number = 0; number < 3; ++number) {
-            registry.broke_off("b" + std::to_string(number), now);
+            registry.note_broken_connection("b" + std::to_string(number), now);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, choices(registry, false, now).size());
         // Objects stay at their homes, too.
@@ -114,12 +114,14 @@
         const instant now(std::chrono::seconds(50));
         backend_registry registry("zone", 1);
         registry.update(engines(4), now);
-        CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:8001"), registry.broke_off("b1", now));
+        CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:8001"),
+                             registry.note_broken_connection("b1", now));
         // Another node tells of the same break, and of one at a back end that isn't listed.
-        CPPUNIT_ASSERT_EQUAL(std::string{},
-                             registry.broke_off("b1", now + std::chrono::milliseconds(200)));
-        CPPUNIT_ASSERT_EQUAL(std::string{}, registry.broke_off("nobody", now));
-        CPPUNIT_ASSERT(!registry.broke_off("b1", now + std::chrono::seconds(1)).empty());
+        CPPUNIT_ASSERT_EQUAL(std::string{}, registry.note_broken_connection(
+                                                "b1", now + std::chrono::milliseconds(200)));
+        CPPUNIT_ASSERT_EQUAL(std::string{}, registry.note_broken_connection("nobody", now));
+        CPPUNIT_ASSERT(
+            !registry.note_broken_connection("b1", now + std::chrono::seconds(1)).empty());
         // A second break within a while is doubted for longer.
         reported_failures evidence;
         evidence.note("b", now);
@@ -205,7 +207,7 @@
         for (int number = 0; number < programs; ++number) {
             backend_registry registry("zone", stable_hash("node-" + std::to_string(number)));
             registry.update(engines(20), instant{});
-            registry.holds("b3", shared);
+            registry.note_cached("b3", shared);
             const auto prompt = prompt_of_program(number);
             const backend_question question = first_turn_of(number, prompt);
             ++calls[registry.choose(question, instant{})->name];
@@ -248,7 +250,7 @@
         registry.update(engines(4), at(0));
         for (int count = 0; count < 100; ++count) {
             backend_call call = registry.started("s", {"b1", {}, 0}, 0, at(0));
-            registry.answering(call, at(milliseconds));
+            registry.first_byte_came(call, at(milliseconds));
             registry.finished(call);
         }
     }
@@ -299,8 +301,8 @@
         const auto chosen = registry.choose(turn_question(prompt), at(0));
         CPPUNIT_ASSERT(chosen.has_value());
         backend_call call = registry.started("s", *chosen, prompt.back().tokens, at(0));
-        registry.answering(call, at(50));
-        registry.holds(chosen->name, prompt);
+        registry.first_byte_came(call, at(50));
+        registry.note_cached(chosen->name, prompt);
         registry.finished(call);
         return *chosen;
     }
@@ -335,7 +337,7 @@
         registry.update(engines(2), at(0));
         const std::string before = run_turn(registry, 1000).name;
         const std::string after = before == "b0" ? "b1" : "b0";
-        registry.holds(after, prompt_with(9000));
+        registry.note_cached(after, prompt_with(9000));
         const auto prompt = prompt_with(9500);
         const auto chosen = registry.choose(turn_question(prompt), at(100));
         CPPUNIT_ASSERT_EQUAL(after, chosen->name);
--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -35,15 +35,15 @@
         const permit_answer later = keeper.answer(first_report(1, use), beginning);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{55}, later.grants.front().ceiling);
         // 45 are open to new programs; 11 come back at 12 a second.
-        CPPUNIT_ASSERT_EQUAL(916U, later.grants.front().room_to_begin_ms);
-        CPPUNIT_ASSERT_EQUAL(0U, later.grants.front().room_after_ms);
+        CPPUNIT_ASSERT_EQUAL(916U, later.grants.front().retry_new_program_after_ms);
+        CPPUNIT_ASSERT_EQUAL(0U, later.grants.front().retry_after_ms);
         use.needed = 2;
         const permit_answer answer = keeper.answer(first_report(2, use), beginning);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{57}, answer.grants.front().ceiling);
         use.needed = 9;
         const permit_answer refused = keeper.answer(first_report(3, use), beginning);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{60}, refused.grants.front().ceiling);
-        CPPUNIT_ASSERT(refused.grants.front().room_after_ms > 0);
+        CPPUNIT_ASSERT(refused.grants.front().retry_after_ms > 0);
     }
 
     void absurd_and_doubled_reports_do_no_harm() {
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -53,9 +53,9 @@
     bool keeper_reachable = true;
 
     void change_keeper() {
-        keeper_ = 1 - keeper_;
-        keepers_[keeper_].use({tenant_});
-        keepers_[keeper_].start(now);
+        lender_ = 1 - lender_;
+        keepers_[lender_].use({tenant_});
+        keepers_[lender_].start(now);
     }
     void change_limit(double rate, double burst) {
         tenant_ = limited_tenant(tenant_.name, rate, burst);
@@ -117,7 +117,7 @@
         return static_cast<std::size_t>(
             std::count_if(spent.begin(), spent.end(), [&](instant at) { return at >= since; }));
     }
-    [[nodiscard]] permit_lender& keeper() { return keepers_[keeper_]; }
+    [[nodiscard]] permit_lender& keeper() { return keepers_[lender_]; }
     [[nodiscard]] double bound() const {
         const double window = std::chrono::duration<double>(rules_.window).count();
         return (tenant_.rate_per_second * window + tenant_.burst) * (1 + rules_.overshoot) +
@@ -183,7 +183,7 @@
         for (message& each : due) {
             if (each.to_keeper) {
                 message back;
-                back.answer = keepers_[keeper_].answer(each.report, now);
+                back.answer = keepers_[lender_].answer(each.report, now);
                 back.node = each.node;
                 back.at = now + delay();
                 if (!lost()) {
@@ -283,7 +283,7 @@
     quota_rules rules_;
     routing::tenant tenant_;
     std::vector<permit_lender> keepers_;
-    std::size_t keeper_ = 0;
+    std::size_t lender_ = 0;
     std::vector<node> nodes_;
     std::vector<message> messages_;
     std::deque<instant> silences_;
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -171,8 +171,8 @@
         const begun_turn outcome = begun.outcome();
         CPPUNIT_ASSERT(outcome.result == begin_result::admitted);
         CPPUNIT_ASSERT(outcome.adopted);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, outcome.chain.size());
-        CPPUNIT_ASSERT_EQUAL(std::string("s"), outcome.chain.front().request);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, outcome.history.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("s"), outcome.history.front().request);
     }
 
     void a_store_that_changed_its_group_is_not_asked_again_at_once() {
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -181,7 +181,7 @@
                                           {}};
         if (begun.adopted) {
             ++adopted_;
-            settlement.adopted = begun.chain;
+            settlement.adopted = begun.history;
         }
         const turns::store_map& map = known_.groups[known_.group_of(ended.program)];
         settlings_.emplace(request, settling{turns::settle_operation(map), std::move(settlement)});
