--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// Measures what letting a call in costs: finding a tenant by its key, spending a permit, and the
-/// keeper's work for the nodes' reports, at today's size and at the target's. Prints one line a
+/// lender's work for the nodes' reports, at today's size and at the target's. Prints one line a
 /// measurement, in nanoseconds or microseconds of this machine's processor.
 
 #include <chrono>
@@ -56,25 +56,25 @@
     std::printf("key among %zu: %.0f ns (%zu of %zu found)\n", known_keys, each, found, lookups);
 }
 
-tenants::permit_answer exchange(tenants::permit_holder& holder, tenants::permit_lender& keeper,
+tenants::permit_answer exchange(tenants::permit_holder& holder, tenants::permit_lender& lender,
                                 instant now) {
-    tenants::permit_answer answer = keeper.answer(holder.report(now), now);
+    tenants::permit_answer answer = lender.answer(holder.report(now), now);
     holder.apply(answer, now);
     return answer;
 }
 
 void measure_permits() {
     const auto limits = make_tenants(84, 0);
-    tenants::permit_lender keeper{tenants::quota_rules{}};
-    keeper.use(limits);
-    keeper.start(beginning - std::chrono::seconds(10));
+    tenants::permit_lender lender{tenants::quota_rules{}};
+    lender.use(limits);
+    lender.start(beginning - std::chrono::seconds(10));
     tenants::permit_holder holder(tenants::quota_rules{}, "node", 1);
     holder.use(limits);
     for (const routing::tenant& tenant : limits) {
         holder.begin_wait(tenant.name, tenants::permit_need::under_way);
         holder.take(tenant.name, beginning);
     }
-    exchange(holder, keeper, beginning);
+    exchange(holder, lender, beginning);
     std::size_t taken = 0;
     const double each = nanoseconds_each(lookups, [&](std::size_t number) {
         const std::string& name = limits[number % limits.size()].name;
@@ -89,9 +89,9 @@
 /// One round of whole reports by all nodes.
 void measure_keeper(std::size_t tenant_count, std::size_t node_count, std::size_t active) {
     const auto limits = make_tenants(tenant_count, 0);
-    tenants::permit_lender keeper{tenants::quota_rules{}};
-    keeper.use(limits);
-    keeper.start(beginning - std::chrono::seconds(10));
+    tenants::permit_lender lender{tenants::quota_rules{}};
+    lender.use(limits);
+    lender.start(beginning - std::chrono::seconds(10));
     std::uint64_t question = 0;
     const auto round = [&] {
         ++question;
@@ -105,16 +105,16 @@
                 const std::string& name = limits[(node * active + number) % limits.size()].name;
                 report.uses.push_back({name, question, question, 1, 0, 0, 2});
             }
-            keeper.answer(report, beginning);
+            lender.answer(report, beginning);
         });
     };
     round();
     const double each = round();
     std::printf(
-        "keeper, %zu tenants, %zu nodes, %zu tenants a report: %.1f us a report, "
+        "lender, %zu tenants, %zu nodes, %zu tenants a report: %.1f us a report, "
         "%.2f ms a round, %zu entries\n",
         tenant_count, node_count, active, each / 1e3, each * static_cast<double>(node_count) / 1e6,
-        keeper.entries());
+        lender.entries());
 }
 
 }  // namespace
--- a/src/tallyfold/plane/decisions/time_budget.cpp
+++ b/src/tallyfold/plane/decisions/time_budget.cpp
@@ -4,8 +4,10 @@
 
 namespace tallyfold::forwarding {
 
-time_budget::time_budget(instant received, std::optional<duration> patience, duration route_timeout)
-    : deadline_(received + std::min(patience.value_or(default_patience), route_timeout)) {}
+time_budget::time_budget(instant received, std::optional<duration> caller_timeout,
+                         duration route_timeout)
+    : deadline_(received +
+                std::min(caller_timeout.value_or(default_caller_timeout), route_timeout)) {}
 
 duration time_budget::admission_wait(instant now) const {
     return std::chrono::duration_cast<duration>(left(now) * admission_share);
--- a/src/tallyfold/plane/decisions/time_budget.hpp
+++ b/src/tallyfold/plane/decisions/time_budget.hpp
@@ -12,7 +12,7 @@
   public:
     /// For callers that don't say how long they wait. Chosen, not measured: the route's time-out
     /// bounds it in any case.
-    static constexpr duration default_patience = std::chrono::seconds(30);
+    static constexpr duration default_caller_timeout = std::chrono::seconds(30);
     /// A request that reaches a node before it knows routes, back ends and stores waits so long for
     /// them. Such requests were turned away for a second before (docs/DECISIONS-UNDER-LOAD.md; the
     /// wait is worth 0.029 of the score in its ablation, row early_wait); 50 ms covers several
@@ -29,9 +29,9 @@
     static constexpr duration connect_limit = std::chrono::milliseconds(500);
 
     /// @param received when the request's last byte was read
-    /// @param patience how long the caller says that it waits
+    /// @param caller_timeout how long the caller says that it waits
     /// @param route_timeout bound of the route
-    time_budget(instant received, std::optional<duration> patience, duration route_timeout);
+    time_budget(instant received, std::optional<duration> caller_timeout, duration route_timeout);
 
     [[nodiscard]] instant deadline() const { return deadline_; }
     /// Until the deadline; negative after it.
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// The first stage of a request: by which route it goes, who calls, and whether the tenant's limit
-/// lets it in. Asks the directory and the keeper of permits; decisions/own_answer says how it is
+/// lets it in. Asks the directory and the lender of permits; decisions/own_answer says how it is
 /// refused. Belongs to the loop thread.
 
 #include <asio/awaitable.hpp>
@@ -48,7 +48,7 @@
     [[nodiscard]] duration proof_age() const;
     /// For log lines: by which configuration a call is decided, and what proves that it is new.
     [[nodiscard]] std::string describe_proof(duration waited) const;
-    /// Logs that the caller is refused. @param waited for the directory or the keeper of permits
+    /// Logs that the caller is refused. @param waited for the directory or the lender of permits
     void log_refusal(const own_answer& answer, duration waited) const;
 
     forwarder_context& context_;
--- a/src/tallyfold/plane/forwarding/request_codec.hpp
+++ b/src/tallyfold/plane/forwarding/request_codec.hpp
@@ -21,7 +21,7 @@
     /// Identifier that the caller gave the request.
     std::string request;
     /// Time that the caller waits; nothing when it doesn't say.
-    std::optional<duration> patience;
+    std::optional<duration> caller_timeout;
     /// Identifier of the program that the request is a turn of; empty for none.
     std::string program;
     /// Until the whole program should have ended; nothing when it has no objective.
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -88,7 +88,7 @@
             route,
             *service,
             admission_.tenant(),
-            time_budget(request_.received, facts_.patience, route_timeout),
+            time_budget(request_.received, facts_.caller_timeout, route_timeout),
             std::move(request_.body),
             {}};
 }
--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -198,7 +198,6 @@
 asio::awaitable<tl::expected<void, io_failure>> connection::write(std::string bytes,
                                                                   instant deadline) {
     const auto self = shared_from_this();
-    sent_any_ = true;
     arm(deadline);
     const auto [error, count] = co_await asio::async_write(socket_, asio::buffer(bytes), as_values);
     disarm();
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -69,9 +69,6 @@
     void stop_watching() { ++watch_; }
     /// True when an idle connection has bytes or an end waiting, and so cannot be used again.
     [[nodiscard]] bool stale();
-    /// False only while it is certain that no byte has left since forget_sent().
-    [[nodiscard]] bool sent_any() const { return sent_any_; }
-    void forget_sent() { sent_any_ = false; }
 
     /// Ends it in order.
     void close();
@@ -93,7 +90,6 @@
     std::uint64_t watch_ = 0;
     std::uint64_t armed_ = 0;
     bool expired_ = false;
-    bool sent_any_ = false;
 };
 
 using connection_pointer = std::shared_ptr<connection>;
--- a/src/tallyfold/program_api/configuration/configuration_state.cpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.cpp
@@ -64,11 +64,6 @@
     return found == nullptr ? nullptr : std::get_if<class_settings>(&found->body);
 }
 
-const policy_source* configuration_view::policy(const std::string& name) const {
-    const item* found = find({item_kind::policy, name});
-    return found == nullptr ? nullptr : std::get_if<policy_source>(&found->body);
-}
-
 bool configuration_view::drained(const std::string& backend) const {
     return find({item_kind::drain, backend}) != nullptr;
 }
--- a/src/tallyfold/program_api/configuration/configuration_state.hpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.hpp
@@ -20,7 +20,6 @@
     [[nodiscard]] const item* find(const item_key& key) const;
     [[nodiscard]] const tenant_settings* tenant(const std::string& name) const;
     [[nodiscard]] const class_settings* program_class(const std::string& name) const;
-    [[nodiscard]] const policy_source* policy(const std::string& name) const;
     [[nodiscard]] bool drained(const std::string& backend) const;
 
     /// Items changed after `base`.
--- a/src/tallyfold/program_api/scheduler/journal_client.cpp
+++ b/src/tallyfold/program_api/scheduler/journal_client.cpp
@@ -85,7 +85,7 @@
 
 void journal_client::tick(instant now) {
     for (auto& [correlation, append] : sent_) {
-        if (now - append.sent >= patience) {
+        if (now - append.sent >= resend_timeout) {
             transmit(correlation, append, now);
         }
     }
--- a/src/tallyfold/program_api/scheduler/journal_client.hpp
+++ b/src/tallyfold/program_api/scheduler/journal_client.hpp
@@ -58,7 +58,9 @@
     [[nodiscard]] bool busy(shard_id shard) const;
 
   private:
-    static constexpr duration patience = std::chrono::milliseconds(400);
+    /// An append without an answer is sent again after this long. Chosen, not measured: above a
+    /// commit that waits for one slow sync, below an election (0.5 s).
+    static constexpr duration resend_timeout = std::chrono::milliseconds(400);
 
     struct sent_append {
         append_key key;
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -121,10 +121,6 @@
     return pools_[static_cast<std::size_t>(kind)];
 }
 
-const scheduling::backend_pool& scheduler_core::pool(scheduling::backend_kind kind) const {
-    return pools_[static_cast<std::size_t>(kind)];
-}
-
 scheduling::backend_pool& scheduler_core::pool_for(journal::call_kind kind) {
     return pools_[static_cast<std::size_t>(kind)];
 }
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -107,7 +107,6 @@
     scheduler_output take_output();
     [[nodiscard]] const scheduler_counters& counters() const { return counters_; }
     [[nodiscard]] scheduler_gauges gauges(instant now) const;
-    [[nodiscard]] const scheduling::backend_pool& engines() const { return pool(engine_kind); }
 
   private:
     static constexpr auto engine_kind = scheduling::backend_kind::engine;
@@ -338,7 +337,6 @@
     void order(backend_order item) { output_.orders.push_back(std::move(item)); }
     [[nodiscard]] std::uint32_t retry_after();
     scheduling::backend_pool& pool(scheduling::backend_kind kind);
-    [[nodiscard]] const scheduling::backend_pool& pool(scheduling::backend_kind kind) const;
     scheduling::backend_pool& pool_for(journal::call_kind kind);
     scheduling::call_queue& queue_for(journal::call_kind kind);
     const std::vector<scheduling::prefix_point>& program_points(
--- a/stand_ins/caller_core.cpp
+++ b/stand_ins/caller_core.cpp
@@ -334,7 +334,7 @@
         join_children(now);
         return;
     }
-    if (waiting_ && now - last_sign_ > settings_.patience) {
+    if (waiting_ && now - last_sign_ > settings_.stall_timeout) {
         on_disconnected(current_, now);
     }
     if (waiting_ || retry_at_ == instant{} || now < retry_at_) {
--- a/stand_ins/caller_core.hpp
+++ b/stand_ins/caller_core.hpp
@@ -65,7 +65,7 @@
         std::string run;
         /// A request without any sign of life for this long is sent again. Below the classes' idle
         /// timeout: a caller that is silent for longer has its programs closed as abandoned.
-        duration patience = std::chrono::seconds(8);
+        duration stall_timeout = std::chrono::seconds(8);
         /// The caller calls a request lost after this long.
         duration lost_after = std::chrono::seconds(180);
     };
--- a/tests/plane/decisions/time_budget_test.cpp
+++ b/tests/plane/decisions/time_budget_test.cpp
@@ -25,7 +25,7 @@
         CPPUNIT_ASSERT(time_budget(received, seconds(12), seconds(9)).deadline() ==
                        received + seconds(9));
         CPPUNIT_ASSERT(time_budget(received, std::nullopt, seconds(60)).deadline() ==
-                       received + time_budget::default_patience);
+                       received + time_budget::default_caller_timeout);
     }
 
     void shares_are_of_the_time_left() {
@@ -42,10 +42,10 @@
 
     void any_wait_or_attempt_ends_by_the_deadline() {
         check_property("no share of the time left reaches beyond the deadline", [] {
-            const duration patience = milliseconds(*rc::gen::inRange(1, 60'000));
+            const duration caller_timeout = milliseconds(*rc::gen::inRange(1, 60'000));
             const duration route_timeout = milliseconds(*rc::gen::inRange(1, 60'000));
-            const time_budget budget(received, patience, route_timeout);
-            const duration whole = std::min(patience, route_timeout);
+            const time_budget budget(received, caller_timeout, route_timeout);
+            const duration whole = std::min(caller_timeout, route_timeout);
             const instant now = received + milliseconds(*rc::gen::inRange<std::int64_t>(
                                                0, to_milliseconds(whole) + 1));
             RC_ASSERT(budget.deadline() == received + whole);
--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -46,7 +46,7 @@
     void each_field_of_a_request_is_read() {
         const forwarding::request_facts facts = replica_calls().read_request(caller_head());
         CPPUNIT_ASSERT_EQUAL(std::string("request-1"), facts.request);
-        CPPUNIT_ASSERT(facts.patience == duration(milliseconds(4001)));
+        CPPUNIT_ASSERT(facts.caller_timeout == duration(milliseconds(4001)));
         CPPUNIT_ASSERT_EQUAL(std::string("program-2"), facts.program);
         CPPUNIT_ASSERT(facts.program_time_left == duration(milliseconds(-73)));
         CPPUNIT_ASSERT_EQUAL(token_count{90004}, facts.budget);
@@ -66,7 +66,7 @@
     void a_request_without_fields_is_read() {
         const forwarding::request_facts facts = replica_calls().read_request({});
         CPPUNIT_ASSERT(facts.request.empty() && facts.program.empty());
-        CPPUNIT_ASSERT(!facts.patience && !facts.program_time_left);
+        CPPUNIT_ASSERT(!facts.caller_timeout && !facts.program_time_left);
         CPPUNIT_ASSERT_EQUAL(token_count{0}, facts.budget);
         CPPUNIT_ASSERT_EQUAL(token_count{0}, facts.prompt_tokens);
         CPPUNIT_ASSERT_EQUAL(token_count{0}, facts.max_tokens);
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -76,7 +76,7 @@
         const replica_calls calls;
         const forwarding::request_facts facts = calls.read_request(head);
         CPPUNIT_ASSERT_EQUAL(std::string("abc"), facts.request);
-        CPPUNIT_ASSERT(facts.patience == duration(std::chrono::seconds(4)));
+        CPPUNIT_ASSERT(facts.caller_timeout == duration(std::chrono::seconds(4)));
         CPPUNIT_ASSERT_EQUAL(token_count{80}, facts.max_tokens);
         CPPUNIT_ASSERT(facts.program_time_left == duration(std::chrono::milliseconds(-70)));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, facts.prompt.size());
