--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -61,6 +61,8 @@
     void learn_failures(const std::vector<discovery::relayed_failure>& reported);
     /// Reads the operators' policy; one that fails leaves the one before it in force.
     void read_policy();
+    /// Evaluations that failed since the last look, at most one line a look.
+    void log_policy_failures();
     /// Has the admission queues follow the engines' pace.
     void adjust_admission();
     void suspect_silent_backends();
@@ -82,6 +84,7 @@
     caller_listener callers_;
     http::endpoint_server readiness_;
     /// Set while the node stops.
+    std::uint64_t logged_policy_failures_ = 0;
     std::optional<stop_sequence> stop_;
 };
 
@@ -156,6 +159,20 @@
         logging::write_event(logging::event_id::policy_applied,
                              "policy=" + (removed ? std::string("-") : path));
     }
+    log_policy_failures();
+}
+
+void forwarder_node::log_policy_failures() {
+    const std::uint64_t failures = ranking_.failures();
+    // The count begins anew with each policy.
+    const std::uint64_t logged = std::min(logged_policy_failures_, failures);
+    logged_policy_failures_ = failures;
+    if (failures > logged) {
+        logging::write_event(logging::event_id::policy_failed,
+                             "policy=" + process_.settings().policy_file +
+                                 " failed_evaluations=" + std::to_string(failures - logged) +
+                                 " reason=\"the built-in rule ranked these calls\"");
+    }
 }
 
 void forwarder_node::adjust_admission() {
