--- a/src/tallyfold/plane/decisions/time_budget.hpp
+++ b/src/tallyfold/plane/decisions/time_budget.hpp
@@ -14,9 +14,9 @@
     /// bounds it in any case.
     static constexpr duration default_caller_timeout = std::chrono::seconds(30);
     /// A request that reaches a node before it knows routes, back ends and stores waits so long for
-    /// them. Such requests were turned away for a second before (docs/DECISIONS-UNDER-LOAD.md; the
-    /// wait is worth 0.029 of the score in its ablation, row early_wait); 50 ms covers several
-    /// round trips between zones.
+    /// them; without the wait it is rejected and comes back a second later. Worth 0.029 of the
+    /// score (docs/DECISIONS-UNDER-LOAD.md, row early_wait); 50 ms covers several round trips
+    /// between zones.
     static constexpr duration startup_wait = std::chrono::milliseconds(50);
     /// Part of the time left that a call waits for admission, at most; it is sent then all the
     /// same. Chosen, not measured by itself: leaves two thirds to the engine. The wait as a whole
