--- a/src/tallyfold/plane/decisions/admission_window.hpp
+++ b/src/tallyfold/plane/decisions/admission_window.hpp
@@ -9,12 +9,14 @@
 /// call, and grows back once that ends. Nodes exchange nothing for it: all of them see the same
 /// engines slow down, and each reduces in proportion to what it runs there.
 ///
-/// | input | unit | from | effect |
-/// |---|---|---|---|
-/// | slowdown | times slower than idle | engine_pace, each `interval` | over `max_slowdown`:
-/// shrinks | | rejected() | a call that every back end rejected | request_relay | shrinks to 0.7 of
-/// what runs | | waiting | calls in the queue | admission_queue, each `interval` | with the above
-/// absent: grows; 0 ends the bound |
+/// Inputs:
+/// - slowdown, in times slower than idle, from engine_pace each `interval`: above `max_slowdown`
+/// the
+///   window shrinks;
+/// - rejected(), a call that every back end rejected, from send_loop: the window shrinks to 0.7 of
+///   what runs;
+/// - waiting, calls in the queue, from admission_queue each `interval`: without the two above the
+///   window grows; with 0 the bound ends.
 ///
 /// Measured (docs/DECISIONS-UNDER-LOAD.md, parekh-auth, seeds 111 to 113): the slowdown raised the
 /// worth of scale-1 and scale-2 from 0.686 to 0.739, the rejections from 0.731 to 0.776.
--- a/src/tallyfold/plane/decisions/backend_distrust.hpp
+++ b/src/tallyfold/plane/decisions/backend_distrust.hpp
@@ -3,16 +3,15 @@
 /// What speaks against sending a call to a back end: the one place that brings the rules together.
 /// Pure; each rule keeps its own state, backend_registry feeds them.
 ///
-/// | rule | trigger | effect | kept in |
-/// |---|---|---|---|
-/// | outlier ejection | failure score over its threshold, or nothing accepts a connection |
-/// unavailable for 1 s, doubling to 32 s | scheduling/outlier_ejection | | silence suspicion | a
-/// call without a byte for 0.7 s and five times the usual | the same | silence_suspicion, then
-/// outlier_ejection | | reported failures | a call broken off before any byte, at any node | for 2
-/// s, doubling to 8 s, no calls that must run at most once | reported_failures | | replaced
-/// incarnation | the back end answers that the call names an earlier process of its name | excluded
-/// until the list names a new address | backend_state::drained | | leaving | the list, or its own
-/// status, says so | excluded | backend_state::leaving() |
+/// - **Outlier ejection** (scheduling/outlier_ejection): the failure score is over its threshold or
+///   nothing accepts a connection. Unavailable for 1 s, doubling to 32 s.
+/// - **Silence suspicion** (silence_suspicion, then outlier_ejection): a call has been without a
+///   byte for 0.7 s and five times the usual. The same effect.
+/// - **Reported failures** (reported_failures): a call was broken off before any byte, at any node.
+///   For 2 s, doubling to 8 s, no calls that must run at most once.
+/// - **Replaced incarnation** (backend_state::drained): the back end answers that the call names an
+///   earlier process of its name. Excluded until the list names a new address.
+/// - **Leaving** (backend_state::leaving()): the list, or its own status, says so. Excluded.
 
 #include <cstdint>
 
--- a/src/tallyfold/plane/tenants/permit_rule.hpp
+++ b/src/tallyfold/plane/tenants/permit_rule.hpp
@@ -5,22 +5,19 @@
 ///
 /// Who gets permits, in order, and up to what:
 ///
-/// | for | up to | because |
-/// |---|---|---|
-/// | calls of programs under way | the limit, less what is spent | a program that loses one call
-/// fails whole | | calls that begin a program | three quarters of the limit | the last quarter is
-/// for programs under way | | calls to come, kept at the node | the same, less the above | most
-/// calls then need no message |
+/// - calls of programs under way: up to the limit, less what is spent; a program that loses a call
+///   fails whole;
+/// - calls that begin a program: up to three quarters of the limit, since the last quarter is for
+///   programs under way;
+/// - calls to come, kept at the node: the same, less the above. Most calls then need no message.
 ///
 /// All of them together stay within the bound, the limit with the operators' allowance, less what
 /// is spent and lent already. A lender that has just started doesn't know what its predecessor
-/// lent, so:
-///
-/// | time since its start | what differs |
-/// |---|---|
-/// | up to `settling` | calls under way get no more than the rate allows for that time; none for
-/// new programs; a node keeps what it had for calls to come | | up to the window | the limit is the
-/// bound: the allowance is left to nodes that can't report |
+/// lent, so
+/// - up to `settling` after its start, calls under way get no more than the rate allows for that
+///   time, new programs none, and a node keeps what it had for calls to come;
+/// - up to a window after its start the limit is the bound: the allowance is left to nodes that
+///   can't report.
 
 #include <cstdint>
 
