--- a/src/tallyfold/plane/decisions/admission_window.cpp
+++ b/src/tallyfold/plane/decisions/admission_window.cpp
@@ -10,7 +10,7 @@
 constexpr double min_window = 1;
 /// Part of the window that one adjustment leaves at least, 0 to 1. Chosen, not measured: it halves
 /// in about 0.3 s, and one odd sample doesn't stop everything.
-constexpr double min_part = 0.8;
+constexpr double min_shrink_factor = 0.8;
 /// Part of the running calls that may run after every back end has rejected a call, 0 to 1. Chosen,
 /// not measured by itself: the rule with it is (0.731 -> 0.776).
 constexpr double part_when_rejected = 0.7;
@@ -40,7 +40,8 @@
     }
     if (slowdown > max_slowdown_) {
         const double before = bounded_ ? std::min(window_, std::max(running, min_window)) : running;
-        window_ = std::max(min_window, before * std::max(min_part, max_slowdown_ / slowdown));
+        window_ =
+            std::max(min_window, before * std::max(min_shrink_factor, max_slowdown_ / slowdown));
         bounded_ = true;
     } else if (bounded_ && waiting > 0) {
         window_ = window_ * growth + growth_step;
