--- a/src/tallyfold/plane/decisions/admission_window.cpp
+++ b/src/tallyfold/plane/decisions/admission_window.cpp
@@ -13,7 +13,7 @@
 constexpr double min_shrink_factor = 0.8;
 /// Part of the running calls that may run after every back end has rejected a call, 0 to 1. Chosen,
 /// not measured by itself: the rule with it is (0.731 -> 0.776).
-constexpr double part_when_rejected = 0.7;
+constexpr double rejection_shrink_factor = 0.7;
 /// Growth of the window at an adjustment while calls wait and the engines keep the bound: times,
 /// and calls on top, so that small windows grow too. Chosen, not measured: it doubles in 0.7 s at
 /// the most, slower than it shrinks.
@@ -28,7 +28,7 @@
     }
     shrunk_ = true;
     bounded_ = true;
-    window_ = std::max(min_window, static_cast<double>(running_) * part_when_rejected);
+    window_ = std::max(min_window, static_cast<double>(running_) * rejection_shrink_factor);
 }
 
 void admission_window::adjust(double slowdown, std::size_t waiting) {
