--- a/src/tallyfold/plane/decisions/admission_window.cpp
+++ b/src/tallyfold/plane/decisions/admission_window.cpp
@@ -17,7 +17,7 @@
 /// Growth of the window at an adjustment while calls wait and the engines keep the bound: times,
 /// and calls on top, so that small windows grow too. Chosen, not measured: it doubles in 0.7 s at
 /// the most, slower than it shrinks.
-constexpr double growth = 1.1;
+constexpr double growth_factor = 1.1;
 constexpr double growth_step = 0.5;
 
 }  // namespace
@@ -44,7 +44,7 @@
             std::max(min_window, before * std::max(min_shrink_factor, max_slowdown_ / slowdown));
         bounded_ = true;
     } else if (bounded_ && waiting > 0) {
-        window_ = window_ * growth + growth_step;
+        window_ = window_ * growth_factor + growth_step;
     } else if (bounded_) {
         // Nothing waits and the engines keep up: there is nothing to bound.
         bounded_ = false;
