--- a/src/tallyfold/plane/decisions/admission_window.cpp
+++ b/src/tallyfold/plane/decisions/admission_window.cpp
@@ -23,19 +23,19 @@
 }  // namespace
 
 void admission_window::rejected() {
-    if (shrunk_) {
+    if (shrunk_since_adjustment_) {
         return;
     }
-    shrunk_ = true;
+    shrunk_since_adjustment_ = true;
     bounded_ = true;
     window_ = std::max(min_window, static_cast<double>(running_) * rejection_shrink_factor);
 }
 
 void admission_window::adjust(double slowdown, std::size_t waiting) {
     const auto running = static_cast<double>(running_);
-    if (shrunk_) {
+    if (shrunk_since_adjustment_) {
         // The rejection has set the window already.
-        shrunk_ = false;
+        shrunk_since_adjustment_ = false;
         return;
     }
     if (slowdown > max_slowdown_) {
--- a/src/tallyfold/plane/decisions/admission_window.hpp
+++ b/src/tallyfold/plane/decisions/admission_window.hpp
@@ -58,7 +58,7 @@
     std::size_t running_ = 0;
     bool bounded_ = false;
     /// A rejection has shrunk the window since the last adjustment.
-    bool shrunk_ = false;
+    bool shrunk_since_adjustment_ = false;
     /// Calls that may run while bounded_.
     double window_ = 0;
 };
