--- a/src/tallyfold/plane/decisions/backend_distrust.cpp
+++ b/src/tallyfold/plane/decisions/backend_distrust.cpp
@@ -4,17 +4,17 @@
 
 namespace tallyfold::forwarding {
 
-backend_standing standing_of(const scheduling::backend_state& backend,
-                             const scheduling::backend_pool& pool,
-                             const reported_failures& reported, instant now) {
+backend_eligibility standing_of(const scheduling::backend_state& backend,
+                                const scheduling::backend_pool& pool,
+                                const reported_failures& reported, instant now) {
     if (backend.leaving()) {
-        return backend_standing::excluded;
+        return backend_eligibility::excluded;
     }
     if (!pool.available(backend, now)) {
-        return backend_standing::unavailable;
+        return backend_eligibility::unavailable;
     }
-    return reported.is_distrusted(backend.member.name, now) ? backend_standing::distrusted
-                                                            : backend_standing::trusted;
+    return reported.is_distrusted(backend.member.name, now) ? backend_eligibility::distrusted
+                                                            : backend_eligibility::trusted;
 }
 
 bool most_are_reported(const scheduling::backend_pool& pool, const reported_failures& reported,
--- a/src/tallyfold/plane/decisions/backend_distrust.hpp
+++ b/src/tallyfold/plane/decisions/backend_distrust.hpp
@@ -21,7 +21,7 @@
 namespace tallyfold::forwarding {
 
 /// How much speaks against a back end, least first.
-enum class backend_standing : std::uint8_t {
+enum class backend_eligibility : std::uint8_t {
     /// No rule speaks against it.
     trusted,
     /// A failure was reported lately: calls that must run at most once should avoid it.
@@ -33,9 +33,9 @@
 };
 
 /// The strongest that any rule says of one back end now.
-backend_standing standing_of(const scheduling::backend_state& backend,
-                             const scheduling::backend_pool& pool,
-                             const reported_failures& reported, instant now);
+backend_eligibility standing_of(const scheduling::backend_state& backend,
+                                const scheduling::backend_pool& pool,
+                                const reported_failures& reported, instant now);
 
 /// True when failures were reported of more than half of the pool. A fault that most share is no
 /// reason to crowd their calls onto the others.
--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -99,31 +99,31 @@
     }
     const backend_state* engine = state.pool.find(choice->engine);
     return chosen_backend{choice->engine, engine->member.address, choice->cached_tokens,
-                          selection_rule::placement, backend_standing::distrusted};
+                          selection_rule::placement, backend_eligibility::distrusted};
 }
 
-std::pair<backend_selector::backend_list, backend_standing> backend_selector::candidates(
+std::pair<backend_selector::backend_list, backend_eligibility> backend_selector::candidates(
     const backend_question& question, const selection_state& state, instant now) const {
     const bool whole_service =
         goes_by_object(question) || is_disabled(settings::mechanism::backend_subset);
     const bool must_run_once = !question.repeatable;
     if (must_run_once && !most_are_reported(state.pool, state.reported, now)) {
-        const auto worst = backend_standing::trusted;
+        const auto worst = backend_eligibility::trusted;
         backend_list trusted = within_standing(worst, question, state, whole_service, now);
         if (!trusted.empty()) {
             return {std::move(trusted), worst};
         }
     }
-    const auto worst = backend_standing::distrusted;
+    const auto worst = backend_eligibility::distrusted;
     backend_list available = within_standing(worst, question, state, whole_service, now);
     if (!available.empty()) {
         return {std::move(available), worst};
     }
-    const auto last_resort = backend_standing::unavailable;
+    const auto last_resort = backend_eligibility::unavailable;
     return {within_standing(last_resort, question, state, true, now), last_resort};
 }
 
-backend_selector::backend_list backend_selector::within_standing(backend_standing worst,
+backend_selector::backend_list backend_selector::within_standing(backend_eligibility worst,
                                                                  const backend_question& question,
                                                                  const selection_state& state,
                                                                  bool whole_service,
--- a/src/tallyfold/plane/decisions/backend_selection.hpp
+++ b/src/tallyfold/plane/decisions/backend_selection.hpp
@@ -69,7 +69,7 @@
     token_count cached_tokens = 0;
     selection_rule rule = selection_rule::less_loaded_of_two;
     /// The worst standing that was let in when it was chosen.
-    backend_standing accepted_standing = backend_standing::distrusted;
+    backend_eligibility accepted_standing = backend_eligibility::distrusted;
 };
 
 /// One service's back ends as this node sees them.
@@ -100,11 +100,11 @@
     std::optional<chosen_backend> place(const backend_question& question,
                                         const selection_state& state, instant now);
     /// Lists a to c. @return the candidates, and the worst standing among them that was let in
-    [[nodiscard]] std::pair<backend_list, backend_standing> candidates(
+    [[nodiscard]] std::pair<backend_list, backend_eligibility> candidates(
         const backend_question& question, const selection_state& state, instant now) const;
     /// Back ends up to a standing where the call hasn't been: of the node's subset, or of the whole
     /// service for a call that goes by its object.
-    [[nodiscard]] backend_list within_standing(backend_standing worst,
+    [[nodiscard]] backend_list within_standing(backend_eligibility worst,
                                                const backend_question& question,
                                                const selection_state& state, bool whole_service,
                                                instant now) const;
