--- a/src/tallyfold/plane/decisions/backend_distrust.cpp
+++ b/src/tallyfold/plane/decisions/backend_distrust.cpp
@@ -4,9 +4,9 @@
 
 namespace tallyfold::forwarding {
 
-backend_eligibility standing_of(const scheduling::backend_state& backend,
-                                const scheduling::backend_pool& pool,
-                                const reported_failures& reported, instant now) {
+backend_eligibility eligibility_of(const scheduling::backend_state& backend,
+                                   const scheduling::backend_pool& pool,
+                                   const reported_failures& reported, instant now) {
     if (backend.leaving()) {
         return backend_eligibility::excluded;
     }
--- a/src/tallyfold/plane/decisions/backend_distrust.hpp
+++ b/src/tallyfold/plane/decisions/backend_distrust.hpp
@@ -33,9 +33,9 @@
 };
 
 /// The strongest that any rule says of one back end now.
-backend_eligibility standing_of(const scheduling::backend_state& backend,
-                                const scheduling::backend_pool& pool,
-                                const reported_failures& reported, instant now);
+backend_eligibility eligibility_of(const scheduling::backend_state& backend,
+                                   const scheduling::backend_pool& pool,
+                                   const reported_failures& reported, instant now);
 
 /// True when failures were reported of more than half of the pool. A fault that most share is no
 /// reason to crowd their calls onto the others.
--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -130,7 +130,7 @@
                                                                  instant now) const {
     const auto fits = [&](const backend_state& backend) {
         return !question.tried.contains(backend.member.name) &&
-               standing_of(backend, state.pool, state.reported, now) <= worst;
+               eligibility_of(backend, state.pool, state.reported, now) <= worst;
     };
     if (!whole_service) {
         return state.subset.usable(state.pool, fits);
--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -37,7 +37,7 @@
     }
     static backend_eligibility standing(const backend_pool& pool,
                                         const reported_failures& reported) {
-        return standing_of(*pool.find("b0"), pool, reported, now);
+        return eligibility_of(*pool.find("b0"), pool, reported, now);
     }
 
     void without_a_fault_a_back_end_is_trusted() {
