--- a/src/tallyfold/plane/decisions/backend_selection.hpp
+++ b/src/tallyfold/plane/decisions/backend_selection.hpp
@@ -69,7 +69,7 @@
     token_count cached_tokens = 0;
     selection_rule rule = selection_rule::less_loaded_of_two;
     /// The worst standing that was let in when it was chosen.
-    backend_eligibility accepted_standing = backend_eligibility::distrusted;
+    backend_eligibility accepted_eligibility = backend_eligibility::distrusted;
 };
 
 /// One service's back ends as this node sees them.
--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -121,9 +121,9 @@
         for (int count = 0; count < 50; ++count) {
             const chosen_backend chosen = *plain.select(plain_call(false));
             CPPUNIT_ASSERT(chosen.name == "b2" || chosen.name == "b3");
-            CPPUNIT_ASSERT(chosen.accepted_standing == backend_eligibility::trusted);
+            CPPUNIT_ASSERT(chosen.accepted_eligibility == backend_eligibility::trusted);
         }
-        CPPUNIT_ASSERT(plain.select(plain_call(true))->accepted_standing ==
+        CPPUNIT_ASSERT(plain.select(plain_call(true))->accepted_eligibility ==
                        backend_eligibility::distrusted);
     }
 
@@ -134,7 +134,7 @@
         question.tried = {"b1", "b2", "b3"};
         const chosen_backend chosen = *plain.select(question);
         CPPUNIT_ASSERT_EQUAL(std::string("b0"), chosen.name);
-        CPPUNIT_ASSERT(chosen.accepted_standing == backend_eligibility::distrusted);
+        CPPUNIT_ASSERT(chosen.accepted_eligibility == backend_eligibility::distrusted);
     }
 
     void ejected_ones_are_the_last_resort() {
@@ -147,7 +147,7 @@
         question.tried = {"b1", "b2", "b3"};
         const chosen_backend chosen = *plain.select(question);
         CPPUNIT_ASSERT_EQUAL(std::string("b0"), chosen.name);
-        CPPUNIT_ASSERT(chosen.accepted_standing == backend_eligibility::unavailable);
+        CPPUNIT_ASSERT(chosen.accepted_eligibility == backend_eligibility::unavailable);
     }
 
     void excluded_ones_are_none() {
