--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -109,25 +109,25 @@
     const bool must_run_once = !question.repeatable;
     if (must_run_once && !most_are_reported(state.pool, state.reported, now)) {
         const auto worst = backend_eligibility::trusted;
-        backend_list trusted = within_standing(worst, question, state, whole_service, now);
+        backend_list trusted = eligible_backends(worst, question, state, whole_service, now);
         if (!trusted.empty()) {
             return {std::move(trusted), worst};
         }
     }
     const auto worst = backend_eligibility::distrusted;
-    backend_list available = within_standing(worst, question, state, whole_service, now);
+    backend_list available = eligible_backends(worst, question, state, whole_service, now);
     if (!available.empty()) {
         return {std::move(available), worst};
     }
     const auto last_resort = backend_eligibility::unavailable;
-    return {within_standing(last_resort, question, state, true, now), last_resort};
+    return {eligible_backends(last_resort, question, state, true, now), last_resort};
 }
 
-backend_selector::backend_list backend_selector::within_standing(backend_eligibility worst,
-                                                                 const backend_question& question,
-                                                                 const selection_state& state,
-                                                                 bool whole_service,
-                                                                 instant now) const {
+backend_selector::backend_list backend_selector::eligible_backends(backend_eligibility worst,
+                                                                   const backend_question& question,
+                                                                   const selection_state& state,
+                                                                   bool whole_service,
+                                                                   instant now) const {
     const auto fits = [&](const backend_state& backend) {
         return !question.tried.contains(backend.member.name) &&
                eligibility_of(backend, state.pool, state.reported, now) <= worst;
--- a/src/tallyfold/plane/decisions/backend_selection.hpp
+++ b/src/tallyfold/plane/decisions/backend_selection.hpp
@@ -104,10 +104,10 @@
         const backend_question& question, const selection_state& state, instant now) const;
     /// Back ends up to a standing where the call hasn't been: of the node's subset, or of the whole
     /// service for a call that goes by its object.
-    [[nodiscard]] backend_list within_standing(backend_eligibility worst,
-                                               const backend_question& question,
-                                               const selection_state& state, bool whole_service,
-                                               instant now) const;
+    [[nodiscard]] backend_list eligible_backends(backend_eligibility worst,
+                                                 const backend_question& question,
+                                                 const selection_state& state, bool whole_service,
+                                                 instant now) const;
     [[nodiscard]] bool goes_by_object(const backend_question& question) const;
     [[nodiscard]] bool is_disabled(settings::mechanism asked) const { return off_.contains(asked); }
 
