--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -35,37 +35,37 @@
         pool.update(members(count));
         return pool;
     }
-    static backend_eligibility standing(const backend_pool& pool,
-                                        const reported_failures& reported) {
+    static backend_eligibility eligibility(const backend_pool& pool,
+                                           const reported_failures& reported) {
         return eligibility_of(*pool.find("b0"), pool, reported, now);
     }
 
     void without_a_fault_a_back_end_is_trusted() {
-        CPPUNIT_ASSERT(standing(pool_of(4), {}) == backend_eligibility::trusted);
+        CPPUNIT_ASSERT(eligibility(pool_of(4), {}) == backend_eligibility::trusted);
     }
 
     void a_reported_failure_distrusts() {
         reported_failures reported;
         reported.note("b0", now);
-        CPPUNIT_ASSERT(standing(pool_of(4), reported) == backend_eligibility::distrusted);
+        CPPUNIT_ASSERT(eligibility(pool_of(4), reported) == backend_eligibility::distrusted);
     }
 
     void an_ejected_one_is_unavailable() {
         backend_pool pool = pool_of(4);
         pool.unreachable("b0", now);
-        CPPUNIT_ASSERT(standing(pool, {}) == backend_eligibility::unavailable);
+        CPPUNIT_ASSERT(eligibility(pool, {}) == backend_eligibility::unavailable);
     }
 
     void a_replaced_one_is_excluded_until_its_address_changes() {
         backend_pool pool = pool_of(4);
         pool.set_drained("b0", true);
-        CPPUNIT_ASSERT(standing(pool, {}) == backend_eligibility::excluded);
+        CPPUNIT_ASSERT(eligibility(pool, {}) == backend_eligibility::excluded);
         pool.update(members(4));
-        CPPUNIT_ASSERT(standing(pool, {}) == backend_eligibility::excluded);
+        CPPUNIT_ASSERT(eligibility(pool, {}) == backend_eligibility::excluded);
         std::vector<backend_member> moved = members(4);
         moved[0].address = "10.0.0.2:8000";
         pool.update(moved);
-        CPPUNIT_ASSERT(standing(pool, {}) == backend_eligibility::trusted);
+        CPPUNIT_ASSERT(eligibility(pool, {}) == backend_eligibility::trusted);
     }
 
     void the_strongest_rule_counts() {
@@ -73,9 +73,9 @@
         reported_failures reported;
         reported.note("b0", now);
         pool.unreachable("b0", now);
-        CPPUNIT_ASSERT(standing(pool, reported) == backend_eligibility::unavailable);
+        CPPUNIT_ASSERT(eligibility(pool, reported) == backend_eligibility::unavailable);
         pool.set_drained("b0", true);
-        CPPUNIT_ASSERT(standing(pool, reported) == backend_eligibility::excluded);
+        CPPUNIT_ASSERT(eligibility(pool, reported) == backend_eligibility::excluded);
     }
 
     void more_than_half_are_most() {
