--- a/src/tallyfold/plane/decisions/backend_distrust.cpp
+++ b/src/tallyfold/plane/decisions/backend_distrust.cpp
@@ -17,8 +17,8 @@
                                                             : backend_eligibility::trusted;
 }
 
-bool most_are_reported(const scheduling::backend_pool& pool, const reported_failures& reported,
-                       instant now) {
+bool most_have_reported_failures(const scheduling::backend_pool& pool,
+                                 const reported_failures& reported, instant now) {
     const auto count = std::count_if(pool.all().begin(), pool.all().end(), [&](const auto& entry) {
         return reported.is_distrusted(entry.first, now);
     });
--- a/src/tallyfold/plane/decisions/backend_distrust.hpp
+++ b/src/tallyfold/plane/decisions/backend_distrust.hpp
@@ -39,7 +39,7 @@
 
 /// True when failures were reported of more than half of the pool. A fault that most share is no
 /// reason to crowd their calls onto the others.
-bool most_are_reported(const scheduling::backend_pool& pool, const reported_failures& reported,
-                       instant now);
+bool most_have_reported_failures(const scheduling::backend_pool& pool,
+                                 const reported_failures& reported, instant now);
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -107,7 +107,7 @@
     const bool whole_service =
         goes_by_object(question) || is_disabled(settings::mechanism::backend_subset);
     const bool must_run_once = !question.repeatable;
-    if (must_run_once && !most_are_reported(state.pool, state.reported, now)) {
+    if (must_run_once && !most_have_reported_failures(state.pool, state.reported, now)) {
         const auto worst = backend_eligibility::trusted;
         backend_list trusted = eligible_backends(worst, question, state, whole_service, now);
         if (!trusted.empty()) {
--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -83,10 +83,11 @@
         reported_failures reported;
         reported.note("b0", now);
         reported.note("b1", now);
-        CPPUNIT_ASSERT(!most_are_reported(pool, reported, now));
+        CPPUNIT_ASSERT(!most_have_reported_failures(pool, reported, now));
         reported.note("b2", now);
-        CPPUNIT_ASSERT(most_are_reported(pool, reported, now));
-        CPPUNIT_ASSERT(!most_are_reported(pool, reported, now + reported_failures::first_distrust));
+        CPPUNIT_ASSERT(most_have_reported_failures(pool, reported, now));
+        CPPUNIT_ASSERT(
+            !most_have_reported_failures(pool, reported, now + reported_failures::first_distrust));
     }
 
     void further_failures_distrust_for_longer() {
