--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -66,7 +66,7 @@
     if (options.empty()) {
         return std::nullopt;
     }
-    const bool by_object = goes_by_object(question);
+    const bool by_object = uses_object_affinity(question);
     const backend_state& chosen = by_object ? affinity_target_of(question.object, options)
                                             : less_loaded_of_two(options, random);
     const selection_rule rule =
@@ -105,7 +105,7 @@
 std::pair<backend_selector::backend_list, backend_eligibility> backend_selector::candidates(
     const backend_question& question, const selection_state& state, instant now) const {
     const bool whole_service =
-        goes_by_object(question) || is_disabled(settings::mechanism::backend_subset);
+        uses_object_affinity(question) || is_disabled(settings::mechanism::backend_subset);
     const bool must_run_once = !question.repeatable;
     if (must_run_once && !most_have_reported_failures(state.pool, state.reported, now)) {
         const auto worst = backend_eligibility::trusted;
@@ -144,7 +144,7 @@
     return chosen;
 }
 
-bool backend_selector::goes_by_object(const backend_question& question) const {
+bool backend_selector::uses_object_affinity(const backend_question& question) const {
     return !question.object.empty() && !is_disabled(settings::mechanism::object_affinity);
 }
 
--- a/src/tallyfold/plane/decisions/backend_selection.hpp
+++ b/src/tallyfold/plane/decisions/backend_selection.hpp
@@ -108,7 +108,7 @@
                                                  const backend_question& question,
                                                  const selection_state& state, bool whole_service,
                                                  instant now) const;
-    [[nodiscard]] bool goes_by_object(const backend_question& question) const;
+    [[nodiscard]] bool uses_object_affinity(const backend_question& question) const;
     [[nodiscard]] bool is_disabled(settings::mechanism asked) const { return off_.contains(asked); }
 
     std::string zone_;
