--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -128,16 +128,16 @@
                                                                    const selection_state& state,
                                                                    bool whole_service,
                                                                    instant now) const {
-    const auto fits = [&](const backend_state& backend) {
+    const auto is_candidate = [&](const backend_state& backend) {
         return !question.tried.contains(backend.member.name) &&
                eligibility_of(backend, state.pool, state.reported, now) <= worst;
     };
     if (!whole_service) {
-        return state.subset.usable(state.pool, fits);
+        return state.subset.usable(state.pool, is_candidate);
     }
     backend_list chosen;
     for (const auto& [name, backend] : state.pool.all()) {
-        if (fits(backend)) {
+        if (is_candidate(backend)) {
             chosen.push_back(&backend);
         }
     }
