--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -46,7 +46,7 @@
 
 /// Tokens that the program's affinity target is taken to hold: an earlier turn of the program has
 /// left all but the newest part of the prompt there.
-token_count tokens_before_newest_part(const std::vector<scheduling::prefix_point>* prompt) {
+token_count earlier_turn_tokens(const std::vector<scheduling::prefix_point>* prompt) {
     const bool has_earlier_turn = prompt != nullptr && prompt->size() > 1;
     return has_earlier_turn ? (*prompt)[prompt->size() - 2].tokens : 0;
 }
@@ -84,7 +84,7 @@
     request.pace = &state.pace;
     if (!question.program.empty() && !is_disabled(settings::mechanism::program_affinity)) {
         request.affinity_target = scheduling::affinity_target(question.program, state.pool, now);
-        request.affinity_tokens = tokens_before_newest_part(question.prompt);
+        request.affinity_tokens = earlier_turn_tokens(question.prompt);
     }
     backend_list sample;
     if (!is_disabled(settings::mechanism::backend_subset)) {
