--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -39,9 +39,9 @@
 /// crowd onto the same one if each took the least loaded of all.
 const backend_state& less_loaded_of_two(const std::vector<const backend_state*>& options,
                                         random_source& random) {
-    const backend_state* one = options[random.below(options.size())];
+    const backend_state* first = options[random.below(options.size())];
     const backend_state* other = options[random.below(options.size())];
-    return other->outstanding() < one->outstanding() ? *other : *one;
+    return other->outstanding() < first->outstanding() ? *other : *first;
 }
 
 /// Tokens that the program's affinity target is taken to hold: an earlier turn of the program has
