--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -40,8 +40,8 @@
 const backend_state& less_loaded_of_two(const std::vector<const backend_state*>& options,
                                         random_source& random) {
     const backend_state* first = options[random.below(options.size())];
-    const backend_state* other = options[random.below(options.size())];
-    return other->outstanding() < first->outstanding() ? *other : *first;
+    const backend_state* second = options[random.below(options.size())];
+    return second->outstanding() < first->outstanding() ? *second : *first;
 }
 
 /// Tokens that the program's affinity target is taken to hold: an earlier turn of the program has
