--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -29,10 +29,11 @@
     std::vector<const backend_state*> order = options;
     std::sort(order.begin(), order.end(),
               [&](const auto* left, const auto* right) { return weight(left) < weight(right); });
-    const auto free = std::find_if(order.begin(), order.end(), [](const backend_state* backend) {
-        return backend->own_outstanding < max_calls_at_affinity_target;
-    });
-    return free == order.end() ? *order.front() : **free;
+    const auto with_capacity =
+        std::find_if(order.begin(), order.end(), [](const backend_state* backend) {
+            return backend->own_outstanding < max_calls_at_affinity_target;
+        });
+    return with_capacity == order.end() ? *order.front() : **with_capacity;
 }
 
 /// Two random candidates, the one with fewer calls: nodes that don't see each other's calls would
