--- a/src/tallyfold/plane/decisions/backend_subset.cpp
+++ b/src/tallyfold/plane/decisions/backend_subset.cpp
@@ -35,7 +35,7 @@
         }
         chosen.push_back(backend);
         all_busy = all_busy && backend->outstanding() >= widening_calls;
-        if (chosen.size() % kept == 0 && !all_busy) {
+        if (chosen.size() % base_size == 0 && !all_busy) {
             break;
         }
     }
--- a/src/tallyfold/plane/decisions/backend_subset.hpp
+++ b/src/tallyfold/plane/decisions/backend_subset.hpp
@@ -23,7 +23,7 @@
     /// measured 710 -> 573 new connections on a small twin of huayin-preview-large (one play, with
     /// groups of stores; docs/SCALE.md), and -0.001 (-0.027 to +0.046) of worth on nine forwarders,
     /// six plays.
-    static constexpr std::size_t kept = 4;
+    static constexpr std::size_t base_size = 4;
     /// Own calls under way at each back end of the subset from which on the node widens it. Chosen,
     /// not measured: below it a call is as quick at the subset as elsewhere, as a rule.
     static constexpr std::uint32_t widening_calls = 2;
--- a/tests/plane/decisions/backend_subset_test.cpp
+++ b/tests/plane/decisions/backend_subset_test.cpp
@@ -45,7 +45,7 @@
         backend_subset subset(7);
         subset.update(members(50));
         const auto first = names_of(subset.usable(pool, any));
-        CPPUNIT_ASSERT_EQUAL(backend_subset::kept, first.size());
+        CPPUNIT_ASSERT_EQUAL(backend_subset::base_size, first.size());
         CPPUNIT_ASSERT(first == names_of(subset.usable(pool, any)));
         backend_subset few(7);
         few.update(members(2));
@@ -58,12 +58,12 @@
         backend_subset subset(7);
         subset.update(members(50));
         for (const std::string& name : names_of(subset.usable(pool, any))) {
-            CPPUNIT_ASSERT_EQUAL(backend_subset::kept, subset.usable(pool, any).size());
+            CPPUNIT_ASSERT_EQUAL(backend_subset::base_size, subset.usable(pool, any).size());
             for (std::uint32_t call = 0; call < backend_subset::widening_calls; ++call) {
                 pool.started(name, 0);
             }
         }
-        CPPUNIT_ASSERT_EQUAL(2 * backend_subset::kept, subset.usable(pool, any).size());
+        CPPUNIT_ASSERT_EQUAL(2 * backend_subset::base_size, subset.usable(pool, any).size());
     }
 
     void it_passes_over_those_that_are_not_usable() {
@@ -74,7 +74,7 @@
         const std::string left_out = *names_of(subset.usable(pool, any)).begin();
         const auto others = names_of(subset.usable(
             pool, [&](const backend_state& backend) { return backend.member.name != left_out; }));
-        CPPUNIT_ASSERT_EQUAL(backend_subset::kept, others.size());
+        CPPUNIT_ASSERT_EQUAL(backend_subset::base_size, others.size());
         CPPUNIT_ASSERT(!others.contains(left_out));
     }
 
