--- a/src/tallyfold/plane/decisions/backend_subset.cpp
+++ b/src/tallyfold/plane/decisions/backend_subset.cpp
@@ -34,7 +34,7 @@
             continue;
         }
         chosen.push_back(backend);
-        all_busy = all_busy && backend->outstanding() >= widening_calls;
+        all_busy = all_busy && backend->outstanding() >= busy_threshold;
         if (chosen.size() % base_size == 0 && !all_busy) {
             break;
         }
--- a/src/tallyfold/plane/decisions/backend_subset.hpp
+++ b/src/tallyfold/plane/decisions/backend_subset.hpp
@@ -26,7 +26,7 @@
     static constexpr std::size_t base_size = 4;
     /// Own calls under way at each back end of the subset from which on the node widens it. Chosen,
     /// not measured: below it a call is as quick at the subset as elsewhere, as a rule.
-    static constexpr std::uint32_t widening_calls = 2;
+    static constexpr std::uint32_t busy_threshold = 2;
 
     /// @param node_key differs from node to node
     explicit backend_subset(std::uint64_t node_key = 0) : node_key_(node_key) {}
--- a/tests/plane/decisions/backend_subset_test.cpp
+++ b/tests/plane/decisions/backend_subset_test.cpp
@@ -59,7 +59,7 @@
         subset.update(members(50));
         for (const std::string& name : names_of(subset.usable(pool, any))) {
             CPPUNIT_ASSERT_EQUAL(backend_subset::base_size, subset.usable(pool, any).size());
-            for (std::uint32_t call = 0; call < backend_subset::widening_calls; ++call) {
+            for (std::uint32_t call = 0; call < backend_subset::busy_threshold; ++call) {
                 pool.started(name, 0);
             }
         }
