--- a/src/tallyfold/plane/decisions/backend_subset.cpp
+++ b/src/tallyfold/plane/decisions/backend_subset.cpp
@@ -11,15 +11,15 @@
 using scheduling::backend_state;
 
 void backend_subset::update(const std::vector<scheduling::backend_member>& members) {
-    std::vector<std::pair<std::uint64_t, backend_name>> weighed;
-    weighed.reserve(members.size());
+    std::vector<std::pair<std::uint64_t, backend_name>> weighted;
+    weighted.reserve(members.size());
     for (const scheduling::backend_member& member : members) {
-        weighed.emplace_back(scheduling::rendezvous_weight(node_key_, member.name), member.name);
+        weighted.emplace_back(scheduling::rendezvous_weight(node_key_, member.name), member.name);
     }
-    std::sort(weighed.begin(), weighed.end());
+    std::sort(weighted.begin(), weighted.end());
     order_.clear();
-    order_.reserve(weighed.size());
-    for (auto& [weight, name] : weighed) {
+    order_.reserve(weighted.size());
+    for (auto& [weight, name] : weighted) {
         order_.push_back(std::move(name));
     }
 }
