--- a/tests/plane/decisions/backend_subset_test.cpp
+++ b/tests/plane/decisions/backend_subset_test.cpp
@@ -91,17 +91,17 @@
     void many_nodes_cover_all_back_ends_evenly() {
         backend_pool pool;
         pool.update(members(51));
-        std::map<std::string, int> kept_by;
+        std::map<std::string, int> nodes_by_backend;
         constexpr int nodes = 255;
         for (int node = 0; node < nodes; ++node) {
             backend_subset subset(stable_hash("frontend-" + std::to_string(node)));
             subset.update(members(51));
             for (const std::string& name : names_of(subset.usable(pool, any))) {
-                ++kept_by[name];
+                ++nodes_by_backend[name];
             }
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{51}, kept_by.size());
-        for (const auto& [name, count] : kept_by) {
+        CPPUNIT_ASSERT_EQUAL(std::size_t{51}, nodes_by_backend.size());
+        for (const auto& [name, count] : nodes_by_backend) {
             // 20 on the mean.
             CPPUNIT_ASSERT_MESSAGE(name + " " + std::to_string(count), count >= 7 && count <= 40);
         }
