--- a/tests/plane/decisions/backend_subset_test.cpp
+++ b/tests/plane/decisions/backend_subset_test.cpp
@@ -71,11 +71,11 @@
         pool.update(members(50));
         backend_subset subset(7);
         subset.update(members(50));
-        const std::string left_out = *names_of(subset.usable(pool, any)).begin();
+        const std::string unusable = *names_of(subset.usable(pool, any)).begin();
         const auto others = names_of(subset.usable(
-            pool, [&](const backend_state& backend) { return backend.member.name != left_out; }));
+            pool, [&](const backend_state& backend) { return backend.member.name != unusable; }));
         CPPUNIT_ASSERT_EQUAL(backend_subset::base_size, others.size());
-        CPPUNIT_ASSERT(!others.contains(left_out));
+        CPPUNIT_ASSERT(!others.contains(unusable));
     }
 
     void a_back_end_that_leaves_changes_few_subsets() {
