--- a/src/tallyfold/plane/decisions/call_ranking.cpp
+++ b/src/tallyfold/plane/decisions/call_ranking.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::int32_t level_of(double rank) {
+std::int32_t clamped_level(double rank) {
     const double bounded = std::clamp(rank, static_cast<double>(call_ranking::most_urgent),
                                       static_cast<double>(call_ranking::least_urgent));
     return static_cast<std::int32_t>(std::lround(bounded));
@@ -45,14 +45,14 @@
 
 std::int32_t call_ranking::urgency_of(const scheduling::call_features& call) {
     if (policy_ == nullptr || !policy_->ranks_urgency()) {
-        return level_of(call.priority);
+        return clamped_level(call.priority);
     }
     const auto rank = policy_->urgency(call);
     if (!rank) {
         ++failures_;
-        return level_of(call.priority);
+        return clamped_level(call.priority);
     }
-    return level_of(*rank);
+    return clamped_level(*rank);
 }
 
 }  // namespace tallyfold::forwarding
