--- a/src/tallyfold/plane/decisions/own_answer.cpp
+++ b/src/tallyfold/plane/decisions/own_answer.cpp
@@ -7,7 +7,7 @@
 /// Part of the time for a key's removal after which a node without proof that it holds the newest
 /// configuration accepts no key any more. Chosen, not measured: a fifth of the time is left for
 /// requests that were let in just before.
-constexpr double stale_share = 0.8;
+constexpr double stale_keys_fraction = 0.8;
 
 }  // namespace
 
@@ -61,7 +61,7 @@
 }
 
 bool keys_are_stale(duration proof_age, duration revocation) {
-    return proof_age > std::chrono::duration_cast<duration>(revocation * stale_share);
+    return proof_age > std::chrono::duration_cast<duration>(revocation * stale_keys_fraction);
 }
 
 std::optional<refusal> refusal_of(turns::begin_result begun) {
