--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -130,9 +130,9 @@
             last.failure.kind = failure_kind::no_backend;
             const request_end end = end_after(last);
             RC_ASSERT(end.outcome != request_outcome::unknown);
-            const bool nobody_waits =
+            const bool no_answer_expected =
                 last.answered || last.client_disconnected || last.answer_started;
-            RC_ASSERT(end.answer.has_value() == !nobody_waits);
+            RC_ASSERT(end.answer.has_value() == !no_answer_expected);
             if (end.answer) {
                 RC_ASSERT(end.answer->outcome == end.outcome);
                 RC_ASSERT((end.answer->status == 503) == !last.may_have_run);
