--- a/src/tallyfold/plane/decisions/reported_failures.cpp
+++ b/src/tallyfold/plane/decisions/reported_failures.cpp
@@ -28,7 +28,7 @@
 void reported_failures::expire(instant now) {
     std::erase_if(entries_, [&](const auto& each) {
         return now >
-               std::max(each.second.distrusted_until, each.second.last_failure + forgotten_after);
+               std::max(each.second.distrusted_until, each.second.last_failure + failure_expiry);
     });
 }
 
--- a/src/tallyfold/plane/decisions/reported_failures.hpp
+++ b/src/tallyfold/plane/decisions/reported_failures.hpp
@@ -24,12 +24,12 @@
     /// Distrust after a first failure. Chosen, not measured: a back end that restarts is likely to
     /// listen again after some seconds.
     static constexpr duration first_distrust = std::chrono::seconds(2);
-    /// Each further failure within `forgotten_after` doubles the distrust, so often at most: 8 s.
+    /// Each further failure within `failure_expiry` doubles the distrust, so often at most: 8 s.
     /// Chosen, not measured.
     static constexpr std::uint32_t max_doublings = 2;
     /// Time after a failure from which on the next counts as a first. Chosen, not measured: above
     /// the longest distrust.
-    static constexpr duration forgotten_after = std::chrono::seconds(10);
+    static constexpr duration failure_expiry = std::chrono::seconds(10);
 
     /// Takes a failure at a back end, seen here or reported by another node.
     /// @return true when it isn't known yet: connections kept from before it are useless, and, if
