--- a/src/tallyfold/plane/decisions/retry_policy.cpp
+++ b/src/tallyfold/plane/decisions/retry_policy.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// True when another back end's answer can follow what the caller has.
-bool may_follow(const failed_attempt& failed) {
+bool can_continue_answer(const failed_attempt& failed) {
     switch (failed.answer) {
         case answer_progress::none:
             return true;
@@ -24,7 +24,7 @@
 
 next_step retry_policy::after(const failed_attempt& failed) {
     const next_step step = next(failed);
-    const bool stays = step == next_step::retry && !may_follow(failed);
+    const bool stays = step == next_step::retry && !can_continue_answer(failed);
     return stays ? next_step::give_up : step;
 }
 
