--- a/src/tallyfold/plane/decisions/retry_policy.cpp
+++ b/src/tallyfold/plane/decisions/retry_policy.cpp
@@ -24,8 +24,8 @@
 
 next_step retry_policy::after(const failed_attempt& failed) {
     const next_step step = next(failed);
-    const bool stays = step == next_step::retry && !can_continue_answer(failed);
-    return stays ? next_step::give_up : step;
+    const bool is_blocked = step == next_step::retry && !can_continue_answer(failed);
+    return is_blocked ? next_step::give_up : step;
 }
 
 next_step retry_policy::next(const failed_attempt& failed) {
