--- a/src/tallyfold/plane/decisions/retry_policy.cpp
+++ b/src/tallyfold/plane/decisions/retry_policy.cpp
@@ -54,8 +54,8 @@
     const duration whole = first_back_off * (1U << std::min(back_offs_, max_doublings));
     const duration pause =
         std::chrono::duration_cast<duration>(std::min(whole, max_back_off) * (0.5 + jitter / 2));
-    const bool nothing_asked = sends_ == 0;
-    if (nothing_asked || may_have_run() || time_left - pause < min_time_after_back_off) {
+    const bool nothing_sent = sends_ == 0;
+    if (nothing_sent || may_have_run() || time_left - pause < min_time_after_back_off) {
         return std::nullopt;
     }
     ++back_offs_;
