--- a/src/tallyfold/plane/decisions/retry_policy.cpp
+++ b/src/tallyfold/plane/decisions/retry_policy.cpp
@@ -51,9 +51,9 @@
 std::optional<duration> retry_policy::back_off(duration time_left, double jitter) {
     // Longer pauses than the longest come from no more doublings than these.
     constexpr std::uint32_t max_doublings = 3;
-    const duration whole = first_back_off * (1U << std::min(back_offs_, max_doublings));
-    const duration pause =
-        std::chrono::duration_cast<duration>(std::min(whole, max_back_off) * (0.5 + jitter / 2));
+    const duration base_pause = first_back_off * (1U << std::min(back_offs_, max_doublings));
+    const duration pause = std::chrono::duration_cast<duration>(std::min(base_pause, max_back_off) *
+                                                                (0.5 + jitter / 2));
     const bool nothing_sent = sends_ == 0;
     if (nothing_sent || may_have_run() || time_left - pause < min_time_after_back_off) {
         return std::nullopt;
