--- a/src/tallyfold/plane/decisions/retry_policy.cpp
+++ b/src/tallyfold/plane/decisions/retry_policy.cpp
@@ -23,12 +23,12 @@
 }  // namespace
 
 next_step retry_policy::after(const failed_attempt& failed) {
-    const next_step step = next(failed);
+    const next_step step = allowed_step(failed);
     const bool is_blocked = step == next_step::retry && !can_continue_answer(failed);
     return is_blocked ? next_step::give_up : step;
 }
 
-next_step retry_policy::next(const failed_attempt& failed) {
+next_step retry_policy::allowed_step(const failed_attempt& failed) {
     ++sends_;
     ++sends_since_back_off_;
     if (failed.end == attempt_end::may_have_run) {
--- a/src/tallyfold/plane/decisions/retry_policy.hpp
+++ b/src/tallyfold/plane/decisions/retry_policy.hpp
@@ -99,7 +99,7 @@
 
   private:
     /// What the attempts so far allow, whatever the caller has of an answer.
-    next_step next(const failed_attempt& failed);
+    next_step allowed_step(const failed_attempt& failed);
 
     bool repeatable_;
     bool resumable_;
