--- a/src/tallyfold/plane/decisions/retry_policy.cpp
+++ b/src/tallyfold/plane/decisions/retry_policy.cpp
@@ -42,7 +42,7 @@
             return next_step::give_up;
         }
     }
-    if (sends_since_back_off_ >= max_sends || failed.time_left < min_time) {
+    if (sends_since_back_off_ >= max_sends_per_round || failed.time_left < min_time) {
         return next_step::give_up;
     }
     return next_step::retry;
--- a/src/tallyfold/plane/decisions/retry_policy.hpp
+++ b/src/tallyfold/plane/decisions/retry_policy.hpp
@@ -59,7 +59,7 @@
   public:
     /// Attempts without a pause between them, those that did not run included. Chosen, not
     /// measured: bounds what one request costs the back ends of a service that rejects everything.
-    static constexpr std::uint32_t max_sends = 4;
+    static constexpr std::uint32_t max_sends_per_round = 4;
     /// First pause before back ends that were full are asked again; each further one is twice as
     /// long, up to max_back_off. Chosen, not measured by themselves: from half an event of an idle
     /// engine (25 ms) to five of them. Asking again at all raised the score of
--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -53,7 +53,7 @@
 
     void a_refusal_is_said_only_when_nothing_may_have_run() {
         retry_policy clean(true, 2);
-        for (std::uint32_t send = 1; send < retry_policy::max_sends; ++send) {
+        for (std::uint32_t send = 1; send < retry_policy::max_sends_per_round; ++send) {
             CPPUNIT_ASSERT(after(clean, attempt_end::not_run) == next_step::retry);
         }
         assert_refuses(clean, after(clean, attempt_end::not_run));
@@ -119,7 +119,7 @@
 
     void full_back_ends_are_asked_again_while_time_is_left() {
         retry_policy policy(false, 1);
-        for (std::uint32_t send = 1; send < retry_policy::max_sends; ++send) {
+        for (std::uint32_t send = 1; send < retry_policy::max_sends_per_round; ++send) {
             CPPUNIT_ASSERT(after(policy, attempt_end::not_run) == next_step::retry);
         }
         CPPUNIT_ASSERT(policy.back_off(second, 1) == retry_policy::first_back_off);
@@ -168,7 +168,7 @@
                 RC_ASSERT(policy.may_have_run() == (runs > 0));
             }
             RC_ASSERT(step == next_step::give_up);
-            RC_ASSERT(sends <= retry_policy::max_sends);
+            RC_ASSERT(sends <= retry_policy::max_sends_per_round);
             RC_ASSERT(runs <= (repeatable ? max_runs : 1));
         });
     }
