--- a/src/tallyfold/plane/decisions/retry_policy.cpp
+++ b/src/tallyfold/plane/decisions/retry_policy.cpp
@@ -33,7 +33,7 @@
     ++sends_since_back_off_;
     if (failed.end == attempt_end::may_have_run) {
         const bool resumes = resumable_ && failed.broke_off && resumes_ < max_resumes;
-        if (resumes && failed.time_left >= min_time) {
+        if (resumes && failed.time_left >= min_attempt_time) {
             ++resumes_;
             return next_step::resume;
         }
@@ -42,7 +42,7 @@
             return next_step::give_up;
         }
     }
-    if (sends_since_back_off_ >= max_sends_per_round || failed.time_left < min_time) {
+    if (sends_since_back_off_ >= max_sends_per_round || failed.time_left < min_attempt_time) {
         return next_step::give_up;
     }
     return next_step::retry;
--- a/src/tallyfold/plane/decisions/retry_policy.hpp
+++ b/src/tallyfold/plane/decisions/retry_policy.hpp
@@ -68,11 +68,11 @@
     static constexpr duration first_back_off = std::chrono::milliseconds(15);
     static constexpr duration max_back_off = std::chrono::milliseconds(120);
     /// Time that a request still needs after a pause, to be worth waiting for. Chosen, not
-    /// measured: five times min_time.
+    /// measured: five times min_attempt_time.
     static constexpr duration min_time_after_back_off = std::chrono::milliseconds(100);
     /// With less time than this no back end can answer. Chosen, not measured: a round trip between
     /// zones (3 ms) and some work.
-    static constexpr duration min_time = std::chrono::milliseconds(20);
+    static constexpr duration min_attempt_time = std::chrono::milliseconds(20);
     /// Times that one request is resumed at a back end whose stream broke off. Chosen, not
     /// measured; resuming at all is worth 0.008, within the noise (row continuation).
     static constexpr std::uint32_t max_resumes = 2;
