--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -52,11 +52,11 @@
     }
 
     void a_refusal_is_said_only_when_nothing_may_have_run() {
-        retry_policy clean(true, 2);
+        retry_policy never_run(true, 2);
         for (std::uint32_t send = 1; send < retry_policy::max_sends_per_round; ++send) {
-            CPPUNIT_ASSERT(after(clean, attempt_end::not_run) == next_step::retry);
+            CPPUNIT_ASSERT(after(never_run, attempt_end::not_run) == next_step::retry);
         }
-        assert_refuses(clean, after(clean, attempt_end::not_run));
+        assert_refuses(never_run, after(never_run, attempt_end::not_run));
         retry_policy touched(true, 2);
         CPPUNIT_ASSERT(after(touched, attempt_end::may_have_run) == next_step::retry);
         assert_fails(touched, after(touched, attempt_end::not_run, duration::zero()));
