--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -57,9 +57,9 @@
             CPPUNIT_ASSERT(after(never_run, attempt_end::not_run) == next_step::retry);
         }
         assert_refuses(never_run, after(never_run, attempt_end::not_run));
-        retry_policy touched(true, 2);
-        CPPUNIT_ASSERT(after(touched, attempt_end::may_have_run) == next_step::retry);
-        assert_fails(touched, after(touched, attempt_end::not_run, duration::zero()));
+        retry_policy possibly_run(true, 2);
+        CPPUNIT_ASSERT(after(possibly_run, attempt_end::may_have_run) == next_step::retry);
+        assert_fails(possibly_run, after(possibly_run, attempt_end::not_run, duration::zero()));
     }
 
     void a_repeatable_request_runs_as_often_as_its_route_allows() {
