--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -82,8 +82,9 @@
                            next_step::resume);
         }
         assert_fails(policy, after(policy, attempt_end::may_have_run, second, true));
-        retry_policy silent(true, 1, true);
-        assert_fails(silent, after(silent, attempt_end::may_have_run, second, false));
+        retry_policy still_connected(true, 1, true);
+        assert_fails(still_connected,
+                     after(still_connected, attempt_end::may_have_run, second, false));
         retry_policy late(true, 1, true);
         assert_fails(late, after(late, attempt_end::may_have_run, duration::zero(), true));
         retry_policy other(false, 1, false);
