--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -85,8 +85,9 @@
         retry_policy still_connected(true, 1, true);
         assert_fails(still_connected,
                      after(still_connected, attempt_end::may_have_run, second, false));
-        retry_policy late(true, 1, true);
-        assert_fails(late, after(late, attempt_end::may_have_run, duration::zero(), true));
+        retry_policy out_of_time(true, 1, true);
+        assert_fails(out_of_time,
+                     after(out_of_time, attempt_end::may_have_run, duration::zero(), true));
         retry_policy other(false, 1, false);
         assert_fails(other, after(other, attempt_end::may_have_run, second, true));
     }
