--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -88,8 +88,8 @@
         retry_policy out_of_time(true, 1, true);
         assert_fails(out_of_time,
                      after(out_of_time, attempt_end::may_have_run, duration::zero(), true));
-        retry_policy other(false, 1, false);
-        assert_fails(other, after(other, attempt_end::may_have_run, second, true));
+        retry_policy not_resumable(false, 1, false);
+        assert_fails(not_resumable, after(not_resumable, attempt_end::may_have_run, second, true));
     }
 
     void a_stream_that_broke_off_is_never_told_as_not_run() {
