--- a/src/tallyfold/plane/decisions/silence_suspicion.cpp
+++ b/src/tallyfold/plane/decisions/silence_suspicion.cpp
@@ -24,7 +24,7 @@
 
 void silence_suspicion::first_byte_came(const backend_name& name, instant started, instant now) {
     const duration took = now - started;
-    usual_ += (took - usual_) / averaged_answers;
+    mean_first_byte_time_ += (took - mean_first_byte_time_) / averaged_answers;
     call_ended(name, started);
 }
 
@@ -42,7 +42,7 @@
 }
 
 duration silence_suspicion::limit() const {
-    return std::max(min_silence, usual_ * silence_factor);
+    return std::max(min_silence, mean_first_byte_time_ * silence_factor);
 }
 
 std::vector<backend_name> silence_suspicion::silent(instant now) const {
--- a/src/tallyfold/plane/decisions/silence_suspicion.hpp
+++ b/src/tallyfold/plane/decisions/silence_suspicion.hpp
@@ -36,7 +36,7 @@
     /// When the calls that have got no byte yet were sent.
     std::map<backend_name, std::multiset<instant>> waiting_since_;
     /// Moving average of the time to a first byte over all back ends of the service.
-    duration usual_{};
+    duration mean_first_byte_time_{};
 };
 
 }  // namespace tallyfold::forwarding
