--- a/src/tallyfold/plane/decisions/silence_suspicion.cpp
+++ b/src/tallyfold/plane/decisions/silence_suspicion.cpp
@@ -8,7 +8,7 @@
 
 /// Shortest time without a byte that makes a back end suspect. Chosen, not measured: below what a
 /// caller notices as a fault, above a pause of a process.
-constexpr duration min_silence = std::chrono::milliseconds(700);
+constexpr duration min_limit = std::chrono::milliseconds(700);
 /// Times the usual time to a first byte that make a back end suspect. Chosen, not measured: long
 /// prompts and a queue at the engine take a few times the usual.
 constexpr int silence_factor = 5;
@@ -42,7 +42,7 @@
 }
 
 duration silence_suspicion::limit() const {
-    return std::max(min_silence, mean_first_byte_time_ * silence_factor);
+    return std::max(min_limit, mean_first_byte_time_ * silence_factor);
 }
 
 std::vector<backend_name> silence_suspicion::silent(instant now) const {
