--- a/src/tallyfold/plane/decisions/silence_suspicion.cpp
+++ b/src/tallyfold/plane/decisions/silence_suspicion.cpp
@@ -11,7 +11,7 @@
 constexpr duration min_limit = std::chrono::milliseconds(700);
 /// Times the usual time to a first byte that make a back end suspect. Chosen, not measured: long
 /// prompts and a queue at the engine take a few times the usual.
-constexpr int silence_factor = 5;
+constexpr int limit_factor = 5;
 /// Answers over which the usual time is averaged, about. Chosen, not measured: follows a change of
 /// load within some tens of answers.
 constexpr int averaged_answers = 16;
@@ -42,7 +42,7 @@
 }
 
 duration silence_suspicion::limit() const {
-    return std::max(min_limit, mean_first_byte_time_ * silence_factor);
+    return std::max(min_limit, mean_first_byte_time_ * limit_factor);
 }
 
 std::vector<backend_name> silence_suspicion::silent(instant now) const {
