--- a/src/tallyfold/plane/decisions/silence_suspicion.cpp
+++ b/src/tallyfold/plane/decisions/silence_suspicion.cpp
@@ -14,7 +14,7 @@
 constexpr int limit_factor = 5;
 /// Answers over which the usual time is averaged, about. Chosen, not measured: follows a change of
 /// load within some tens of answers.
-constexpr int averaged_answers = 16;
+constexpr int averaging_window = 16;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 
 void silence_suspicion::first_byte_came(const backend_name& name, instant started, instant now) {
     const duration took = now - started;
-    mean_first_byte_time_ += (took - mean_first_byte_time_) / averaged_answers;
+    mean_first_byte_time_ += (took - mean_first_byte_time_) / averaging_window;
     call_ended(name, started);
 }
 
