--- a/src/tallyfold/plane/decisions/silence_suspicion.cpp
+++ b/src/tallyfold/plane/decisions/silence_suspicion.cpp
@@ -23,8 +23,8 @@
 }
 
 void silence_suspicion::first_byte_came(const backend_name& name, instant started, instant now) {
-    const duration took = now - started;
-    mean_first_byte_time_ += (took - mean_first_byte_time_) / averaging_window;
+    const duration first_byte_time = now - started;
+    mean_first_byte_time_ += (first_byte_time - mean_first_byte_time_) / averaging_window;
     call_ended(name, started);
 }
 
