--- a/tests/plane/decisions/silence_suspicion_test.cpp
+++ b/tests/plane/decisions/silence_suspicion_test.cpp
@@ -19,7 +19,7 @@
     }
 
     /// Answers that took so long each, many enough for the average.
-    static silence_suspicion used_to(int milliseconds) {
+    static silence_suspicion with_mean_first_byte_time(int milliseconds) {
         silence_suspicion calls;
         for (int count = 0; count < 200; ++count) {
             calls.call_started("usual", at(0));
@@ -29,11 +29,11 @@
     }
 
     void short_usual_times_leave_the_least_limit() {
-        CPPUNIT_ASSERT(used_to(50).limit() == std::chrono::milliseconds(700));
+        CPPUNIT_ASSERT(with_mean_first_byte_time(50).limit() == std::chrono::milliseconds(700));
     }
 
     void the_limit_follows_the_usual_time() {
-        silence_suspicion calls = used_to(400);
+        silence_suspicion calls = with_mean_first_byte_time(400);
         CPPUNIT_ASSERT(calls.limit() > std::chrono::milliseconds(1'900));
         CPPUNIT_ASSERT(calls.limit() <= std::chrono::milliseconds(2'000));
         calls.call_started("b", at(0));
