--- a/src/tallyfold/plane/decisions/stop_sequence.hpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.hpp
@@ -35,7 +35,7 @@
     /// The platform asks for readiness once a second and believes the second answer.
     /// So requests are taken for two such periods and a margin at least; longer helps only callers
     /// that the platform is slow to send elsewhere.
-    static constexpr duration min_taking = std::chrono::milliseconds(2'200);
+    static constexpr duration min_accept_time = std::chrono::milliseconds(2'200);
     static constexpr duration max_taking = std::chrono::milliseconds(3'000);
 
     /// @param grace time from the stop's request to the kill
--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -24,7 +24,8 @@
     void requests_are_taken_until_the_platform_has_seen_the_stop() {
         stop_sequence stop(asked, grace, longest);
         CPPUNIT_ASSERT(stop.next(asked, {}) == stop_step::wait);
-        CPPUNIT_ASSERT(stop.next(asked + stop_sequence::min_taking - tick, {}) == stop_step::wait);
+        CPPUNIT_ASSERT(stop.next(asked + stop_sequence::min_accept_time - tick, {}) ==
+                       stop_step::wait);
         CPPUNIT_ASSERT(stop.takes_requests());
         CPPUNIT_ASSERT(stop.next(asked + stop_sequence::max_taking, busy) ==
                        stop_step::take_no_more);
