--- a/src/tallyfold/plane/decisions/stop_sequence.cpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.cpp
@@ -8,7 +8,7 @@
     : cut_off_at_(asked_at + grace - reserve_before_kill) {
     // The last request that is taken has to end before the cut-off.
     const duration spare = grace - reserve_before_kill - longest_request;
-    last_taken_ = asked_at + std::clamp(spare, min_accept_time, max_taking);
+    last_taken_ = asked_at + std::clamp(spare, min_accept_time, max_accept_time);
 }
 
 stop_step stop_sequence::next(instant now, const work_left& left) {
--- a/src/tallyfold/plane/decisions/stop_sequence.hpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.hpp
@@ -36,7 +36,7 @@
     /// So requests are taken for two such periods and a margin at least; longer helps only callers
     /// that the platform is slow to send elsewhere.
     static constexpr duration min_accept_time = std::chrono::milliseconds(2'200);
-    static constexpr duration max_taking = std::chrono::milliseconds(3'000);
+    static constexpr duration max_accept_time = std::chrono::milliseconds(3'000);
 
     /// @param grace time from the stop's request to the kill
     /// @param longest_request time that a request may take at most, by the configuration in force
--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -27,7 +27,7 @@
         CPPUNIT_ASSERT(stop.next(asked + stop_sequence::min_accept_time - tick, {}) ==
                        stop_step::wait);
         CPPUNIT_ASSERT(stop.takes_requests());
-        CPPUNIT_ASSERT(stop.next(asked + stop_sequence::max_taking, busy) ==
+        CPPUNIT_ASSERT(stop.next(asked + stop_sequence::max_accept_time, busy) ==
                        stop_step::take_no_more);
         CPPUNIT_ASSERT(!stop.takes_requests());
     }
@@ -45,7 +45,7 @@
 
     void it_goes_as_soon_as_nothing_is_under_way() {
         stop_sequence stop(asked, grace, longest);
-        stop.next(asked + stop_sequence::max_taking, busy);
+        stop.next(asked + stop_sequence::max_accept_time, busy);
         CPPUNIT_ASSERT(stop.next(asked + std::chrono::seconds(4), {0, 1}) == stop_step::wait);
         CPPUNIT_ASSERT(stop.next(asked + std::chrono::seconds(5), {}) == stop_step::finish);
         CPPUNIT_ASSERT(stop.next(asked + std::chrono::seconds(6), {}) == stop_step::wait);
@@ -53,7 +53,7 @@
 
     void what_never_ends_is_cut_off_before_the_kill() {
         stop_sequence stop(asked, grace, longest);
-        stop.next(asked + stop_sequence::max_taking, busy);
+        stop.next(asked + stop_sequence::max_accept_time, busy);
         const instant kill = asked + grace;
         CPPUNIT_ASSERT(stop.next(kill - stop_sequence::reserve_before_kill, busy) ==
                        stop_step::finish);
