--- a/src/tallyfold/plane/decisions/stop_sequence.hpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.hpp
@@ -45,7 +45,7 @@
     /// To be called every now and then; says each step but `wait` once.
     stop_step next(instant now, const work_left& left);
     /// False once no further request may be read.
-    [[nodiscard]] bool takes_requests() const { return taking_; }
+    [[nodiscard]] bool accepts_requests() const { return taking_; }
 
   private:
     instant last_taken_;
--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -26,16 +26,16 @@
         CPPUNIT_ASSERT(stop.next(asked, {}) == stop_step::wait);
         CPPUNIT_ASSERT(stop.next(asked + stop_sequence::min_accept_time - tick, {}) ==
                        stop_step::wait);
-        CPPUNIT_ASSERT(stop.takes_requests());
+        CPPUNIT_ASSERT(stop.accepts_requests());
         CPPUNIT_ASSERT(stop.next(asked + stop_sequence::max_accept_time, busy) ==
                        stop_step::take_no_more);
-        CPPUNIT_ASSERT(!stop.takes_requests());
+        CPPUNIT_ASSERT(!stop.accepts_requests());
     }
 
     void the_last_request_taken_can_end_before_the_cut_off() {
         stop_sequence stop(asked, grace, longest);
         instant now = asked;
-        while (stop.takes_requests()) {
+        while (stop.accepts_requests()) {
             now += tick;
             stop.next(now, busy);
         }
