--- a/src/tallyfold/plane/decisions/stop_sequence.cpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.cpp
@@ -15,11 +15,11 @@
     if (finished_) {
         return stop_step::wait;
     }
-    if (taking_ && now >= last_taken_) {
-        taking_ = false;
+    if (accepting_ && now >= last_taken_) {
+        accepting_ = false;
         return stop_step::take_no_more;
     }
-    if (taking_ || (!left.none() && now < cut_off_at_)) {
+    if (accepting_ || (!left.none() && now < cut_off_at_)) {
         return stop_step::wait;
     }
     finished_ = true;
--- a/src/tallyfold/plane/decisions/stop_sequence.hpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.hpp
@@ -45,12 +45,12 @@
     /// To be called every now and then; says each step but `wait` once.
     stop_step next(instant now, const work_left& left);
     /// False once no further request may be read.
-    [[nodiscard]] bool accepts_requests() const { return taking_; }
+    [[nodiscard]] bool accepts_requests() const { return accepting_; }
 
   private:
     instant last_taken_;
     instant cut_off_at_;
-    bool taking_ = true;
+    bool accepting_ = true;
     bool finished_ = false;
 };
 
