--- a/src/tallyfold/plane/decisions/stop_sequence.cpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.cpp
@@ -8,14 +8,14 @@
     : cut_off_at_(asked_at + grace - reserve_before_kill) {
     // The last request that is taken has to end before the cut-off.
     const duration spare = grace - reserve_before_kill - longest_request;
-    last_taken_ = asked_at + std::clamp(spare, min_accept_time, max_accept_time);
+    accept_until_ = asked_at + std::clamp(spare, min_accept_time, max_accept_time);
 }
 
 stop_step stop_sequence::next(instant now, const work_left& left) {
     if (finished_) {
         return stop_step::wait;
     }
-    if (accepting_ && now >= last_taken_) {
+    if (accepting_ && now >= accept_until_) {
         accepting_ = false;
         return stop_step::take_no_more;
     }
--- a/src/tallyfold/plane/decisions/stop_sequence.hpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.hpp
@@ -48,7 +48,7 @@
     [[nodiscard]] bool accepts_requests() const { return accepting_; }
 
   private:
-    instant last_taken_;
+    instant accept_until_;
     instant cut_off_at_;
     bool accepting_ = true;
     bool finished_ = false;
