--- a/src/tallyfold/plane/decisions/stop_sequence.cpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.cpp
@@ -4,11 +4,11 @@
 
 namespace tallyfold::forwarding {
 
-stop_sequence::stop_sequence(instant asked_at, duration grace, duration longest_request)
-    : cut_off_at_(asked_at + grace - reserve_before_kill) {
+stop_sequence::stop_sequence(instant requested_at, duration grace, duration longest_request)
+    : cut_off_at_(requested_at + grace - reserve_before_kill) {
     // The last request that is taken has to end before the cut-off.
     const duration spare = grace - reserve_before_kill - longest_request;
-    accept_until_ = asked_at + std::clamp(spare, min_accept_time, max_accept_time);
+    accept_until_ = requested_at + std::clamp(spare, min_accept_time, max_accept_time);
 }
 
 stop_step stop_sequence::next(instant now, const work_left& left) {
--- a/src/tallyfold/plane/decisions/stop_sequence.hpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.hpp
@@ -40,7 +40,7 @@
 
     /// @param grace time from the stop's request to the kill
     /// @param longest_request time that a request may take at most, by the configuration in force
-    stop_sequence(instant asked_at, duration grace, duration longest_request);
+    stop_sequence(instant requested_at, duration grace, duration longest_request);
 
     /// To be called every now and then; says each step but `wait` once.
     stop_step next(instant now, const work_left& left);
