--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -15,26 +15,26 @@
     CPPUNIT_TEST(any_grace_leads_to_an_end_after_requests_are_no_longer_taken);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr instant asked{std::chrono::seconds(100)};
+    static constexpr instant requested_at{std::chrono::seconds(100)};
     static constexpr duration grace = std::chrono::seconds(8);
     static constexpr duration longest = std::chrono::seconds(4);
     static constexpr duration tick = std::chrono::milliseconds(50);
     static constexpr work_left busy{3, 1};
 
     void requests_are_taken_until_the_platform_has_seen_the_stop() {
-        stop_sequence stop(asked, grace, longest);
-        CPPUNIT_ASSERT(stop.next(asked, {}) == stop_step::wait);
-        CPPUNIT_ASSERT(stop.next(asked + stop_sequence::min_accept_time - tick, {}) ==
+        stop_sequence stop(requested_at, grace, longest);
+        CPPUNIT_ASSERT(stop.next(requested_at, {}) == stop_step::wait);
+        CPPUNIT_ASSERT(stop.next(requested_at + stop_sequence::min_accept_time - tick, {}) ==
                        stop_step::wait);
         CPPUNIT_ASSERT(stop.accepts_requests());
-        CPPUNIT_ASSERT(stop.next(asked + stop_sequence::max_accept_time, busy) ==
+        CPPUNIT_ASSERT(stop.next(requested_at + stop_sequence::max_accept_time, busy) ==
                        stop_step::take_no_more);
         CPPUNIT_ASSERT(!stop.accepts_requests());
     }
 
     void the_last_request_taken_can_end_before_the_cut_off() {
-        stop_sequence stop(asked, grace, longest);
-        instant now = asked;
+        stop_sequence stop(requested_at, grace, longest);
+        instant now = requested_at;
         while (stop.accepts_requests()) {
             now += tick;
             stop.next(now, busy);
@@ -44,37 +44,39 @@
     }
 
     void it_goes_as_soon_as_nothing_is_under_way() {
-        stop_sequence stop(asked, grace, longest);
-        stop.next(asked + stop_sequence::max_accept_time, busy);
-        CPPUNIT_ASSERT(stop.next(asked + std::chrono::seconds(4), {0, 1}) == stop_step::wait);
-        CPPUNIT_ASSERT(stop.next(asked + std::chrono::seconds(5), {}) == stop_step::finish);
-        CPPUNIT_ASSERT(stop.next(asked + std::chrono::seconds(6), {}) == stop_step::wait);
+        stop_sequence stop(requested_at, grace, longest);
+        stop.next(requested_at + stop_sequence::max_accept_time, busy);
+        CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(4), {0, 1}) ==
+                       stop_step::wait);
+        CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(5), {}) == stop_step::finish);
+        CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(6), {}) == stop_step::wait);
     }
 
     void what_never_ends_is_cut_off_before_the_kill() {
-        stop_sequence stop(asked, grace, longest);
-        stop.next(asked + stop_sequence::max_accept_time, busy);
-        const instant kill = asked + grace;
+        stop_sequence stop(requested_at, grace, longest);
+        stop.next(requested_at + stop_sequence::max_accept_time, busy);
+        const instant kill = requested_at + grace;
         CPPUNIT_ASSERT(stop.next(kill - stop_sequence::reserve_before_kill, busy) ==
                        stop_step::finish);
     }
 
     void any_grace_leads_to_an_end_after_requests_are_no_longer_taken() {
-        check_property("a stop takes no more before it finishes", [](std::uint16_t grace_ms,
-                                                                     std::uint16_t longest_ms) {
-            stop_sequence stop(asked, std::chrono::milliseconds(grace_ms),
-                               std::chrono::milliseconds(longest_ms));
-            bool closed = false;
-            for (instant now = asked; now < asked + std::chrono::seconds(80); now += tick) {
-                const stop_step step = stop.next(now, busy);
-                RC_ASSERT(step != stop_step::finish || closed);
-                closed = closed || step == stop_step::take_no_more;
-                if (step == stop_step::finish) {
-                    return;
-                }
-            }
-            RC_FAIL("it never finished");
-        });
+        check_property("a stop takes no more before it finishes",
+                       [](std::uint16_t grace_ms, std::uint16_t longest_ms) {
+                           stop_sequence stop(requested_at, std::chrono::milliseconds(grace_ms),
+                                              std::chrono::milliseconds(longest_ms));
+                           bool closed = false;
+                           for (instant now = requested_at;
+                                now < requested_at + std::chrono::seconds(80); now += tick) {
+                               const stop_step step = stop.next(now, busy);
+                               RC_ASSERT(step != stop_step::finish || closed);
+                               closed = closed || step == stop_step::take_no_more;
+                               if (step == stop_step::finish) {
+                                   return;
+                               }
+                           }
+                           RC_FAIL("it never finished");
+                       });
     }
 };
 
