--- a/src/tallyfold/plane/decisions/stop_sequence.cpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.cpp
@@ -19,7 +19,7 @@
         accepting_ = false;
         return stop_step::take_no_more;
     }
-    if (accepting_ || (!left.none() && now < cut_off_at_)) {
+    if (accepting_ || (!left.empty() && now < cut_off_at_)) {
         return stop_step::wait;
     }
     finished_ = true;
--- a/src/tallyfold/plane/decisions/stop_sequence.hpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.hpp
@@ -16,7 +16,7 @@
     /// Ends of turns that the stores have not confirmed.
     std::size_t settlements = 0;
 
-    [[nodiscard]] bool none() const { return requests == 0 && settlements == 0; }
+    [[nodiscard]] bool empty() const { return requests == 0 && settlements == 0; }
 };
 
 enum class stop_step : std::uint8_t {
