--- a/tests/plane/decisions/admission_window_test.cpp
+++ b/tests/plane/decisions/admission_window_test.cpp
@@ -8,7 +8,7 @@
 
 class admission_window_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(admission_window_test);
-    CPPUNIT_TEST(while_engines_keep_up_every_call_goes);
+    CPPUNIT_TEST(calls_are_not_limited_while_engines_keep_pace);
     CPPUNIT_TEST(slow_engines_bound_what_runs);
     CPPUNIT_TEST(the_window_grows_back_while_calls_wait);
     CPPUNIT_TEST(the_bound_goes_when_nothing_waits);
@@ -26,7 +26,7 @@
         return window;
     }
 
-    void while_engines_keep_up_every_call_goes() {
+    void calls_are_not_limited_while_engines_keep_pace() {
         admission_window window = window_with(500);
         window.adjust(max_slowdown, 0);
         CPPUNIT_ASSERT(window.has_capacity());
