--- a/tests/plane/decisions/admission_window_test.cpp
+++ b/tests/plane/decisions/admission_window_test.cpp
@@ -9,7 +9,7 @@
 class admission_window_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(admission_window_test);
     CPPUNIT_TEST(calls_are_not_limited_while_engines_keep_pace);
-    CPPUNIT_TEST(slow_engines_bound_what_runs);
+    CPPUNIT_TEST(slow_engines_limit_running_calls);
     CPPUNIT_TEST(the_window_grows_back_while_calls_wait);
     CPPUNIT_TEST(the_bound_goes_when_nothing_waits);
     CPPUNIT_TEST(calls_rejected_together_shrink_it_once);
@@ -32,7 +32,7 @@
         CPPUNIT_ASSERT(window.has_capacity());
     }
 
-    void slow_engines_bound_what_runs() {
+    void slow_engines_limit_running_calls() {
         admission_window window = window_with(20);
         window.adjust(2 * max_slowdown, 0);
         CPPUNIT_ASSERT(!window.has_capacity());
