--- a/tests/plane/decisions/admission_window_test.cpp
+++ b/tests/plane/decisions/admission_window_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST(calls_are_not_limited_while_engines_keep_pace);
     CPPUNIT_TEST(slow_engines_limit_running_calls);
     CPPUNIT_TEST(the_window_grows_back_while_calls_wait);
-    CPPUNIT_TEST(the_bound_goes_when_nothing_waits);
+    CPPUNIT_TEST(the_bound_is_removed_when_no_call_waits);
     CPPUNIT_TEST(calls_rejected_together_shrink_it_once);
     CPPUNIT_TEST(any_pace_leaves_capacity_for_one_call);
     CPPUNIT_TEST_SUITE_END();
@@ -51,7 +51,7 @@
         CPPUNIT_ASSERT(window.size() > before);
     }
 
-    void the_bound_goes_when_nothing_waits() {
+    void the_bound_is_removed_when_no_call_waits() {
         admission_window window = window_with(20);
         window.adjust(2 * max_slowdown, 0);
         window.adjust(1, 0);
