--- a/tests/plane/decisions/admission_window_test.cpp
+++ b/tests/plane/decisions/admission_window_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(slow_engines_limit_running_calls);
     CPPUNIT_TEST(the_window_grows_back_while_calls_wait);
     CPPUNIT_TEST(the_bound_is_removed_when_no_call_waits);
-    CPPUNIT_TEST(calls_rejected_together_shrink_it_once);
+    CPPUNIT_TEST(rejections_between_adjustments_shrink_the_window_once);
     CPPUNIT_TEST(any_pace_leaves_capacity_for_one_call);
     CPPUNIT_TEST_SUITE_END();
 
@@ -58,7 +58,7 @@
         CPPUNIT_ASSERT(window.has_capacity());
     }
 
-    void calls_rejected_together_shrink_it_once() {
+    void rejections_between_adjustments_shrink_the_window_once() {
         admission_window window = window_with(20);
         for (int call = 0; call < 10; ++call) {
             window.rejected();
