--- a/tests/plane/decisions/admission_window_test.cpp
+++ b/tests/plane/decisions/admission_window_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(the_window_grows_back_while_calls_wait);
     CPPUNIT_TEST(the_bound_is_removed_when_no_call_waits);
     CPPUNIT_TEST(rejections_between_adjustments_shrink_the_window_once);
-    CPPUNIT_TEST(any_pace_leaves_capacity_for_one_call);
+    CPPUNIT_TEST(an_idle_window_always_has_capacity);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr double max_slowdown = 2;
@@ -71,7 +71,7 @@
         CPPUNIT_ASSERT(window.size() > 14);
     }
 
-    void any_pace_leaves_capacity_for_one_call() {
+    void an_idle_window_always_has_capacity() {
         check_property("an idle node may always run a call", [] {
             admission_window window(max_slowdown);
             const int steps = *rc::gen::inRange(1, 300);
