--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -11,7 +11,7 @@
 class backend_distrust_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_distrust_test);
     CPPUNIT_TEST(without_a_fault_a_back_end_is_trusted);
-    CPPUNIT_TEST(a_reported_failure_distrusts);
+    CPPUNIT_TEST(a_reported_failure_makes_a_back_end_distrusted);
     CPPUNIT_TEST(an_ejected_one_is_unavailable);
     CPPUNIT_TEST(a_replaced_one_is_excluded_until_its_address_changes);
     CPPUNIT_TEST(the_strongest_rule_counts);
@@ -44,7 +44,7 @@
         CPPUNIT_ASSERT(eligibility(pool_of(4), {}) == backend_eligibility::trusted);
     }
 
-    void a_reported_failure_distrusts() {
+    void a_reported_failure_makes_a_back_end_distrusted() {
         reported_failures reported;
         reported.note("b0", now);
         CPPUNIT_ASSERT(eligibility(pool_of(4), reported) == backend_eligibility::distrusted);
