--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST_SUITE(backend_distrust_test);
     CPPUNIT_TEST(without_a_fault_a_back_end_is_trusted);
     CPPUNIT_TEST(a_reported_failure_makes_a_back_end_distrusted);
-    CPPUNIT_TEST(an_ejected_one_is_unavailable);
+    CPPUNIT_TEST(an_ejected_back_end_is_unavailable);
     CPPUNIT_TEST(a_replaced_one_is_excluded_until_its_address_changes);
     CPPUNIT_TEST(the_strongest_rule_counts);
     CPPUNIT_TEST(more_than_half_are_most);
@@ -50,7 +50,7 @@
         CPPUNIT_ASSERT(eligibility(pool_of(4), reported) == backend_eligibility::distrusted);
     }
 
-    void an_ejected_one_is_unavailable() {
+    void an_ejected_back_end_is_unavailable() {
         backend_pool pool = pool_of(4);
         pool.unreachable("b0", now);
         CPPUNIT_ASSERT(eligibility(pool, {}) == backend_eligibility::unavailable);
