--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(without_a_fault_a_back_end_is_trusted);
     CPPUNIT_TEST(a_reported_failure_makes_a_back_end_distrusted);
     CPPUNIT_TEST(an_ejected_back_end_is_unavailable);
-    CPPUNIT_TEST(a_replaced_one_is_excluded_until_its_address_changes);
+    CPPUNIT_TEST(a_drained_back_end_is_excluded_until_its_address_changes);
     CPPUNIT_TEST(the_strongest_rule_counts);
     CPPUNIT_TEST(more_than_half_are_most);
     CPPUNIT_TEST(further_failures_distrust_for_longer);
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT(eligibility(pool, {}) == backend_eligibility::unavailable);
     }
 
-    void a_replaced_one_is_excluded_until_its_address_changes() {
+    void a_drained_back_end_is_excluded_until_its_address_changes() {
         backend_pool pool = pool_of(4);
         pool.set_drained("b0", true);
         CPPUNIT_ASSERT(eligibility(pool, {}) == backend_eligibility::excluded);
