--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(a_reported_failure_makes_a_back_end_distrusted);
     CPPUNIT_TEST(an_ejected_back_end_is_unavailable);
     CPPUNIT_TEST(a_drained_back_end_is_excluded_until_its_address_changes);
-    CPPUNIT_TEST(the_strongest_rule_counts);
+    CPPUNIT_TEST(the_strictest_rule_decides);
     CPPUNIT_TEST(more_than_half_are_most);
     CPPUNIT_TEST(further_failures_distrust_for_longer);
     CPPUNIT_TEST_SUITE_END();
@@ -68,7 +68,7 @@
         CPPUNIT_ASSERT(eligibility(pool, {}) == backend_eligibility::trusted);
     }
 
-    void the_strongest_rule_counts() {
+    void the_strictest_rule_decides() {
         backend_pool pool = pool_of(4);
         reported_failures reported;
         reported.note("b0", now);
