--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(a_drained_back_end_is_excluded_until_its_address_changes);
     CPPUNIT_TEST(the_strictest_rule_decides);
     CPPUNIT_TEST(reported_failures_are_common_above_half_of_the_pool);
-    CPPUNIT_TEST(further_failures_distrust_for_longer);
+    CPPUNIT_TEST(repeated_failures_double_the_distrust_time);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant now{std::chrono::seconds(50)};
@@ -90,7 +90,7 @@
             !most_have_reported_failures(pool, reported, now + reported_failures::first_distrust));
     }
 
-    void further_failures_distrust_for_longer() {
+    void repeated_failures_double_the_distrust_time() {
         reported_failures reported;
         instant at = now;
         for (const int seconds : {2, 4, 8, 8}) {
