--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -10,7 +10,7 @@
 /// The order of the rules and of the lists that they take candidates from.
 class backend_selection_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_selection_test);
-    CPPUNIT_TEST(an_engines_first_send_is_placed);
+    CPPUNIT_TEST(the_first_send_to_an_engine_uses_placement);
     CPPUNIT_TEST(a_further_send_goes_by_load_where_it_has_not_been);
     CPPUNIT_TEST(a_refused_placement_falls_back_to_load);
     CPPUNIT_TEST(an_object_goes_to_its_target);
@@ -65,7 +65,7 @@
         return question;
     }
 
-    void an_engines_first_send_is_placed() {
+    void the_first_send_to_an_engine_uses_placement() {
         service engines;
         const chosen_backend chosen = *engines.select(engine_call());
         CPPUNIT_ASSERT(chosen.rule == selection_rule::placement);
