--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -11,7 +11,7 @@
 class backend_selection_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_selection_test);
     CPPUNIT_TEST(the_first_send_to_an_engine_uses_placement);
-    CPPUNIT_TEST(a_further_send_goes_by_load_where_it_has_not_been);
+    CPPUNIT_TEST(a_retry_selects_an_untried_back_end_by_load);
     CPPUNIT_TEST(a_refused_placement_falls_back_to_load);
     CPPUNIT_TEST(an_object_goes_to_its_target);
     CPPUNIT_TEST(a_switched_off_affinity_goes_by_load);
@@ -73,7 +73,7 @@
                              chosen.name);
     }
 
-    void a_further_send_goes_by_load_where_it_has_not_been() {
+    void a_retry_selects_an_untried_back_end_by_load() {
         service engines;
         backend_question question = engine_call();
         question.tried = {"b0", "b2", "b3"};
