--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(the_first_send_to_an_engine_uses_placement);
     CPPUNIT_TEST(a_retry_selects_an_untried_back_end_by_load);
     CPPUNIT_TEST(a_refused_placement_falls_back_to_load);
-    CPPUNIT_TEST(an_object_goes_to_its_target);
+    CPPUNIT_TEST(an_object_is_sent_to_its_affinity_target);
     CPPUNIT_TEST(a_switched_off_affinity_goes_by_load);
     CPPUNIT_TEST(at_most_once_prefers_trusted_ones);
     CPPUNIT_TEST(at_most_once_takes_distrusted_ones_where_no_other_is_left);
@@ -92,7 +92,7 @@
         CPPUNIT_ASSERT(engines.select(engine_call())->rule == selection_rule::less_loaded_of_two);
     }
 
-    void an_object_goes_to_its_target() {
+    void an_object_is_sent_to_its_affinity_target() {
         service plain;
         backend_question question = plain_call(true);
         question.object = "object";
