--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(a_retry_selects_an_untried_back_end_by_load);
     CPPUNIT_TEST(a_refused_placement_falls_back_to_load);
     CPPUNIT_TEST(an_object_is_sent_to_its_affinity_target);
-    CPPUNIT_TEST(a_switched_off_affinity_goes_by_load);
+    CPPUNIT_TEST(disabled_object_affinity_selects_by_load);
     CPPUNIT_TEST(at_most_once_prefers_trusted_ones);
     CPPUNIT_TEST(at_most_once_takes_distrusted_ones_where_no_other_is_left);
     CPPUNIT_TEST(ejected_ones_are_the_last_resort);
@@ -105,7 +105,7 @@
         CPPUNIT_ASSERT(plain.select(question)->name != chosen.name);
     }
 
-    void a_switched_off_affinity_goes_by_load() {
+    void disabled_object_affinity_selects_by_load() {
         settings::switched_off off;
         off.add("object_home");
         service plain(off);
