--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(a_refused_placement_falls_back_to_load);
     CPPUNIT_TEST(an_object_is_sent_to_its_affinity_target);
     CPPUNIT_TEST(disabled_object_affinity_selects_by_load);
-    CPPUNIT_TEST(at_most_once_prefers_trusted_ones);
+    CPPUNIT_TEST(at_most_once_calls_prefer_trusted_back_ends);
     CPPUNIT_TEST(at_most_once_takes_distrusted_ones_where_no_other_is_left);
     CPPUNIT_TEST(ejected_ones_are_the_last_resort);
     CPPUNIT_TEST(excluded_ones_are_none);
@@ -114,7 +114,7 @@
         CPPUNIT_ASSERT(plain.select(question)->rule == selection_rule::less_loaded_of_two);
     }
 
-    void at_most_once_prefers_trusted_ones() {
+    void at_most_once_calls_prefer_trusted_back_ends() {
         service plain;
         plain.reported.note("b0", now);
         plain.reported.note("b1", now);
