--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(an_object_is_sent_to_its_affinity_target);
     CPPUNIT_TEST(disabled_object_affinity_selects_by_load);
     CPPUNIT_TEST(at_most_once_calls_prefer_trusted_back_ends);
-    CPPUNIT_TEST(at_most_once_takes_distrusted_ones_where_no_other_is_left);
+    CPPUNIT_TEST(at_most_once_calls_fall_back_to_distrusted_back_ends);
     CPPUNIT_TEST(ejected_ones_are_the_last_resort);
     CPPUNIT_TEST(excluded_ones_are_none);
     CPPUNIT_TEST_SUITE_END();
@@ -127,7 +127,7 @@
                        backend_eligibility::distrusted);
     }
 
-    void at_most_once_takes_distrusted_ones_where_no_other_is_left() {
+    void at_most_once_calls_fall_back_to_distrusted_back_ends() {
         service plain;
         plain.reported.note("b0", now);
         backend_question question = plain_call(false);
