--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(disabled_object_affinity_selects_by_load);
     CPPUNIT_TEST(at_most_once_calls_prefer_trusted_back_ends);
     CPPUNIT_TEST(at_most_once_calls_fall_back_to_distrusted_back_ends);
-    CPPUNIT_TEST(ejected_ones_are_the_last_resort);
+    CPPUNIT_TEST(ejected_back_ends_are_selected_last);
     CPPUNIT_TEST(excluded_ones_are_none);
     CPPUNIT_TEST_SUITE_END();
 
@@ -137,7 +137,7 @@
         CPPUNIT_ASSERT(chosen.accepted_eligibility == backend_eligibility::distrusted);
     }
 
-    void ejected_ones_are_the_last_resort() {
+    void ejected_back_ends_are_selected_last() {
         service plain;
         plain.pool.unreachable("b0", now);
         backend_question question = plain_call(true);
