--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(at_most_once_calls_prefer_trusted_back_ends);
     CPPUNIT_TEST(at_most_once_calls_fall_back_to_distrusted_back_ends);
     CPPUNIT_TEST(ejected_back_ends_are_selected_last);
-    CPPUNIT_TEST(excluded_ones_are_none);
+    CPPUNIT_TEST(excluded_back_ends_are_never_selected);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant now{std::chrono::seconds(50)};
@@ -150,7 +150,7 @@
         CPPUNIT_ASSERT(chosen.accepted_eligibility == backend_eligibility::unavailable);
     }
 
-    void excluded_ones_are_none() {
+    void excluded_back_ends_are_never_selected() {
         service plain;
         plain.pool.set_drained("b0", true);
         backend_question question = plain_call(true);
