--- a/tests/plane/decisions/backend_subset_test.cpp
+++ b/tests/plane/decisions/backend_subset_test.cpp
@@ -15,7 +15,7 @@
 
 class backend_subset_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_subset_test);
-    CPPUNIT_TEST(a_node_keeps_to_a_few);
+    CPPUNIT_TEST(a_node_uses_a_fixed_number_of_back_ends);
     CPPUNIT_TEST(it_widens_when_all_of_them_are_busy);
     CPPUNIT_TEST(it_passes_over_those_that_are_not_usable);
     CPPUNIT_TEST(a_back_end_that_leaves_changes_few_subsets);
@@ -39,7 +39,7 @@
     }
     static bool any(const backend_state& /*backend*/) { return true; }
 
-    void a_node_keeps_to_a_few() {
+    void a_node_uses_a_fixed_number_of_back_ends() {
         backend_pool pool;
         pool.update(members(50));
         backend_subset subset(7);
