--- a/tests/plane/decisions/backend_subset_test.cpp
+++ b/tests/plane/decisions/backend_subset_test.cpp
@@ -16,7 +16,7 @@
 class backend_subset_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_subset_test);
     CPPUNIT_TEST(a_node_uses_a_fixed_number_of_back_ends);
-    CPPUNIT_TEST(it_widens_when_all_of_them_are_busy);
+    CPPUNIT_TEST(the_subset_widens_when_all_its_back_ends_are_busy);
     CPPUNIT_TEST(it_passes_over_those_that_are_not_usable);
     CPPUNIT_TEST(a_back_end_that_leaves_changes_few_subsets);
     CPPUNIT_TEST(many_nodes_cover_all_back_ends_evenly);
@@ -52,7 +52,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, few.usable(pool, any).size());
     }
 
-    void it_widens_when_all_of_them_are_busy() {
+    void the_subset_widens_when_all_its_back_ends_are_busy() {
         backend_pool pool;
         pool.update(members(50));
         backend_subset subset(7);
