--- a/tests/plane/decisions/backend_subset_test.cpp
+++ b/tests/plane/decisions/backend_subset_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST_SUITE(backend_subset_test);
     CPPUNIT_TEST(a_node_uses_a_fixed_number_of_back_ends);
     CPPUNIT_TEST(the_subset_widens_when_all_its_back_ends_are_busy);
-    CPPUNIT_TEST(it_passes_over_those_that_are_not_usable);
+    CPPUNIT_TEST(the_subset_skips_unusable_back_ends);
     CPPUNIT_TEST(a_back_end_that_leaves_changes_few_subsets);
     CPPUNIT_TEST(many_nodes_cover_all_back_ends_evenly);
     CPPUNIT_TEST_SUITE_END();
@@ -66,7 +66,7 @@
         CPPUNIT_ASSERT_EQUAL(2 * backend_subset::base_size, subset.usable(pool, any).size());
     }
 
-    void it_passes_over_those_that_are_not_usable() {
+    void the_subset_skips_unusable_back_ends() {
         backend_pool pool;
         pool.update(members(50));
         backend_subset subset(7);
