--- a/tests/plane/decisions/backend_subset_test.cpp
+++ b/tests/plane/decisions/backend_subset_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(a_node_uses_a_fixed_number_of_back_ends);
     CPPUNIT_TEST(the_subset_widens_when_all_its_back_ends_are_busy);
     CPPUNIT_TEST(the_subset_skips_unusable_back_ends);
-    CPPUNIT_TEST(a_back_end_that_leaves_changes_few_subsets);
+    CPPUNIT_TEST(removing_a_back_end_keeps_the_order_of_the_others);
     CPPUNIT_TEST(many_nodes_cover_all_back_ends_evenly);
     CPPUNIT_TEST_SUITE_END();
 
@@ -78,7 +78,7 @@
         CPPUNIT_ASSERT(!others.contains(unusable));
     }
 
-    void a_back_end_that_leaves_changes_few_subsets() {
+    void removing_a_back_end_keeps_the_order_of_the_others() {
         backend_subset before(7);
         before.update(members(50));
         backend_subset after(7);
