--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -12,7 +12,7 @@
 
 class call_ranking_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(call_ranking_test);
-    CPPUNIT_TEST(without_a_policy_the_priority_ranks);
+    CPPUNIT_TEST(priority_sets_urgency_without_a_policy);
     CPPUNIT_TEST(a_policy_ranks_by_the_time_that_a_program_has_left);
     CPPUNIT_TEST(a_policy_without_urgency_leaves_it_to_the_priority);
     CPPUNIT_TEST(a_failing_text_leaves_the_policy_before_it_in_force);
@@ -37,7 +37,7 @@
         return call;
     }
 
-    void without_a_policy_the_priority_ranks() {
+    void priority_sets_urgency_without_a_policy() {
         call_ranking ranking;
         CPPUNIT_ASSERT_EQUAL(1, ranking.urgency_of(call_with(1, 50)));
         CPPUNIT_ASSERT_EQUAL(call_ranking::least_urgent, ranking.urgency_of(call_with(40, 50)));
