--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -13,7 +13,7 @@
 class call_ranking_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(call_ranking_test);
     CPPUNIT_TEST(priority_sets_urgency_without_a_policy);
-    CPPUNIT_TEST(a_policy_ranks_by_the_time_that_a_program_has_left);
+    CPPUNIT_TEST(a_policy_sets_urgency_by_time_left);
     CPPUNIT_TEST(a_policy_without_urgency_leaves_it_to_the_priority);
     CPPUNIT_TEST(a_failing_text_leaves_the_policy_before_it_in_force);
     CPPUNIT_TEST(a_failing_evaluation_is_counted_and_the_priority_ranks);
@@ -44,7 +44,7 @@
         CPPUNIT_ASSERT(ranking.placement() == nullptr);
     }
 
-    void a_policy_ranks_by_the_time_that_a_program_has_left() {
+    void a_policy_sets_urgency_by_time_left() {
         call_ranking ranking;
         const auto used = ranking.use(policy_with(
             "function urgency(call) if call.time_left_ms < 500 then return 2 end return 70 end"));
