--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST_SUITE(call_ranking_test);
     CPPUNIT_TEST(priority_sets_urgency_without_a_policy);
     CPPUNIT_TEST(a_policy_sets_urgency_by_time_left);
-    CPPUNIT_TEST(a_policy_without_urgency_leaves_it_to_the_priority);
+    CPPUNIT_TEST(priority_sets_urgency_without_an_urgency_function);
     CPPUNIT_TEST(a_failing_text_leaves_the_policy_before_it_in_force);
     CPPUNIT_TEST(a_failing_evaluation_is_counted_and_the_priority_ranks);
     CPPUNIT_TEST(an_emptied_file_removes_the_policy);
@@ -54,7 +54,7 @@
         CPPUNIT_ASSERT(ranking.placement() != nullptr);
     }
 
-    void a_policy_without_urgency_leaves_it_to_the_priority() {
+    void priority_sets_urgency_without_an_urgency_function() {
         call_ranking ranking;
         CPPUNIT_ASSERT(ranking.use(policy_with("")).has_value());
         CPPUNIT_ASSERT_EQUAL(3, ranking.urgency_of(call_with(3, 50)));
