--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(priority_sets_urgency_without_a_policy);
     CPPUNIT_TEST(a_policy_sets_urgency_by_time_left);
     CPPUNIT_TEST(priority_sets_urgency_without_an_urgency_function);
-    CPPUNIT_TEST(a_failing_text_leaves_the_policy_before_it_in_force);
+    CPPUNIT_TEST(an_invalid_policy_keeps_the_previous_one);
     CPPUNIT_TEST(a_failing_evaluation_is_counted_and_the_priority_ranks);
     CPPUNIT_TEST(an_emptied_file_removes_the_policy);
     CPPUNIT_TEST(the_shipped_policy_puts_the_least_time_left_first);
@@ -60,7 +60,7 @@
         CPPUNIT_ASSERT_EQUAL(3, ranking.urgency_of(call_with(3, 50)));
     }
 
-    void a_failing_text_leaves_the_policy_before_it_in_force() {
+    void an_invalid_policy_keeps_the_previous_one() {
         call_ranking ranking;
         CPPUNIT_ASSERT(ranking.use(policy_with("function urgency(call) return 6 end")));
         CPPUNIT_ASSERT(!ranking.use("function order(call"));
