--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(a_policy_sets_urgency_by_time_left);
     CPPUNIT_TEST(priority_sets_urgency_without_an_urgency_function);
     CPPUNIT_TEST(an_invalid_policy_keeps_the_previous_one);
-    CPPUNIT_TEST(a_failing_evaluation_is_counted_and_the_priority_ranks);
+    CPPUNIT_TEST(a_failed_evaluation_is_counted_and_falls_back_to_priority);
     CPPUNIT_TEST(an_emptied_file_removes_the_policy);
     CPPUNIT_TEST(the_shipped_policy_puts_the_least_time_left_first);
     CPPUNIT_TEST(the_shipped_policy_lets_late_programs_wait_behind);
@@ -68,7 +68,7 @@
         CPPUNIT_ASSERT_EQUAL(6, ranking.urgency_of(call_with(0, 50)));
     }
 
-    void a_failing_evaluation_is_counted_and_the_priority_ranks() {
+    void a_failed_evaluation_is_counted_and_falls_back_to_priority() {
         call_ranking ranking;
         CPPUNIT_ASSERT(ranking.use(policy_with(
             "function urgency(call) if call.time_left_ms < 0 then return nil end return 5 end")));
