--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(priority_sets_urgency_without_an_urgency_function);
     CPPUNIT_TEST(an_invalid_policy_keeps_the_previous_one);
     CPPUNIT_TEST(a_failed_evaluation_is_counted_and_falls_back_to_priority);
-    CPPUNIT_TEST(an_emptied_file_removes_the_policy);
+    CPPUNIT_TEST(an_empty_text_removes_the_policy);
     CPPUNIT_TEST(the_shipped_policy_puts_the_least_time_left_first);
     CPPUNIT_TEST(the_shipped_policy_lets_late_programs_wait_behind);
     CPPUNIT_TEST(a_failing_order_falls_back_to_the_time_left);
@@ -76,7 +76,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, ranking.failures());
     }
 
-    void an_emptied_file_removes_the_policy() {
+    void an_empty_text_removes_the_policy() {
         call_ranking ranking;
         CPPUNIT_ASSERT(ranking.use(policy_with("")));
         CPPUNIT_ASSERT(*ranking.use("") == policy_change::removed);
