--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -19,7 +19,7 @@
     CPPUNIT_TEST(a_failed_evaluation_is_counted_and_falls_back_to_priority);
     CPPUNIT_TEST(an_empty_text_removes_the_policy);
     CPPUNIT_TEST(the_shipped_policy_puts_the_least_time_left_first);
-    CPPUNIT_TEST(the_shipped_policy_lets_late_programs_wait_behind);
+    CPPUNIT_TEST(the_shipped_policy_orders_late_programs_last);
     CPPUNIT_TEST(a_failing_order_falls_back_to_the_time_left);
     CPPUNIT_TEST_SUITE_END();
 
@@ -104,7 +104,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, ranking.failures());
     }
 
-    void the_shipped_policy_lets_late_programs_wait_behind() {
+    void the_shipped_policy_orders_late_programs_last() {
         call_ranking ranking;
         CPPUNIT_ASSERT(ranking.use(shipped_policy()).has_value());
         const auto rank = [&ranking](double time_left_ms) {
