--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST(an_empty_text_removes_the_policy);
     CPPUNIT_TEST(the_shipped_policy_puts_the_least_time_left_first);
     CPPUNIT_TEST(the_shipped_policy_orders_late_programs_last);
-    CPPUNIT_TEST(a_failing_order_falls_back_to_the_time_left);
+    CPPUNIT_TEST(a_failed_order_evaluation_falls_back_to_time_left);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string policy_with(const std::string& urgency) {
@@ -117,7 +117,7 @@
         CPPUNIT_ASSERT(rank(100) < rank(-2000));
     }
 
-    void a_failing_order_falls_back_to_the_time_left() {
+    void a_failed_order_evaluation_falls_back_to_time_left() {
         call_ranking ranking;
         CPPUNIT_ASSERT(
             ranking
