--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -8,7 +8,7 @@
 
 class own_answer_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(own_answer_test);
-    CPPUNIT_TEST(what_a_newer_configuration_may_have_is_not_called_unknown);
+    CPPUNIT_TEST(unconfirmed_routes_and_keys_are_answered_503);
     CPPUNIT_TEST(what_comes_back_by_itself_asks_to_retry);
     CPPUNIT_TEST(a_tenant_without_permit_is_told_when_there_is_one);
     CPPUNIT_TEST(keys_are_stale_after_four_fifths_of_the_time_for_their_removal);
@@ -26,7 +26,7 @@
         CPPUNIT_ASSERT_EQUAL(retries, answer.retry.after.has_value());
     }
 
-    void what_a_newer_configuration_may_have_is_not_called_unknown() {
+    void unconfirmed_routes_and_keys_are_answered_503() {
         assert_answer(404, request_outcome::no_route, false,
                       answer_to(refusal_of_unknown_route(true)));
         assert_answer(503, request_outcome::refused, true,
