--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -9,7 +9,7 @@
 class own_answer_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(own_answer_test);
     CPPUNIT_TEST(unconfirmed_routes_and_keys_are_answered_503);
-    CPPUNIT_TEST(what_comes_back_by_itself_asks_to_retry);
+    CPPUNIT_TEST(temporary_refusals_have_retry_after);
     CPPUNIT_TEST(a_tenant_without_permit_is_told_when_there_is_one);
     CPPUNIT_TEST(keys_are_stale_after_four_fifths_of_the_time_for_their_removal);
     CPPUNIT_TEST(only_an_admitted_turn_goes_on);
@@ -37,7 +37,7 @@
                       answer_to(refusal_of_unknown_key(false)));
     }
 
-    void what_comes_back_by_itself_asks_to_retry() {
+    void temporary_refusals_have_retry_after() {
         for (const refusal why :
              {refusal::no_configuration, refusal::unconfirmed_route, refusal::stale_keys,
               refusal::unconfirmed_key, refusal::no_store, refusal::store_timeout}) {
