--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(own_answer_test);
     CPPUNIT_TEST(unconfirmed_routes_and_keys_are_answered_503);
     CPPUNIT_TEST(temporary_refusals_have_retry_after);
-    CPPUNIT_TEST(a_tenant_without_permit_is_told_when_there_is_one);
+    CPPUNIT_TEST(a_call_without_permit_gets_the_retry_after_of_the_decision);
     CPPUNIT_TEST(keys_are_stale_after_four_fifths_of_the_time_for_their_removal);
     CPPUNIT_TEST(only_an_admitted_turn_goes_on);
     CPPUNIT_TEST(an_answered_request_needs_no_further_answer);
@@ -49,7 +49,7 @@
         assert_answer(404, request_outcome::unknown_turn, false, answer_to(refusal::unknown_turn));
     }
 
-    void a_tenant_without_permit_is_told_when_there_is_one() {
+    void a_call_without_permit_gets_the_retry_after_of_the_decision() {
         tenants::permit_decision decision;
         decision.retry_after = std::chrono::milliseconds(130);
         decision.state = tenants::permit_state::over_limit;
