--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST(unconfirmed_routes_and_keys_are_answered_503);
     CPPUNIT_TEST(temporary_refusals_have_retry_after);
     CPPUNIT_TEST(a_call_without_permit_gets_the_retry_after_of_the_decision);
-    CPPUNIT_TEST(keys_are_stale_after_four_fifths_of_the_time_for_their_removal);
+    CPPUNIT_TEST(keys_are_stale_after_four_fifths_of_the_revocation_time);
     CPPUNIT_TEST(only_an_admitted_turn_goes_on);
     CPPUNIT_TEST(an_answered_request_needs_no_further_answer);
     CPPUNIT_TEST(a_request_that_may_have_run_is_never_refused);
@@ -64,7 +64,7 @@
         CPPUNIT_ASSERT(unknown.retry.after == decision.retry_after);
     }
 
-    void keys_are_stale_after_four_fifths_of_the_time_for_their_removal() {
+    void keys_are_stale_after_four_fifths_of_the_revocation_time() {
         const duration revocation = std::chrono::seconds(5);
         CPPUNIT_ASSERT(!keys_are_stale(std::chrono::seconds(4), revocation));
         CPPUNIT_ASSERT(
