--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(temporary_refusals_have_retry_after);
     CPPUNIT_TEST(a_call_without_permit_gets_the_retry_after_of_the_decision);
     CPPUNIT_TEST(keys_are_stale_after_four_fifths_of_the_revocation_time);
-    CPPUNIT_TEST(only_an_admitted_turn_goes_on);
+    CPPUNIT_TEST(only_an_admitted_turn_is_not_refused);
     CPPUNIT_TEST(an_answered_request_needs_no_further_answer);
     CPPUNIT_TEST(a_request_that_may_have_run_is_never_refused);
     CPPUNIT_TEST(nothing_follows_an_answer_that_has_begun);
@@ -71,7 +71,7 @@
             keys_are_stale(std::chrono::seconds(4) + std::chrono::microseconds(1), revocation));
     }
 
-    void only_an_admitted_turn_goes_on() {
+    void only_an_admitted_turn_is_not_refused() {
         using turns::begin_result;
         CPPUNIT_ASSERT(!refusal_of(begin_result::admitted));
         CPPUNIT_ASSERT(refusal_of(begin_result::over_budget) == refusal::over_budget);
