--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(a_call_without_permit_gets_the_retry_after_of_the_decision);
     CPPUNIT_TEST(keys_are_stale_after_four_fifths_of_the_revocation_time);
     CPPUNIT_TEST(only_an_admitted_turn_is_not_refused);
-    CPPUNIT_TEST(an_answered_request_needs_no_further_answer);
+    CPPUNIT_TEST(an_answered_request_gets_no_own_answer);
     CPPUNIT_TEST(a_request_that_may_have_run_is_never_refused);
     CPPUNIT_TEST(nothing_follows_an_answer_that_has_begun);
     CPPUNIT_TEST(any_end_tells_the_truth_about_running);
@@ -79,7 +79,7 @@
         CPPUNIT_ASSERT(refusal_of(begin_result::unavailable) == refusal::store_timeout);
     }
 
-    void an_answered_request_needs_no_further_answer() {
+    void an_answered_request_gets_no_own_answer() {
         last_attempt last;
         last.answered = true;
         last.client_disconnected = true;
