--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(only_an_admitted_turn_is_not_refused);
     CPPUNIT_TEST(an_answered_request_gets_no_own_answer);
     CPPUNIT_TEST(a_request_that_may_have_run_is_never_refused);
-    CPPUNIT_TEST(nothing_follows_an_answer_that_has_begun);
+    CPPUNIT_TEST(a_started_answer_gets_no_own_answer);
     CPPUNIT_TEST(any_end_tells_the_truth_about_running);
     CPPUNIT_TEST_SUITE_END();
 
@@ -105,7 +105,7 @@
         CPPUNIT_ASSERT(refused.answer->retry.after == retry_after::soon().after);
     }
 
-    void nothing_follows_an_answer_that_has_begun() {
+    void a_started_answer_gets_no_own_answer() {
         last_attempt last;
         last.answer_started = true;
         last.may_have_run = true;
