--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(an_answered_request_gets_no_own_answer);
     CPPUNIT_TEST(a_request_that_may_have_run_is_never_refused);
     CPPUNIT_TEST(a_started_answer_gets_no_own_answer);
-    CPPUNIT_TEST(any_end_tells_the_truth_about_running);
+    CPPUNIT_TEST(status_503_and_retry_after_mean_not_run);
     CPPUNIT_TEST_SUITE_END();
 
     static void assert_answer(unsigned status, request_outcome outcome, bool retries,
@@ -119,7 +119,7 @@
         CPPUNIT_ASSERT(end_after(last).reason.empty());
     }
 
-    void any_end_tells_the_truth_about_running() {
+    void status_503_and_retry_after_mean_not_run() {
         check_property("503 and Retry-After stand for a request that has not run, alone", [] {
             last_attempt last;
             last.answered = *rc::gen::arbitrary<bool>();
