--- a/tests/plane/decisions/request_texts_test.cpp
+++ b/tests/plane/decisions/request_texts_test.cpp
@@ -12,12 +12,12 @@
 
 class request_texts_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(request_texts_test);
-    CPPUNIT_TEST(each_outcome_has_its_word);
+    CPPUNIT_TEST(outcome_texts_are_stable);
     CPPUNIT_TEST(each_failure_has_its_text);
     CPPUNIT_TEST(failures_of_connections_name_the_step_and_the_failure);
     CPPUNIT_TEST_SUITE_END();
 
-    void each_outcome_has_its_word() {
+    void outcome_texts_are_stable() {
         const std::vector<std::pair<request_outcome, std::string>> words{
             {request_outcome::unknown, "unknown"},
             {request_outcome::answered, "answered"},
