--- a/tests/plane/decisions/request_texts_test.cpp
+++ b/tests/plane/decisions/request_texts_test.cpp
@@ -13,7 +13,7 @@
 class request_texts_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(request_texts_test);
     CPPUNIT_TEST(outcome_texts_are_stable);
-    CPPUNIT_TEST(each_failure_has_its_text);
+    CPPUNIT_TEST(failure_texts_are_stable);
     CPPUNIT_TEST(failures_of_connections_name_the_step_and_the_failure);
     CPPUNIT_TEST_SUITE_END();
 
@@ -33,7 +33,7 @@
         }
     }
 
-    void each_failure_has_its_text() {
+    void failure_texts_are_stable() {
         const std::vector<std::pair<failure_kind, std::string>> texts{
             {failure_kind::none, ""},
             {failure_kind::no_backend, "no back end is available"},
