--- a/tests/plane/decisions/request_texts_test.cpp
+++ b/tests/plane/decisions/request_texts_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST_SUITE(request_texts_test);
     CPPUNIT_TEST(outcome_texts_are_stable);
     CPPUNIT_TEST(failure_texts_are_stable);
-    CPPUNIT_TEST(failures_of_connections_name_the_step_and_the_failure);
+    CPPUNIT_TEST(connection_failures_combine_step_and_error);
     CPPUNIT_TEST_SUITE_END();
 
     void outcome_texts_are_stable() {
@@ -52,7 +52,7 @@
         }
     }
 
-    void failures_of_connections_name_the_step_and_the_failure() {
+    void connection_failures_combine_step_and_error() {
         CPPUNIT_ASSERT_EQUAL(std::string("connect_refused"),
                              text_of(attempt_failure{failure_kind::connect, "refused"}));
         CPPUNIT_ASSERT_EQUAL(std::string("write_broken"),
