--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -8,7 +8,7 @@
 
 class retry_policy_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(retry_policy_test);
-    CPPUNIT_TEST(what_must_not_repeat_ends_with_its_first_run);
+    CPPUNIT_TEST(a_non_repeatable_request_fails_after_its_first_run);
     CPPUNIT_TEST(a_proof_that_it_did_not_run_allows_another_try);
     CPPUNIT_TEST(a_refusal_is_said_only_when_nothing_may_have_run);
     CPPUNIT_TEST(a_repeatable_request_runs_as_often_as_its_route_allows);
@@ -39,7 +39,7 @@
         CPPUNIT_ASSERT(policy.may_have_run());
     }
 
-    void what_must_not_repeat_ends_with_its_first_run() {
+    void a_non_repeatable_request_fails_after_its_first_run() {
         retry_policy policy(false, 3);
         assert_fails(policy, after(policy, attempt_end::may_have_run));
     }
