--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -9,7 +9,7 @@
 class retry_policy_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(retry_policy_test);
     CPPUNIT_TEST(a_non_repeatable_request_fails_after_its_first_run);
-    CPPUNIT_TEST(a_proof_that_it_did_not_run_allows_another_try);
+    CPPUNIT_TEST(proof_of_no_execution_allows_a_retry);
     CPPUNIT_TEST(a_refusal_is_said_only_when_nothing_may_have_run);
     CPPUNIT_TEST(a_repeatable_request_runs_as_often_as_its_route_allows);
     CPPUNIT_TEST(no_time_left_ends_it);
@@ -44,7 +44,7 @@
         assert_fails(policy, after(policy, attempt_end::may_have_run));
     }
 
-    void a_proof_that_it_did_not_run_allows_another_try() {
+    void proof_of_no_execution_allows_a_retry() {
         retry_policy policy(false, 1);
         CPPUNIT_ASSERT(after(policy, attempt_end::not_run) == next_step::retry);
         CPPUNIT_ASSERT(after(policy, attempt_end::not_sent) == next_step::retry);
