--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(retry_policy_test);
     CPPUNIT_TEST(a_non_repeatable_request_fails_after_its_first_run);
     CPPUNIT_TEST(proof_of_no_execution_allows_a_retry);
-    CPPUNIT_TEST(a_refusal_is_said_only_when_nothing_may_have_run);
+    CPPUNIT_TEST(a_request_is_refused_only_if_no_attempt_may_have_run);
     CPPUNIT_TEST(a_repeatable_request_runs_as_often_as_its_route_allows);
     CPPUNIT_TEST(no_time_left_ends_it);
     CPPUNIT_TEST(a_resumable_stream_that_broke_off_is_resumed_there);
@@ -51,7 +51,7 @@
         assert_fails(policy, after(policy, attempt_end::may_have_run));
     }
 
-    void a_refusal_is_said_only_when_nothing_may_have_run() {
+    void a_request_is_refused_only_if_no_attempt_may_have_run() {
         retry_policy never_run(true, 2);
         for (std::uint32_t send = 1; send < retry_policy::max_sends_per_round; ++send) {
             CPPUNIT_ASSERT(after(never_run, attempt_end::not_run) == next_step::retry);
