--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST(a_non_repeatable_request_fails_after_its_first_run);
     CPPUNIT_TEST(proof_of_no_execution_allows_a_retry);
     CPPUNIT_TEST(a_request_is_refused_only_if_no_attempt_may_have_run);
-    CPPUNIT_TEST(a_repeatable_request_runs_as_often_as_its_route_allows);
+    CPPUNIT_TEST(a_repeatable_request_stops_at_max_runs);
     CPPUNIT_TEST(no_time_left_ends_it);
     CPPUNIT_TEST(a_resumable_stream_that_broke_off_is_resumed_there);
     CPPUNIT_TEST(a_stream_that_broke_off_is_never_told_as_not_run);
@@ -62,7 +62,7 @@
         assert_fails(possibly_run, after(possibly_run, attempt_end::not_run, duration::zero()));
     }
 
-    void a_repeatable_request_runs_as_often_as_its_route_allows() {
+    void a_repeatable_request_stops_at_max_runs() {
         retry_policy policy(true, 2);
         CPPUNIT_ASSERT(policy.may_retry_run());
         CPPUNIT_ASSERT(after(policy, attempt_end::may_have_run) == next_step::retry);
