--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(proof_of_no_execution_allows_a_retry);
     CPPUNIT_TEST(a_request_is_refused_only_if_no_attempt_may_have_run);
     CPPUNIT_TEST(a_repeatable_request_stops_at_max_runs);
-    CPPUNIT_TEST(no_time_left_ends_it);
+    CPPUNIT_TEST(no_retry_follows_without_time_left);
     CPPUNIT_TEST(a_resumable_stream_that_broke_off_is_resumed_there);
     CPPUNIT_TEST(a_stream_that_broke_off_is_never_told_as_not_run);
     CPPUNIT_TEST(an_answer_that_has_begun_is_followed_only_by_one_that_resumes_it);
@@ -70,7 +70,7 @@
         assert_fails(policy, after(policy, attempt_end::may_have_run));
     }
 
-    void no_time_left_ends_it() {
+    void no_retry_follows_without_time_left() {
         retry_policy policy(true, 3);
         assert_refuses(policy, after(policy, attempt_end::not_sent, duration::zero()));
     }
