--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(a_request_is_refused_only_if_no_attempt_may_have_run);
     CPPUNIT_TEST(a_repeatable_request_stops_at_max_runs);
     CPPUNIT_TEST(no_retry_follows_without_time_left);
-    CPPUNIT_TEST(a_resumable_stream_that_broke_off_is_resumed_there);
+    CPPUNIT_TEST(a_broken_resumable_stream_is_resumed_up_to_the_limit);
     CPPUNIT_TEST(a_stream_that_broke_off_is_never_told_as_not_run);
     CPPUNIT_TEST(an_answer_that_has_begun_is_followed_only_by_one_that_resumes_it);
     CPPUNIT_TEST(full_back_ends_are_asked_again_while_time_is_left);
@@ -75,7 +75,7 @@
         assert_refuses(policy, after(policy, attempt_end::not_sent, duration::zero()));
     }
 
-    void a_resumable_stream_that_broke_off_is_resumed_there() {
+    void a_broken_resumable_stream_is_resumed_up_to_the_limit() {
         retry_policy policy(true, 1, true);
         for (std::uint32_t resume = 0; resume < retry_policy::max_resumes; ++resume) {
             CPPUNIT_ASSERT(after(policy, attempt_end::may_have_run, second, true) ==
