--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(a_repeatable_request_stops_at_max_runs);
     CPPUNIT_TEST(no_retry_follows_without_time_left);
     CPPUNIT_TEST(a_broken_resumable_stream_is_resumed_up_to_the_limit);
-    CPPUNIT_TEST(a_stream_that_broke_off_is_never_told_as_not_run);
+    CPPUNIT_TEST(a_resumed_stream_counts_as_possibly_run);
     CPPUNIT_TEST(an_answer_that_has_begun_is_followed_only_by_one_that_resumes_it);
     CPPUNIT_TEST(full_back_ends_are_asked_again_while_time_is_left);
     CPPUNIT_TEST(what_may_have_run_is_not_sent_again_after_a_pause);
@@ -92,7 +92,7 @@
         assert_fails(not_resumable, after(not_resumable, attempt_end::may_have_run, second, true));
     }
 
-    void a_stream_that_broke_off_is_never_told_as_not_run() {
+    void a_resumed_stream_counts_as_possibly_run() {
         retry_policy policy(true, 1, true);
         CPPUNIT_ASSERT(after(policy, attempt_end::may_have_run, second, true) == next_step::resume);
         CPPUNIT_ASSERT(policy.may_have_run());
