--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(no_retry_follows_without_time_left);
     CPPUNIT_TEST(a_broken_resumable_stream_is_resumed_up_to_the_limit);
     CPPUNIT_TEST(a_resumed_stream_counts_as_possibly_run);
-    CPPUNIT_TEST(an_answer_that_has_begun_is_followed_only_by_one_that_resumes_it);
+    CPPUNIT_TEST(a_started_answer_is_continued_only_if_resumable);
     CPPUNIT_TEST(full_back_ends_are_asked_again_while_time_is_left);
     CPPUNIT_TEST(what_may_have_run_is_not_sent_again_after_a_pause);
     CPPUNIT_TEST(any_pauses_end_before_the_time_does);
@@ -100,7 +100,7 @@
         assert_fails(policy, after(policy, attempt_end::not_run, duration::zero()));
     }
 
-    void an_answer_that_has_begun_is_followed_only_by_one_that_resumes_it() {
+    void a_started_answer_is_continued_only_if_resumable() {
         const auto step = [](attempt_end end, answer_progress answer, bool broke_off) {
             retry_policy policy(true, 3, true);
             return after(policy, end, second, broke_off, answer);
