--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(a_broken_resumable_stream_is_resumed_up_to_the_limit);
     CPPUNIT_TEST(a_resumed_stream_counts_as_possibly_run);
     CPPUNIT_TEST(a_started_answer_is_continued_only_if_resumable);
-    CPPUNIT_TEST(full_back_ends_are_asked_again_while_time_is_left);
+    CPPUNIT_TEST(full_back_ends_are_retried_with_exponential_back_off);
     CPPUNIT_TEST(what_may_have_run_is_not_sent_again_after_a_pause);
     CPPUNIT_TEST(any_pauses_end_before_the_time_does);
     CPPUNIT_TEST(any_attempts_run_no_more_often_than_allowed);
@@ -119,7 +119,7 @@
                        next_step::resume);
     }
 
-    void full_back_ends_are_asked_again_while_time_is_left() {
+    void full_back_ends_are_retried_with_exponential_back_off() {
         retry_policy policy(false, 1);
         for (std::uint32_t send = 1; send < retry_policy::max_sends_per_round; ++send) {
             CPPUNIT_ASSERT(after(policy, attempt_end::not_run) == next_step::retry);
