--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(a_resumed_stream_counts_as_possibly_run);
     CPPUNIT_TEST(a_started_answer_is_continued_only_if_resumable);
     CPPUNIT_TEST(full_back_ends_are_retried_with_exponential_back_off);
-    CPPUNIT_TEST(what_may_have_run_is_not_sent_again_after_a_pause);
+    CPPUNIT_TEST(no_back_off_after_an_attempt_that_may_have_run);
     CPPUNIT_TEST(any_pauses_end_before_the_time_does);
     CPPUNIT_TEST(any_attempts_run_no_more_often_than_allowed);
     CPPUNIT_TEST_SUITE_END();
@@ -130,7 +130,7 @@
         CPPUNIT_ASSERT(!policy.back_off(retry_policy::min_time_after_back_off, 0));
     }
 
-    void what_may_have_run_is_not_sent_again_after_a_pause() {
+    void no_back_off_after_an_attempt_that_may_have_run() {
         retry_policy policy(true, 2);
         CPPUNIT_ASSERT(after(policy, attempt_end::may_have_run) == next_step::retry);
         CPPUNIT_ASSERT(!policy.back_off(second, 0.5));
