--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(a_started_answer_is_continued_only_if_resumable);
     CPPUNIT_TEST(full_back_ends_are_retried_with_exponential_back_off);
     CPPUNIT_TEST(no_back_off_after_an_attempt_that_may_have_run);
-    CPPUNIT_TEST(any_pauses_end_before_the_time_does);
+    CPPUNIT_TEST(back_offs_leave_time_for_an_attempt);
     CPPUNIT_TEST(any_attempts_run_no_more_often_than_allowed);
     CPPUNIT_TEST_SUITE_END();
 
@@ -136,7 +136,7 @@
         CPPUNIT_ASSERT(!policy.back_off(second, 0.5));
     }
 
-    void any_pauses_end_before_the_time_does() {
+    void back_offs_leave_time_for_an_attempt() {
         check_property("pauses are bounded, and leave the time that a try needs", [] {
             retry_policy policy(*rc::gen::arbitrary<bool>(), 1);
             RC_ASSERT(!policy.back_off(second, 0.5));
