--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -19,7 +19,7 @@
     CPPUNIT_TEST(full_back_ends_are_retried_with_exponential_back_off);
     CPPUNIT_TEST(no_back_off_after_an_attempt_that_may_have_run);
     CPPUNIT_TEST(back_offs_leave_time_for_an_attempt);
-    CPPUNIT_TEST(any_attempts_run_no_more_often_than_allowed);
+    CPPUNIT_TEST(runs_never_exceed_max_runs);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr duration second = std::chrono::seconds(1);
@@ -154,7 +154,7 @@
         });
     }
 
-    void any_attempts_run_no_more_often_than_allowed() {
+    void runs_never_exceed_max_runs() {
         check_property("runs stay within the route's bound, and within one where none repeats", [] {
             const bool repeatable = *rc::gen::arbitrary<bool>();
             const auto max_runs = *rc::gen::inRange<std::uint32_t>(1, 5);
