--- a/tests/plane/decisions/silence_suspicion_test.cpp
+++ b/tests/plane/decisions/silence_suspicion_test.cpp
@@ -8,7 +8,7 @@
 
 class silence_suspicion_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(silence_suspicion_test);
-    CPPUNIT_TEST(short_usual_times_leave_the_least_limit);
+    CPPUNIT_TEST(short_first_byte_times_use_the_minimum_limit);
     CPPUNIT_TEST(the_limit_follows_the_usual_time);
     CPPUNIT_TEST(the_oldest_call_without_a_byte_decides);
     CPPUNIT_TEST(calls_that_ended_make_none_suspect);
@@ -28,7 +28,7 @@
         return calls;
     }
 
-    void short_usual_times_leave_the_least_limit() {
+    void short_first_byte_times_use_the_minimum_limit() {
         CPPUNIT_ASSERT(with_mean_first_byte_time(50).limit() == std::chrono::milliseconds(700));
     }
 
