--- a/tests/plane/decisions/silence_suspicion_test.cpp
+++ b/tests/plane/decisions/silence_suspicion_test.cpp
@@ -9,7 +9,7 @@
 class silence_suspicion_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(silence_suspicion_test);
     CPPUNIT_TEST(short_first_byte_times_use_the_minimum_limit);
-    CPPUNIT_TEST(the_limit_follows_the_usual_time);
+    CPPUNIT_TEST(the_limit_follows_the_mean_first_byte_time);
     CPPUNIT_TEST(the_oldest_call_without_a_byte_decides);
     CPPUNIT_TEST(calls_that_ended_make_none_suspect);
     CPPUNIT_TEST_SUITE_END();
@@ -32,7 +32,7 @@
         CPPUNIT_ASSERT(with_mean_first_byte_time(50).limit() == std::chrono::milliseconds(700));
     }
 
-    void the_limit_follows_the_usual_time() {
+    void the_limit_follows_the_mean_first_byte_time() {
         silence_suspicion calls = with_mean_first_byte_time(400);
         CPPUNIT_ASSERT(calls.limit() > std::chrono::milliseconds(1'900));
         CPPUNIT_ASSERT(calls.limit() <= std::chrono::milliseconds(2'000));
