--- a/tests/plane/decisions/silence_suspicion_test.cpp
+++ b/tests/plane/decisions/silence_suspicion_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST(short_first_byte_times_use_the_minimum_limit);
     CPPUNIT_TEST(the_limit_follows_the_mean_first_byte_time);
     CPPUNIT_TEST(the_oldest_call_without_a_byte_decides);
-    CPPUNIT_TEST(calls_that_ended_make_none_suspect);
+    CPPUNIT_TEST(ended_calls_are_not_counted);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant at(int milliseconds) {
@@ -52,7 +52,7 @@
         CPPUNIT_ASSERT(calls.silent(at(701)).empty());
     }
 
-    void calls_that_ended_make_none_suspect() {
+    void ended_calls_are_not_counted() {
         silence_suspicion calls;
         calls.call_started("b", at(0));
         calls.call_started("b", at(0));
