--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -8,7 +8,7 @@
 
 class stop_sequence_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(stop_sequence_test);
-    CPPUNIT_TEST(requests_are_taken_until_the_platform_has_seen_the_stop);
+    CPPUNIT_TEST(requests_are_accepted_until_the_platform_has_seen_the_stop);
     CPPUNIT_TEST(the_last_request_taken_can_end_before_the_cut_off);
     CPPUNIT_TEST(it_goes_as_soon_as_nothing_is_under_way);
     CPPUNIT_TEST(what_never_ends_is_cut_off_before_the_kill);
@@ -21,7 +21,7 @@
     static constexpr duration tick = std::chrono::milliseconds(50);
     static constexpr work_left busy{3, 1};
 
-    void requests_are_taken_until_the_platform_has_seen_the_stop() {
+    void requests_are_accepted_until_the_platform_has_seen_the_stop() {
         stop_sequence stop(requested_at, grace, longest);
         CPPUNIT_ASSERT(stop.next(requested_at, {}) == stop_step::wait);
         CPPUNIT_ASSERT(stop.next(requested_at + stop_sequence::min_accept_time - tick, {}) ==
