--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -9,7 +9,7 @@
 class stop_sequence_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(stop_sequence_test);
     CPPUNIT_TEST(requests_are_accepted_until_the_platform_has_seen_the_stop);
-    CPPUNIT_TEST(the_last_request_taken_can_end_before_the_cut_off);
+    CPPUNIT_TEST(the_last_accepted_request_can_end_before_the_cut_off);
     CPPUNIT_TEST(it_goes_as_soon_as_nothing_is_under_way);
     CPPUNIT_TEST(what_never_ends_is_cut_off_before_the_kill);
     CPPUNIT_TEST(any_grace_leads_to_an_end_after_requests_are_no_longer_taken);
@@ -32,7 +32,7 @@
         CPPUNIT_ASSERT(!stop.accepts_requests());
     }
 
-    void the_last_request_taken_can_end_before_the_cut_off() {
+    void the_last_accepted_request_can_end_before_the_cut_off() {
         stop_sequence stop(requested_at, grace, longest);
         instant now = requested_at;
         while (stop.accepts_requests()) {
