--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(stop_sequence_test);
     CPPUNIT_TEST(requests_are_accepted_until_the_platform_has_seen_the_stop);
     CPPUNIT_TEST(the_last_accepted_request_can_end_before_the_cut_off);
-    CPPUNIT_TEST(it_goes_as_soon_as_nothing_is_under_way);
+    CPPUNIT_TEST(it_finishes_as_soon_as_no_work_is_pending);
     CPPUNIT_TEST(what_never_ends_is_cut_off_before_the_kill);
     CPPUNIT_TEST(any_grace_leads_to_an_end_after_requests_are_no_longer_taken);
     CPPUNIT_TEST_SUITE_END();
@@ -43,7 +43,7 @@
         CPPUNIT_ASSERT(stop.next(now + longest - tick, busy) == stop_step::wait);
     }
 
-    void it_goes_as_soon_as_nothing_is_under_way() {
+    void it_finishes_as_soon_as_no_work_is_pending() {
         stop_sequence stop(requested_at, grace, longest);
         stop.next(requested_at + stop_sequence::max_accept_time, busy);
         CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(4), {0, 1}) ==
