--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST(requests_are_accepted_until_the_platform_has_seen_the_stop);
     CPPUNIT_TEST(the_last_accepted_request_can_end_before_the_cut_off);
     CPPUNIT_TEST(it_finishes_as_soon_as_no_work_is_pending);
-    CPPUNIT_TEST(what_never_ends_is_cut_off_before_the_kill);
+    CPPUNIT_TEST(unfinished_work_is_cut_off_before_the_kill);
     CPPUNIT_TEST(any_grace_leads_to_an_end_after_requests_are_no_longer_taken);
     CPPUNIT_TEST_SUITE_END();
 
@@ -52,7 +52,7 @@
         CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(6), {}) == stop_step::wait);
     }
 
-    void what_never_ends_is_cut_off_before_the_kill() {
+    void unfinished_work_is_cut_off_before_the_kill() {
         stop_sequence stop(requested_at, grace, longest);
         stop.next(requested_at + stop_sequence::max_accept_time, busy);
         const instant kill = requested_at + grace;
