--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(the_last_accepted_request_can_end_before_the_cut_off);
     CPPUNIT_TEST(it_finishes_as_soon_as_no_work_is_pending);
     CPPUNIT_TEST(unfinished_work_is_cut_off_before_the_kill);
-    CPPUNIT_TEST(any_grace_leads_to_an_end_after_requests_are_no_longer_taken);
+    CPPUNIT_TEST(the_listener_closes_before_the_sequence_finishes);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant requested_at{std::chrono::seconds(100)};
@@ -60,7 +60,7 @@
                        stop_step::finish);
     }
 
-    void any_grace_leads_to_an_end_after_requests_are_no_longer_taken() {
+    void the_listener_closes_before_the_sequence_finishes() {
         check_property("a stop takes no more before it finishes",
                        [](std::uint16_t grace_ms, std::uint16_t longest_ms) {
                            stop_sequence stop(requested_at, std::chrono::milliseconds(grace_ms),
