--- a/tests/plane/decisions/time_budget_test.cpp
+++ b/tests/plane/decisions/time_budget_test.cpp
@@ -12,14 +12,14 @@
 
 class time_budget_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(time_budget_test);
-    CPPUNIT_TEST(the_shorter_of_patience_and_route_bounds_a_request);
+    CPPUNIT_TEST(the_shorter_of_caller_and_route_timeout_sets_the_deadline);
     CPPUNIT_TEST(shares_are_of_the_time_left);
     CPPUNIT_TEST(any_wait_or_attempt_ends_by_the_deadline);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant received{seconds(1'000)};
 
-    void the_shorter_of_patience_and_route_bounds_a_request() {
+    void the_shorter_of_caller_and_route_timeout_sets_the_deadline() {
         CPPUNIT_ASSERT(time_budget(received, seconds(2), seconds(9)).deadline() ==
                        received + seconds(2));
         CPPUNIT_ASSERT(time_budget(received, seconds(12), seconds(9)).deadline() ==
