--- a/policies/hobart.lua
+++ b/policies/hobart.lua
@@ -10,10 +10,10 @@
 -- cache as 2,000 where nothing of the call is cached. So a cached history is left only when its engine is
 -- full. The factors are chosen, not measured by themselves.
 function place(call, engine)
-  local busy = engine.outstanding / engine.slots
+  local load = engine.outstanding / engine.slots
   local fill = 2000 * engine.cache_fill
   if engine.cached_tokens > 0 then fill = 0 end
-  return 2 * engine.uncached_tokens + engine.pending_prefill_tokens + 400 * busy + fill
+  return 2 * engine.uncached_tokens + engine.pending_prefill_tokens + 400 * load + fill
 end
 
 -- Value of keeping a history cached: the tokens that it would cost to rebuild.
--- a/policies/huayin.lua
+++ b/policies/huayin.lua
@@ -10,8 +10,8 @@
 -- of that engine, and evicts other histories. A full engine counts as 600 tokens. The factors are chosen, not
 -- measured by themselves.
 function place(call, engine)
-  local busy = engine.outstanding / engine.slots
-  return 4 * engine.uncached_tokens + engine.pending_prefill_tokens + 600 * busy
+  local load = engine.outstanding / engine.slots
+  return 4 * engine.uncached_tokens + engine.pending_prefill_tokens + 600 * load
 end
 
 -- Value of keeping a history cached: long histories of sessions that come back soon are worth most. 1,000 ms
