--- a/policies/hobart.lua
+++ b/policies/hobart.lua
@@ -11,9 +11,9 @@
 -- full. The factors are chosen, not measured by themselves.
 function place(call, engine)
   local load = engine.outstanding / engine.slots
-  local fill = 2000 * engine.cache_fill
-  if engine.cached_tokens > 0 then fill = 0 end
-  return 2 * engine.uncached_tokens + engine.pending_prefill_tokens + 400 * load + fill
+  local cache_cost = 2000 * engine.cache_fill
+  if engine.cached_tokens > 0 then cache_cost = 0 end
+  return 2 * engine.uncached_tokens + engine.pending_prefill_tokens + 400 * load + cache_cost
 end
 
 -- Value of keeping a history cached: the tokens that it would cost to rebuild.
