--- a/policies/platform.lua
+++ b/policies/platform.lua
@@ -5,9 +5,9 @@
 -- than half of a usual call can't end in time any more and go behind, the least late first; 1,000,000 ms is
 -- above any time left. Half: chosen, not measured.
 function order(call)
-  local left = call.time_left_ms
-  if left < call.call_ms / 2 then return 1000000 - left end
-  return left
+  local time_left = call.time_left_ms
+  if time_left < call.call_ms / 2 then return 1000000 - time_left end
+  return time_left
 end
 
 -- Cost of an engine in milliseconds. Reading a prompt stalls every stream of the engine, so it counts several
@@ -30,11 +30,11 @@
 -- up, so it goes before those with time. Against the class's priority alone 0.767, 0.771, 0.867 -> 0.779,
 -- 0.812, 0.900 (docs/design/platform.md); the steps themselves are chosen, not measured.
 function urgency(call)
-  local left = call.time_left_ms
-  if left <= 0 then return 2 end
-  if left < 400 then return 1 end
-  if left < 900 then return 2 end
-  if left < 2000 then return 3 end
-  if left < 5000 then return 4 end
+  local time_left = call.time_left_ms
+  if time_left <= 0 then return 2 end
+  if time_left < 400 then return 1 end
+  if time_left < 900 then return 2 end
+  if time_left < 2000 then return 3 end
+  if time_left < 5000 then return 4 end
   return 5
 end
