--- a/policies/hobart.lua
+++ b/policies/hobart.lua
@@ -1,14 +1,15 @@
--- Hobart: season-long histories stay warm; a call goes where its history is.
+-- Policy of the Hobart deployment: keeps long histories cached and sends each call to the engine
+-- that holds its history.
 
--- Lower goes first: programs in the order in which they began, so that fewer are half done, and
--- their histories in memory, at any time.
+-- Rank of a waiting call, lower first. Oldest programs go first, which keeps the number of
+-- unfinished programs, and of their cached histories, low.
 function order(call)
   return call.started_ms
 end
 
--- Cost of an engine in prompt tokens: what it must read counts twice, a full engine as 400 tokens, a full
--- cache as 2,000 where nothing of the call is cached. So a cached history is left only when its engine is
--- full. The factors are chosen, not measured by themselves.
+-- Cost of sending the call to an engine, in prompt tokens. Uncached tokens count twice, an engine
+-- with all slots taken adds 400 tokens, and a full cache adds 2,000 tokens for a call without
+-- cached tokens. A call therefore leaves its cached history only when that engine is full.
 function place(call, engine)
   local load = engine.outstanding / engine.slots
   local cache_cost = 2000 * engine.cache_fill
@@ -16,7 +17,7 @@
   return 2 * engine.uncached_tokens + engine.pending_prefill_tokens + 400 * load + cache_cost
 end
 
--- Value of keeping a history cached: the tokens that it would cost to rebuild.
+-- Value of keeping a history cached: the number of tokens to recompute without it.
 function retain(program)
   return program.history_tokens
 end
