--- a/tests/plane/decisions/admission_window_test.cpp
+++ b/tests/plane/decisions/admission_window_test.cpp
@@ -72,7 +72,7 @@
     }
 
     void an_idle_window_always_has_capacity() {
-        check_property("an idle node may always run a call", [] {
+        check_property("an idle window always has capacity for a call", [] {
             admission_window window(max_slowdown);
             const int steps = *rc::gen::inRange(1, 300);
             for (int step = 0; step < steps; ++step) {
--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -100,7 +100,7 @@
             CPPUNIT_ASSERT(!reported.is_distrusted("b", end));
             at = end;
         }
-        // The same failure, as another node saw it, is none of its own.
+        // A report of the same failure by another node does not count again.
         CPPUNIT_ASSERT(reported.note("b", at));
         CPPUNIT_ASSERT(!reported.note("b", at + std::chrono::milliseconds(299)));
     }
--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -7,7 +7,7 @@
 using namespace forwarding;
 using scheduling::backend_member;
 
-/// The order of the rules and of the lists that they take candidates from.
+/// Tests the order of the selection rules and of their candidate lists.
 class backend_selection_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_selection_test);
     CPPUNIT_TEST(the_first_send_to_an_engine_uses_placement);
@@ -24,7 +24,7 @@
     static constexpr instant now{std::chrono::seconds(50)};
     static constexpr std::size_t size = 4;
 
-    /// One service of four back ends, and what selects among them.
+    /// A service of four back ends with the dependencies of the selector.
     struct service {
         explicit service(settings::switched_off off = {})
             : selector("zone", scheduling::strategy::policy, std::move(off)) {
--- a/tests/plane/decisions/backend_subset_test.cpp
+++ b/tests/plane/decisions/backend_subset_test.cpp
@@ -102,7 +102,7 @@
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{51}, nodes_by_backend.size());
         for (const auto& [name, count] : nodes_by_backend) {
-            // 20 on the mean.
+            // The mean is 20 nodes for each back end.
             CPPUNIT_ASSERT_MESSAGE(name + " " + std::to_string(count), count >= 7 && count <= 40);
         }
     }
--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -98,7 +98,7 @@
             CPPUNIT_ASSERT_EQUAL(level, ranking.urgency_of(call_with(0, left)));
             before = level;
         }
-        // One that is late already still goes before those with time.
+        // A late program still precedes programs with time to spare.
         CPPUNIT_ASSERT(ranking.urgency_of(call_with(0, -50)) <
                        ranking.urgency_of(call_with(0, 1'500)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, ranking.failures());
--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -120,7 +120,7 @@
     }
 
     void status_503_and_retry_after_mean_not_run() {
-        check_property("503 and Retry-After stand for a request that has not run, alone", [] {
+        check_property("503 and Retry-After are sent exactly for requests that have not run", [] {
             last_attempt last;
             last.answered = *rc::gen::arbitrary<bool>();
             last.client_disconnected = *rc::gen::arbitrary<bool>();
--- a/tests/plane/decisions/request_texts_test.cpp
+++ b/tests/plane/decisions/request_texts_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The texts of outcomes and of attempts' failures: words of log lines, of metrics' labels and of
-/// answers, so they stay.
+/// The texts of outcomes and attempt failures are part of log lines, metric labels and answers, and
+/// must not change.
 
 #include "tallyfold/plane/decisions/attempt_failure.hpp"
 #include "tallyfold/plane/decisions/request_outcome.hpp"
--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -137,7 +137,7 @@
     }
 
     void back_offs_leave_time_for_an_attempt() {
-        check_property("pauses are bounded, and leave the time that a try needs", [] {
+        check_property("back-offs are bounded and leave the time that an attempt needs", [] {
             retry_policy policy(*rc::gen::arbitrary<bool>(), 1);
             RC_ASSERT(!policy.back_off(second, 0.5));
             after(policy, attempt_end::not_run);
@@ -155,7 +155,7 @@
     }
 
     void runs_never_exceed_max_runs() {
-        check_property("runs stay within the route's bound, and within one where none repeats", [] {
+        check_property("repeatable requests run at most max_runs times, others at most once", [] {
             const bool repeatable = *rc::gen::arbitrary<bool>();
             const auto max_runs = *rc::gen::inRange<std::uint32_t>(1, 5);
             retry_policy policy(repeatable, max_runs);
--- a/tests/plane/decisions/silence_suspicion_test.cpp
+++ b/tests/plane/decisions/silence_suspicion_test.cpp
@@ -18,7 +18,8 @@
         return instant(std::chrono::milliseconds(milliseconds));
     }
 
-    /// Answers that took so long each, many enough for the average.
+    /// A detector with enough answers of the given time to the first byte for the average to
+    /// converge.
     static silence_suspicion with_mean_first_byte_time(int milliseconds) {
         silence_suspicion calls;
         for (int count = 0; count < 200; ++count) {
@@ -47,7 +48,7 @@
         calls.call_started("b", at(600));
         CPPUNIT_ASSERT(calls.silent(at(700)).empty());
         CPPUNIT_ASSERT_EQUAL(std::string("b"), calls.silent(at(701)).at(0));
-        // Its oldest call has got a byte, the other waits.
+        // The oldest call has received a byte, the other still waits.
         calls.first_byte_came("b", at(0), at(701));
         CPPUNIT_ASSERT(calls.silent(at(701)).empty());
     }
@@ -60,7 +61,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, calls.silent(at(5'000)).size());
         calls.call_ended("b", at(0));
         CPPUNIT_ASSERT(calls.silent(at(5'000)).empty());
-        // An end that comes twice changes nothing.
+        // Ending a call twice has no effect.
         calls.call_ended("b", at(0));
         CPPUNIT_ASSERT(calls.silent(at(5'000)).empty());
     }
--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -39,7 +39,7 @@
             now += tick;
             stop.next(now, busy);
         }
-        // Whatever was read at the last moment has its whole time before it is cut off.
+        // A request that was read last has its whole time before the cut-off.
         CPPUNIT_ASSERT(stop.next(now + longest - tick, busy) == stop_step::wait);
     }
 
@@ -61,7 +61,7 @@
     }
 
     void the_listener_closes_before_the_sequence_finishes() {
-        check_property("a stop takes no more before it finishes",
+        check_property("the listener closes before the sequence finishes",
                        [](std::uint16_t grace_ms, std::uint16_t longest_ms) {
                            stop_sequence stop(requested_at, std::chrono::milliseconds(grace_ms),
                                               std::chrono::milliseconds(longest_ms));
@@ -75,7 +75,7 @@
                                    return;
                                }
                            }
-                           RC_FAIL("it never finished");
+                           RC_FAIL("the stop sequence did not finish");
                        });
     }
 };
--- a/tests/plane/decisions/time_budget_test.cpp
+++ b/tests/plane/decisions/time_budget_test.cpp
@@ -41,7 +41,7 @@
     }
 
     void any_wait_or_attempt_ends_by_the_deadline() {
-        check_property("no share of the time left reaches beyond the deadline", [] {
+        check_property("waits and attempts end by the deadline", [] {
             const duration caller_timeout = milliseconds(*rc::gen::inRange(1, 60'000));
             const duration route_timeout = milliseconds(*rc::gen::inRange(1, 60'000));
             const time_budget budget(received, caller_timeout, route_timeout);
