--- a/src/tallyfold/plane/decisions/backend_selection.hpp
+++ b/src/tallyfold/plane/decisions/backend_selection.hpp
@@ -109,7 +109,9 @@
                                                  const selection_state& state, bool whole_service,
                                                  instant now) const;
     [[nodiscard]] bool uses_object_affinity(const backend_question& question) const;
-    [[nodiscard]] bool is_disabled(settings::mechanism asked) const { return off_.contains(asked); }
+    [[nodiscard]] bool is_disabled(settings::mechanism mechanism) const {
+        return off_.contains(mechanism);
+    }
 
     std::string zone_;
     scheduling::placement placement_;
