--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(an_ejected_back_end_is_unavailable);
     CPPUNIT_TEST(a_drained_back_end_is_excluded_until_its_address_changes);
     CPPUNIT_TEST(the_strictest_rule_decides);
-    CPPUNIT_TEST(reported_failures_are_common_above_half_of_the_pool);
+    CPPUNIT_TEST(more_than_half_of_the_pool_counts_as_most);
     CPPUNIT_TEST(repeated_failures_double_the_distrust_time);
     CPPUNIT_TEST_SUITE_END();
 
@@ -78,7 +78,7 @@
         CPPUNIT_ASSERT(eligibility(pool, reported) == backend_eligibility::excluded);
     }
 
-    void reported_failures_are_common_above_half_of_the_pool() {
+    void more_than_half_of_the_pool_counts_as_most() {
         const backend_pool pool = pool_of(4);
         reported_failures reported;
         reported.note("b0", now);
