--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -19,7 +19,7 @@
     static constexpr duration grace = std::chrono::seconds(8);
     static constexpr duration longest = std::chrono::seconds(4);
     static constexpr duration tick = std::chrono::milliseconds(50);
-    static constexpr work_left busy{3, 1};
+    static constexpr work_left pending_work{3, 1};
 
     void requests_are_accepted_until_the_platform_has_seen_the_stop() {
         stop_sequence stop(requested_at, grace, longest);
@@ -27,7 +27,7 @@
         CPPUNIT_ASSERT(stop.next(requested_at + stop_sequence::min_accept_time - tick, {}) ==
                        stop_step::wait);
         CPPUNIT_ASSERT(stop.accepts_requests());
-        CPPUNIT_ASSERT(stop.next(requested_at + stop_sequence::max_accept_time, busy) ==
+        CPPUNIT_ASSERT(stop.next(requested_at + stop_sequence::max_accept_time, pending_work) ==
                        stop_step::take_no_more);
         CPPUNIT_ASSERT(!stop.accepts_requests());
     }
@@ -37,15 +37,15 @@
         instant now = requested_at;
         while (stop.accepts_requests()) {
             now += tick;
-            stop.next(now, busy);
+            stop.next(now, pending_work);
         }
         // A request that was read last has its whole time before the cut-off.
-        CPPUNIT_ASSERT(stop.next(now + longest - tick, busy) == stop_step::wait);
+        CPPUNIT_ASSERT(stop.next(now + longest - tick, pending_work) == stop_step::wait);
     }
 
     void it_finishes_as_soon_as_no_work_is_pending() {
         stop_sequence stop(requested_at, grace, longest);
-        stop.next(requested_at + stop_sequence::max_accept_time, busy);
+        stop.next(requested_at + stop_sequence::max_accept_time, pending_work);
         CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(4), {0, 1}) ==
                        stop_step::wait);
         CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(5), {}) == stop_step::finish);
@@ -54,9 +54,9 @@
 
     void unfinished_work_is_cut_off_before_the_kill() {
         stop_sequence stop(requested_at, grace, longest);
-        stop.next(requested_at + stop_sequence::max_accept_time, busy);
+        stop.next(requested_at + stop_sequence::max_accept_time, pending_work);
         const instant kill = requested_at + grace;
-        CPPUNIT_ASSERT(stop.next(kill - stop_sequence::reserve_before_kill, busy) ==
+        CPPUNIT_ASSERT(stop.next(kill - stop_sequence::reserve_before_kill, pending_work) ==
                        stop_step::finish);
     }
 
@@ -68,7 +68,7 @@
                            bool closed = false;
                            for (instant now = requested_at;
                                 now < requested_at + std::chrono::seconds(80); now += tick) {
-                               const stop_step step = stop.next(now, busy);
+                               const stop_step step = stop.next(now, pending_work);
                                RC_ASSERT(step != stop_step::finish || closed);
                                closed = closed || step == stop_step::take_no_more;
                                if (step == stop_step::finish) {
