--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -17,12 +17,12 @@
 
     static constexpr instant requested_at{std::chrono::seconds(100)};
     static constexpr duration grace = std::chrono::seconds(8);
-    static constexpr duration longest = std::chrono::seconds(4);
+    static constexpr duration longest_request = std::chrono::seconds(4);
     static constexpr duration tick = std::chrono::milliseconds(50);
     static constexpr work_left pending_work{3, 1};
 
     void requests_are_accepted_until_the_platform_has_seen_the_stop() {
-        stop_sequence stop(requested_at, grace, longest);
+        stop_sequence stop(requested_at, grace, longest_request);
         CPPUNIT_ASSERT(stop.next(requested_at, {}) == stop_step::wait);
         CPPUNIT_ASSERT(stop.next(requested_at + stop_sequence::min_accept_time - tick, {}) ==
                        stop_step::wait);
@@ -33,18 +33,18 @@
     }
 
     void the_last_accepted_request_can_end_before_the_cut_off() {
-        stop_sequence stop(requested_at, grace, longest);
+        stop_sequence stop(requested_at, grace, longest_request);
         instant now = requested_at;
         while (stop.accepts_requests()) {
             now += tick;
             stop.next(now, pending_work);
         }
         // A request that was read last has its whole time before the cut-off.
-        CPPUNIT_ASSERT(stop.next(now + longest - tick, pending_work) == stop_step::wait);
+        CPPUNIT_ASSERT(stop.next(now + longest_request - tick, pending_work) == stop_step::wait);
     }
 
     void it_finishes_as_soon_as_no_work_is_pending() {
-        stop_sequence stop(requested_at, grace, longest);
+        stop_sequence stop(requested_at, grace, longest_request);
         stop.next(requested_at + stop_sequence::max_accept_time, pending_work);
         CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(4), {0, 1}) ==
                        stop_step::wait);
@@ -53,7 +53,7 @@
     }
 
     void unfinished_work_is_cut_off_before_the_kill() {
-        stop_sequence stop(requested_at, grace, longest);
+        stop_sequence stop(requested_at, grace, longest_request);
         stop.next(requested_at + stop_sequence::max_accept_time, pending_work);
         const instant kill = requested_at + grace;
         CPPUNIT_ASSERT(stop.next(kill - stop_sequence::reserve_before_kill, pending_work) ==
