--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -65,12 +65,12 @@
                        [](std::uint16_t grace_ms, std::uint16_t longest_ms) {
                            stop_sequence stop(requested_at, std::chrono::milliseconds(grace_ms),
                                               std::chrono::milliseconds(longest_ms));
-                           bool closed = false;
+                           bool listener_closed = false;
                            for (instant now = requested_at;
                                 now < requested_at + std::chrono::seconds(80); now += tick) {
                                const stop_step step = stop.next(now, pending_work);
-                               RC_ASSERT(step != stop_step::finish || closed);
-                               closed = closed || step == stop_step::take_no_more;
+                               RC_ASSERT(step != stop_step::finish || listener_closed);
+                               listener_closed = listener_closed || step == stop_step::take_no_more;
                                if (step == stop_step::finish) {
                                    return;
                                }
