--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -91,12 +91,12 @@
     void the_shipped_policy_puts_the_least_time_left_first() {
         call_ranking ranking;
         CPPUNIT_ASSERT(ranking.use(shipped_policy()).has_value());
-        std::int32_t before = call_ranking::most_urgent;
+        std::int32_t previous_level = call_ranking::most_urgent;
         for (const double left : {100.0, 500.0, 1'500.0, 3'000.0, 9'000.0}) {
             const std::int32_t level = ranking.urgency_of(call_with(1, left));
-            CPPUNIT_ASSERT(level > before);
+            CPPUNIT_ASSERT(level > previous_level);
             CPPUNIT_ASSERT_EQUAL(level, ranking.urgency_of(call_with(0, left)));
-            before = level;
+            previous_level = level;
         }
         // A late program still precedes programs with time to spare.
         CPPUNIT_ASSERT(ranking.urgency_of(call_with(0, -50)) <
