--- a/src/tallyfold/plane/decisions/call_ranking.cpp
+++ b/src/tallyfold/plane/decisions/call_ranking.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 std::int32_t clamped_level(double rank) {
-    const double bounded = std::clamp(rank, static_cast<double>(call_ranking::most_urgent),
-                                      static_cast<double>(call_ranking::least_urgent));
-    return static_cast<std::int32_t>(std::lround(bounded));
+    const double clamped_rank = std::clamp(rank, static_cast<double>(call_ranking::most_urgent),
+                                           static_cast<double>(call_ranking::least_urgent));
+    return static_cast<std::int32_t>(std::lround(clamped_rank));
 }
 
 }  // namespace
