--- a/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Places in the queue's priority between two priorities of tenants. Above the number of routes'
-/// priorities, so that the tenant's decides first.
+/// Weight of one tenant priority level. Exceeds the range of route priorities, so that the tenant
+/// priority takes precedence.
 constexpr std::int32_t route_priorities = 1'000;
 
 }  // namespace
@@ -23,7 +23,7 @@
     const instant arrived = http::steady_now();
     scheduling::queued_call call;
     call.id = next_ticket_++;
-    // The queue's greatest priority goes first, the tenant's and the route's least.
+    // In call_queue the highest value goes first; in tenant and route priorities the lowest.
     call.priority = -(rank.tenant_priority * route_priorities + rank.priority);
     call.rank = rank.rank;
     call.arrived = arrived;
--- a/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Where the calls of one service wait until the node may send a further one. Owns their order and
-/// their timers; admission_window decides how many run, scheduling::call_queue who goes next. Used
-/// by request_relay, adjusted by the forwarder. Belongs to the loop thread.
+/// Queue of one service's calls that wait for admission on this node. Owns the queue and the wait
+/// timers; admission_window limits the running calls, scheduling::call_queue orders the waiting
+/// ones. Used by send_loop, adjusted by the forwarder, on the loop thread only.
 
 #include <asio/awaitable.hpp>
 #include <asio/io_context.hpp>
@@ -15,49 +15,49 @@
 
 namespace tallyfold::forwarding {
 
-/// How a call ranks among those that wait.
+/// Sort key of a waiting call.
 struct waiting_rank {
-    /// Of its tenant: 0 goes first, before the route's.
+    /// Priority of the tenant, compared first; 0 is the highest.
     std::int32_t tenant_priority = 0;
-    /// Priority of its route: 0 goes first.
+    /// Priority of the route; 0 is the highest.
     std::int32_t priority = 0;
-    /// From the policy; lower goes first within a priority.
+    /// Rank from the policy; within one priority the lowest goes first.
     double rank = 0;
 };
 
 class admission_queue {
   public:
-    /// @param max_slowdown times slower than idle that the engines may work; 0 lets every call in
+    /// @param max_slowdown maximum slowdown of the engines relative to idle; 0 disables the limit
     admission_queue(asio::io_context& loop, double max_slowdown)
         : loop_(loop), window_(max_slowdown), open_(max_slowdown <= 0) {}
 
-    /// Waits for capacity, at most `longest`: then the call goes all the same, since the rest of
-    /// its time is needed to answer it. leave() has to follow.
+    /// Waits for capacity, at most `longest`. After that the call is admitted regardless, because
+    /// the remaining time is needed to answer it. Each enter() must be paired with a leave().
     /// @return the time waited
     asio::awaitable<duration> enter(waiting_rank rank, duration longest);
-    /// True when a call would go at once.
+    /// True when a call would be admitted without waiting.
     [[nodiscard]] bool admits_at_once() const {
         return open_ || (queue_.size() == 0 && window_.has_capacity());
     }
-    /// A call that enter() let go has ended, or waits for a pause before it is sent again.
+    /// Releases an admitted call's slot, when the call has ended or backs off before a retry.
     void leave();
-    /// Every back end has rejected a call for lack of capacity.
+    /// Reports that every back end rejected a call for lack of capacity.
     void rejected();
-    /// Follows the engines' pace; to be called each admission_window::interval.
+    /// Adjusts the window to the engines' slowdown; to be called every admission_window::interval.
     void adjust(double slowdown);
 
     [[nodiscard]] std::size_t waiting() const { return queue_.size(); }
     [[nodiscard]] const admission_window& window() const { return window_; }
 
   private:
-    /// Lets waiting calls go while the window has capacity.
+    /// Admits waiting calls while the window has capacity.
     void admit();
 
     asio::io_context& loop_;
     admission_window window_;
     bool open_;
     scheduling::call_queue queue_;
-    /// One for each waiting call; cancelled when it may go, expired when it has waited for long.
+    /// Timer of each waiting call: cancelled on admission, expires at the maximum wait.
     std::map<scheduling::ticket, std::shared_ptr<asio::steady_timer>> timers_;
     scheduling::ticket next_ticket_ = 1;
 };
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Answers up to this many bytes are relayed whole, so that one that breaks off can be tried again.
-/// Chosen, not measured: holds the lookups' answers, and bounds what a request keeps in memory.
+/// Maximum size in bytes of an answer that is buffered before it is relayed, so that the request
+/// can be retried if the answer breaks off. Bounds the memory of one request.
 constexpr std::uint64_t max_whole_answer = 64U << 10U;
 
 bool is_success(const http::message_head& head) {
@@ -22,7 +22,7 @@
            (head.framing == http::body_framing::length && head.content_length <= max_whole_answer);
 }
 
-/// The connection failed inside the answer's body.
+/// Result of an attempt whose connection failed inside the answer's body.
 attempt_result broken_body(http::io_failure failure) {
     attempt_result result;
     result.end = attempt_end::may_have_run;
@@ -75,7 +75,7 @@
     if (request_.service.is_engine && !request_.facts.prompt.empty()) {
         held.engine = backend;
         held.points = request_.facts.prompt;
-        // What has been generated so far is held after the prompt's last part.
+        // The engine caches the generated tokens after the last part of the prompt.
         held.points.back().tokens += generated_tokens();
     }
     return held;
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// The way of back ends' answers to one caller, over all attempts of its request: small answers
-/// whole, so that one that breaks off can be tried again; streams as they come. A stream of whole
-/// events may be resumed by a further answer. Settles the turn before its answer ends. Belongs to
-/// the loop thread.
+/// Relays back ends' answers to one caller, over all attempts of its request. Small answers are
+/// buffered, so that the request can be retried if one breaks off; others are streamed. An event
+/// stream of a resumable route may be continued by a further attempt. Settles the turn before the
+/// end of its answer is written. Used on the loop thread only.
 
 #include <asio/awaitable.hpp>
 #include <string>
@@ -20,50 +20,54 @@
 
 class answer_relay {
   public:
-    /// @param request, `caller` and `turn` have to outlive the relay
-    /// @param turn null for a request that is none
+    /// @param request, `caller` and `turn` must outlive the relay
+    /// @param turn null when the request is not a turn of a program
     answer_relay(forwarder_context& context, const forwarded_request& request,
                  caller_channel& caller, turn_session* turn);
 
-    /// A back end has begun an answer that will be relayed.
+    /// Records status and first-byte time of an answer that is about to be relayed.
     void note_first_byte(unsigned status, instant now);
-    /// Relays the answer whose head `connection` has read.
-    /// @param backend gives it
-    /// @param until an answer that is relayed whole may take so long
+    /// Relays the answer whose head was read from `connection`.
+    /// @param backend that answers
+    /// @param until deadline of a buffered answer; streams have the request's deadline
     asio::awaitable<attempt_result> relay(http::connection_pointer connection, backend_name backend,
                                           instant until);
-    /// Tells the engines' learned pace of a call that was answered whole. @param sent when
+    /// Adds a completely answered call to the pace statistics of its engine service.
+    /// @param sent when the call was sent
     void learn_pace(instant sent, instant now);
 
     [[nodiscard]] answer_progress progress() const;
-    /// True when the caller has a part of an answer and gets no more.
+    /// True when the caller received only a part of an answer.
     [[nodiscard]] bool cut_short() const { return started_ && !whole_; }
-    /// Of the last answer that was relayed; 0 for none.
+    /// Status of the last relayed answer; 0 without one.
     [[nodiscard]] unsigned status() const { return status_; }
-    /// From the request's last byte to the answer's first; zero without an answer.
+    /// Time from the request's last byte to the answer's first byte; zero without an answer.
     [[nodiscard]] duration first_byte() const { return first_byte_; }
     [[nodiscard]] std::uint64_t events() const { return events_.events(); }
-    /// Identifier of the last event that the caller has; empty without one.
+    /// Identifier of the last event relayed to the caller; empty without one.
     [[nodiscard]] const std::string& last_event() const { return passed_.last_id(); }
     [[nodiscard]] token_count generated_tokens() const;
-    /// What an engine that reads and answers the request holds of it now; empty for other services.
+    /// Prefixes of the request and its answer that an engine has cached by now; empty for services
+    /// that aren't engines.
     [[nodiscard]] turns::cached_prompt held_by(const backend_name& backend) const;
 
   private:
     asio::awaitable<attempt_result> relay_whole(http::connection_pointer connection, instant until);
     asio::awaitable<attempt_result> relay_stream(http::connection_pointer connection,
                                                  backend_name backend);
-    /// Makes ready for a back end's stream. @return the head, when it is the caller's first
+    /// Prepares for the stream of one attempt. @return the head to write; empty when the caller has
+    /// already received one
     std::string begin_stream(const http::message_head& head);
-    /// The piece in the form in which the caller's answer is framed.
-    /// @param complete it is the last one
+    /// Frames a piece of the body for the caller.
+    /// @param complete true for the last piece
     [[nodiscard]] std::string render_piece(const std::string& piece, bool complete) const;
-    /// Leaves of a piece what the caller can have now. @return false when an event is missing
+    /// Reduces a piece to complete events that the caller doesn't have yet.
+    /// @return false when an event is missing in the stream
     bool keep_whole_events(std::string& piece, bool complete);
-    /// Counts the piece's events.
+    /// Counts the events of a piece and updates the engine's pace.
     void learn_events(const std::string& piece, const backend_name& backend);
-    /// Makes the end of the turn durable, if one is open. @return false when that failed
-    /// @param backend has to outlive the call
+    /// Stores the end of the turn durably, if one is open. @return false when that failed
+    /// @param backend must outlive the call
     asio::awaitable<bool> settle_turn(const backend_name& backend);
 
     forwarder_context& context_;
@@ -71,12 +75,12 @@
     caller_channel& caller_;
     turn_session* turn_;
     http::event_stream_reader events_;
-    /// What of a resumable stream the caller has.
+    /// Complete events of a resumable stream that were relayed to the caller.
     http::whole_events passed_;
     stream_pace pace_;
     bool started_ = false;
     bool whole_ = false;
-    /// The caller's answer has chunks, as its first back end's had.
+    /// True when the caller's answer is chunked; determined by the first relayed head.
     bool chunked_ = true;
     unsigned status_ = 0;
     duration first_byte_{};
--- a/src/tallyfold/plane/forwarding/answer_rendering.cpp
+++ b/src/tallyfold/plane/forwarding/answer_rendering.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Seconds, to the millisecond, as header fields hold them.
+/// Renders a duration in seconds with up to three decimals.
 std::string render_seconds(duration value) {
     const std::int64_t milliseconds = to_milliseconds(value);
     std::string decimals = std::to_string(milliseconds % 1'000);
--- a/src/tallyfold/plane/forwarding/answer_rendering.hpp
+++ b/src/tallyfold/plane/forwarding/answer_rendering.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Bytes that a forwarder writes to callers: answers of its own, and heads and chunks of the back
-/// ends' answers that it relays. Pure. Callers' programs read them, so their form stays.
+/// Renders the bytes written to callers: the forwarder's own answers, and heads and chunks of
+/// relayed answers. Does no I/O. The format is part of the interface to callers.
 
 #include <cstdint>
 #include <string>
@@ -11,31 +11,31 @@
 
 namespace tallyfold::forwarding {
 
-/// Bytes of a whole answer of the forwarder's own, with the reason as JSON.
-/// @param again its Retry-After, in seconds to the millisecond; left out for never()
+/// Renders a complete answer of the forwarder with the reason as JSON body.
+/// @param again value of Retry-After, in seconds with decimals; omitted for never()
 /// @param keep_alive false adds Connection: close
 std::string render_own_answer(unsigned status, const std::string& reason, retry_after again,
                               bool keep_alive);
 
-/// How the body of a relayed answer is framed.
+/// Framing of the body of a relayed answer.
 struct relayed_framing {
-    /// False: the head tells its length.
+    /// False when the head has a Content-Length.
     bool chunked = false;
-    /// Bytes; only where it isn't chunked.
+    /// Content-Length in bytes; unused when chunked.
     std::uint64_t length = 0;
-    /// A head without any body.
+    /// True for an answer that has no body by definition, and so no framing fields.
     bool bodiless = false;
 };
 
-/// Head of a back end's answer as the caller gets it: status and header fields unchanged, but for
-/// those that frame the body or concern one connection only.
+/// Renders the head of a relayed answer. Status and header fields are unchanged, except hop-by-hop
+/// fields and those that frame the body.
 std::string render_relayed_head(const http::message_head& head, const relayed_framing& framing,
                                 bool keep_alive);
 
-/// One chunk of a chunked body.
-/// @param bytes not empty: an empty chunk would end the body
+/// Renders one chunk of a chunked body.
+/// @param bytes must not be empty: an empty chunk would end the body
 std::string render_chunk(const std::string& bytes);
-/// Ends a chunked body.
+/// Last chunk, which ends a chunked body.
 constexpr const char* last_chunk = "0\r\n\r\n";
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/attempt_result.hpp
+++ b/src/tallyfold/plane/forwarding/attempt_result.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// How one attempt at a back end ended. Pure.
+/// Result of one attempt at a back end.
 
 #include "tallyfold/plane/decisions/attempt_failure.hpp"
 #include "tallyfold/plane/decisions/retry_policy.hpp"
@@ -9,11 +9,11 @@
 
 struct attempt_result {
     attempt_end end = attempt_end::not_sent;
-    /// Means nothing of an attempt that was answered.
+    /// Meaningless when the attempt was answered.
     attempt_failure failure = {};
-    /// The attempt's time was over; the back end may still work on it.
+    /// The attempt reached its deadline; the back end may still be processing the request.
     bool timed_out = false;
-    /// The back end's connection was closed: it doesn't work on the request any more.
+    /// The back end closed the connection, so it no longer processes the request.
     bool broke_off = false;
 };
 
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -8,13 +8,12 @@
 
 namespace {
 
-/// Bytes. Chosen, not measured: four times what callers' heads may have by default.
+/// Maximum size of an answer's head in bytes.
 constexpr std::size_t max_answer_head = 64U << 10U;
-/// Answers to other requests that may stand before the one that is due. Chosen, not measured: a
-/// back end that answered twice is borne, one that lost its place is not.
+/// Maximum number of answers to other requests that are skipped before the expected one.
+/// Tolerates duplicate answers, but not a connection that is out of sync.
 constexpr int max_surplus_answers = 2;
-/// Time that an answer which isn't relayed may take to its end. Chosen, not measured: rejections
-/// are short, and a new connection costs less than a longer wait.
+/// Time limit for reading the rest of a rejection. A new connection costs less than a longer wait.
 constexpr duration drain_limit = std::chrono::milliseconds(20);
 
 }  // namespace
@@ -55,7 +54,7 @@
     }
     opened = std::make_shared<http::connection>(asio::ip::tcp::socket(context_.process.loop()),
                                                 http::message_kind::response, max_answer_head);
-    // Before it is connected, so that abort() ends the wait.
+    // Set before connecting, so that abort() cancels a pending connect.
     connection_ = opened;
     context_.metrics.connected();
     const instant limit = request_.budget.connect_deadline(now);
@@ -93,7 +92,7 @@
     }
     std::string bytes = render_request(time_left);
     const instant until = request_.budget.attempt_deadline(now, order_.leaves_time);
-    // From here on bytes may have left.
+    // From here on the back end may have received the request.
     result.end = attempt_end::may_have_run;
     const auto written = co_await connection_->write(std::move(bytes), until);
     if (!written) {
@@ -130,7 +129,7 @@
         if (facts.request == request_.facts.request && connection_->head().status >= 200) {
             co_return true;
         }
-        // An answer to another request stands in the place of the one due.
+        // Skips an answer to another request.
         if (!co_await drain_body(until)) {
             result.failure.kind = failure_kind::surplus_answer;
             co_return false;
@@ -161,7 +160,7 @@
         co_return result;
     }
     result.failure.kind = failure_kind::not_executed;
-    // Full back ends reject many requests: a connection that is kept saves both ends a new one.
+    // A full back end rejects many requests; reusing the connection avoids reconnecting for each.
     const instant until = http::steady_now() + drain_limit;
     const bool drained = co_await drain_body(until);
     if (drained) {
@@ -178,7 +177,7 @@
     const unsigned status = connection_->head().status;
     const bool success = status / 100 == 2;
     if (answer_.progress() != answer_progress::none && !success) {
-        // The caller has the head of the first answer: this one can't follow it.
+        // The caller already has the head of a successful answer, so an error can't be relayed.
         result.failure.kind = failure_kind::resume_refused;
         connection_->abort();
         co_return result;
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// One attempt of a request at one back end: opens a connection, sends the request, finds the
-/// answer that is this request's own, and has it relayed. Tells the registry of back ends what the
-/// attempt shows of the back end. Belongs to the loop thread.
+/// One attempt of a request at one back end: opens a connection, sends the request, reads the
+/// matching answer and passes it to answer_relay. Reports the outcome to backend_registry. Used on
+/// the loop thread only.
 
 #include <asio/awaitable.hpp>
 #include <string>
@@ -14,48 +14,51 @@
 
 namespace tallyfold::forwarding {
 
-/// What one attempt is to do.
+/// Parameters of one attempt.
 struct attempt_order {
     chosen_backend backend;
-    /// Level at which engines rank the request; 0 goes first.
+    /// Priority level of the request at engines; 0 is the highest.
     std::int32_t urgency = 0;
-    /// A part of the request's time is to be left for a further attempt.
+    /// Reserves a part of the request's time for a further attempt.
     bool leaves_time = false;
 };
 
 class backend_attempt {
   public:
-    /// @param request, `caller` and `answer` have to outlive the attempt
+    /// @param request, `caller` and `answer` must outlive the attempt
     backend_attempt(forwarder_context& context, const forwarded_request& request,
                     caller_channel& caller, answer_relay& answer, attempt_order order);
 
-    /// To be called once.
+    /// Runs the attempt. Must be called at most once.
     asio::awaitable<attempt_result> run();
-    /// Ends it from outside: nobody waits for the answer any more.
+    /// Cancels a running attempt by aborting its connection.
     void abort();
 
   private:
-    /// @return null when no connection could be had: the result says why
+    /// Takes an idle connection from the pool or opens a new one.
+    /// @return null on failure; `result` holds the reason
     asio::awaitable<http::connection_pointer> open(attempt_result& result);
-    /// Sends the request over the open connection and deals with the answer.
+    /// Sends the request over the open connection and handles the answer.
     asio::awaitable<attempt_result> exchange();
     [[nodiscard]] std::string render_request(duration time_left) const;
-    /// Reads answers until one is this request's own. @return false when none came
+    /// Reads answer heads until one matches this request. @return false when none did; `result`
+    /// holds the reason
     asio::awaitable<bool> read_matching_head(instant until, answer_facts& facts,
                                              attempt_result& result);
-    /// Reads the rest of an answer that isn't relayed. @return false when it broke off
+    /// Reads and discards the rest of an answer. @return false when reading failed
     asio::awaitable<bool> drain_body(instant until);
-    /// The back end proved that it did not run the request.
+    /// Handles an answer which proves that the back end did not run the request.
     asio::awaitable<attempt_result> take_rejection(answer_facts facts);
-    /// Relays an answer that says that the request was run.
+    /// Relays an answer to a request that may have run.
     asio::awaitable<attempt_result> take_answer(answer_facts facts, instant until);
     void finish_answered(const answer_facts& facts);
-    /// Keeps the connection for a further request where both ends allow it.
+    /// Returns the connection to the pool if it is reusable, and closes it otherwise.
     void keep_connection(const answer_facts& facts);
-    /// No answer came: gives the connection up, and tells other nodes of one that was closed.
+    /// Aborts the connection after an attempt without an answer. Reports a connection that the back
+    /// end closed to the directory, which relays the failure to other nodes.
     void give_up_connection(attempt_result& result);
     void note_failure();
-    /// Tells the registry what the engine holds of the request now.
+    /// Records in the registry which prefixes of the request the engine has cached.
     void note_held_prompt();
 
     forwarder_context& context_;
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// The back ends of all services as one node sees them: members, calls under way, failures, pace,
-/// cached prompts. Pure. Owns the state; plane/decisions chooses by it (backend_selection) and says
-/// whom to distrust (backend_distrust). Belongs to the loop thread.
+/// State of the back ends of all services on one node: members, running calls, failures, pace and
+/// cached prompts. Does no I/O. Owns the state; the rules are in plane/decisions
+/// (backend_selection, backend_distrust). Used on the loop thread only.
 
 #include <map>
 #include <optional>
@@ -18,75 +18,75 @@
 
 namespace tallyfold::forwarding {
 
-/// One call under way at a back end, from started() to finished().
+/// One call running at a back end, from started() to finished().
 struct backend_call {
     std::string service;
     backend_name backend;
     instant since{};
-    /// Prompt tokens that the engine still has to read for it.
+    /// Prompt tokens that the engine has not cached and has to prefill.
     token_count unread_tokens = 0;
     bool awaits_first_byte = true;
 };
 
 class backend_registry {
   public:
-    /// @param seed differs from node to node, so that their choices do
-    /// @param off what is switched off for a measurement
+    /// @param seed must differ between nodes, so that their choices differ
+    /// @param off mechanisms disabled for measurements
     backend_registry(std::string zone, std::uint64_t seed,
                      scheduling::strategy chosen = scheduling::strategy::policy,
                      settings::switched_off off = {});
 
-    /// Takes the whole list as it stands. @return true when it differs from the one before
+    /// Replaces the list of back ends. @return true when it differs from the previous one
     bool update(const std::vector<discovery::listed_backend>& backends, instant now);
-    /// The back end for a call, by the rules of backend_selection.
-    /// @return nothing when no back end of the service may be given the call
+    /// Selects a back end for a call by the rules of backend_selection.
+    /// @return nothing when no back end of the service is eligible
     std::optional<chosen_backend> choose(const backend_question& question, instant now);
 
-    /// Books a call where it was placed: the part of its prompt that the back end doesn't hold has
-    /// to be read there.
+    /// Registers a call at the chosen back end. The uncached part of its prompt counts as pending
+    /// prefill work there until the first byte.
     backend_call started(const std::string& service, const chosen_backend& chosen,
                          token_count prompt_tokens, instant now);
-    /// The first byte of the call's answer is here.
+    /// Records the first byte of the call's answer.
     void first_byte_came(backend_call& call, instant now);
-    /// The call has ended, however.
+    /// Records the end of the call, whether it succeeded or failed.
     void finished(backend_call& call);
-    /// Ejects back ends by silence suspicion. @return those that were available before
+    /// Ejects back ends by silence suspicion. @return the newly ejected ones
     std::vector<backend_name> suspect_silent(instant now);
-    /// Outlier ejection: a call has ended well, has failed, found nothing that accepts connections.
+    /// Input to outlier ejection: a call succeeded, failed, or could not connect.
     void succeeded(const std::string& service, const backend_name& name);
     void failed(const std::string& service, const backend_name& name, instant now);
     void unreachable(const std::string& service, const backend_name& name, instant now);
-    /// Reported failures: the back end broke a call off before any byte of its answer, at this node
-    /// or another.
-    /// @return its address when the failure isn't known yet; empty otherwise
+    /// Records that the back end closed a connection before the first byte of an answer, on this or
+    /// another node.
+    /// @return its address when the failure is new; empty otherwise
     std::string note_broken_connection(const backend_name& name, instant at);
-    /// The back end's incarnation was replaced, whatever the list says: it gets no call until the
-    /// list names a new address.
+    /// Drains a back end whose incarnation was replaced. It gets no calls until the list contains a
+    /// new address for it.
     void incarnation_replaced(const std::string& service, const backend_name& name);
-    /// The engine holds the parts of a prompt now: it has read them, or made them.
+    /// Records that the engine has cached these prefixes of a prompt, read or generated.
     void note_cached(const backend_name& name, const std::vector<scheduling::prefix_point>& prompt);
 
-    /// How quickly the engines of a service work.
+    /// Pace statistics of a service's engines.
     [[nodiscard]] scheduling::engine_pace& pace_of(const std::string& service) {
         return state_of(service).pace;
     }
-    /// 0 to 1, evenly.
+    /// Uniform random number from 0 to 1.
     [[nodiscard]] double draw_jitter() { return random_.unit(); }
-    /// When the list in force was seen.
+    /// Time of the last update of the list.
     [[nodiscard]] instant listed_at() const { return listed_at_; }
-    /// False until the first list has come.
+    /// True after the first update of the list.
     [[nodiscard]] bool has_list() const { return has_list_; }
 
   private:
-    /// Prefixes that are remembered. Chosen, not measured: at some hundred bytes each a few MB.
+    /// Capacity of the map of cached prefixes; at a few hundred bytes each, several MB.
     static constexpr std::size_t max_cached_prefixes = 20'000;
 
-    /// What is known of one service's back ends.
+    /// State of one service's back ends.
     struct service_state {
         explicit service_state(std::uint64_t node_key) : subset(node_key) {}
 
         scheduling::backend_pool pool;
-        /// Back ends that this node keeps to.
+        /// Subset of the back ends that this node prefers.
         backend_subset subset;
         scheduling::engine_pace pace;
         silence_suspicion silence;
@@ -96,15 +96,15 @@
     [[nodiscard]] const scheduling::backend_state* find(const backend_name& name) const;
     [[nodiscard]] bool is_disabled(settings::mechanism asked) const { return off_.contains(asked); }
 
-    /// Key of this node's subsets.
+    /// Key by which this node's subsets are chosen.
     std::uint64_t node_key_;
     random_source random_;
     settings::switched_off off_;
     backend_selector selector_;
-    /// The list in force, by service.
+    /// Current list of back ends by service.
     std::map<std::string, std::vector<scheduling::backend_member>> listed_;
     std::map<std::string, service_state> services_;
-    /// Prefixes of prompts that engines of all services hold.
+    /// Prompt prefixes cached by the engines of all services.
     scheduling::cache_map cache_{max_cached_prefixes};
     reported_failures reported_;
     instant listed_at_{};
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -8,9 +8,8 @@
 
 namespace {
 
-/// A node that may be behind waits this long for a newer configuration before it says that there
-/// is no such route or key: the time of two questions to directory nodes, the second of which is
-/// asked after 50 ms (docs/design/configuration-spread.md). Far above a round trip between zones.
+/// Maximum wait for a newer configuration before an unknown route or key is refused. Covers two
+/// queries to directory nodes, the second of which is sent after 50 ms.
 constexpr duration refresh_limit = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -76,7 +75,7 @@
     }
     const instant began = http::steady_now();
     const bool confirmed = co_await refresh_table();
-    // The route may be another one in the newer configuration, or gone.
+    // The refresh may have changed or removed the route.
     std::optional<own_answer> without_route = co_await find_route();
     if (without_route) {
         co_return without_route;
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// The first stage of a request: by which route it goes, who calls, and whether the tenant's limit
-/// lets it in. Asks the directory and the lender of permits; decisions/own_answer says how it is
-/// refused. Belongs to the loop thread.
+/// First stage of a request: finds its route and tenant and enforces the tenant's rate limit.
+/// Queries the directory and the quota service; decisions/own_answer defines the answers to refused
+/// requests. Used on the loop thread only.
 
 #include <asio/awaitable.hpp>
 #include <memory>
@@ -16,39 +16,40 @@
 
 class caller_admission {
   public:
-    /// @param head and `facts` have to outlive the admission
+    /// @param head and `facts` must outlive the admission
     caller_admission(forwarder_context& context, const http::message_head& head,
                      const request_facts& facts);
 
-    /// Finds the route and the tenant. @return the answer of a request that is refused
+    /// Finds the route and the tenant. @return the answer when the request is refused
     asio::awaitable<std::optional<own_answer>> identify();
-    /// Takes a permit of a tenant that has a limit. @return the answer of a request that is refused
+    /// Acquires a permit if the tenant is limited. @return the answer when the request is refused
     asio::awaitable<std::optional<own_answer>> take_permit(tenants::permit_need need);
-    /// Gives the permit of a request back that has run nowhere.
+    /// Returns the permit of a request that did not run on any back end.
     void give_back_permit();
 
-    /// The configuration that decided; null while the node knows none.
+    /// Configuration used for the decision; null when the node has none yet.
     [[nodiscard]] const std::shared_ptr<const routing::route_table>& table() const {
         return table_;
     }
-    /// Null until identify() found it.
+    /// Null unless identify() has found a route.
     [[nodiscard]] const routing::route* route() const { return route_; }
-    /// Null where callers need no key.
+    /// Null when callers need no key or are unidentified.
     [[nodiscard]] const routing::tenant* tenant() const { return tenant_; }
 
   private:
     asio::awaitable<std::optional<own_answer>> find_route();
     asio::awaitable<std::optional<own_answer>> find_tenant();
-    /// Asks the directory for a newer configuration and takes it over. @return false when the
-    /// directory is silent: what this node doesn't know may exist all the same
+    /// Requests a newer configuration from the directory and applies it. @return false when the
+    /// directory did not respond, so that an unknown route or key may exist in a newer
+    /// configuration
     asio::awaitable<bool> refresh_table();
-    /// The route by the configuration at hand; null for none.
+    /// Looks the route up in the current configuration; null when there is none.
     [[nodiscard]] const routing::route* known_route() const;
-    /// Since the configuration was last proved to be the newest.
+    /// Time since the configuration was last confirmed to be the newest.
     [[nodiscard]] duration proof_age() const;
-    /// For log lines: by which configuration a call is decided, and what proves that it is new.
+    /// Log fields of the configuration version and of its last confirmation.
     [[nodiscard]] std::string describe_proof(duration waited) const;
-    /// Logs that the caller is refused. @param waited for the directory or the lender of permits
+    /// Logs a refused caller. @param waited time spent on the directory or the quota service
     void log_refusal(const own_answer& answer, duration waited) const;
 
     forwarder_context& context_;
@@ -57,7 +58,7 @@
     std::shared_ptr<const routing::route_table> table_;
     const routing::route* route_ = nullptr;
     const routing::tenant* tenant_ = nullptr;
-    /// When the request's permit was spent; nothing while it holds none.
+    /// When the request's permit was acquired; nothing when it has none.
     std::optional<instant> permit_taken_;
 };
 
--- a/src/tallyfold/plane/forwarding/caller_channel_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_channel_shell.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// A caller that takes no byte for this long is given up. Chosen, not measured: some seconds, so
-/// that a caller's short pause costs it nothing and a dead one holds no back end for long.
+/// Time limit of a write to a caller. Tolerates short pauses of a slow reader without letting a
+/// dead connection occupy a back end for long.
 constexpr duration write_limit = std::chrono::seconds(8);
 
 }  // namespace
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -11,8 +11,7 @@
 
 namespace {
 
-/// Time for a refusal or an interim answer to be written. Chosen, not measured: a caller that reads
-/// takes them at once.
+/// Time limit for writing a refusal or an interim answer, which are short.
 constexpr duration write_limit = std::chrono::seconds(2);
 
 }  // namespace
@@ -32,7 +31,7 @@
     takes_requests_ = false;
     std::error_code ignored;
     acceptor_.close(ignored);
-    // A caller that kept its connection would bring a request too late for its answer.
+    // A request sent on a connection left open could no longer be answered.
     for (const auto& caller : idle_) {
         caller->close();
     }
@@ -98,7 +97,7 @@
 
 asio::awaitable<bool> caller_listener::read_request(http::connection_pointer caller,
                                                     caller_request& request) {
-    // One request is read by one configuration's limits.
+    // All of one request is read under the limits of one configuration.
     const routing::caller_limits bounds = limits();
     const bool head_read = co_await read_head(caller, bounds, request);
     if (!head_read) {
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Callers' connections: accepts them, reads their requests within the limits of the configuration
-/// in force, and hands each request to a request_relay. Owns the listening socket, the idle
-/// connections and the requests under way; relies on forwarder_context. Belongs to the loop thread.
+/// Accepts callers' connections, reads their requests within the limits of the current
+/// configuration, and hands each request to a request_relay. Owns the listening socket, the idle
+/// connections and the active requests. Used on the loop thread only.
 
 #include <asio/awaitable.hpp>
 #include <asio/ip/tcp.hpp>
@@ -21,24 +21,25 @@
   public:
     explicit caller_listener(forwarder_context& context);
 
-    /// Starts to accept callers. @param address "ip:port"
-    /// @return why it can't; empty when it does
+    /// Starts accepting connections. @param address "ip:port"
+    /// @return the error; empty on success
     std::string start(const std::string& address);
-    /// Closes the listening socket and every connection on which no request is under way; those
-    /// with one close after its answer.
+    /// Closes the listening socket and all idle connections. Connections with an active request
+    /// close after its answer.
     void take_no_more();
-    /// Ends the requests under way without their answers.
+    /// Aborts all active requests without answering them.
     void cut_off_requests();
-    /// Requests that are being read or served.
+    /// Number of requests being read or served.
     [[nodiscard]] std::size_t requests_under_way() const { return under_way_.size() + reading_; }
 
   private:
     void accept();
     asio::awaitable<void> serve_caller(http::connection_pointer caller);
-    /// Waits for the next request on the connection, reads it and has it served.
-    /// @return false when the connection is to be closed
+    /// Waits for the next request on the connection, reads it and serves it.
+    /// @return false when the connection must be closed
     asio::awaitable<bool> serve_next_request(http::connection_pointer caller);
-    /// Reads one request. @return false when none came whole; the caller has been told why
+    /// Reads one request. @return false when it was incomplete or refused; a refusal has been
+    /// written to the caller
     asio::awaitable<bool> read_request(http::connection_pointer caller, caller_request& request);
     asio::awaitable<bool> read_head(http::connection_pointer caller,
                                     const routing::caller_limits& bounds, caller_request& request);
@@ -51,7 +52,7 @@
     forwarder_context& context_;
     asio::ip::tcp::acceptor acceptor_;
     std::set<std::shared_ptr<request_relay>> under_way_;
-    /// Callers' connections that wait for their next request.
+    /// Connections waiting for their next request.
     std::set<http::connection_pointer> idle_;
     std::size_t reading_ = 0;
     bool takes_requests_ = true;
--- a/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
@@ -4,12 +4,10 @@
 
 namespace {
 
-/// A connection is given up this long before its back end would close it, so that no request is
-/// written to one that closes. Chosen, not measured: a back end's clock of whole seconds, and the
-/// way.
+/// Idle connections are closed this long before the back end's idle timeout, so that no request is
+/// written to a closing connection. Covers back ends that count whole seconds, and the latency.
 constexpr duration closing_margin = std::chrono::milliseconds(900);
-/// Idle time of connections to back ends that don't say how long they keep them. Chosen, not
-/// measured: below the limits that HTTP servers usually have.
+/// Idle timeout for back ends that announce none; below the usual defaults of HTTP servers.
 constexpr duration default_idle_limit = std::chrono::seconds(10);
 
 }  // namespace
@@ -21,7 +19,7 @@
     }
     auto& kept = found->second;
     while (!kept.empty()) {
-        // The one used last is the least likely to have been forgotten by its back end.
+        // The most recently used connection is the least likely to be closed by its back end.
         idle_connection candidate = std::move(kept.back());
         kept.pop_back();
         if (now < candidate.until && !candidate.connection->stale()) {
--- a/src/tallyfold/plane/forwarding/connection_pool_shell.hpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Idle connections to back ends, kept for reuse: a new one costs time at both ends. Owns them
-/// while no request uses them. Belongs to the loop thread.
+/// Pool of idle connections to back ends, kept for reuse. Owns a connection while no request uses
+/// it. Used on the loop thread only.
 
 #include <map>
 #include <optional>
@@ -14,20 +14,21 @@
 
 class connection_pool {
   public:
-    /// An idle connection to `address` that is still usable; null when there is none.
+    /// Removes a usable idle connection to `address` from the pool; null when there is none.
     http::connection_pointer take(const std::string& address, instant now);
-    /// @param idle_limit time that the back end keeps it open, when it said so
+    /// Adds an idle connection.
+    /// @param idle_limit idle timeout announced by the back end, if any
     void put(const std::string& address, http::connection_pointer idle,
              std::optional<duration> idle_limit, instant now);
-    /// Gives up all idle connections to `address`.
+    /// Closes all idle connections to `address`.
     void drop(const std::string& address);
-    /// Closes those that have been idle for too long.
+    /// Closes connections that reached their idle timeout or were closed by the back end.
     void expire(instant now);
 
   private:
     struct idle_connection {
         http::connection_pointer connection;
-        /// When it is given up.
+        /// When the pool closes the connection.
         instant until{};
     };
     std::map<std::string, std::vector<idle_connection>> idle_;
--- a/src/tallyfold/plane/forwarding/finish_line.hpp
+++ b/src/tallyfold/plane/forwarding/finish_line.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The log line of a request's end (event request_finished): one line that tells a request's whole
-/// way. Pure. docs/OPERATIONS.md reads it, so its fields and their order are an interface.
+/// Renders the log line of a finished request (event request_finished). Does no I/O. Operators'
+/// tools parse the line, so the fields and their order are an interface.
 
 #include <cstdint>
 #include <optional>
@@ -14,28 +14,28 @@
 
 namespace tallyfold::forwarding {
 
-/// What sending the request took, whatever became of it.
+/// Statistics of all attempts to send a request.
 struct send_statistics {
-    /// The back end of the last attempt; empty when there was none.
+    /// Back end of the last attempt; empty without one.
     backend_name backend;
-    /// Tokens of the prompt that it was believed to hold.
+    /// Estimated number of prompt tokens cached by that back end.
     token_count cached_tokens = 0;
     std::uint32_t sends = 0;
-    /// Times that a stream was resumed at the back end that it broke off at.
+    /// Number of times that an interrupted stream was resumed at the same back end.
     std::uint32_t resumes = 0;
-    /// Times that all back ends were asked again after a pause.
+    /// Number of back-off pauses after which all back ends became eligible again.
     std::uint32_t back_offs = 0;
-    /// Time in the admission queue, over all waits.
+    /// Total time in the admission queue.
     duration waited{};
-    /// Level at which engines rank the request; 0 goes first.
+    /// Priority level of the request at engines; 0 is the highest.
     std::int32_t urgency = 0;
 };
 
-/// Only of a request that is a turn of a program.
+/// Additional fields of a request that is a turn of a program.
 struct finished_turn {
-    /// Fields of the turn's store operations, each preceded by a space.
+    /// Rendered fields of the turn's store operations, each preceded by a space.
     std::string store_fields;
-    /// Until the whole program should have ended; nothing when it has no objective.
+    /// Time left until the program's deadline objective; nothing without one.
     std::optional<duration> program_time_left;
     std::uint64_t events = 0;
 };
@@ -43,25 +43,25 @@
 struct finished_request {
     std::string request;
     request_outcome outcome = request_outcome::unknown;
-    /// 0 when the caller got none.
+    /// HTTP status sent to the caller; 0 without one.
     unsigned status = 0;
-    /// Empty for none.
+    /// Empty when no route was found.
     std::string route;
     routing::configuration_version version = routing::no_version;
     send_statistics sending;
-    /// Since the list of back ends was read.
+    /// Age of the list of back ends.
     duration list_age{};
-    /// From the request's last byte to the answer's first; zero without an answer.
+    /// Time from the request's last byte to the answer's first byte; zero without an answer.
     duration first_byte{};
     duration total{};
-    /// Empty where callers need no key.
+    /// Empty when callers need no key.
     std::string tenant;
     std::string program;
     std::optional<finished_turn> turn;
     std::string reason;
 };
 
-/// The fields of the event, without its number and name.
+/// Renders the event's fields, without its number and name.
 [[nodiscard]] std::string render_finish_line(const finished_request& finished);
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/forwarded_request.hpp
+++ b/src/tallyfold/plane/forwarding/forwarded_request.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// One request once its route and its caller are known: what all later stages read, and none of
-/// them changes.
+/// A request with its route and tenant, read by all stages after admission. Not modified once the
+/// turn has begun.
 
 #include <memory>
 #include <string>
@@ -13,27 +13,27 @@
 namespace tallyfold::forwarding {
 
 struct forwarded_request {
-    /// As the caller sent it.
+    /// Head of the caller's request, unmodified.
     const http::message_head& head;
     const request_facts& facts;
-    /// When the request's last byte was read.
+    /// When the last byte of the request was read.
     instant received;
     /// Keeps `route`, `service` and `tenant` alive.
     std::shared_ptr<const routing::route_table> table;
     const routing::route& route;
     const routing::service& service;
-    /// Who calls; null where callers need no key.
+    /// Null when callers need no key.
     const routing::tenant* tenant;
     time_budget budget;
-    /// As it goes to back ends: the caller's, with the conversation history before it.
+    /// Body sent to back ends: the conversation history followed by the caller's body.
     std::string body;
-    /// The caller's body alone, where the route keeps history; empty elsewhere.
+    /// The caller's body without history, if the route keeps history; empty otherwise.
     std::string turn_input;
 
     [[nodiscard]] std::string tenant_name() const {
         return tenant != nullptr ? tenant->name : std::string{};
     }
-    /// 0 goes first.
+    /// 0 is the highest priority.
     [[nodiscard]] std::int32_t tenant_priority() const {
         return tenant != nullptr ? tenant->priority : 0;
     }
--- a/src/tallyfold/plane/forwarding/forwarder_context.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_context.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What all requests of one forwarder share. Belongs to the loop thread; forwarder_node owns it and
-/// what it refers to, and outlives every request.
+/// State shared by all requests of one forwarder. forwarder_node owns it and the objects it refers
+/// to, and outlives every request. Used on the loop thread only.
 
 #include <map>
 #include <memory>
@@ -32,19 +32,19 @@
     forwarder_metrics& metrics;
     call_ranking& ranking;
     routing::traffic_splitter splitter;
-    /// The configuration in force; requests under way keep the one they began with.
+    /// Current configuration; a running request keeps the one it began with.
     std::shared_ptr<const routing::route_table> routes;
-    /// Where calls wait for admission, by the service that runs them.
+    /// Admission queues by service.
     std::map<std::string, admission_queue> admission_queues;
-    /// The node was asked to stop: answers tell callers to close their connections.
+    /// True once the node is shutting down: answers then carry Connection: close.
     bool stopping = false;
 
-    /// True when a mechanism is switched off for a measurement.
+    /// True when a mechanism is disabled for a measurement.
     [[nodiscard]] bool is_disabled(settings::mechanism asked) const {
         return process.settings().off.contains(asked);
     }
-    /// The service's queue, made at its first call. Without the mechanism, or with a `max_slowdown`
-    /// of 0, it admits every call at once.
+    /// The service's queue, created on first use. Without the mechanism bounded_running, or with a
+    /// `max_slowdown` of 0, it admits every call immediately.
     admission_queue& admission_queue_of(const std::string& service) {
         const bool bounded = !is_disabled(settings::mechanism::bounded_running);
         const double max_slowdown = bounded ? process.settings().max_slowdown : 0;
--- a/src/tallyfold/plane/forwarding/forwarder_metrics.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_metrics.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// In seconds, doubling: callers' objectives lie between 0.1 s and some seconds.
+/// In seconds. Callers' latency objectives lie between 0.1 s and a few seconds.
 const prometheus::Histogram::BucketBoundaries latency_buckets{0.005, 0.01, 0.025, 0.05, 0.1, 0.2,
                                                               0.4,   0.8,  1.6,   3.2,  6.4};
 
--- a/src/tallyfold/plane/forwarding/forwarder_metrics.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_metrics.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Counters and histograms of a forwarder; docs/METRICS.md explains each.
+/// Counters, gauges and histograms of a forwarder.
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
@@ -18,27 +18,30 @@
   public:
     explicit forwarder_metrics(prometheus::Registry& registry);
 
-    /// @param outcome one of the words of the request_finished event
+    /// Records the end of a request.
+    /// @param outcome text of the request_finished event's outcome
     void finished(const std::string& outcome, duration took);
-    /// From a request's end to the first byte of its answer.
+    /// Records the time from the request's last byte to the answer's first byte.
     void first_byte(duration took) { first_byte_.Observe(seconds(took)); }
-    /// What the stores took to begin or settle a turn.
+    /// Records the time that the stores took to begin or settle a turn.
     void stored(duration took) { store_.Observe(seconds(took)); }
-    /// @param slowdown times slower than idle that the engines of the slowest service work
-    /// @param waiting calls in all admission queues
+    /// Sets the gauges of engine load.
+    /// @param slowdown of the slowest service's engines, relative to idle
+    /// @param waiting number of calls in all admission queues
     void paced(double slowdown, std::size_t waiting) {
         slowdown_.Set(slowdown);
         waiting_.Set(static_cast<double>(waiting));
     }
-    /// A call has waited in the admission queue.
+    /// Records the time that a call spent in the admission queue.
     void waited(duration took) { wait_.Observe(seconds(took)); }
-    /// A new connection to a back end.
+    /// Counts a new connection to a back end.
     void connected() { connections_.Increment(); }
-    /// A turn goes on with a line that another group of stores keeps.
+    /// Counts a turn that continues a conversation history stored by another store group.
     void adopted() { adopted_.Increment(); }
-    /// @param reason as the attempt_failed event names it
+    /// Counts a failed attempt.
+    /// @param reason as in the attempt_failed event
     void attempt_failed(const std::string& reason);
-    /// A call asked for one of its tenant's permits.
+    /// Counts a permit decision of a call.
     void permitted(const tenants::permit_decision& decision);
 
   private:
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -17,19 +17,18 @@
 
 namespace {
 
-/// How often silence suspicion looks at the calls under way. A seventh of its least limit (700 ms).
+/// Interval of silence checks; a fraction of the shortest silence limit of 700 ms.
 constexpr duration silence_check_interval = std::chrono::milliseconds(100);
-/// How often the policy's file is read. Chosen, not measured: operators revise policies by hand.
+/// Interval at which the policy file is reread.
 constexpr duration policy_check_interval = std::chrono::seconds(1);
-/// How often idle connections are looked through. Chosen, not measured: below the margin of 0.9 s
-/// at which connection_pool gives them up.
+/// Interval at which idle connections are expired. Must stay below the margin of 0.9 s by which
+/// connection_pool closes them early.
 constexpr duration housekeeping_interval = std::chrono::milliseconds(500);
-/// How often a stop looks at what is left. Chosen, not measured: small beside the 600 ms that
-/// stop_sequence reserves before the kill.
+/// Interval at which a shutdown checks for remaining work; small against the 600 ms that
+/// stop_sequence reserves before the process is killed.
 constexpr duration stop_check_interval = std::chrono::milliseconds(50);
-/// Proofs that a node's keys are the newest, asked for within the time that a key's removal may
-/// take, where stale keys are refused. Three of four may be lost before requests are refused.
-/// Chosen, not measured.
+/// Number of key freshness checks within the key revocation time, when stale keys are refused.
+/// Requests are refused only if all of them fail.
 constexpr int proofs_in_revocation = 4;
 
 directory::directory_client_settings client_settings(const settings::node_settings& settings) {
@@ -40,8 +39,7 @@
     return chosen;
 }
 
-/// One forwarder: owns its parts and wires them together. What a request's way is, request_relay
-/// says; where callers come in, caller_listener.
+/// Owns the components of a forwarder and connects them.
 class forwarder_node {
   public:
     forwarder_node(const settings::node_settings& settings, const request_codec& codec,
@@ -52,18 +50,18 @@
     void follow_directory();
     void follow_backend_list();
     void start_periodic_work();
-    /// @return why callers or readiness checks can't be served; empty when they are
+    /// Starts listening for callers and readiness checks. @return the error; empty on success
     std::string listen();
     void use_configuration(const directory::configuration_pointer& configuration);
-    /// Takes the list as it stands now. @param changed since the last time
+    /// Applies the current list of back ends. @param changed whether it differs from the last one
     void use_list(bool changed);
-    /// Failures at back ends that other nodes have reported.
+    /// Records back-end failures reported by other nodes.
     void learn_failures(const std::vector<discovery::relayed_failure>& reported);
-    /// Reads the operators' policy; one that fails leaves the one before it in force.
+    /// Reads the policy file. When that fails, the previous policy stays in effect.
     void read_policy();
-    /// Evaluations that failed since the last look, at most one line a look.
+    /// Logs the number of policy evaluations that failed since the last call, if any.
     void log_policy_failures();
-    /// Has the admission queues follow the engines' pace.
+    /// Adjusts the admission queues to the engines' pace.
     void adjust_admission();
     void suspect_silent_backends();
     void stop();
@@ -83,8 +81,8 @@
     forwarder_context context_;
     caller_listener callers_;
     http::endpoint_server readiness_;
-    /// Set while the node stops.
     std::uint64_t logged_policy_failures_ = 0;
+    /// Set while the node is shutting down.
     std::optional<stop_sequence> stop_;
 };
 
@@ -164,7 +162,7 @@
 
 void forwarder_node::log_policy_failures() {
     const std::uint64_t failures = ranking_.failures();
-    // The count begins anew with each policy.
+    // Each new policy resets the count.
     const std::uint64_t logged = std::min(logged_policy_failures_, failures);
     logged_policy_failures_ = failures;
     if (failures > logged) {
@@ -246,8 +244,8 @@
 }
 
 void forwarder_node::follow_backend_list() {
-    // The directory's nodes read the list and tell it; this node reads it itself only when they
-    // haven't for a while.
+    // The directory distributes the list; this node polls the source itself only when no update has
+    // arrived for some time.
     directory_.share_list(list_, [this](bool changed) { use_list(changed); });
     poller_.start(
         [this](const std::vector<discovery::listed_backend>& backends) {
--- a/src/tallyfold/plane/forwarding/forwarder_shell.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.hpp
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
-/// The forwarder program: takes callers' requests and relays them to back ends. Owns all parts of
-/// the process; relies on the directory (configuration, members, list of back ends), on the stores
-/// of turns and on the lender of rate-limit permits.
+/// The forwarder program: accepts callers' requests and relays them to back ends. Depends on the
+/// directory (configuration, members, list of back ends), the turn stores and the quota service.
 
 #include "tallyfold/plane/discovery/backend_list_codec.hpp"
 #include "tallyfold/plane/forwarding/request_codec.hpp"
@@ -10,7 +9,7 @@
 
 namespace tallyfold::forwarding {
 
-/// Runs until a stop is asked for and what is under way has ended. @return the exit code
+/// Runs until a shutdown is requested and the active requests have ended. @return the exit code
 int run_forwarder(const settings::node_settings& settings, const request_codec& codec,
                   const discovery::backend_list_codec& lists);
 
--- a/src/tallyfold/plane/forwarding/request_codec.hpp
+++ b/src/tallyfold/plane/forwarding/request_codec.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// The typed form of what the platform's headers say about a request, and the interface through
-/// which alone the forwarder reads and writes them. platform/replica_calls implements it; the codec
-/// decides nothing.
+/// Typed form of the platform's request and answer headers, and the only interface through which
+/// the forwarder reads and writes them. Implemented by platform/replica_calls. The codec only
+/// translates and makes no decisions.
 
 #include <cstdint>
 #include <optional>
@@ -15,71 +15,73 @@
 
 namespace tallyfold::forwarding {
 
-/// What a caller's request says beside its method, path and body. Fields that the caller left out,
-/// or that can't be read, are empty or 0.
+/// Metadata of a caller's request from its headers. Fields that are missing or malformed are empty
+/// or 0.
 struct request_facts {
-    /// Identifier that the caller gave the request.
+    /// Request identifier assigned by the caller.
     std::string request;
-    /// Time that the caller waits; nothing when it doesn't say.
+    /// Timeout requested by the caller, if any.
     std::optional<duration> caller_timeout;
-    /// Identifier of the program that the request is a turn of; empty for none.
+    /// Identifier of the program that the request is a turn of; empty when it isn't a turn.
     std::string program;
-    /// Until the whole program should have ended; nothing when it has no objective.
+    /// Time left until the program's deadline objective; nothing without one.
     std::optional<duration> program_time_left;
-    /// Tokens that the whole program may generate; 0 sets no bound.
+    /// Maximum number of tokens that the whole program may generate; 0 for no limit.
     token_count budget = 0;
-    /// Tokens of the prompt, as the caller counts them.
+    /// Number of prompt tokens as counted by the caller.
     token_count prompt_tokens = 0;
-    /// Tokens that this request generates at most.
+    /// Maximum number of tokens that this request generates.
     token_count max_tokens = 0;
-    /// Request identifier of the turn that it continues; empty for none.
+    /// Request identifier of the preceding turn; empty for the first turn.
     std::string previous_turn;
-    /// The caller's key; empty for none, or for several. Never logged, never passed on.
+    /// The caller's key; empty when there is none or more than one. Must not be logged or
+    /// forwarded.
     std::string credential;
-    /// What the request is about, when the caller says so: back ends work faster on what they know.
+    /// Key of the object that the request concerns, used for affinity to a back end that has it
+    /// cached; empty when the caller names none.
     std::string object;
-    /// Ends of the prompt's parts, shortest first: the prefixes that an engine may have cached.
+    /// Prefixes of the prompt that an engine may have cached, shortest first.
     std::vector<scheduling::prefix_point> prompt;
 };
 
-/// What the forwarder tells a back end in the headers of one attempt.
+/// Values that the forwarder sends to a back end in the headers of one attempt.
 struct attempt_marks {
-    /// Until the request's deadline; above zero.
+    /// Time left until the request's deadline; greater than zero.
     duration time_left{};
-    /// The incarnation that alone may run the request.
+    /// The only incarnation that may run the request.
     std::string incarnation;
-    /// Level at which the engine ranks the request; 0 goes first.
+    /// Priority level of the request at the engine; 0 is the highest.
     std::int32_t urgency = 0;
-    /// Only engines are told the urgency.
+    /// The urgency is sent to engines only.
     bool is_engine = false;
-    /// Whose request it is; empty where callers need no key.
+    /// Name of the caller's tenant; empty when callers need no key.
     std::string tenant;
-    /// Identifier of the last event that the caller has, after which the back end resumes; empty
-    /// for a stream from its beginning.
+    /// Identifier of the last event relayed to the caller, after which the back end resumes the
+    /// stream; empty to start from the beginning.
     std::string last_event;
 };
 
-/// What the head of a back end's answer says.
+/// Metadata of a back end's answer from its headers.
 struct answer_facts {
-    /// The request that it answers; empty when it doesn't say.
+    /// Identifier of the answered request; empty when missing.
     std::string request;
-    /// The back end signed the answer: it is the result of a run.
+    /// The answer is signed by the back end, so it is the result of a run.
     bool is_signed = false;
-    /// The back end proves that it did not run the request.
+    /// The answer proves that the back end did not run the request.
     bool not_run = false;
-    /// Another incarnation than the one asked for answered.
+    /// The answer comes from another incarnation than the requested one.
     bool wrong_incarnation = false;
-    /// Time for which the connection may be idle; nothing when it isn't said.
+    /// Idle timeout of the connection announced by the back end, if any.
     std::optional<duration> idle_limit;
 };
 
 class request_codec {
   public:
     virtual ~request_codec() = default;
-    /// Never fails: what can't be read is left out.
+    /// Never fails: malformed fields are treated as missing.
     [[nodiscard]] virtual request_facts read_request(const http::message_head& head) const = 0;
-    /// Header fields for a back end, without those that frame the body. Fields that the system
-    /// alone sets are dropped from what the caller sent.
+    /// Header fields for a back end, without those that frame the body. Fields reserved to the
+    /// system are removed from the caller's headers.
     [[nodiscard]] virtual http::header_list backend_headers(const http::message_head& head,
                                                             const attempt_marks& marks) const = 0;
     [[nodiscard]] virtual answer_facts read_answer(const http::message_head& head) const = 0;
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// How often a request looks whether the node is ready. Chosen, not measured: a tenth of the wait.
+/// Interval at which a waiting request checks whether the node is ready.
 constexpr duration readiness_interval = time_budget::startup_wait / 10;
 
 }  // namespace
@@ -121,7 +121,7 @@
             co_return refused;
         }
     }
-    // A turn whose program has used nothing yet may well be its first.
+    // A program that has used no tokens yet is treated as new.
     const bool begins = turn_ && turn_->used_tokens() == 0;
     const auto need = begins ? tenants::permit_need::new_program : tenants::permit_need::under_way;
     std::optional<own_answer> refused = co_await admission_.take_permit(need);
--- a/src/tallyfold/plane/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// Serves one request of a caller, stage by stage: waits until the node is ready, admits the caller
-/// (caller_admission), begins the turn (turn_session), sends (send_loop with a backend_attempt a
-/// time), relays the answer (answer_relay) and logs how it ended. Belongs to the loop thread.
+/// Serves one request of a caller in stages: waits until the node is ready, admits the caller
+/// (caller_admission), begins the turn (turn_session), sends the request (send_loop, one
+/// backend_attempt at a time), relays the answer (answer_relay) and logs the outcome. Used on the
+/// loop thread only.
 
 #include <asio/awaitable.hpp>
 #include <memory>
@@ -20,44 +21,44 @@
 
 namespace tallyfold::forwarding {
 
-/// A request that was read whole.
+/// A completely read request.
 struct caller_request {
     http::message_head head;
     std::string body;
-    /// When its last byte was read.
+    /// When the last byte was read.
     instant received{};
 };
 
-/// Held by a shared pointer from before serve() until it ends.
+/// Must be owned by a shared pointer before serve() is called.
 class request_relay : public std::enable_shared_from_this<request_relay> {
   public:
     request_relay(forwarder_context& context, http::connection_pointer caller,
                   caller_request request);
 
-    /// To be called once.
+    /// Must be called at most once.
     /// @return true when the caller's connection may serve another request
     asio::awaitable<bool> serve();
-    /// Ends what is under way: the process has to go.
+    /// Aborts the request at the end of a shutdown, without an answer.
     void cut_off();
 
   private:
-    /// True once the node knows routes, back ends and stores.
+    /// True once the node has a configuration, a list of back ends and a store table.
     [[nodiscard]] bool is_ready() const;
-    /// Waits a moment for what a node that has just started still has to learn.
+    /// Waits for is_ready(), at most time_budget::startup_wait.
     asio::awaitable<void> wait_until_ready();
-    /// Serves a request whose route and caller are known.
+    /// Serves a request whose route and tenant were found.
     asio::awaitable<void> serve_admitted();
     [[nodiscard]] forwarded_request make_forwarded();
     void watch_caller();
     void on_client_disconnected();
-    /// Begins the turn and takes the tenant's permit.
-    /// @return the answer of a request that is refused
+    /// Begins the turn and acquires the tenant's permit.
+    /// @return the answer when the request is refused
     asio::awaitable<std::optional<own_answer>> begin();
     asio::awaitable<std::optional<own_answer>> begin_turn();
     [[nodiscard]] bool is_turn() const;
     asio::awaitable<void> send();
     asio::awaitable<void> refuse(const own_answer& answer);
-    /// Returns what a request that was not answered, or has not run, still holds.
+    /// Returns the permit of a request that did not run, and settles a turn that is still open.
     void release();
     void log_finish() const;
 
@@ -66,7 +67,7 @@
     request_facts facts_;
     caller_channel caller_;
     caller_admission admission_;
-    /// From here on set as the stages are reached.
+    /// The following members are set as their stage is reached.
     std::optional<forwarded_request> forwarded_;
     std::optional<turn_session> turn_;
     std::optional<answer_relay> answer_;
--- a/src/tallyfold/plane/forwarding/request_rendering.hpp
+++ b/src/tallyfold/plane/forwarding/request_rendering.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Bytes of a request that a forwarder sends to a back end. Pure.
+/// Renders the bytes of a request to a back end. Does no I/O.
 
 #include <string>
 
@@ -8,9 +8,10 @@
 
 namespace tallyfold::forwarding {
 
-/// @param head the caller's: method and target are passed on unchanged
-/// @param headers the fields to send, without those that frame the body
-/// @param body whole; a request that came without a body gets no Content-Length while this is empty
+/// @param head of the caller's request; method and target are forwarded unchanged
+/// @param headers fields to send, without those that frame the body
+/// @param body the complete body; when it is empty and the caller's request had no body,
+/// Content-Length is omitted
 [[nodiscard]] std::string render_backend_request(const http::message_head& head,
                                                  const http::header_list& headers,
                                                  const std::string& body);
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -76,8 +76,8 @@
             if (!co_await back_off(question.call)) {
                 break;
             }
-            // Those tried have all proved that they ran nothing, or retry_policy would have allowed
-            // no pause; what was full before the pause may have capacity after it.
+            // retry_policy allows a pause only if no tried back end ran the request, so all of them
+            // are eligible again.
             question.tried.clear();
             continue;
         }
@@ -165,7 +165,7 @@
     }
     ++statistics_.back_offs;
     context_.admission_queue_of(request_.service.name).rejected();
-    // The pause is no reason to keep other calls from being sent.
+    // Releases the slot, so that other calls can be sent during the pause.
     leave_admission();
     asio::steady_timer timer(context_.process.loop(), *pause);
     co_await timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
--- a/src/tallyfold/plane/forwarding/send_loop_shell.hpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.hpp
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Sends one request to back ends until one answers it or decisions/retry_policy gives it up:
-/// waits for admission, chooses, attempts, backs off. Belongs to the loop thread.
+/// Sends one request to back ends until one answers or decisions/retry_policy allows no further
+/// attempt: waits for admission, selects a back end, attempts and backs off. Used on the loop
+/// thread only.
 
 #include <asio/awaitable.hpp>
 #include <optional>
@@ -16,16 +17,16 @@
 
 class send_loop {
   public:
-    /// @param request, `caller` and `answer` have to outlive the loop
+    /// @param request, `caller` and `answer` must outlive the loop
     send_loop(forwarder_context& context, const forwarded_request& request, caller_channel& caller,
               answer_relay& answer);
 
-    /// To be called once; leave_admission() has to follow.
-    /// @return how the request ended, and the answer that the caller still has to get
+    /// Must be called at most once, and be followed by leave_admission().
+    /// @return the outcome, and the answer to write if none was relayed
     asio::awaitable<request_end> run();
-    /// Ends the attempt under way: nobody waits for its answer any more.
+    /// Cancels the current attempt.
     void abort_attempt();
-    /// Lets the next call that waits be sent.
+    /// Releases the admission slot, if held, so that the next waiting call can be sent.
     void leave_admission();
 
     [[nodiscard]] bool may_have_run() const { return policy_.may_have_run(); }
@@ -35,11 +36,11 @@
     [[nodiscard]] backend_question describe_for_choice() const;
     [[nodiscard]] std::int32_t urgency_of(const scheduling::call_features& call) const;
     asio::awaitable<void> wait_for_admission(const scheduling::call_features& call);
-    /// Waits until back ends that were full are asked again. @return false when the request is
-    /// given up instead
+    /// Pauses before full back ends are tried again, and re-enters admission. @return false when
+    /// the request must not be retried
     asio::awaitable<bool> back_off(const scheduling::call_features& call);
     asio::awaitable<attempt_result> attempt(chosen_backend backend);
-    /// Logs a failed attempt and decides what follows.
+    /// Logs a failed attempt and determines the next step.
     next_step note_failure(const chosen_backend& backend, const attempt_result& failed);
     [[nodiscard]] request_end end_with(const attempt_result& last) const;
 
@@ -48,9 +49,9 @@
     caller_channel& caller_;
     answer_relay& answer_;
     retry_policy policy_;
-    /// The attempt under way.
+    /// The current attempt.
     std::optional<backend_attempt> attempt_;
-    /// Counts among the calls that the node has sent.
+    /// True while the call holds a slot of the admission queue.
     bool admitted_ = false;
     send_statistics statistics_;
 };
--- a/src/tallyfold/plane/forwarding/stream_pace.cpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.cpp
@@ -4,8 +4,7 @@
 
 namespace {
 
-/// Streams of fewer events say little of an engine's pace: two time spans are the fewest whose mean
-/// isn't one chance value. Chosen, not measured.
+/// Minimum number of events of a stream for its mean gap to count; a single gap is too noisy.
 constexpr std::uint64_t min_events = 3;
 
 }  // namespace
--- a/src/tallyfold/plane/forwarding/stream_pace.hpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What one call's stream shows of an engine's pace: the time between its events while it runs, and
-/// the whole call's once it ended. Feeds scheduling::engine_pace. Pure.
+/// Measures the pace of one call's event stream for scheduling::engine_pace: the gaps between
+/// events during the stream, and mean gap and total time at its end. Does no I/O.
 
 #include <cstdint>
 #include <string>
@@ -12,17 +12,17 @@
 
 class stream_pace {
   public:
-    /// To be called with each piece of the stream.
-    /// @param events of the stream in all by `now`, over all attempts
+    /// To be called for each piece of the stream.
+    /// @param events total number of events up to `now`, over all attempts
     void events_came(scheduling::engine_pace& pace, const backend_name& engine,
                      std::uint64_t events, instant now);
-    /// The call that was sent at `since` has been answered whole. Streams of fewer than three
-    /// events tell nothing of the time between events.
+    /// Records the end of a completely answered call that was sent at `since`. Streams of fewer
+    /// than three events don't contribute a mean gap.
     void ended(scheduling::engine_pace& pace, instant since, instant now) const;
 
   private:
     std::uint64_t events_ = 0;
-    /// When the first and the latest event came.
+    /// Arrival times of the first and the latest event.
     instant first_{};
     instant latest_{};
 };
--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Seconds, for routes that set none. Chosen, not measured: outlives the pauses of a program's
-/// tools, in which its ledger has to be kept.
+/// Retention in seconds for routes that set none. Must exceed the time between two turns of a
+/// program, during which its ledger must be kept.
 constexpr double fallback_retention_seconds = 60;
 
 }  // namespace
--- a/src/tallyfold/plane/forwarding/turn_session_shell.hpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// The turn of a program that one request is, at the stores: begun before the request runs, which
-/// reserves its tokens and reads the conversation history, and settled before its answer ends.
-/// Belongs to the loop thread; turns/ decides.
+/// A request's turn of a program at the stores. Begins the turn before the request runs, which
+/// reserves tokens and reads the conversation history, and settles it before the answer ends. The
+/// rules are in turns/. Used on the loop thread only.
 
 #include <asio/awaitable.hpp>
 #include <string>
@@ -14,33 +14,33 @@
 
 class turn_session {
   public:
-    /// Time that the stores get to begin a turn. Chosen, not measured: room for two resends, after
-    /// 250 and 750 ms (resend_schedule); the request's own deadline ends it earlier.
+    /// Time limit for beginning a turn at the stores; the request's deadline may end it earlier.
+    /// Allows for two resends, after 250 and 750 ms (resend_schedule).
     static constexpr duration begin_limit = std::chrono::milliseconds(1'500);
-    /// Time that they get to settle one whose answer waits for it. Chosen, not measured: longer
-    /// than to begin, since the tokens have been spent and only a settled answer is kept.
+    /// Time limit for settling a turn whose answer waits for it. Longer than begin_limit, because
+    /// the tokens are spent and an unsettled answer is lost.
     static constexpr duration settle_limit = std::chrono::milliseconds(2'500);
 
-    /// @param facts and `route` have to outlive the session
-    /// @param tenant whose turn it is; empty where callers need no key
+    /// @param facts and `route` must outlive the session
+    /// @param tenant owner of the turn; empty when callers need no key
     turn_session(forwarder_context& context, const request_facts& facts,
                  const routing::route& route, const tenants::tenant_name& tenant);
 
     /// Reserves the tokens that the turn may generate.
-    /// @param history gets the inputs and outputs of the turns before it, oldest first
+    /// @param history receives the inputs and outputs of the preceding turns, oldest first
     asio::awaitable<turns::begin_result> begin(instant deadline, std::string& history);
-    /// Makes the end of a turn that was answered whole durable. @return false when no majority of
-    /// the stores has taken it
-    /// @param held what the engine that answered holds of the turn now
+    /// Stores the end of a completely answered turn durably. @return false when no majority of the
+    /// stores acknowledged it
+    /// @param held prefixes of the turn that the answering engine has cached
     asio::awaitable<bool> settle(token_count tokens, std::string input, std::string output,
                                  turns::cached_prompt held);
-    /// Settles in the background what was begun and not settled: the turn was not answered whole.
+    /// Settles an open turn that was not completely answered, in the background.
     void settle_unanswered(token_count tokens);
-    /// True between begin() and the end.
+    /// True from begin() until the turn is settled.
     [[nodiscard]] bool open() const { return open_; }
-    /// What the program had used before the turn began.
+    /// Tokens that the program had used before this turn.
     [[nodiscard]] token_count used_tokens() const { return used_tokens_; }
-    /// For the request's log line.
+    /// Store fields for the log line of the request.
     [[nodiscard]] std::string log_fields() const;
 
   private:
@@ -51,17 +51,16 @@
     forwarder_context& context_;
     const request_facts& facts_;
     const routing::route& route_;
-    /// Of the identifiers that the stores know.
+    /// Scopes program and request identifiers to the tenant.
     tenants::tenant_scope scope_;
     bool open_ = false;
     duration store_time_{};
     std::size_t store_answers_ = 0;
-    /// The group that keeps the program, and the epoch of its map at the decision.
+    /// Store group of the program, and epoch of the store map when the turn began.
     turns::group_number store_group_ = 0;
     turns::map_epoch store_epoch_ = 0;
     token_count used_tokens_ = 0;
-    /// The history before the turn when another group of stores keeps it, until this turn's group
-    /// gets it with the settlement.
+    /// History read from another store group, which the settlement writes to this turn's group.
     std::vector<turns::turn_record> adopted_;
     std::size_t adopted_turns_ = 0;
 };
