--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -58,7 +58,7 @@
         const std::string victim = choices(registry, false, now).begin()->first;
         CPPUNIT_ASSERT(!registry.note_broken_connection(victim, now).empty());
         CPPUNIT_ASSERT(!choices(registry, false, now).contains(victim));
-        // Calls that may be repeated try it all the same.
+        // Repeatable calls may still use it.
         CPPUNIT_ASSERT(choices(registry, true, now).contains(victim));
         CPPUNIT_ASSERT(
             choices(registry, false, now + reported_failures::first_distrust).contains(victim));
@@ -72,7 +72,7 @@
             registry.note_broken_connection("b" + std::to_string(number), now);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, choices(registry, false, now).size());
-        // Objects stay at their homes, too.
+        // Objects keep their home back ends, too.
         std::set<std::string> homes;
         for (int number = 0; number < 60; ++number) {
             backend_question question;
@@ -97,7 +97,7 @@
             const chosen_backend home = *one.choose(question, now);
             CPPUNIT_ASSERT_EQUAL(home.name, other.choose(question, now)->name);
             used.insert(home.name);
-            // A busy home passes the object on; so does one that broke a call off.
+            // Another back end is chosen when the home is busy or was already tried.
             backend_call first = one.started("s", home, 0, now);
             backend_call second = one.started("s", home, 0, now);
             CPPUNIT_ASSERT(one.choose(question, now)->name != home.name);
@@ -116,13 +116,13 @@
         registry.update(engines(4), now);
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:8001"),
                              registry.note_broken_connection("b1", now));
-        // Another node tells of the same break, and of one at a back end that isn't listed.
+        // Another node reports the same failure, and one of an unlisted back end.
         CPPUNIT_ASSERT_EQUAL(std::string{}, registry.note_broken_connection(
                                                 "b1", now + std::chrono::milliseconds(200)));
         CPPUNIT_ASSERT_EQUAL(std::string{}, registry.note_broken_connection("nobody", now));
         CPPUNIT_ASSERT(
             !registry.note_broken_connection("b1", now + std::chrono::seconds(1)).empty());
-        // A second break within a while is doubted for longer.
+        // A second failure soon after the first is distrusted for longer.
         reported_failures evidence;
         evidence.note("b", now);
         evidence.note("b", now + std::chrono::seconds(3));
@@ -146,7 +146,7 @@
         CPPUNIT_ASSERT(!registry.choose(question, instant{}).has_value());
     }
 
-    /// What all programs share, and a part of the program's own.
+    /// Prompt with a prefix shared by all programs and a part specific to the program.
     static std::vector<scheduling::prefix_point> prompt_of_program(int number) {
         return {{1, 512}, {100 + std::uint64_t(number), 900}};
     }
@@ -162,7 +162,7 @@
     }
 
     void calls_of_a_program_go_to_one_engine() {
-        // Two nodes that know nothing of each other choose the same.
+        // Nodes make the same choice without exchanging state.
         backend_registry one("zone-a", 1);
         backend_registry other("zone-b", 2);
         one.update(engines(8), instant{});
@@ -181,7 +181,7 @@
     }
 
     void nodes_that_pass_over_a_home_spread_over_the_engines() {
-        // Without a policy's word the home wins; a call without a program has none.
+        // Without a policy a program's calls go to its home; a call without a program has none.
         std::map<std::string, int> calls;
         constexpr int nodes = 200;
         for (int node = 0; node < nodes; ++node) {
@@ -193,14 +193,14 @@
             ++calls[registry.choose(question, instant{})->name];
         }
         for (const auto& [name, count] : calls) {
-            // 10 on the mean; the same four engines got all of them before.
+            // The mean is 10. Guards against all nodes choosing the same few engines.
             CPPUNIT_ASSERT_MESSAGE(name + " " + std::to_string(count), count < 30);
         }
         CPPUNIT_ASSERT(calls.size() > 15);
     }
 
     void a_holder_of_what_programs_share_draws_none_from_its_home() {
-        // Every node is told the same engine for the part that all programs begin with.
+        // All nodes know the same engine as holder of the shared prefix.
         const std::vector<scheduling::prefix_point> shared{{1, 512}};
         std::map<std::string, int> calls;
         constexpr int programs = 100;
@@ -227,7 +227,7 @@
     }
 
     void a_service_that_was_not_listed_for_a_while_keeps_the_nodes_own_order() {
-        // Each node keeps to a few engines of its own, also when calls have come meanwhile.
+        // Guards against nodes losing their node-specific subset while a service is unlisted.
         std::set<std::string> chosen;
         for (int node = 0; node < 20; ++node) {
             backend_registry registry("zone", stable_hash("node-" + std::to_string(node)));
@@ -245,7 +245,7 @@
 
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
-    /// Four back ends, of which one has answered many calls after `milliseconds` each.
+    /// Lists four back ends and completes 100 calls at one, each after `milliseconds`.
     static void answer_calls(backend_registry& registry, int milliseconds) {
         registry.update(engines(4), at(0));
         for (int count = 0; count < 100; ++count) {
@@ -280,7 +280,7 @@
 
     static constexpr token_count shared_tokens = 12'000;
 
-    /// Question of a program's turn whose own part of the prompt has `own` tokens.
+    /// Question for a turn of a program with this prompt.
     static backend_question turn_question(const std::vector<scheduling::prefix_point>& prompt) {
         backend_question question;
         question.service = "s";
@@ -295,7 +295,7 @@
         return {{1, shared_tokens}, {2, shared_tokens + own}};
     }
 
-    /// Runs one turn to its end wherever it is placed.
+    /// Completes one turn at the chosen back end. @param own tokens of the unshared part
     static chosen_backend run_turn(backend_registry& registry, token_count own) {
         const auto prompt = prompt_with(own);
         const auto chosen = registry.choose(turn_question(prompt), at(0));
@@ -311,7 +311,7 @@
         backend_registry registry("zone", 1);
         registry.update(engines(4), at(0));
         const std::string home = run_turn(registry, 1000).name;
-        // Further turns of the program, held there but for some hundred tokens, wait there.
+        // Further turns, of which only a few hundred tokens are uncached, go to the same engine.
         for (const token_count own : {1200, 1300, 1400}) {
             const auto prompt = prompt_with(own);
             const auto chosen = registry.choose(turn_question(prompt), at(100));
--- a/tests/plane/forwarding/finish_line_test.cpp
+++ b/tests/plane/forwarding/finish_line_test.cpp
@@ -8,7 +8,7 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// Operators' programs read these lines, so the fields, their order and their forms stay.
+/// Operators' tools parse these lines, so the fields, their order and format must not change.
 class finish_line_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(finish_line_test);
     CPPUNIT_TEST(a_request_that_got_nowhere_has_the_fields_of_every_line);
--- a/tests/plane/forwarding/request_rendering_test.cpp
+++ b/tests/plane/forwarding/request_rendering_test.cpp
@@ -38,7 +38,7 @@
     void a_request_without_a_body_gets_no_length() {
         CPPUNIT_ASSERT_EQUAL(std::string("POST /a/b?c=d HTTP/1.1\r\nX-One: 1\r\n\r\n"),
                              render_backend_request(caller_head(), one_field(), ""));
-        // The history before a turn without input of its own.
+        // A turn without input whose body is only the history.
         CPPUNIT_ASSERT_EQUAL(
             std::string("POST /a/b?c=d HTTP/1.1\r\nX-One: 1\r\nContent-Length: 2\r\n\r\nhi"),
             render_backend_request(caller_head(), one_field(), "hi"));
--- a/tests/plane/forwarding/stream_pace_test.cpp
+++ b/tests/plane/forwarding/stream_pace_test.cpp
@@ -19,7 +19,7 @@
         stream_pace stream;
         stream.events_came(pace, "e", 1, at(900));
         CPPUNIT_ASSERT_EQUAL(0.0, pace.gap_ms("e", at(900)));
-        // Two events that come in one piece share its distance.
+        // Two events in one piece split the gap before it.
         stream.events_came(pace, "e", 3, at(960));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(30, pace.gap_ms("e", at(960)), 0.001);
         stream.ended(pace, at(400), at(960));
