--- a/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-asio::awaitable<duration> admission_queue::enter(waiting_rank rank, duration longest) {
+asio::awaitable<duration> admission_queue::enter(admission_priority rank, duration longest) {
     if (admits_at_once()) {
         window_.started();
         co_return duration::zero();
--- a/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
@@ -16,7 +16,7 @@
 namespace tallyfold::forwarding {
 
 /// Sort key of a waiting call.
-struct waiting_rank {
+struct admission_priority {
     /// Priority of the tenant, compared first; 0 is the highest.
     std::int32_t tenant_priority = 0;
     /// Priority of the route; 0 is the highest.
@@ -34,7 +34,7 @@
     /// Waits for capacity, at most `longest`. After that the call is admitted regardless, because
     /// the remaining time is needed to answer it. Each enter() must be paired with a leave().
     /// @return the time waited
-    asio::awaitable<duration> enter(waiting_rank rank, duration longest);
+    asio::awaitable<duration> enter(admission_priority rank, duration longest);
     /// True when a call would be admitted without waiting.
     [[nodiscard]] bool admits_at_once() const {
         return open_ || (queue_.size() == 0 && window_.has_capacity());
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -137,7 +137,7 @@
 
 asio::awaitable<void> send_loop::wait_for_admission(const scheduling::call_features& call) {
     admission_queue& queue = context_.admission_queue_of(request_.service.name);
-    waiting_rank rank;
+    admission_priority rank;
     if (!queue.admits_at_once()) {
         rank.tenant_priority = request_.tenant_priority();
         rank.priority = request_.route.priority;
