--- a/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
@@ -24,7 +24,7 @@
     scheduling::queued_call call;
     call.id = next_ticket_++;
     // In call_queue the highest value goes first; in tenant and route priorities the lowest.
-    call.priority = -(rank.tenant_priority * route_priorities + rank.priority);
+    call.priority = -(rank.tenant_priority * route_priorities + rank.route_priority);
     call.rank = rank.rank;
     call.arrived = arrived;
     queue_.push(call);
--- a/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
@@ -20,7 +20,7 @@
     /// Priority of the tenant, compared first; 0 is the highest.
     std::int32_t tenant_priority = 0;
     /// Priority of the route; 0 is the highest.
-    std::int32_t priority = 0;
+    std::int32_t route_priority = 0;
     /// Rank from the policy; within one priority the lowest goes first.
     double rank = 0;
 };
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -140,7 +140,7 @@
     admission_priority rank;
     if (!queue.admits_at_once()) {
         rank.tenant_priority = request_.tenant_priority();
-        rank.priority = request_.route.priority;
+        rank.route_priority = request_.route.priority;
         rank.rank = context_.ranking.order_of(call);
     }
     const duration longest = request_.budget.admission_wait(http::steady_now());
