--- a/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
@@ -25,7 +25,7 @@
     call.id = next_ticket_++;
     // In call_queue the highest value goes first; in tenant and route priorities the lowest.
     call.priority = -(rank.tenant_priority * route_priorities + rank.route_priority);
-    call.rank = rank.rank;
+    call.rank = rank.policy_rank;
     call.arrived = arrived;
     queue_.push(call);
     const auto timer = std::make_shared<asio::steady_timer>(loop_, longest);
--- a/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
@@ -22,7 +22,7 @@
     /// Priority of the route; 0 is the highest.
     std::int32_t route_priority = 0;
     /// Rank from the policy; within one priority the lowest goes first.
-    double rank = 0;
+    double policy_rank = 0;
 };
 
 class admission_queue {
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -141,7 +141,7 @@
     if (!queue.admits_at_once()) {
         rank.tenant_priority = request_.tenant_priority();
         rank.route_priority = request_.route.priority;
-        rank.rank = context_.ranking.order_of(call);
+        rank.policy_rank = context_.ranking.order_of(call);
     }
     const duration longest = request_.budget.admission_wait(http::steady_now());
     admitted_ = true;
