--- a/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-asio::awaitable<duration> admission_queue::enter(admission_priority rank, duration longest) {
+asio::awaitable<duration> admission_queue::enter(admission_priority priority, duration longest) {
     if (admits_at_once()) {
         window_.started();
         co_return duration::zero();
@@ -24,8 +24,8 @@
     scheduling::queued_call call;
     call.id = next_ticket_++;
     // In call_queue the highest value goes first; in tenant and route priorities the lowest.
-    call.priority = -(rank.tenant_priority * route_priorities + rank.route_priority);
-    call.rank = rank.policy_rank;
+    call.priority = -(priority.tenant_priority * route_priorities + priority.route_priority);
+    call.rank = priority.policy_rank;
     call.arrived = arrived;
     queue_.push(call);
     const auto timer = std::make_shared<asio::steady_timer>(loop_, longest);
--- a/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
@@ -34,7 +34,7 @@
     /// Waits for capacity, at most `longest`. After that the call is admitted regardless, because
     /// the remaining time is needed to answer it. Each enter() must be paired with a leave().
     /// @return the time waited
-    asio::awaitable<duration> enter(admission_priority rank, duration longest);
+    asio::awaitable<duration> enter(admission_priority priority, duration longest);
     /// True when a call would be admitted without waiting.
     [[nodiscard]] bool admits_at_once() const {
         return open_ || (queue_.size() == 0 && window_.has_capacity());
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -137,15 +137,15 @@
 
 asio::awaitable<void> send_loop::wait_for_admission(const scheduling::call_features& call) {
     admission_queue& queue = context_.admission_queue_of(request_.service.name);
-    admission_priority rank;
+    admission_priority priority;
     if (!queue.admits_at_once()) {
-        rank.tenant_priority = request_.tenant_priority();
-        rank.route_priority = request_.route.priority;
-        rank.policy_rank = context_.ranking.order_of(call);
+        priority.tenant_priority = request_.tenant_priority();
+        priority.route_priority = request_.route.priority;
+        priority.policy_rank = context_.ranking.order_of(call);
     }
     const duration longest = request_.budget.admission_wait(http::steady_now());
     admitted_ = true;
-    const duration waited = co_await queue.enter(rank, longest);
+    const duration waited = co_await queue.enter(priority, longest);
     context_.metrics.waited(waited);
     statistics_.waited += waited;
 }
