--- a/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
@@ -11,7 +11,7 @@
 
 /// Weight of one tenant priority level. Exceeds the range of route priorities, so that the tenant
 /// priority takes precedence.
-constexpr std::int32_t route_priorities = 1'000;
+constexpr std::int32_t tenant_priority_stride = 1'000;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
     scheduling::queued_call call;
     call.id = next_ticket_++;
     // In call_queue the highest value goes first; in tenant and route priorities the lowest.
-    call.priority = -(priority.tenant_priority * route_priorities + priority.route_priority);
+    call.priority = -(priority.tenant_priority * tenant_priority_stride + priority.route_priority);
     call.rank = priority.policy_rank;
     call.arrived = arrived;
     queue_.push(call);
