--- a/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
@@ -29,7 +29,7 @@
   public:
     /// @param max_slowdown maximum slowdown of the engines relative to idle; 0 disables the limit
     admission_queue(asio::io_context& loop, double max_slowdown)
-        : loop_(loop), window_(max_slowdown), open_(max_slowdown <= 0) {}
+        : loop_(loop), window_(max_slowdown), unbounded_(max_slowdown <= 0) {}
 
     /// Waits for capacity, at most `longest`. After that the call is admitted regardless, because
     /// the remaining time is needed to answer it. Each enter() must be paired with a leave().
@@ -37,7 +37,7 @@
     asio::awaitable<duration> enter(admission_priority priority, duration longest);
     /// True when a call would be admitted without waiting.
     [[nodiscard]] bool admits_at_once() const {
-        return open_ || (queue_.size() == 0 && window_.has_capacity());
+        return unbounded_ || (queue_.size() == 0 && window_.has_capacity());
     }
     /// Releases an admitted call's slot, when the call has ended or backs off before a retry.
     void leave();
@@ -55,7 +55,7 @@
 
     asio::io_context& loop_;
     admission_window window_;
-    bool open_;
+    bool unbounded_;
     scheduling::call_queue queue_;
     /// Timer of each waiting call: cancelled on admission, expires at the maximum wait.
     std::map<scheduling::ticket, std::shared_ptr<asio::steady_timer>> timers_;
