--- a/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-asio::awaitable<duration> admission_queue::enter(admission_priority priority, duration longest) {
+asio::awaitable<duration> admission_queue::enter(admission_priority priority, duration max_wait) {
     if (admits_at_once()) {
         window_.started();
         co_return duration::zero();
@@ -28,7 +28,7 @@
     call.rank = priority.policy_rank;
     call.arrived = arrived;
     queue_.push(call);
-    const auto timer = std::make_shared<asio::steady_timer>(loop_, longest);
+    const auto timer = std::make_shared<asio::steady_timer>(loop_, max_wait);
     timers_[call.id] = timer;
     admit();
     if (timers_.contains(call.id)) {
--- a/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
@@ -31,10 +31,10 @@
     admission_queue(asio::io_context& loop, double max_slowdown)
         : loop_(loop), window_(max_slowdown), unbounded_(max_slowdown <= 0) {}
 
-    /// Waits for capacity, at most `longest`. After that the call is admitted regardless, because
+    /// Waits for capacity, at most `max_wait`. After that the call is admitted regardless, because
     /// the remaining time is needed to answer it. Each enter() must be paired with a leave().
     /// @return the time waited
-    asio::awaitable<duration> enter(admission_priority priority, duration longest);
+    asio::awaitable<duration> enter(admission_priority priority, duration max_wait);
     /// True when a call would be admitted without waiting.
     [[nodiscard]] bool admits_at_once() const {
         return unbounded_ || (queue_.size() == 0 && window_.has_capacity());
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -143,9 +143,9 @@
         priority.route_priority = request_.route.priority;
         priority.policy_rank = context_.ranking.order_of(call);
     }
-    const duration longest = request_.budget.admission_wait(http::steady_now());
+    const duration max_wait = request_.budget.admission_wait(http::steady_now());
     admitted_ = true;
-    const duration waited = co_await queue.enter(priority, longest);
+    const duration waited = co_await queue.enter(priority, max_wait);
     context_.metrics.waited(waited);
     statistics_.waited += waited;
 }
