--- a/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 asio::awaitable<duration> admission_queue::enter(admission_priority priority, duration max_wait) {
-    if (admits_at_once()) {
+    if (admits_immediately()) {
         window_.started();
         co_return duration::zero();
     }
--- a/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
@@ -36,7 +36,7 @@
     /// @return the time waited
     asio::awaitable<duration> enter(admission_priority priority, duration max_wait);
     /// True when a call would be admitted without waiting.
-    [[nodiscard]] bool admits_at_once() const {
+    [[nodiscard]] bool admits_immediately() const {
         return unbounded_ || (queue_.size() == 0 && window_.has_capacity());
     }
     /// Releases an admitted call's slot, when the call has ended or backs off before a retry.
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -138,7 +138,7 @@
 asio::awaitable<void> send_loop::wait_for_admission(const scheduling::call_features& call) {
     admission_queue& queue = context_.admission_queue_of(request_.service.name);
     admission_priority priority;
-    if (!queue.admits_at_once()) {
+    if (!queue.admits_immediately()) {
         priority.tenant_priority = request_.tenant_priority();
         priority.route_priority = request_.route.priority;
         priority.policy_rank = context_.ranking.order_of(call);
