--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -11,7 +11,7 @@
 
 /// Maximum size in bytes of an answer that is buffered before it is relayed, so that the request
 /// can be retried if the answer breaks off. Bounds the memory of one request.
-constexpr std::uint64_t max_whole_answer = 64U << 10U;
+constexpr std::uint64_t max_buffered_answer_bytes = 64U << 10U;
 
 bool is_success(const http::message_head& head) {
     return head.status / 100 == 2;
@@ -19,7 +19,8 @@
 
 bool is_small(const http::message_head& head) {
     return head.framing == http::body_framing::none ||
-           (head.framing == http::body_framing::length && head.content_length <= max_whole_answer);
+           (head.framing == http::body_framing::length &&
+            head.content_length <= max_buffered_answer_bytes);
 }
 
 /// Result of an attempt whose connection failed inside the answer's body.
