--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -17,7 +17,7 @@
     return head.status / 100 == 2;
 }
 
-bool is_small(const http::message_head& head) {
+bool fits_in_buffer(const http::message_head& head) {
     return head.framing == http::body_framing::none ||
            (head.framing == http::body_framing::length &&
             head.content_length <= max_buffered_answer_bytes);
@@ -90,7 +90,7 @@
 
 asio::awaitable<attempt_result> answer_relay::relay(http::connection_pointer connection,
                                                     backend_name backend, instant until) {
-    if (is_small(connection->head()) && !request_.route.streaming) {
+    if (fits_in_buffer(connection->head()) && !request_.route.streaming) {
         co_return co_await relay_whole(std::move(connection), until);
     }
     co_return co_await relay_stream(std::move(connection), std::move(backend));
