--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -91,13 +91,13 @@
 asio::awaitable<attempt_result> answer_relay::relay(http::connection_pointer connection,
                                                     backend_name backend, instant until) {
     if (fits_in_buffer(connection->head()) && !request_.route.streaming) {
-        co_return co_await relay_whole(std::move(connection), until);
+        co_return co_await relay_buffered(std::move(connection), until);
     }
     co_return co_await relay_stream(std::move(connection), std::move(backend));
 }
 
-asio::awaitable<attempt_result> answer_relay::relay_whole(http::connection_pointer connection,
-                                                          instant until) {
+asio::awaitable<attempt_result> answer_relay::relay_buffered(http::connection_pointer connection,
+                                                             instant until) {
     std::string body;
     do {
         auto piece = co_await connection->read_body_piece(until);
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -52,7 +52,8 @@
     [[nodiscard]] turns::cached_prompt held_by(const backend_name& backend) const;
 
   private:
-    asio::awaitable<attempt_result> relay_whole(http::connection_pointer connection, instant until);
+    asio::awaitable<attempt_result> relay_buffered(http::connection_pointer connection,
+                                                   instant until);
     asio::awaitable<attempt_result> relay_stream(http::connection_pointer connection,
                                                  backend_name backend);
     /// Prepares for the stream of one attempt. @return the head to write; empty when the caller has
