--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -114,7 +114,7 @@
     const relayed_framing framing{false, body.size(), bodiless};
     std::string bytes = render_relayed_head(head, framing, caller_.keeps_connection()) + body;
     started_ = true;
-    whole_ = co_await caller_.write(std::move(bytes));
+    fully_relayed_ = co_await caller_.write(std::move(bytes));
     co_return answered();
 }
 
@@ -156,7 +156,7 @@
             co_return failed_relay(failure_kind::client_disconnected);
         }
     }
-    whole_ = true;
+    fully_relayed_ = true;
     co_return answered();
 }
 
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -38,7 +38,7 @@
 
     [[nodiscard]] answer_progress progress() const;
     /// True when the caller received only a part of an answer.
-    [[nodiscard]] bool cut_short() const { return started_ && !whole_; }
+    [[nodiscard]] bool cut_short() const { return started_ && !fully_relayed_; }
     /// Status of the last relayed answer; 0 without one.
     [[nodiscard]] unsigned status() const { return status_; }
     /// Time from the request's last byte to the answer's first byte; zero without an answer.
@@ -80,7 +80,7 @@
     http::whole_events passed_;
     stream_pace pace_;
     bool started_ = false;
-    bool whole_ = false;
+    bool fully_relayed_ = false;
     /// True when the caller's answer is chunked; determined by the first relayed head.
     bool chunked_ = true;
     unsigned status_ = 0;
