--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -38,7 +38,7 @@
 
     [[nodiscard]] answer_progress progress() const;
     /// True when the caller received only a part of an answer.
-    [[nodiscard]] bool cut_short() const { return started_ && !fully_relayed_; }
+    [[nodiscard]] bool is_truncated() const { return started_ && !fully_relayed_; }
     /// Status of the last relayed answer; 0 without one.
     [[nodiscard]] unsigned status() const { return status_; }
     /// Time from the request's last byte to the answer's first byte; zero without an answer.
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -42,7 +42,7 @@
         co_await serve_admitted();
     }
     log_finish();
-    if (answer_ && answer_->cut_short()) {
+    if (answer_ && answer_->is_truncated()) {
         caller_.abort();
         co_return false;
     }
