--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -161,7 +161,7 @@
 }
 
 std::string answer_relay::begin_stream(const http::message_head& head) {
-    passed_.begin_anew();
+    relayed_events_.begin_anew();
     if (started_) {
         return {};
     }
@@ -182,12 +182,12 @@
 }
 
 bool answer_relay::keep_whole_events(std::string& piece, bool complete) {
-    piece = passed_.feed(piece);
-    if (!passed_.in_order()) {
+    piece = relayed_events_.feed(piece);
+    if (!relayed_events_.in_order()) {
         return false;
     }
     if (complete) {
-        piece += passed_.partial();
+        piece += relayed_events_.partial();
     }
     return true;
 }
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -45,7 +45,7 @@
     [[nodiscard]] duration first_byte() const { return first_byte_; }
     [[nodiscard]] std::uint64_t events() const { return events_.events(); }
     /// Identifier of the last event relayed to the caller; empty without one.
-    [[nodiscard]] const std::string& last_event() const { return passed_.last_id(); }
+    [[nodiscard]] const std::string& last_event() const { return relayed_events_.last_id(); }
     [[nodiscard]] token_count generated_tokens() const;
     /// Prefixes of the request and its answer that an engine has cached by now; empty for services
     /// that aren't engines.
@@ -77,7 +77,7 @@
     turn_session* turn_;
     http::event_stream_reader events_;
     /// Complete events of a resumable stream that were relayed to the caller.
-    http::whole_events passed_;
+    http::whole_events relayed_events_;
     stream_pace pace_;
     bool started_ = false;
     bool fully_relayed_ = false;
