--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -123,17 +123,17 @@
     const http::message_head head = connection->head();
     const bool success = is_success(head);
     std::string outgoing = begin_stream(head);
-    const bool by_events = success && chunked_ && request_.route.resumable;
+    const bool resumable_stream = success && chunked_ && request_.route.resumable;
     bool complete = false;
     while (!complete) {
         auto piece = co_await connection->read_body_piece(request_.budget.deadline());
         if (!piece) {
             attempt_result result = broken_body(piece.error());
-            result.broke_off = by_events && !result.timed_out;
+            result.broke_off = resumable_stream && !result.timed_out;
             co_return result;
         }
         complete = connection->message_complete();
-        if (by_events && !keep_whole_events(*piece, complete)) {
+        if (resumable_stream && !keep_whole_events(*piece, complete)) {
             co_return failed_relay(failure_kind::event_missing);
         }
         if (success) {
