--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -133,7 +133,7 @@
             co_return result;
         }
         complete = connection->message_complete();
-        if (resumable_stream && !keep_whole_events(*piece, complete)) {
+        if (resumable_stream && !retain_complete_events(*piece, complete)) {
             co_return failed_relay(failure_kind::event_missing);
         }
         if (success) {
@@ -181,7 +181,7 @@
     return bytes;
 }
 
-bool answer_relay::keep_whole_events(std::string& piece, bool complete) {
+bool answer_relay::retain_complete_events(std::string& piece, bool complete) {
     piece = relayed_events_.feed(piece);
     if (!relayed_events_.in_order()) {
         return false;
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -64,7 +64,7 @@
     [[nodiscard]] std::string render_piece(const std::string& piece, bool complete) const;
     /// Reduces a piece to complete events that the caller doesn't have yet.
     /// @return false when an event is missing in the stream
-    bool keep_whole_events(std::string& piece, bool complete);
+    bool retain_complete_events(std::string& piece, bool complete);
     /// Counts the events of a piece and updates the engine's pace.
     void learn_events(const std::string& piece, const backend_name& backend);
     /// Stores the end of the turn durably, if one is open. @return false when that failed
