--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -137,7 +137,7 @@
             co_return failed_relay(failure_kind::event_missing);
         }
         if (success) {
-            learn_events(*piece, backend);
+            record_events(*piece, backend);
         }
         if (complete && success) {
             const bool settled = co_await settle_turn(backend);
@@ -192,7 +192,7 @@
     return true;
 }
 
-void answer_relay::learn_events(const std::string& piece, const backend_name& backend) {
+void answer_relay::record_events(const std::string& piece, const backend_name& backend) {
     events_.feed(piece);
     if (request_.service.is_engine) {
         pace_.events_came(context_.backends.pace_of(request_.service.name), backend,
