--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -82,7 +82,7 @@
     return held;
 }
 
-void answer_relay::learn_pace(instant sent, instant now) {
+void answer_relay::record_pace(instant sent, instant now) {
     if (request_.service.is_engine) {
         pace_.ended(context_.backends.pace_of(request_.service.name), sent, now);
     }
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -34,7 +34,7 @@
                                           instant until);
     /// Adds a completely answered call to the pace statistics of its engine service.
     /// @param sent when the call was sent
-    void learn_pace(instant sent, instant now);
+    void record_pace(instant sent, instant now);
 
     [[nodiscard]] answer_progress progress() const;
     /// True when the caller received only a part of an answer.
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -211,7 +211,7 @@
     } else {
         context_.backends.succeeded(request_.service.name, order_.backend.name);
         note_held_prompt();
-        answer_.learn_pace(call_.since, http::steady_now());
+        answer_.record_pace(call_.since, http::steady_now());
     }
     keep_connection(facts);
 }
