--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -71,7 +71,7 @@
     return events_.events() * std::max(1U, request_.service.tokens_per_event);
 }
 
-turns::cached_prompt answer_relay::held_by(const backend_name& backend) const {
+turns::cached_prompt answer_relay::cached_prompt_of(const backend_name& backend) const {
     turns::cached_prompt held;
     if (request_.service.is_engine && !request_.facts.prompt.empty()) {
         held.engine = backend;
@@ -204,7 +204,7 @@
     if (turn_ == nullptr || !turn_->open()) {
         co_return true;
     }
-    turns::cached_prompt held = held_by(backend);
+    turns::cached_prompt held = cached_prompt_of(backend);
     co_return co_await turn_->settle(generated_tokens(), request_.turn_input, events_.data(),
                                      std::move(held));
 }
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -49,7 +49,7 @@
     [[nodiscard]] token_count generated_tokens() const;
     /// Prefixes of the request and its answer that an engine has cached by now; empty for services
     /// that aren't engines.
-    [[nodiscard]] turns::cached_prompt held_by(const backend_name& backend) const;
+    [[nodiscard]] turns::cached_prompt cached_prompt_of(const backend_name& backend) const;
 
   private:
     asio::awaitable<attempt_result> relay_buffered(http::connection_pointer connection,
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -244,7 +244,7 @@
 }
 
 void backend_attempt::note_held_prompt() {
-    const turns::cached_prompt held = answer_.held_by(order_.backend.name);
+    const turns::cached_prompt held = answer_.cached_prompt_of(order_.backend.name);
     context_.backends.note_cached(held.engine, held.points);
 }
 
