--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -51,7 +51,7 @@
                            caller_channel& caller, turn_session* turn)
     : context_(context), request_(request), caller_(caller), turn_(turn) {}
 
-void answer_relay::note_first_byte(unsigned status, instant now) {
+void answer_relay::record_first_byte(unsigned status, instant now) {
     status_ = status;
     if (!started_) {
         first_byte_ = now - request_.received;
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -26,7 +26,7 @@
                  caller_channel& caller, turn_session* turn);
 
     /// Records status and first-byte time of an answer that is about to be relayed.
-    void note_first_byte(unsigned status, instant now);
+    void record_first_byte(unsigned status, instant now);
     /// Relays the answer whose head was read from `connection`.
     /// @param backend that answers
     /// @param until deadline of a buffered answer; streams have the request's deadline
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -190,7 +190,7 @@
     }
     const instant now = http::steady_now();
     context_.backends.first_byte_came(call_, now);
-    answer_.note_first_byte(status, now);
+    answer_.record_first_byte(status, now);
     note_held_prompt();
     result = co_await answer_.relay(connection_, order_.backend.name, until);
     if (result.end == attempt_end::answered) {
