--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -24,7 +24,7 @@
 }
 
 /// Result of an attempt whose connection failed inside the answer's body.
-attempt_result broken_body(http::io_failure failure) {
+attempt_result body_failure(http::io_failure failure) {
     attempt_result result;
     result.end = attempt_end::may_have_run;
     result.failure = {failure_kind::body, http::name_of(failure)};
@@ -102,7 +102,7 @@
     do {
         auto piece = co_await connection->read_body_piece(until);
         if (!piece) {
-            co_return broken_body(piece.error());
+            co_return body_failure(piece.error());
         }
         body += *piece;
     } while (!connection->message_complete());
@@ -128,7 +128,7 @@
     while (!complete) {
         auto piece = co_await connection->read_body_piece(request_.budget.deadline());
         if (!piece) {
-            attempt_result result = broken_body(piece.error());
+            attempt_result result = body_failure(piece.error());
             result.broke_off = resumable_stream && !result.timed_out;
             co_return result;
         }
