--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -32,7 +32,7 @@
     return result;
 }
 
-attempt_result failed_relay(failure_kind kind) {
+attempt_result relay_failure(failure_kind kind) {
     attempt_result result;
     result.end = attempt_end::may_have_run;
     result.failure.kind = kind;
@@ -134,7 +134,7 @@
         }
         complete = connection->message_complete();
         if (resumable_stream && !retain_complete_events(*piece, complete)) {
-            co_return failed_relay(failure_kind::event_missing);
+            co_return relay_failure(failure_kind::event_missing);
         }
         if (success) {
             record_events(*piece, backend);
@@ -142,7 +142,7 @@
         if (complete && success) {
             const bool settled = co_await settle_turn(backend);
             if (!settled) {
-                co_return failed_relay(failure_kind::unsettled);
+                co_return relay_failure(failure_kind::unsettled);
             }
         }
         outgoing += render_piece(*piece, complete);
@@ -153,7 +153,7 @@
         const bool written = co_await caller_.write(std::move(outgoing));
         outgoing.clear();
         if (!written) {
-            co_return failed_relay(failure_kind::client_disconnected);
+            co_return relay_failure(failure_kind::client_disconnected);
         }
     }
     fully_relayed_ = true;
