--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -72,14 +72,14 @@
 }
 
 turns::cached_prompt answer_relay::cached_prompt_of(const backend_name& backend) const {
-    turns::cached_prompt held;
+    turns::cached_prompt cached;
     if (request_.service.is_engine && !request_.facts.prompt.empty()) {
-        held.engine = backend;
-        held.points = request_.facts.prompt;
+        cached.engine = backend;
+        cached.points = request_.facts.prompt;
         // The engine caches the generated tokens after the last part of the prompt.
-        held.points.back().tokens += generated_tokens();
+        cached.points.back().tokens += generated_tokens();
     }
-    return held;
+    return cached;
 }
 
 void answer_relay::record_pace(instant sent, instant now) {
@@ -204,9 +204,9 @@
     if (turn_ == nullptr || !turn_->open()) {
         co_return true;
     }
-    turns::cached_prompt held = cached_prompt_of(backend);
+    turns::cached_prompt cached = cached_prompt_of(backend);
     co_return co_await turn_->settle(generated_tokens(), request_.turn_input, events_.data(),
-                                     std::move(held));
+                                     std::move(cached));
 }
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -244,8 +244,8 @@
 }
 
 void backend_attempt::note_held_prompt() {
-    const turns::cached_prompt held = answer_.cached_prompt_of(order_.backend.name);
-    context_.backends.note_cached(held.engine, held.points);
+    const turns::cached_prompt cached = answer_.cached_prompt_of(order_.backend.name);
+    context_.backends.note_cached(cached.engine, cached.points);
 }
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -83,7 +83,7 @@
 }
 
 asio::awaitable<bool> turn_session::settle(token_count tokens, std::string input,
-                                           std::string output, turns::cached_prompt held) {
+                                           std::string output, turns::cached_prompt cached) {
     turns::turn_settlement ended = settlement(tokens);
     if (route_.keeps_history) {
         ended.record =
@@ -94,7 +94,7 @@
     open_ = false;
     const instant started = http::steady_now();
     const bool settled =
-        co_await context_.turns.settle(std::move(ended), std::move(held), started + settle_limit);
+        co_await context_.turns.settle(std::move(ended), std::move(cached), started + settle_limit);
     context_.metrics.stored(http::steady_now() - started);
     co_return settled;
 }
--- a/src/tallyfold/plane/forwarding/turn_session_shell.hpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.hpp
@@ -31,9 +31,9 @@
     asio::awaitable<turns::begin_result> begin(instant deadline, std::string& history);
     /// Stores the end of a completely answered turn durably. @return false when no majority of the
     /// stores acknowledged it
-    /// @param held prefixes of the turn that the answering engine has cached
+    /// @param cached prefixes of the turn that the answering engine has cached
     asio::awaitable<bool> settle(token_count tokens, std::string input, std::string output,
-                                 turns::cached_prompt held);
+                                 turns::cached_prompt cached);
     /// Settles an open turn that was not completely answered, in the background.
     void settle_unanswered(token_count tokens);
     /// True from begin() until the turn is settled.
