--- a/src/tallyfold/plane/forwarding/answer_rendering.cpp
+++ b/src/tallyfold/plane/forwarding/answer_rendering.cpp
@@ -29,13 +29,13 @@
 
 }  // namespace
 
-std::string render_own_answer(unsigned status, const std::string& reason, retry_after again,
+std::string render_own_answer(unsigned status, const std::string& reason, retry_after retry,
                               bool keep_alive) {
     http::endpoint_response response;
     response.status = status;
     response.body = nlohmann::json{{"error", reason}}.dump();
-    if (again.after) {
-        response.headers.push_back({"Retry-After", render_seconds(*again.after)});
+    if (retry.after) {
+        response.headers.push_back({"Retry-After", render_seconds(*retry.after)});
     }
     return http::render_response(response, keep_alive);
 }
--- a/src/tallyfold/plane/forwarding/answer_rendering.hpp
+++ b/src/tallyfold/plane/forwarding/answer_rendering.hpp
@@ -12,9 +12,9 @@
 namespace tallyfold::forwarding {
 
 /// Renders a complete answer of the forwarder with the reason as JSON body.
-/// @param again value of Retry-After, in seconds with decimals; omitted for never()
+/// @param retry value of Retry-After, in seconds with decimals; omitted for never()
 /// @param keep_alive false adds Connection: close
-std::string render_own_answer(unsigned status, const std::string& reason, retry_after again,
+std::string render_own_answer(unsigned status, const std::string& reason, retry_after retry,
                               bool keep_alive);
 
 /// Framing of the body of a relayed answer.
