--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -19,7 +19,8 @@
 }  // namespace
 
 backend_attempt::backend_attempt(forwarder_context& context, const forwarded_request& request,
-                                 caller_channel& caller, answer_relay& answer, attempt_order order)
+                                 caller_channel& caller, answer_relay& answer,
+                                 attempt_parameters order)
     : context_(context),
       request_(request),
       caller_(caller),
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -15,7 +15,7 @@
 namespace tallyfold::forwarding {
 
 /// Parameters of one attempt.
-struct attempt_order {
+struct attempt_parameters {
     chosen_backend backend;
     /// Priority level of the request at engines; 0 is the highest.
     std::int32_t urgency = 0;
@@ -27,7 +27,7 @@
   public:
     /// @param request, `caller` and `answer` must outlive the attempt
     backend_attempt(forwarder_context& context, const forwarded_request& request,
-                    caller_channel& caller, answer_relay& answer, attempt_order order);
+                    caller_channel& caller, answer_relay& answer, attempt_parameters order);
 
     /// Runs the attempt. Must be called at most once.
     asio::awaitable<attempt_result> run();
@@ -65,7 +65,7 @@
     const forwarded_request& request_;
     caller_channel& caller_;
     answer_relay& answer_;
-    attempt_order order_;
+    attempt_parameters order_;
     http::connection_pointer connection_;
     backend_call call_;
 };
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -102,7 +102,7 @@
     ++statistics_.sends;
     statistics_.backend = backend.name;
     statistics_.cached_tokens = backend.cached_tokens;
-    attempt_order order;
+    attempt_parameters order;
     order.backend = std::move(backend);
     order.urgency = statistics_.urgency;
     order.leaves_time = policy_.may_retry_run() && !request_.route.streaming;
