--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -20,12 +20,12 @@
 
 backend_attempt::backend_attempt(forwarder_context& context, const forwarded_request& request,
                                  caller_channel& caller, answer_relay& answer,
-                                 attempt_parameters order)
+                                 attempt_parameters parameters)
     : context_(context),
       request_(request),
       caller_(caller),
       answer_(answer),
-      order_(std::move(order)) {}
+      order_(std::move(parameters)) {}
 
 void backend_attempt::abort() {
     if (connection_) {
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -27,7 +27,7 @@
   public:
     /// @param request, `caller` and `answer` must outlive the attempt
     backend_attempt(forwarder_context& context, const forwarded_request& request,
-                    caller_channel& caller, answer_relay& answer, attempt_parameters order);
+                    caller_channel& caller, answer_relay& answer, attempt_parameters parameters);
 
     /// Runs the attempt. Must be called at most once.
     asio::awaitable<attempt_result> run();
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -102,11 +102,11 @@
     ++statistics_.sends;
     statistics_.backend = backend.name;
     statistics_.cached_tokens = backend.cached_tokens;
-    attempt_parameters order;
-    order.backend = std::move(backend);
-    order.urgency = statistics_.urgency;
-    order.leaves_time = policy_.may_retry_run() && !request_.route.streaming;
-    attempt_.emplace(context_, request_, caller_, answer_, std::move(order));
+    attempt_parameters parameters;
+    parameters.backend = std::move(backend);
+    parameters.urgency = statistics_.urgency;
+    parameters.leaves_time = policy_.may_retry_run() && !request_.route.streaming;
+    attempt_.emplace(context_, request_, caller_, answer_, std::move(parameters));
     const attempt_result result = co_await attempt_->run();
     attempt_.reset();
     co_return result;
