--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -25,7 +25,7 @@
       request_(request),
       caller_(caller),
       answer_(answer),
-      order_(std::move(parameters)) {}
+      parameters_(std::move(parameters)) {}
 
 void backend_attempt::abort() {
     if (connection_) {
@@ -34,7 +34,7 @@
 }
 
 asio::awaitable<attempt_result> backend_attempt::run() {
-    call_ = context_.backends.started(request_.service.name, order_.backend,
+    call_ = context_.backends.started(request_.service.name, parameters_.backend,
                                       request_.facts.prompt_tokens, http::steady_now());
     attempt_result result;
     const http::connection_pointer opened = co_await open(result);
@@ -47,7 +47,7 @@
 }
 
 asio::awaitable<http::connection_pointer> backend_attempt::open(attempt_result& result) {
-    const std::string& address = order_.backend.address;
+    const std::string& address = parameters_.backend.address;
     const instant now = http::steady_now();
     http::connection_pointer opened = context_.connections.take(address, now);
     if (opened) {
@@ -62,7 +62,7 @@
     const auto connected = co_await opened->connect(address, limit);
     if (!connected) {
         result.failure = {failure_kind::connect, http::name_of(connected.error())};
-        context_.backends.unreachable(request_.service.name, order_.backend.name,
+        context_.backends.unreachable(request_.service.name, parameters_.backend.name,
                                       http::steady_now());
         co_return nullptr;
     }
@@ -72,8 +72,8 @@
 std::string backend_attempt::render_request(duration time_left) const {
     attempt_marks marks;
     marks.time_left = time_left;
-    marks.incarnation = order_.backend.name;
-    marks.urgency = order_.urgency;
+    marks.incarnation = parameters_.backend.name;
+    marks.urgency = parameters_.urgency;
     marks.is_engine = request_.service.is_engine;
     marks.last_event = answer_.last_event();
     marks.tenant = request_.tenant_name();
@@ -92,7 +92,7 @@
         co_return result;
     }
     std::string bytes = render_request(time_left);
-    const instant until = request_.budget.attempt_deadline(now, order_.leaves_time);
+    const instant until = request_.budget.attempt_deadline(now, parameters_.leaves_time);
     // From here on the back end may have received the request.
     result.end = attempt_end::may_have_run;
     const auto written = co_await connection_->write(std::move(bytes), until);
@@ -156,7 +156,7 @@
     result.end = attempt_end::not_run;
     if (facts.wrong_incarnation) {
         result.failure.kind = failure_kind::other_incarnation;
-        context_.backends.incarnation_replaced(request_.service.name, order_.backend.name);
+        context_.backends.incarnation_replaced(request_.service.name, parameters_.backend.name);
         connection_->close();
         co_return result;
     }
@@ -193,7 +193,7 @@
     context_.backends.first_byte_came(call_, now);
     answer_.record_first_byte(status, now);
     note_held_prompt();
-    result = co_await answer_.relay(connection_, order_.backend.name, until);
+    result = co_await answer_.relay(connection_, parameters_.backend.name, until);
     if (result.end == attempt_end::answered) {
         finish_answered(facts);
         co_return result;
@@ -210,7 +210,7 @@
     if (server_error) {
         note_failure();
     } else {
-        context_.backends.succeeded(request_.service.name, order_.backend.name);
+        context_.backends.succeeded(request_.service.name, parameters_.backend.name);
         note_held_prompt();
         answer_.record_pace(call_.since, http::steady_now());
     }
@@ -219,7 +219,7 @@
 
 void backend_attempt::keep_connection(const answer_facts& facts) {
     if (connection_->head().keep_alive && connection_->message_complete()) {
-        context_.connections.put(order_.backend.address, connection_, facts.idle_limit,
+        context_.connections.put(parameters_.backend.address, connection_, facts.idle_limit,
                                  http::steady_now());
     } else {
         connection_->close();
@@ -229,7 +229,7 @@
 void backend_attempt::give_up_connection(attempt_result& result) {
     result.broke_off = !result.timed_out;
     if (result.broke_off && !caller_.disconnected()) {
-        const std::string& name = order_.backend.name;
+        const std::string& name = parameters_.backend.name;
         const std::string address =
             context_.backends.note_broken_connection(name, http::steady_now());
         if (!address.empty()) {
@@ -241,11 +241,11 @@
 }
 
 void backend_attempt::note_failure() {
-    context_.backends.failed(request_.service.name, order_.backend.name, http::steady_now());
+    context_.backends.failed(request_.service.name, parameters_.backend.name, http::steady_now());
 }
 
 void backend_attempt::note_held_prompt() {
-    const turns::cached_prompt cached = answer_.cached_prompt_of(order_.backend.name);
+    const turns::cached_prompt cached = answer_.cached_prompt_of(parameters_.backend.name);
     context_.backends.note_cached(cached.engine, cached.points);
 }
 
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -65,7 +65,7 @@
     const forwarded_request& request_;
     caller_channel& caller_;
     answer_relay& answer_;
-    attempt_parameters order_;
+    attempt_parameters parameters_;
     http::connection_pointer connection_;
     backend_call call_;
 };
