--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -92,7 +92,7 @@
         co_return result;
     }
     std::string bytes = render_request(time_left);
-    const instant until = request_.budget.attempt_deadline(now, parameters_.leaves_time);
+    const instant until = request_.budget.attempt_deadline(now, parameters_.reserves_retry_time);
     // From here on the back end may have received the request.
     result.end = attempt_end::may_have_run;
     const auto written = co_await connection_->write(std::move(bytes), until);
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -20,7 +20,7 @@
     /// Priority level of the request at engines; 0 is the highest.
     std::int32_t urgency = 0;
     /// Reserves a part of the request's time for a further attempt.
-    bool leaves_time = false;
+    bool reserves_retry_time = false;
 };
 
 class backend_attempt {
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -105,7 +105,7 @@
     attempt_parameters parameters;
     parameters.backend = std::move(backend);
     parameters.urgency = statistics_.urgency;
-    parameters.leaves_time = policy_.may_retry_run() && !request_.route.streaming;
+    parameters.reserves_retry_time = policy_.may_retry_run() && !request_.route.streaming;
     attempt_.emplace(context_, request_, caller_, answer_, std::move(parameters));
     const attempt_result result = co_await attempt_->run();
     attempt_.reset();
