--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -37,7 +37,7 @@
     call_ = context_.backends.started(request_.service.name, parameters_.backend,
                                       request_.facts.prompt_tokens, http::steady_now());
     attempt_result result;
-    const http::connection_pointer opened = co_await open(result);
+    const http::connection_pointer opened = co_await acquire_connection(result);
     if (opened && !caller_.disconnected()) {
         connection_ = opened;
         result = co_await exchange();
@@ -46,7 +46,8 @@
     co_return result;
 }
 
-asio::awaitable<http::connection_pointer> backend_attempt::open(attempt_result& result) {
+asio::awaitable<http::connection_pointer> backend_attempt::acquire_connection(
+    attempt_result& result) {
     const std::string& address = parameters_.backend.address;
     const instant now = http::steady_now();
     http::connection_pointer opened = context_.connections.take(address, now);
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -37,7 +37,7 @@
   private:
     /// Takes an idle connection from the pool or opens a new one.
     /// @return null on failure; `result` holds the reason
-    asio::awaitable<http::connection_pointer> open(attempt_result& result);
+    asio::awaitable<http::connection_pointer> acquire_connection(attempt_result& result);
     /// Sends the request over the open connection and handles the answer.
     asio::awaitable<attempt_result> exchange();
     [[nodiscard]] std::string render_request(duration time_left) const;
