--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -113,7 +113,7 @@
         co_return result;
     }
     if (facts.not_run || facts.wrong_incarnation) {
-        co_return co_await take_rejection(facts);
+        co_return co_await handle_rejection(facts);
     }
     co_return co_await take_answer(facts, until);
 }
@@ -152,7 +152,7 @@
     co_return true;
 }
 
-asio::awaitable<attempt_result> backend_attempt::take_rejection(answer_facts facts) {
+asio::awaitable<attempt_result> backend_attempt::handle_rejection(answer_facts facts) {
     attempt_result result;
     result.end = attempt_end::not_run;
     if (facts.wrong_incarnation) {
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -48,7 +48,7 @@
     /// Reads and discards the rest of an answer. @return false when reading failed
     asio::awaitable<bool> drain_body(instant until);
     /// Handles an answer which proves that the back end did not run the request.
-    asio::awaitable<attempt_result> take_rejection(answer_facts facts);
+    asio::awaitable<attempt_result> handle_rejection(answer_facts facts);
     /// Relays an answer to a request that may have run.
     asio::awaitable<attempt_result> take_answer(answer_facts facts, instant until);
     void finish_answered(const answer_facts& facts);
