--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -115,7 +115,7 @@
     if (facts.not_run || facts.wrong_incarnation) {
         co_return co_await handle_rejection(facts);
     }
-    co_return co_await take_answer(facts, until);
+    co_return co_await handle_answer(facts, until);
 }
 
 asio::awaitable<bool> backend_attempt::read_matching_head(instant until, answer_facts& facts,
@@ -173,7 +173,7 @@
     co_return result;
 }
 
-asio::awaitable<attempt_result> backend_attempt::take_answer(answer_facts facts, instant until) {
+asio::awaitable<attempt_result> backend_attempt::handle_answer(answer_facts facts, instant until) {
     attempt_result result;
     result.end = attempt_end::may_have_run;
     const unsigned status = connection_->head().status;
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -50,7 +50,7 @@
     /// Handles an answer which proves that the back end did not run the request.
     asio::awaitable<attempt_result> handle_rejection(answer_facts facts);
     /// Relays an answer to a request that may have run.
-    asio::awaitable<attempt_result> take_answer(answer_facts facts, instant until);
+    asio::awaitable<attempt_result> handle_answer(answer_facts facts, instant until);
     void finish_answered(const answer_facts& facts);
     /// Returns the connection to the pool if it is reusable, and closes it otherwise.
     void keep_connection(const answer_facts& facts);
