--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -101,7 +101,7 @@
         result.failure = {failure_kind::write, http::name_of(written.error())};
         result.timed_out = written.error() == http::io_failure::timed_out;
         note_failure();
-        give_up_connection(result);
+        discard_connection(result);
         co_return result;
     }
     answer_facts facts;
@@ -109,7 +109,7 @@
         if (!caller_.disconnected()) {
             note_failure();
         }
-        give_up_connection(result);
+        discard_connection(result);
         co_return result;
     }
     if (facts.not_run || facts.wrong_incarnation) {
@@ -227,7 +227,7 @@
     }
 }
 
-void backend_attempt::give_up_connection(attempt_result& result) {
+void backend_attempt::discard_connection(attempt_result& result) {
     result.broke_off = !result.timed_out;
     if (result.broke_off && !caller_.disconnected()) {
         const std::string& name = parameters_.backend.name;
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -56,7 +56,7 @@
     void keep_connection(const answer_facts& facts);
     /// Aborts the connection after an attempt without an answer. Reports a connection that the back
     /// end closed to the directory, which relays the failure to other nodes.
-    void give_up_connection(attempt_result& result);
+    void discard_connection(attempt_result& result);
     void note_failure();
     /// Records in the registry which prefixes of the request the engine has cached.
     void note_held_prompt();
