--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t max_answer_head = 64U << 10U;
 /// Maximum number of answers to other requests that are skipped before the expected one.
 /// Tolerates duplicate answers, but not a connection that is out of sync.
-constexpr int max_surplus_answers = 2;
+constexpr int max_unmatched_answers = 2;
 /// Time limit for reading the rest of a rejection. A new connection costs less than a longer wait.
 constexpr duration drain_limit = std::chrono::milliseconds(20);
 
@@ -120,7 +120,7 @@
 
 asio::awaitable<bool> backend_attempt::read_matching_head(instant until, answer_facts& facts,
                                                           attempt_result& result) {
-    for (int surplus = 0; surplus <= max_surplus_answers; ++surplus) {
+    for (int surplus = 0; surplus <= max_unmatched_answers; ++surplus) {
         const auto head = co_await connection_->read_head(until);
         if (!head) {
             result.failure = {failure_kind::answer_head, http::name_of(head.error())};
