--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -120,7 +120,7 @@
 
 asio::awaitable<bool> backend_attempt::read_matching_head(instant until, answer_facts& facts,
                                                           attempt_result& result) {
-    for (int surplus = 0; surplus <= max_unmatched_answers; ++surplus) {
+    for (int unmatched = 0; unmatched <= max_unmatched_answers; ++unmatched) {
         const auto head = co_await connection_->read_head(until);
         if (!head) {
             result.failure = {failure_kind::answer_head, http::name_of(head.error())};
