--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -14,7 +14,7 @@
 /// Tolerates duplicate answers, but not a connection that is out of sync.
 constexpr int max_unmatched_answers = 2;
 /// Time limit for reading the rest of a rejection. A new connection costs less than a longer wait.
-constexpr duration drain_limit = std::chrono::milliseconds(20);
+constexpr duration drain_timeout = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -163,7 +163,7 @@
     }
     result.failure.kind = failure_kind::not_executed;
     // A full back end rejects many requests; reusing the connection avoids reconnecting for each.
-    const instant until = http::steady_now() + drain_limit;
+    const instant until = http::steady_now() + drain_timeout;
     const bool drained = co_await drain_body(until);
     if (drained) {
         keep_connection(facts);
