--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -100,14 +100,14 @@
     if (!written) {
         result.failure = {failure_kind::write, http::name_of(written.error())};
         result.timed_out = written.error() == http::io_failure::timed_out;
-        note_failure();
+        record_failure();
         discard_connection(result);
         co_return result;
     }
     answer_facts facts;
     if (!co_await read_matching_head(until, facts, result)) {
         if (!caller_.disconnected()) {
-            note_failure();
+            record_failure();
         }
         discard_connection(result);
         co_return result;
@@ -186,7 +186,7 @@
     }
     if (success && !facts.is_signed) {
         result.failure.kind = failure_kind::unsigned_answer;
-        note_failure();
+        record_failure();
         connection_->abort();
         co_return result;
     }
@@ -200,7 +200,7 @@
         co_return result;
     }
     if (!caller_.disconnected() && !result.timed_out) {
-        note_failure();
+        record_failure();
     }
     connection_->abort();
     co_return result;
@@ -209,7 +209,7 @@
 void backend_attempt::finish_answered(const answer_facts& facts) {
     const bool server_error = connection_->head().status / 100 == 5;
     if (server_error) {
-        note_failure();
+        record_failure();
     } else {
         context_.backends.succeeded(request_.service.name, parameters_.backend.name);
         note_held_prompt();
@@ -241,7 +241,7 @@
     connection_->abort();
 }
 
-void backend_attempt::note_failure() {
+void backend_attempt::record_failure() {
     context_.backends.failed(request_.service.name, parameters_.backend.name, http::steady_now());
 }
 
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -57,7 +57,7 @@
     /// Aborts the connection after an attempt without an answer. Reports a connection that the back
     /// end closed to the directory, which relays the failure to other nodes.
     void discard_connection(attempt_result& result);
-    void note_failure();
+    void record_failure();
     /// Records in the registry which prefixes of the request the engine has cached.
     void note_held_prompt();
 
