--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -86,7 +86,7 @@
         if (last.end == attempt_end::answered) {
             break;
         }
-        const next_step step = note_failure(*backend, last);
+        const next_step step = handle_failure(*backend, last);
         if (step == next_step::give_up) {
             break;
         }
@@ -112,7 +112,7 @@
     co_return result;
 }
 
-next_step send_loop::note_failure(const chosen_backend& backend, const attempt_result& failed) {
+next_step send_loop::handle_failure(const chosen_backend& backend, const attempt_result& failed) {
     const std::string reason = text_of(failed.failure);
     const duration time_left = request_.budget.left(http::steady_now());
     context_.metrics.attempt_failed(reason);
--- a/src/tallyfold/plane/forwarding/send_loop_shell.hpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.hpp
@@ -41,7 +41,7 @@
     asio::awaitable<bool> back_off(const scheduling::call_features& call);
     asio::awaitable<attempt_result> attempt(chosen_backend backend);
     /// Logs a failed attempt and determines the next step.
-    next_step note_failure(const chosen_backend& backend, const attempt_result& failed);
+    next_step handle_failure(const chosen_backend& backend, const attempt_result& failed);
     [[nodiscard]] request_end end_with(const attempt_result& last) const;
 
     forwarder_context& context_;
