--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -193,7 +193,7 @@
     const instant now = http::steady_now();
     context_.backends.first_byte_came(call_, now);
     answer_.record_first_byte(status, now);
-    note_held_prompt();
+    record_cached_prompt();
     result = co_await answer_.relay(connection_, parameters_.backend.name, until);
     if (result.end == attempt_end::answered) {
         finish_answered(facts);
@@ -212,7 +212,7 @@
         record_failure();
     } else {
         context_.backends.succeeded(request_.service.name, parameters_.backend.name);
-        note_held_prompt();
+        record_cached_prompt();
         answer_.record_pace(call_.since, http::steady_now());
     }
     keep_connection(facts);
@@ -245,7 +245,7 @@
     context_.backends.failed(request_.service.name, parameters_.backend.name, http::steady_now());
 }
 
-void backend_attempt::note_held_prompt() {
+void backend_attempt::record_cached_prompt() {
     const turns::cached_prompt cached = answer_.cached_prompt_of(parameters_.backend.name);
     context_.backends.note_cached(cached.engine, cached.points);
 }
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -59,7 +59,7 @@
     void discard_connection(attempt_result& result);
     void record_failure();
     /// Records in the registry which prefixes of the request the engine has cached.
-    void note_held_prompt();
+    void record_cached_prompt();
 
     forwarder_context& context_;
     const forwarded_request& request_;
