--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -247,7 +247,7 @@
 
 void backend_attempt::record_cached_prompt() {
     const turns::cached_prompt cached = answer_.cached_prompt_of(parameters_.backend.name);
-    context_.backends.note_cached(cached.engine, cached.points);
+    context_.backends.record_cached(cached.engine, cached.points);
 }
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -134,8 +134,8 @@
     cache_.forget(name);
 }
 
-void backend_registry::note_cached(const backend_name& name,
-                                   const std::vector<scheduling::prefix_point>& prompt) {
+void backend_registry::record_cached(const backend_name& name,
+                                     const std::vector<scheduling::prefix_point>& prompt) {
     for (const scheduling::prefix_point& point : prompt) {
         cache_.stored(name, point);
     }
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -64,7 +64,8 @@
     /// new address for it.
     void incarnation_replaced(const std::string& service, const backend_name& name);
     /// Records that the engine has cached these prefixes of a prompt, read or generated.
-    void note_cached(const backend_name& name, const std::vector<scheduling::prefix_point>& prompt);
+    void record_cached(const backend_name& name,
+                       const std::vector<scheduling::prefix_point>& prompt);
 
     /// Pace statistics of a service's engines.
     [[nodiscard]] scheduling::engine_pace& pace_of(const std::string& service) {
--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -53,7 +53,7 @@
     store_epoch_ = begun.epoch;
     context_.metrics.stored(store_time_);
     for (const scheduling::cached_prefix& holder : begun.holders) {
-        context_.backends.note_cached(holder.engine, {{holder.hash, holder.tokens}});
+        context_.backends.record_cached(holder.engine, {{holder.hash, holder.tokens}});
     }
     if (begun.result != turns::begin_result::admitted) {
         log_refusal(begun);
--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -207,7 +207,7 @@
         for (int number = 0; number < programs; ++number) {
             backend_registry registry("zone", stable_hash("node-" + std::to_string(number)));
             registry.update(engines(20), instant{});
-            registry.note_cached("b3", shared);
+            registry.record_cached("b3", shared);
             const auto prompt = prompt_of_program(number);
             const backend_question question = first_turn_of(number, prompt);
             ++calls[registry.choose(question, instant{})->name];
@@ -302,7 +302,7 @@
         CPPUNIT_ASSERT(chosen.has_value());
         backend_call call = registry.started("s", *chosen, prompt.back().tokens, at(0));
         registry.first_byte_came(call, at(50));
-        registry.note_cached(chosen->name, prompt);
+        registry.record_cached(chosen->name, prompt);
         registry.finished(call);
         return *chosen;
     }
@@ -337,7 +337,7 @@
         registry.update(engines(2), at(0));
         const std::string before = run_turn(registry, 1000).name;
         const std::string after = before == "b0" ? "b1" : "b0";
-        registry.note_cached(after, prompt_with(9000));
+        registry.record_cached(after, prompt_with(9000));
         const auto prompt = prompt_with(9500);
         const auto chosen = registry.choose(turn_question(prompt), at(100));
         CPPUNIT_ASSERT_EQUAL(after, chosen->name);
