--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -232,7 +232,7 @@
     if (result.broke_off && !caller_.disconnected()) {
         const std::string& name = parameters_.backend.name;
         const std::string address =
-            context_.backends.note_broken_connection(name, http::steady_now());
+            context_.backends.record_broken_connection(name, http::steady_now());
         if (!address.empty()) {
             context_.connections.drop(address);
             context_.directory.report_failure(name);
--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -58,7 +58,7 @@
     return nullptr;
 }
 
-std::string backend_registry::note_broken_connection(const backend_name& name, instant at) {
+std::string backend_registry::record_broken_connection(const backend_name& name, instant at) {
     const backend_state* failed = find(name);
     if (failed == nullptr || is_disabled(settings::mechanism::backend_distrust)) {
         return {};
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -59,7 +59,7 @@
     /// Records that the back end closed a connection before the first byte of an answer, on this or
     /// another node.
     /// @return its address when the failure is new; empty otherwise
-    std::string note_broken_connection(const backend_name& name, instant at);
+    std::string record_broken_connection(const backend_name& name, instant at);
     /// Drains a back end whose incarnation was replaced. It gets no calls until the list contains a
     /// new address for it.
     void incarnation_replaced(const std::string& service, const backend_name& name);
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -135,7 +135,7 @@
     const instant now = http::steady_now();
     for (const discovery::relayed_failure& failure : reported) {
         const instant at = now - std::chrono::milliseconds(failure.age_ms);
-        const std::string address = backends_.note_broken_connection(failure.backend, at);
+        const std::string address = backends_.record_broken_connection(failure.backend, at);
         if (!address.empty()) {
             connections_.drop(address);
             logging::write_event(
--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -56,7 +56,7 @@
         backend_registry registry("zone", 1);
         registry.update(engines(8), now);
         const std::string victim = choices(registry, false, now).begin()->first;
-        CPPUNIT_ASSERT(!registry.note_broken_connection(victim, now).empty());
+        CPPUNIT_ASSERT(!registry.record_broken_connection(victim, now).empty());
         CPPUNIT_ASSERT(!choices(registry, false, now).contains(victim));
         // Repeatable calls may still use it.
         CPPUNIT_ASSERT(choices(registry, true, now).contains(victim));
@@ -69,7 +69,7 @@
         backend_registry registry("zone", 1);
         registry.update(engines(4), now);
         for (int number = 0; number < 3; ++number) {
-            registry.note_broken_connection("b" + std::to_string(number), now);
+            registry.record_broken_connection("b" + std::to_string(number), now);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, choices(registry, false, now).size());
         // Objects keep their home back ends, too.
@@ -115,13 +115,13 @@
         backend_registry registry("zone", 1);
         registry.update(engines(4), now);
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:8001"),
-                             registry.note_broken_connection("b1", now));
+                             registry.record_broken_connection("b1", now));
         // Another node reports the same failure, and one of an unlisted back end.
-        CPPUNIT_ASSERT_EQUAL(std::string{}, registry.note_broken_connection(
+        CPPUNIT_ASSERT_EQUAL(std::string{}, registry.record_broken_connection(
                                                 "b1", now + std::chrono::milliseconds(200)));
-        CPPUNIT_ASSERT_EQUAL(std::string{}, registry.note_broken_connection("nobody", now));
+        CPPUNIT_ASSERT_EQUAL(std::string{}, registry.record_broken_connection("nobody", now));
         CPPUNIT_ASSERT(
-            !registry.note_broken_connection("b1", now + std::chrono::seconds(1)).empty());
+            !registry.record_broken_connection("b1", now + std::chrono::seconds(1)).empty());
         // A second failure soon after the first is distrusted for longer.
         reported_failures evidence;
         evidence.note("b", now);
