--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -213,7 +213,7 @@
     } else {
         context_.backends.succeeded(request_.service.name, parameters_.backend.name);
         record_cached_prompt();
-        answer_.record_pace(call_.since, http::steady_now());
+        answer_.record_pace(call_.started_at, http::steady_now());
     }
     keep_connection(facts);
 }
--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -79,8 +79,8 @@
 
 void backend_registry::first_byte_came(backend_call& call, instant now) {
     service_state& state = state_of(call.service);
-    state.silence.first_byte_came(call.backend, call.since, now);
-    state.pace.prompt_read(call.unread_tokens, now - call.since);
+    state.silence.first_byte_came(call.backend, call.started_at, now);
+    state.pace.prompt_read(call.unread_tokens, now - call.started_at);
     state.pool.prefilled(call.backend, call.unread_tokens);
     call.awaits_first_byte = false;
 }
@@ -88,7 +88,7 @@
 void backend_registry::finished(backend_call& call) {
     service_state& state = state_of(call.service);
     if (call.awaits_first_byte) {
-        state.silence.call_ended(call.backend, call.since);
+        state.silence.call_ended(call.backend, call.started_at);
         state.pool.prefilled(call.backend, call.unread_tokens);
         call.awaits_first_byte = false;
     }
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -22,7 +22,7 @@
 struct backend_call {
     std::string service;
     backend_name backend;
-    instant since{};
+    instant started_at{};
     /// Prompt tokens that the engine has not cached and has to prefill.
     token_count unread_tokens = 0;
     bool awaits_first_byte = true;
