--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -80,8 +80,8 @@
 void backend_registry::first_byte_came(backend_call& call, instant now) {
     service_state& state = state_of(call.service);
     state.silence.first_byte_came(call.backend, call.started_at, now);
-    state.pace.prompt_read(call.unread_tokens, now - call.started_at);
-    state.pool.prefilled(call.backend, call.unread_tokens);
+    state.pace.prompt_read(call.uncached_tokens, now - call.started_at);
+    state.pool.prefilled(call.backend, call.uncached_tokens);
     call.awaits_first_byte = false;
 }
 
@@ -89,7 +89,7 @@
     service_state& state = state_of(call.service);
     if (call.awaits_first_byte) {
         state.silence.call_ended(call.backend, call.started_at);
-        state.pool.prefilled(call.backend, call.unread_tokens);
+        state.pool.prefilled(call.backend, call.uncached_tokens);
         call.awaits_first_byte = false;
     }
     state.pool.finished(call.backend);
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -24,7 +24,7 @@
     backend_name backend;
     instant started_at{};
     /// Prompt tokens that the engine has not cached and has to prefill.
-    token_count unread_tokens = 0;
+    token_count uncached_tokens = 0;
     bool awaits_first_byte = true;
 };
 
