--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -69,8 +69,8 @@
 
 backend_call backend_registry::started(const std::string& service, const chosen_backend& chosen,
                                        token_count prompt_tokens, instant now) {
-    const token_count held = std::min(chosen.cached_tokens, prompt_tokens);
-    const token_count uncached = prompt_tokens - held;
+    const token_count reused = std::min(chosen.cached_tokens, prompt_tokens);
+    const token_count uncached = prompt_tokens - reused;
     service_state& state = state_of(service);
     state.pool.started(chosen.name, uncached);
     state.silence.call_started(chosen.name, now);
