--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -76,7 +76,7 @@
     /// Time of the last update of the list.
     [[nodiscard]] instant listed_at() const { return listed_at_; }
     /// True after the first update of the list.
-    [[nodiscard]] bool has_list() const { return has_list_; }
+    [[nodiscard]] bool has_backend_list() const { return has_list_; }
 
   private:
     /// Capacity of the map of cached prefixes; at a few hundred bytes each, several MB.
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -104,7 +104,7 @@
       readiness_(process_.loop(), settings.readiness_address, 0) {}
 
 bool forwarder_node::ready() const {
-    return context_.routes && backends_.has_list() && turns_.has_store_table() &&
+    return context_.routes && backends_.has_backend_list() && turns_.has_store_table() &&
            !context_.stopping;
 }
 
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -50,7 +50,8 @@
 }
 
 bool request_relay::is_ready() const {
-    return context_.routes && context_.backends.has_list() && context_.turns.has_store_table();
+    return context_.routes && context_.backends.has_backend_list() &&
+           context_.turns.has_store_table();
 }
 
 asio::awaitable<void> request_relay::wait_until_ready() {
