--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -24,7 +24,7 @@
         listed[backend.service].push_back(backend.member);
     }
     listed_at_ = now;
-    has_list_ = true;
+    has_backend_list_ = true;
     if (listed == listed_) {
         return false;
     }
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -76,7 +76,7 @@
     /// Time of the last update of the list.
     [[nodiscard]] instant listed_at() const { return listed_at_; }
     /// True after the first update of the list.
-    [[nodiscard]] bool has_backend_list() const { return has_list_; }
+    [[nodiscard]] bool has_backend_list() const { return has_backend_list_; }
 
   private:
     /// Capacity of the map of cached prefixes; at a few hundred bytes each, several MB.
@@ -109,7 +109,7 @@
     scheduling::cache_map cache_{max_cached_prefixes};
     reported_failures reported_;
     instant listed_at_{};
-    bool has_list_ = false;
+    bool has_backend_list_ = false;
 };
 
 }  // namespace tallyfold::forwarding
