--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -11,8 +11,8 @@
                                    scheduling::strategy chosen, settings::switched_off off)
     : node_key_(seed),
       random_(seed),
-      off_(std::move(off)),
-      selector_(std::move(zone), chosen, off_) {}
+      disabled_(std::move(off)),
+      selector_(std::move(zone), chosen, disabled_) {}
 
 backend_registry::service_state& backend_registry::state_of(const std::string& service) {
     return services_.try_emplace(service, node_key_).first->second;
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -95,12 +95,14 @@
 
     service_state& state_of(const std::string& service);
     [[nodiscard]] const scheduling::backend_state* find(const backend_name& name) const;
-    [[nodiscard]] bool is_disabled(settings::mechanism asked) const { return off_.contains(asked); }
+    [[nodiscard]] bool is_disabled(settings::mechanism asked) const {
+        return disabled_.contains(asked);
+    }
 
     /// Key by which this node's subsets are chosen.
     std::uint64_t node_key_;
     random_source random_;
-    settings::switched_off off_;
+    settings::switched_off disabled_;
     backend_selector selector_;
     /// Current list of back ends by service.
     std::map<std::string, std::vector<scheduling::backend_member>> listed_;
