--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -8,10 +8,10 @@
 using scheduling::backend_state;
 
 backend_registry::backend_registry(std::string zone, std::uint64_t seed,
-                                   scheduling::strategy chosen, settings::switched_off off)
+                                   scheduling::strategy chosen, settings::switched_off disabled)
     : node_key_(seed),
       random_(seed),
-      disabled_(std::move(off)),
+      disabled_(std::move(disabled)),
       selector_(std::move(zone), chosen, disabled_) {}
 
 backend_registry::service_state& backend_registry::state_of(const std::string& service) {
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -31,10 +31,10 @@
 class backend_registry {
   public:
     /// @param seed must differ between nodes, so that their choices differ
-    /// @param off mechanisms disabled for measurements
+    /// @param disabled mechanisms disabled for measurements
     backend_registry(std::string zone, std::uint64_t seed,
                      scheduling::strategy chosen = scheduling::strategy::policy,
-                     settings::switched_off off = {});
+                     settings::switched_off disabled = {});
 
     /// Replaces the list of back ends. @return true when it differs from the previous one
     bool update(const std::vector<discovery::listed_backend>& backends, instant now);
