--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -63,7 +63,7 @@
     void log_policy_failures();
     /// Adjusts the admission queues to the engines' pace.
     void adjust_admission();
-    void suspect_silent_backends();
+    void eject_silent_backends();
     void stop();
     void continue_stop();
     [[nodiscard]] bool ready() const;
@@ -194,7 +194,7 @@
     metrics_.paced(max_slowdown, waiting);
 }
 
-void forwarder_node::suspect_silent_backends() {
+void forwarder_node::eject_silent_backends() {
     for (const backend_name& name : backends_.suspect_silent(http::steady_now())) {
         logging::write_event(logging::event_id::backend_ejected,
                              "backend=" + name + " reason=silent");
@@ -261,7 +261,7 @@
     process_.every(policy_check_interval, [this] { read_policy(); });
     process_.every(housekeeping_interval, [this] { connections_.expire(http::steady_now()); });
     process_.every(admission_window::interval, [this] { adjust_admission(); });
-    process_.every(silence_check_interval, [this] { suspect_silent_backends(); });
+    process_.every(silence_check_interval, [this] { eject_silent_backends(); });
 }
 
 std::string forwarder_node::listen() {
