--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -36,19 +36,19 @@
     co_return confirmed;
 }
 
-const routing::route* caller_admission::known_route() const {
+const routing::route* caller_admission::lookup_route() const {
     const std::string* host = head_.headers.find("Host");
     return table_->find(host != nullptr ? *host : std::string{}, head_.path());
 }
 
 asio::awaitable<std::optional<own_answer>> caller_admission::find_route() {
-    route_ = known_route();
+    route_ = lookup_route();
     if (route_ != nullptr) {
         co_return std::nullopt;
     }
     const instant began = http::steady_now();
     const bool confirmed = co_await refresh_table();
-    route_ = known_route();
+    route_ = lookup_route();
     if (route_ != nullptr) {
         co_return std::nullopt;
     }
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
@@ -44,7 +44,7 @@
     /// configuration
     asio::awaitable<bool> refresh_table();
     /// Looks the route up in the current configuration; null when there is none.
-    [[nodiscard]] const routing::route* known_route() const;
+    [[nodiscard]] const routing::route* lookup_route() const;
     /// Time since the configuration was last confirmed to be the newest.
     [[nodiscard]] duration proof_age() const;
     /// Log fields of the configuration version and of its last confirmation.
