--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -105,7 +105,7 @@
     co_return refused;
 }
 
-void caller_admission::give_back_permit() {
+void caller_admission::return_permit() {
     if (!permit_taken_) {
         return;
     }
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
@@ -25,7 +25,7 @@
     /// Acquires a permit if the tenant is limited. @return the answer when the request is refused
     asio::awaitable<std::optional<own_answer>> take_permit(tenants::permit_need need);
     /// Returns the permit of a request that did not run on any back end.
-    void give_back_permit();
+    void return_permit();
 
     /// Configuration used for the decision; null when the node has none yet.
     [[nodiscard]] const std::shared_ptr<const routing::route_table>& table() const {
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -166,7 +166,7 @@
     const bool ran =
         end_.outcome == request_outcome::answered || (sending_ && sending_->may_have_run());
     if (!ran) {
-        admission_.give_back_permit();
+        admission_.return_permit();
     }
     caller_.stop_watching();
     if (turn_ && turn_->open()) {
