--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -97,7 +97,7 @@
     const tenants::permit_decision decision = co_await context_.quotas.acquire(tenant_->name, need);
     context_.metrics.permitted(decision);
     if (decision.state == tenants::permit_state::granted) {
-        permit_taken_ = decision.taken;
+        permit_acquired_at_ = decision.taken;
         co_return std::nullopt;
     }
     const own_answer refused = answer_without_permit(decision);
@@ -106,16 +106,16 @@
 }
 
 void caller_admission::return_permit() {
-    if (!permit_taken_) {
+    if (!permit_acquired_at_) {
         return;
     }
-    const bool free_again = context_.quotas.give_back(tenant_->name, *permit_taken_);
-    const duration held = http::steady_now() - *permit_taken_;
+    const bool free_again = context_.quotas.give_back(tenant_->name, *permit_acquired_at_);
+    const duration held = http::steady_now() - *permit_acquired_at_;
     logging::write_event(logging::event_id::permit_given_back,
                          "request=" + facts_.request + " tenant=" + tenant_->name +
                              " held_ms=" + std::to_string(to_milliseconds(held)) +
                              " free_again=" + (free_again ? "yes" : "no"));
-    permit_taken_.reset();
+    permit_acquired_at_.reset();
 }
 
 duration caller_admission::proof_age() const {
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
@@ -59,7 +59,7 @@
     const routing::route* route_ = nullptr;
     const routing::tenant* tenant_ = nullptr;
     /// When the request's permit was acquired; nothing when it has none.
-    std::optional<instant> permit_taken_;
+    std::optional<instant> permit_acquired_at_;
 };
 
 }  // namespace tallyfold::forwarding
