--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -10,7 +10,7 @@
 
 /// Maximum wait for a newer configuration before an unknown route or key is refused. Covers two
 /// queries to directory nodes, the second of which is sent after 50 ms.
-constexpr duration refresh_limit = std::chrono::milliseconds(100);
+constexpr duration refresh_timeout = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -31,7 +31,7 @@
 }
 
 asio::awaitable<bool> caller_admission::refresh_table() {
-    const bool confirmed = co_await context_.directory.refresh(refresh_limit);
+    const bool confirmed = co_await context_.directory.refresh(refresh_timeout);
     table_ = context_.routes;
     co_return confirmed;
 }
