--- a/src/tallyfold/plane/forwarding/caller_channel_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_channel_shell.cpp
@@ -10,7 +10,7 @@
 
 /// Time limit of a write to a caller. Tolerates short pauses of a slow reader without letting a
 /// dead connection occupy a back end for long.
-constexpr duration write_limit = std::chrono::seconds(8);
+constexpr duration write_timeout = std::chrono::seconds(8);
 
 }  // namespace
 
@@ -19,7 +19,7 @@
     : context_(context), connection_(std::move(connection)), keep_alive_(keep_alive) {}
 
 asio::awaitable<bool> caller_channel::write(std::string bytes) {
-    const instant limit = http::steady_now() + write_limit;
+    const instant limit = http::steady_now() + write_timeout;
     const auto written = co_await connection_->write(std::move(bytes), limit);
     if (!written) {
         disconnected_ = true;
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Time limit for writing a refusal or an interim answer, which are short.
-constexpr duration write_limit = std::chrono::seconds(2);
+constexpr duration write_timeout = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -105,7 +105,7 @@
     }
     if (request.head.headers.find("Expect") != nullptr) {
         std::string interim = "HTTP/1.1 100 Continue\r\n\r\n";
-        co_await caller->write(std::move(interim), http::steady_now() + write_limit);
+        co_await caller->write(std::move(interim), http::steady_now() + write_timeout);
     }
     const bool body_read = co_await read_body(caller, bounds, request);
     request.received = http::steady_now();
@@ -166,7 +166,7 @@
                          "status=" + std::to_string(status) + " reason=\"" + reason + "\"");
     context_.metrics.finished("rejected", duration::zero());
     std::string bytes = render_own_answer(status, reason, retry_after::never(), false);
-    const instant limit = http::steady_now() + write_limit;
+    const instant limit = http::steady_now() + write_timeout;
     co_await caller->write(std::move(bytes), limit);
     caller->close();
 }
