--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -37,7 +37,7 @@
     }
 }
 
-void caller_listener::cut_off_requests() {
+void caller_listener::abort_requests() {
     for (const auto& relay : under_way_) {
         relay->cut_off();
     }
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
@@ -28,7 +28,7 @@
     /// close after its answer.
     void take_no_more();
     /// Aborts all active requests without answering them.
-    void cut_off_requests();
+    void abort_requests();
     /// Number of requests being read or served.
     [[nodiscard]] std::size_t requests_under_way() const { return under_way_.size() + reading_; }
 
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -216,7 +216,7 @@
             callers_.take_no_more();
             break;
         case stop_step::finish:
-            callers_.cut_off_requests();
+            callers_.abort_requests();
             process_.after(stop_check_interval, [this] { process_.finish(); });
             return;
         case stop_step::wait:
