--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -39,7 +39,7 @@
 
 void caller_listener::abort_requests() {
     for (const auto& relay : under_way_) {
-        relay->cut_off();
+        relay->abort_request();
     }
 }
 
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -25,7 +25,7 @@
       caller_(context, std::move(caller), request_.head.keep_alive),
       admission_(context, request_.head, facts_) {}
 
-void request_relay::cut_off() {
+void request_relay::abort_request() {
     if (sending_) {
         sending_->abort_attempt();
     }
--- a/src/tallyfold/plane/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -39,7 +39,7 @@
     /// @return true when the caller's connection may serve another request
     asio::awaitable<bool> serve();
     /// Aborts the request at the end of a shutdown, without an answer.
-    void cut_off();
+    void abort_request();
 
   private:
     /// True once the node has a configuration, a list of back ends and a store table.
