--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -28,7 +28,7 @@
 }
 
 void caller_listener::take_no_more() {
-    takes_requests_ = false;
+    accepting_ = false;
     std::error_code ignored;
     acceptor_.close(ignored);
     // A request sent on a connection left open could no longer be answered.
@@ -63,7 +63,7 @@
 }
 
 asio::awaitable<void> caller_listener::serve_caller(http::connection_pointer caller) {
-    while (caller->open() && takes_requests_) {
+    while (caller->open() && accepting_) {
         const bool keep_connection = co_await serve_next_request(caller);
         if (!keep_connection) {
             break;
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
@@ -55,7 +55,7 @@
     /// Connections waiting for their next request.
     std::set<http::connection_pointer> idle_;
     std::size_t reading_ = 0;
-    bool takes_requests_ = true;
+    bool accepting_ = true;
 };
 
 }  // namespace tallyfold::forwarding
