--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -38,7 +38,7 @@
 }
 
 void caller_listener::abort_requests() {
-    for (const auto& relay : under_way_) {
+    for (const auto& relay : active_requests_) {
         relay->abort_request();
     }
 }
@@ -89,9 +89,9 @@
         co_return false;
     }
     auto relay = std::make_shared<request_relay>(context_, caller, std::move(request));
-    under_way_.insert(relay);
+    active_requests_.insert(relay);
     const bool keep_connection = co_await relay->serve();
-    under_way_.erase(relay);
+    active_requests_.erase(relay);
     co_return keep_connection;
 }
 
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
@@ -30,7 +30,9 @@
     /// Aborts all active requests without answering them.
     void abort_requests();
     /// Number of requests being read or served.
-    [[nodiscard]] std::size_t requests_under_way() const { return under_way_.size() + reading_; }
+    [[nodiscard]] std::size_t requests_under_way() const {
+        return active_requests_.size() + reading_;
+    }
 
   private:
     void accept();
@@ -51,7 +53,7 @@
 
     forwarder_context& context_;
     asio::ip::tcp::acceptor acceptor_;
-    std::set<std::shared_ptr<request_relay>> under_way_;
+    std::set<std::shared_ptr<request_relay>> active_requests_;
     /// Connections waiting for their next request.
     std::set<http::connection_pointer> idle_;
     std::size_t reading_ = 0;
