--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -82,9 +82,9 @@
         co_return false;
     }
     caller_request request;
-    ++reading_;
+    ++requests_being_read_;
     const bool read = co_await read_request(caller, request);
-    --reading_;
+    --requests_being_read_;
     if (!read) {
         co_return false;
     }
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
@@ -31,7 +31,7 @@
     void abort_requests();
     /// Number of requests being read or served.
     [[nodiscard]] std::size_t requests_under_way() const {
-        return active_requests_.size() + reading_;
+        return active_requests_.size() + requests_being_read_;
     }
 
   private:
@@ -56,7 +56,7 @@
     std::set<std::shared_ptr<request_relay>> active_requests_;
     /// Connections waiting for their next request.
     std::set<http::connection_pointer> idle_;
-    std::size_t reading_ = 0;
+    std::size_t requests_being_read_ = 0;
     bool accepting_ = true;
 };
 
