--- a/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
@@ -30,7 +30,7 @@
     /// Aborts all active requests without answering them.
     void abort_requests();
     /// Number of requests being read or served.
-    [[nodiscard]] std::size_t requests_under_way() const {
+    [[nodiscard]] std::size_t active_request_count() const {
         return active_requests_.size() + requests_being_read_;
     }
 
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -210,7 +210,7 @@
 }
 
 void forwarder_node::continue_stop() {
-    const work_left left{callers_.requests_under_way(), turns_.settling()};
+    const work_left left{callers_.active_request_count(), turns_.settling()};
     switch (stop_->next(http::steady_now(), left)) {
         case stop_step::take_no_more:
             callers_.take_no_more();
