--- a/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
@@ -55,11 +55,11 @@
 void connection_pool::expire(instant now) {
     for (auto entry = idle_.begin(); entry != idle_.end();) {
         std::erase_if(entry->second, [&](idle_connection& kept) {
-            const bool over = now >= kept.until || kept.connection->stale();
-            if (over) {
+            const bool expired = now >= kept.until || kept.connection->stale();
+            if (expired) {
                 kept.connection->close();
             }
-            return over;
+            return expired;
         });
         entry = entry->second.empty() ? idle_.erase(entry) : std::next(entry);
     }
