--- a/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
@@ -6,7 +6,7 @@
 
 /// Idle connections are closed this long before the back end's idle timeout, so that no request is
 /// written to a closing connection. Covers back ends that count whole seconds, and the latency.
-constexpr duration closing_margin = std::chrono::milliseconds(900);
+constexpr duration close_margin = std::chrono::milliseconds(900);
 /// Idle timeout for back ends that announce none; below the usual defaults of HTTP servers.
 constexpr duration default_idle_limit = std::chrono::seconds(10);
 
@@ -32,13 +32,13 @@
 
 void connection_pool::put(const std::string& address, http::connection_pointer idle,
                           std::optional<duration> idle_limit, instant now) {
-    const duration limit = idle_limit.value_or(default_idle_limit + closing_margin);
-    if (limit <= closing_margin) {
+    const duration limit = idle_limit.value_or(default_idle_limit + close_margin);
+    if (limit <= close_margin) {
         idle->close();
         return;
     }
     idle->next_message();
-    idle_[address].push_back({std::move(idle), now + limit - closing_margin});
+    idle_[address].push_back({std::move(idle), now + limit - close_margin});
 }
 
 void connection_pool::drop(const std::string& address) {
