--- a/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
@@ -31,8 +31,8 @@
 }
 
 void connection_pool::put(const std::string& address, http::connection_pointer idle,
-                          std::optional<duration> idle_limit, instant now) {
-    const duration limit = idle_limit.value_or(default_idle_limit + close_margin);
+                          std::optional<duration> idle_timeout, instant now) {
+    const duration limit = idle_timeout.value_or(default_idle_limit + close_margin);
     if (limit <= close_margin) {
         idle->close();
         return;
--- a/src/tallyfold/plane/forwarding/connection_pool_shell.hpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.hpp
@@ -17,9 +17,9 @@
     /// Removes a usable idle connection to `address` from the pool; null when there is none.
     http::connection_pointer take(const std::string& address, instant now);
     /// Adds an idle connection.
-    /// @param idle_limit idle timeout announced by the back end, if any
+    /// @param idle_timeout idle timeout announced by the back end, if any
     void put(const std::string& address, http::connection_pointer idle,
-             std::optional<duration> idle_limit, instant now);
+             std::optional<duration> idle_timeout, instant now);
     /// Closes all idle connections to `address`.
     void drop(const std::string& address);
     /// Closes connections that reached their idle timeout or were closed by the back end.
