--- a/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.cpp
@@ -8,7 +8,7 @@
 /// written to a closing connection. Covers back ends that count whole seconds, and the latency.
 constexpr duration close_margin = std::chrono::milliseconds(900);
 /// Idle timeout for back ends that announce none; below the usual defaults of HTTP servers.
-constexpr duration default_idle_limit = std::chrono::seconds(10);
+constexpr duration default_idle_timeout = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -32,7 +32,7 @@
 
 void connection_pool::put(const std::string& address, http::connection_pointer idle,
                           std::optional<duration> idle_timeout, instant now) {
-    const duration limit = idle_timeout.value_or(default_idle_limit + close_margin);
+    const duration limit = idle_timeout.value_or(default_idle_timeout + close_margin);
     if (limit <= close_margin) {
         idle->close();
         return;
