--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -74,9 +74,9 @@
 }
 
 asio::awaitable<bool> caller_listener::serve_next_request(http::connection_pointer caller) {
-    const duration idle_limit = std::chrono::milliseconds(limits().idle_timeout_ms);
+    const duration idle_timeout = std::chrono::milliseconds(limits().idle_timeout_ms);
     idle_.insert(caller);
-    const auto waited = co_await caller->wait_for_message(http::steady_now() + idle_limit);
+    const auto waited = co_await caller->wait_for_message(http::steady_now() + idle_timeout);
     idle_.erase(caller);
     if (!waited) {
         co_return false;
@@ -138,9 +138,9 @@
 asio::awaitable<bool> caller_listener::read_body(http::connection_pointer caller,
                                                  const routing::caller_limits& bounds,
                                                  caller_request& request) {
-    const duration idle_limit = std::chrono::milliseconds(bounds.idle_timeout_ms);
+    const duration idle_timeout = std::chrono::milliseconds(bounds.idle_timeout_ms);
     while (true) {
-        auto piece = co_await caller->read_body_piece(http::steady_now() + idle_limit);
+        auto piece = co_await caller->read_body_piece(http::steady_now() + idle_timeout);
         if (!piece) {
             if (piece.error() == http::io_failure::timed_out) {
                 co_await reject(caller, 408, "the body did not come in time");
