--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -115,8 +115,8 @@
 asio::awaitable<bool> caller_listener::read_head(http::connection_pointer caller,
                                                  const routing::caller_limits& bounds,
                                                  caller_request& request) {
-    const duration head_limit = std::chrono::milliseconds(bounds.header_timeout_ms);
-    const auto head = co_await caller->read_head(http::steady_now() + head_limit);
+    const duration head_timeout = std::chrono::milliseconds(bounds.header_timeout_ms);
+    const auto head = co_await caller->read_head(http::steady_now() + head_timeout);
     if (!head) {
         if (head.error() == http::io_failure::timed_out) {
             co_await reject(caller, 408, "the head did not come in time");
