--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -29,12 +29,12 @@
 constexpr duration stop_check_interval = std::chrono::milliseconds(50);
 /// Number of key freshness checks within the key revocation time, when stale keys are refused.
 /// Requests are refused only if all of them fail.
-constexpr int proofs_in_revocation = 4;
+constexpr int checks_per_revocation_time = 4;
 
 directory::directory_client_settings client_settings(const settings::node_settings& settings) {
     directory::directory_client_settings chosen;
     if (settings.refuses_stale_keys) {
-        chosen.proof_interval = settings.revocation / proofs_in_revocation;
+        chosen.proof_interval = settings.revocation / checks_per_revocation_time;
     }
     return chosen;
 }
