--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -54,7 +54,7 @@
     std::string listen();
     void use_configuration(const directory::configuration_pointer& configuration);
     /// Applies the current list of back ends. @param changed whether it differs from the last one
-    void use_list(bool changed);
+    void apply_backend_list(bool changed);
     /// Records back-end failures reported by other nodes.
     void learn_failures(const std::vector<discovery::relayed_failure>& reported);
     /// Reads the policy file. When that fails, the previous policy stays in effect.
@@ -117,7 +117,7 @@
                              " tenants=" + std::to_string(configuration->tenants.size()));
 }
 
-void forwarder_node::use_list(bool changed) {
+void forwarder_node::apply_backend_list(bool changed) {
     backends_.update(list_.backends(), list_.seen());
     if (!changed) {
         return;
@@ -246,10 +246,10 @@
 void forwarder_node::follow_backend_list() {
     // The directory distributes the list; this node polls the source itself only when no update has
     // arrived for some time.
-    directory_.share_list(list_, [this](bool changed) { use_list(changed); });
+    directory_.share_list(list_, [this](bool changed) { apply_backend_list(changed); });
     poller_.start(
         [this](const std::vector<discovery::listed_backend>& backends) {
-            use_list(list_.see(backends, http::steady_now()));
+            apply_backend_list(list_.see(backends, http::steady_now()));
         },
         [this, started = http::steady_now()] {
             return discovery::forwarder_polls(list_.seen(), started, http::steady_now());
