--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -52,7 +52,7 @@
     void start_periodic_work();
     /// Starts listening for callers and readiness checks. @return the error; empty on success
     std::string listen();
-    void use_configuration(const directory::configuration_pointer& configuration);
+    void apply_configuration(const directory::configuration_pointer& configuration);
     /// Applies the current list of back ends. @param changed whether it differs from the last one
     void apply_backend_list(bool changed);
     /// Records back-end failures reported by other nodes.
@@ -108,7 +108,7 @@
            !context_.stopping;
 }
 
-void forwarder_node::use_configuration(const directory::configuration_pointer& configuration) {
+void forwarder_node::apply_configuration(const directory::configuration_pointer& configuration) {
     context_.routes = std::make_shared<routing::route_table>(configuration);
     quotas_.use(configuration->tenants);
     logging::write_event(logging::event_id::configuration_applied,
@@ -228,7 +228,7 @@
 void forwarder_node::follow_directory() {
     directory_.start(
         [this](const directory::configuration_pointer& configuration) {
-            use_configuration(configuration);
+            apply_configuration(configuration);
         },
         [this](const turns::store_table& stores) {
             logging::write_event(logging::event_id::store_map_changed,
