--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -56,7 +56,7 @@
     /// Applies the current list of back ends. @param changed whether it differs from the last one
     void apply_backend_list(bool changed);
     /// Records back-end failures reported by other nodes.
-    void learn_failures(const std::vector<discovery::relayed_failure>& reported);
+    void apply_reported_failures(const std::vector<discovery::relayed_failure>& reported);
     /// Reads the policy file. When that fails, the previous policy stays in effect.
     void read_policy();
     /// Logs the number of policy evaluations that failed since the last call, if any.
@@ -131,7 +131,8 @@
                              " leaving=" + std::to_string(leaving));
 }
 
-void forwarder_node::learn_failures(const std::vector<discovery::relayed_failure>& reported) {
+void forwarder_node::apply_reported_failures(
+    const std::vector<discovery::relayed_failure>& reported) {
     const instant now = http::steady_now();
     for (const discovery::relayed_failure& failure : reported) {
         const instant at = now - std::chrono::milliseconds(failure.age_ms);
@@ -239,7 +240,7 @@
         {});
     quotas_.start();
     directory_.on_relayed_failures([this](const std::vector<discovery::relayed_failure>& reported) {
-        learn_failures(reported);
+        apply_reported_failures(reported);
     });
 }
 
