--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -58,7 +58,7 @@
     /// Records back-end failures reported by other nodes.
     void apply_reported_failures(const std::vector<discovery::relayed_failure>& reported);
     /// Reads the policy file. When that fails, the previous policy stays in effect.
-    void read_policy();
+    void reload_policy();
     /// Logs the number of policy evaluations that failed since the last call, if any.
     void log_policy_failures();
     /// Adjusts the admission queues to the engines' pace.
@@ -146,7 +146,7 @@
     }
 }
 
-void forwarder_node::read_policy() {
+void forwarder_node::reload_policy() {
     const std::string& path = process_.settings().policy_file;
     const auto change = ranking_.use(path.empty() ? std::string{} : net::file_text(path));
     if (!change) {
@@ -258,8 +258,8 @@
 }
 
 void forwarder_node::start_periodic_work() {
-    read_policy();
-    process_.every(policy_check_interval, [this] { read_policy(); });
+    reload_policy();
+    process_.every(policy_check_interval, [this] { reload_policy(); });
     process_.every(housekeeping_interval, [this] { connections_.expire(http::steady_now()); });
     process_.every(admission_window::interval, [this] { adjust_admission(); });
     process_.every(silence_check_interval, [this] { eject_silent_backends(); });
