--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -66,7 +66,7 @@
 }
 
 asio::awaitable<void> request_relay::serve_admitted() {
-    forwarded_.emplace(make_forwarded());
+    forwarded_.emplace(make_forwarded_request());
     watch_caller();
     const std::optional<own_answer> refused = co_await begin();
     if (refused) {
@@ -77,7 +77,7 @@
     release();
 }
 
-forwarded_request request_relay::make_forwarded() {
+forwarded_request request_relay::make_forwarded_request() {
     const routing::route& route = *admission_.route();
     const auto& table = admission_.table();
     const routing::service* service = table->find_service(context_.splitter.choose(route));
--- a/src/tallyfold/plane/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -48,7 +48,7 @@
     asio::awaitable<void> wait_until_ready();
     /// Serves a request whose route and tenant were found.
     asio::awaitable<void> serve_admitted();
-    [[nodiscard]] forwarded_request make_forwarded();
+    [[nodiscard]] forwarded_request make_forwarded_request();
     void watch_caller();
     void on_client_disconnected();
     /// Begins the turn and acquires the tenant's permit.
