--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -68,7 +68,7 @@
 asio::awaitable<void> request_relay::serve_admitted() {
     forwarded_.emplace(make_forwarded_request());
     watch_caller();
-    const std::optional<own_answer> refused = co_await begin();
+    const std::optional<own_answer> refused = co_await begin_turn_and_take_permit();
     if (refused) {
         co_await refuse(*refused);
     } else {
@@ -115,7 +115,7 @@
     return !facts_.program.empty() && route.streaming && (facts_.budget > 0 || route.keeps_history);
 }
 
-asio::awaitable<std::optional<own_answer>> request_relay::begin() {
+asio::awaitable<std::optional<own_answer>> request_relay::begin_turn_and_take_permit() {
     if (is_turn()) {
         std::optional<own_answer> refused = co_await begin_turn();
         if (refused) {
--- a/src/tallyfold/plane/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -53,7 +53,7 @@
     void on_client_disconnected();
     /// Begins the turn and acquires the tenant's permit.
     /// @return the answer when the request is refused
-    asio::awaitable<std::optional<own_answer>> begin();
+    asio::awaitable<std::optional<own_answer>> begin_turn_and_take_permit();
     asio::awaitable<std::optional<own_answer>> begin_turn();
     [[nodiscard]] bool is_turn() const;
     asio::awaitable<void> send();
