--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -74,7 +74,7 @@
     } else {
         co_await send();
     }
-    release();
+    release_reservations();
 }
 
 forwarded_request request_relay::make_forwarded_request() {
@@ -162,7 +162,7 @@
     co_await caller_.write_answer(answer);
 }
 
-void request_relay::release() {
+void request_relay::release_reservations() {
     const bool ran =
         end_.outcome == request_outcome::answered || (sending_ && sending_->may_have_run());
     if (!ran) {
--- a/src/tallyfold/plane/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -59,7 +59,7 @@
     asio::awaitable<void> send();
     asio::awaitable<void> refuse(const own_answer& answer);
     /// Returns the permit of a request that did not run, and settles a turn that is still open.
-    void release();
+    void release_reservations();
     void log_finish() const;
 
     forwarder_context& context_;
