--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -123,8 +123,9 @@
         }
     }
     // A program that has used no tokens yet is treated as new.
-    const bool begins = turn_ && turn_->used_tokens() == 0;
-    const auto need = begins ? tenants::permit_need::new_program : tenants::permit_need::under_way;
+    const bool is_new_program = turn_ && turn_->used_tokens() == 0;
+    const auto need =
+        is_new_program ? tenants::permit_need::new_program : tenants::permit_need::under_way;
     std::optional<own_answer> refused = co_await admission_.take_permit(need);
     co_return refused;
 }
