--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -26,8 +26,8 @@
       admission_(context, request_.head, facts_) {}
 
 void request_relay::abort_request() {
-    if (sending_) {
-        sending_->abort_attempt();
+    if (send_loop_) {
+        send_loop_->abort_attempt();
     }
     caller_.abort();
 }
@@ -105,8 +105,8 @@
 
 void request_relay::on_client_disconnected() {
     caller_.note_disconnect();
-    if (sending_) {
-        sending_->abort_attempt();
+    if (send_loop_) {
+        send_loop_->abort_attempt();
     }
 }
 
@@ -150,12 +150,12 @@
 
 asio::awaitable<void> request_relay::send() {
     answer_.emplace(context_, *forwarded_, caller_, turn_ ? &*turn_ : nullptr);
-    sending_.emplace(context_, *forwarded_, caller_, *answer_);
-    end_ = co_await sending_->run();
+    send_loop_.emplace(context_, *forwarded_, caller_, *answer_);
+    end_ = co_await send_loop_->run();
     if (end_.answer) {
         co_await caller_.write_answer(*end_.answer);
     }
-    sending_->leave_admission();
+    send_loop_->leave_admission();
 }
 
 asio::awaitable<void> request_relay::refuse(const own_answer& answer) {
@@ -165,7 +165,7 @@
 
 void request_relay::release_reservations() {
     const bool ran =
-        end_.outcome == request_outcome::answered || (sending_ && sending_->may_have_run());
+        end_.outcome == request_outcome::answered || (send_loop_ && send_loop_->may_have_run());
     if (!ran) {
         admission_.return_permit();
     }
@@ -200,8 +200,8 @@
     if (end_.answer) {
         finished.status = end_.answer->status;
     }
-    if (sending_) {
-        finished.sending = sending_->statistics();
+    if (send_loop_) {
+        finished.sending = send_loop_->statistics();
     }
     if (turn_) {
         finished.turn = finished_turn{turn_->log_fields(), facts_.program_time_left,
--- a/src/tallyfold/plane/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -71,7 +71,7 @@
     std::optional<forwarded_request> forwarded_;
     std::optional<turn_session> turn_;
     std::optional<answer_relay> answer_;
-    std::optional<send_loop> sending_;
+    std::optional<send_loop> send_loop_;
     request_end end_;
 };
 
