--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -34,7 +34,7 @@
     }
 }
 
-backend_question send_loop::describe_for_choice() const {
+backend_question send_loop::make_backend_question() const {
     const request_facts& facts = request_.facts;
     backend_question question;
     question.service = request_.service.name;
@@ -62,7 +62,7 @@
 }
 
 asio::awaitable<request_end> send_loop::run() {
-    backend_question question = describe_for_choice();
+    backend_question question = make_backend_question();
     statistics_.urgency = urgency_of(question.call);
     co_await wait_for_admission(question.call);
     attempt_result last;
