--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -95,7 +95,7 @@
             resumed = backend;
         }
     }
-    co_return end_with(last);
+    co_return make_request_end(last);
 }
 
 asio::awaitable<attempt_result> send_loop::attempt(chosen_backend backend) {
@@ -124,7 +124,7 @@
     return policy_.after({failed.end, failed.broke_off, answer_.progress(), time_left});
 }
 
-request_end send_loop::end_with(const attempt_result& last) const {
+request_end send_loop::make_request_end(const attempt_result& last) const {
     last_attempt ended;
     ended.answered = last.end == attempt_end::answered;
     ended.client_disconnected = caller_.disconnected();
--- a/src/tallyfold/plane/forwarding/send_loop_shell.hpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.hpp
@@ -42,7 +42,7 @@
     asio::awaitable<attempt_result> attempt(chosen_backend backend);
     /// Logs a failed attempt and determines the next step.
     next_step handle_failure(const chosen_backend& backend, const attempt_result& failed);
-    [[nodiscard]] request_end end_with(const attempt_result& last) const;
+    [[nodiscard]] request_end make_request_end(const attempt_result& last) const;
 
     forwarder_context& context_;
     const forwarded_request& request_;
