--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-retry_policy policy_for(const forwarder_context& context, const routing::route& route) {
+retry_policy make_retry_policy(const forwarder_context& context, const routing::route& route) {
     const bool repeatable = route.repeats == routing::repeatability::repeatable || route.resumable;
     const bool resumes =
         route.resumable && !context.is_disabled(settings::mechanism::stream_resume);
@@ -26,7 +26,7 @@
       request_(request),
       caller_(caller),
       answer_(answer),
-      policy_(policy_for(context, request.route)) {}
+      policy_(make_retry_policy(context, request.route)) {}
 
 void send_loop::abort_attempt() {
     if (attempt_) {
