--- a/src/tallyfold/plane/forwarding/stream_pace.cpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 /// Minimum number of events of a stream for its mean gap to count; a single gap is too noisy.
-constexpr std::uint64_t min_events = 3;
+constexpr std::uint64_t min_events_for_gap = 3;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 }
 
 void stream_pace::ended(scheduling::engine_pace& pace, instant since, instant now) const {
-    if (events_ >= min_events) {
+    if (events_ >= min_events_for_gap) {
         pace.stream_ended((latest_ - first_) / (events_ - 1));
     }
     pace.call_ended(now - since);
