--- a/src/tallyfold/plane/forwarding/stream_pace.cpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.cpp
@@ -15,7 +15,7 @@
         return;
     }
     if (events_ == 0) {
-        first_ = now;
+        first_event_at_ = now;
     } else {
         pace.events_came(engine, events - events_, now - latest_, now);
     }
@@ -25,7 +25,7 @@
 
 void stream_pace::ended(scheduling::engine_pace& pace, instant since, instant now) const {
     if (events_ >= min_events_for_gap) {
-        pace.stream_ended((latest_ - first_) / (events_ - 1));
+        pace.stream_ended((latest_ - first_event_at_) / (events_ - 1));
     }
     pace.call_ended(now - since);
 }
--- a/src/tallyfold/plane/forwarding/stream_pace.hpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.hpp
@@ -23,7 +23,7 @@
   private:
     std::uint64_t events_ = 0;
     /// Arrival times of the first and the latest event.
-    instant first_{};
+    instant first_event_at_{};
     instant latest_{};
 };
 
