--- a/src/tallyfold/plane/forwarding/stream_pace.cpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.cpp
@@ -17,15 +17,15 @@
     if (events_ == 0) {
         first_event_at_ = now;
     } else {
-        pace.events_came(engine, events - events_, now - latest_, now);
+        pace.events_came(engine, events - events_, now - latest_event_at_, now);
     }
     events_ = events;
-    latest_ = now;
+    latest_event_at_ = now;
 }
 
 void stream_pace::ended(scheduling::engine_pace& pace, instant since, instant now) const {
     if (events_ >= min_events_for_gap) {
-        pace.stream_ended((latest_ - first_event_at_) / (events_ - 1));
+        pace.stream_ended((latest_event_at_ - first_event_at_) / (events_ - 1));
     }
     pace.call_ended(now - since);
 }
--- a/src/tallyfold/plane/forwarding/stream_pace.hpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.hpp
@@ -24,7 +24,7 @@
     std::uint64_t events_ = 0;
     /// Arrival times of the first and the latest event.
     instant first_event_at_{};
-    instant latest_{};
+    instant latest_event_at_{};
 };
 
 }  // namespace tallyfold::forwarding
