--- a/src/tallyfold/plane/forwarding/stream_pace.hpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.hpp
@@ -21,7 +21,7 @@
     void ended(scheduling::engine_pace& pace, instant since, instant now) const;
 
   private:
-    std::uint64_t events_ = 0;
+    std::uint64_t event_count_ = 0;
     /// Arrival times of the first and the latest event.
     instant first_event_at_{};
     instant latest_event_at_{};
