--- a/src/tallyfold/plane/forwarding/stream_pace.hpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.hpp
@@ -16,9 +16,9 @@
     /// @param events total number of events up to `now`, over all attempts
     void events_came(scheduling::engine_pace& pace, const backend_name& engine,
                      std::uint64_t events, instant now);
-    /// Records the end of a completely answered call that was sent at `since`. Streams of fewer
+    /// Records the end of a completely answered call that was sent at `sent_at`. Streams of fewer
     /// than three events don't contribute a mean gap.
-    void ended(scheduling::engine_pace& pace, instant since, instant now) const;
+    void ended(scheduling::engine_pace& pace, instant sent_at, instant now) const;
 
   private:
     std::uint64_t event_count_ = 0;
