--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -84,7 +84,7 @@
 
 void answer_relay::record_pace(instant sent, instant now) {
     if (request_.service.is_engine) {
-        pace_.ended(context_.backends.pace_of(request_.service.name), sent, now);
+        pace_.record_call_end(context_.backends.pace_of(request_.service.name), sent, now);
     }
 }
 
--- a/src/tallyfold/plane/forwarding/stream_pace.cpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.cpp
@@ -23,7 +23,8 @@
     latest_event_at_ = now;
 }
 
-void stream_pace::ended(scheduling::engine_pace& pace, instant sent_at, instant now) const {
+void stream_pace::record_call_end(scheduling::engine_pace& pace, instant sent_at,
+                                  instant now) const {
     if (event_count_ >= min_events_for_gap) {
         pace.stream_ended((latest_event_at_ - first_event_at_) / (event_count_ - 1));
     }
--- a/src/tallyfold/plane/forwarding/stream_pace.hpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.hpp
@@ -18,7 +18,7 @@
                      std::uint64_t events, instant now);
     /// Records the end of a completely answered call that was sent at `sent_at`. Streams of fewer
     /// than three events don't contribute a mean gap.
-    void ended(scheduling::engine_pace& pace, instant sent_at, instant now) const;
+    void record_call_end(scheduling::engine_pace& pace, instant sent_at, instant now) const;
 
   private:
     std::uint64_t event_count_ = 0;
--- a/tests/plane/forwarding/stream_pace_test.cpp
+++ b/tests/plane/forwarding/stream_pace_test.cpp
@@ -22,7 +22,7 @@
         // Two events in one piece split the gap before it.
         stream.events_came(pace, "e", 3, at(960));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(30, pace.gap_ms("e", at(960)), 0.001);
-        stream.ended(pace, at(400), at(960));
+        stream.record_call_end(pace, at(400), at(960));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(30, pace.idle_gap_ms(), 0.001);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(560, pace.call_ms(), 0.001);
     }
@@ -32,7 +32,7 @@
         stream_pace stream;
         stream.events_came(pace, "e", 1, at(100));
         stream.events_came(pace, "e", 2, at(105));
-        stream.ended(pace, at(0), at(105));
+        stream.record_call_end(pace, at(0), at(105));
         CPPUNIT_ASSERT_EQUAL(0.0, pace.idle_gap_ms());
     }
 };
