--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -8,7 +8,7 @@
 
 /// Retention in seconds for routes that set none. Must exceed the time between two turns of a
 /// program, during which its ledger must be kept.
-constexpr double fallback_retention_seconds = 60;
+constexpr double default_retention_seconds = 60;
 
 }  // namespace
 
@@ -18,7 +18,7 @@
 
 std::uint32_t turn_session::retention_ms() const {
     const double seconds =
-        route_.retention_seconds > 0 ? route_.retention_seconds : fallback_retention_seconds;
+        route_.retention_seconds > 0 ? route_.retention_seconds : default_retention_seconds;
     return static_cast<std::uint32_t>(seconds * 1000);
 }
 
