--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -43,7 +43,7 @@
     if (!context_.is_disabled(settings::mechanism::prompt_holders)) {
         question.prompt = facts_.prompt;
     }
-    const instant limit = std::min(deadline, started + begin_limit);
+    const instant limit = std::min(deadline, started + begin_timeout);
     const turns::begun_turn begun = co_await context_.turns.begin(std::move(question), limit);
     open_ = true;
     store_time_ = http::steady_now() - started;
--- a/src/tallyfold/plane/forwarding/turn_session_shell.hpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.hpp
@@ -16,8 +16,8 @@
   public:
     /// Time limit for beginning a turn at the stores; the request's deadline may end it earlier.
     /// Allows for two resends, after 250 and 750 ms (resend_schedule).
-    static constexpr duration begin_limit = std::chrono::milliseconds(1'500);
-    /// Time limit for settling a turn whose answer waits for it. Longer than begin_limit, because
+    static constexpr duration begin_timeout = std::chrono::milliseconds(1'500);
+    /// Time limit for settling a turn whose answer waits for it. Longer than begin_timeout, because
     /// the tokens are spent and an unsettled answer is lost.
     static constexpr duration settle_limit = std::chrono::milliseconds(2'500);
 
