--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -93,8 +93,8 @@
     }
     open_ = false;
     const instant started = http::steady_now();
-    const bool settled =
-        co_await context_.turns.settle(std::move(ended), std::move(cached), started + settle_limit);
+    const bool settled = co_await context_.turns.settle(std::move(ended), std::move(cached),
+                                                        started + settle_timeout);
     context_.metrics.stored(http::steady_now() - started);
     co_return settled;
 }
--- a/src/tallyfold/plane/forwarding/turn_session_shell.hpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.hpp
@@ -19,7 +19,7 @@
     static constexpr duration begin_timeout = std::chrono::milliseconds(1'500);
     /// Time limit for settling a turn whose answer waits for it. Longer than begin_timeout, because
     /// the tokens are spent and an unsettled answer is lost.
-    static constexpr duration settle_limit = std::chrono::milliseconds(2'500);
+    static constexpr duration settle_timeout = std::chrono::milliseconds(2'500);
 
     /// @param facts and `route` must outlive the session
     /// @param tenant owner of the turn; empty when callers need no key
