--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -63,8 +63,8 @@
         history += record.output;
     }
     if (begun.adopted) {
-        adopted_ = begun.history;
-        adopted_turns_ = adopted_.size();
+        adopted_history_ = begun.history;
+        adopted_turns_ = adopted_history_.size();
         context_.metrics.adopted();
     }
     co_return begun.result;
@@ -89,7 +89,7 @@
         ended.record =
             turns::turn_record{scope_.scoped(facts_.request), scope_.scoped(facts_.previous_turn),
                                std::move(input), std::move(output)};
-        ended.adopted = std::move(adopted_);
+        ended.adopted = std::move(adopted_history_);
     }
     open_ = false;
     const instant started = http::steady_now();
--- a/src/tallyfold/plane/forwarding/turn_session_shell.hpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.hpp
@@ -61,7 +61,7 @@
     turns::map_epoch store_epoch_ = 0;
     token_count used_tokens_ = 0;
     /// History read from another store group, which the settlement writes to this turn's group.
-    std::vector<turns::turn_record> adopted_;
+    std::vector<turns::turn_record> adopted_history_;
     std::size_t adopted_turns_ = 0;
 };
 
