--- a/src/tallyfold/plane/forwarding/finish_line.cpp
+++ b/src/tallyfold/plane/forwarding/finish_line.cpp
@@ -21,7 +21,7 @@
     line += value;
 }
 
-void add_turn(std::string& line, const finished_turn& turn, const send_statistics& sending) {
+void add_turn_fields(std::string& line, const finished_turn& turn, const send_statistics& sending) {
     line += turn.store_fields;
     const bool has_objective = turn.program_time_left.has_value();
     add_field(line, "cached", std::to_string(sending.cached_tokens));
@@ -56,7 +56,7 @@
         add_field(line, "program", finished.program);
     }
     if (finished.turn) {
-        add_turn(line, *finished.turn, sending);
+        add_turn_fields(line, *finished.turn, sending);
     }
     if (!finished.reason.empty()) {
         add_field(line, "reason", "\"" + finished.reason + "\"");
