--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -123,12 +123,12 @@
         CPPUNIT_ASSERT(
             !registry.record_broken_connection("b1", now + std::chrono::seconds(1)).empty());
         // A second failure soon after the first is distrusted for longer.
-        reported_failures evidence;
-        evidence.note("b", now);
-        evidence.note("b", now + std::chrono::seconds(3));
-        CPPUNIT_ASSERT(evidence.is_distrusted("b", now + std::chrono::seconds(6)));
-        evidence.expire(now + std::chrono::seconds(20));
-        CPPUNIT_ASSERT(!evidence.is_distrusted("b", now + std::chrono::seconds(6)));
+        reported_failures failures;
+        failures.note("b", now);
+        failures.note("b", now + std::chrono::seconds(3));
+        CPPUNIT_ASSERT(failures.is_distrusted("b", now + std::chrono::seconds(6)));
+        failures.expire(now + std::chrono::seconds(20));
+        CPPUNIT_ASSERT(!failures.is_distrusted("b", now + std::chrono::seconds(6)));
     }
 
     void a_leaving_back_end_is_not_chosen() {
