--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -55,13 +55,13 @@
         const instant now(std::chrono::seconds(50));
         backend_registry registry("zone", 1);
         registry.update(engines(8), now);
-        const std::string victim = choices(registry, false, now).begin()->first;
-        CPPUNIT_ASSERT(!registry.record_broken_connection(victim, now).empty());
-        CPPUNIT_ASSERT(!choices(registry, false, now).contains(victim));
+        const std::string broken = choices(registry, false, now).begin()->first;
+        CPPUNIT_ASSERT(!registry.record_broken_connection(broken, now).empty());
+        CPPUNIT_ASSERT(!choices(registry, false, now).contains(broken));
         // Repeatable calls may still use it.
-        CPPUNIT_ASSERT(choices(registry, true, now).contains(victim));
+        CPPUNIT_ASSERT(choices(registry, true, now).contains(broken));
         CPPUNIT_ASSERT(
-            choices(registry, false, now + reported_failures::first_distrust).contains(victim));
+            choices(registry, false, now + reported_failures::first_distrust).contains(broken));
     }
 
     void breaks_that_most_share_are_no_reason_to_crowd_the_others() {
