--- a/tests/plane/forwarding/answer_rendering_test.cpp
+++ b/tests/plane/forwarding/answer_rendering_test.cpp
@@ -8,7 +8,7 @@
 
 class answer_rendering_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(answer_rendering_test);
-    CPPUNIT_TEST(a_refusal_tells_when_to_come_back);
+    CPPUNIT_TEST(refusal_has_retry_after);
     CPPUNIT_TEST(a_relayed_head_keeps_status_and_fields_but_the_framing);
     CPPUNIT_TEST(a_chunk_tells_its_length_in_hexadecimal);
     CPPUNIT_TEST_SUITE_END();
@@ -17,7 +17,7 @@
         return text.find(part) != std::string::npos;
     }
 
-    void a_refusal_tells_when_to_come_back() {
+    void refusal_has_retry_after() {
         const std::string soon = render_own_answer(503, "full", retry_after::soon(), true);
         CPPUNIT_ASSERT(soon.starts_with("HTTP/1.1 503 "));
         CPPUNIT_ASSERT(contains(soon, "Retry-After: 0.2\r\n"));
