--- a/tests/plane/forwarding/answer_rendering_test.cpp
+++ b/tests/plane/forwarding/answer_rendering_test.cpp
@@ -9,7 +9,7 @@
 class answer_rendering_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(answer_rendering_test);
     CPPUNIT_TEST(refusal_has_retry_after);
-    CPPUNIT_TEST(a_relayed_head_keeps_status_and_fields_but_the_framing);
+    CPPUNIT_TEST(relayed_head_replaces_only_framing_fields);
     CPPUNIT_TEST(a_chunk_tells_its_length_in_hexadecimal);
     CPPUNIT_TEST_SUITE_END();
 
@@ -25,7 +25,7 @@
         CPPUNIT_ASSERT(!contains(never, "Retry-After"));
     }
 
-    void a_relayed_head_keeps_status_and_fields_but_the_framing() {
+    void relayed_head_replaces_only_framing_fields() {
         http::message_head head;
         head.status = 206;
         head.headers.add("X-Signed", "yes");
