--- a/tests/plane/forwarding/answer_rendering_test.cpp
+++ b/tests/plane/forwarding/answer_rendering_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(answer_rendering_test);
     CPPUNIT_TEST(refusal_has_retry_after);
     CPPUNIT_TEST(relayed_head_replaces_only_framing_fields);
-    CPPUNIT_TEST(a_chunk_tells_its_length_in_hexadecimal);
+    CPPUNIT_TEST(chunk_length_is_hexadecimal);
     CPPUNIT_TEST_SUITE_END();
 
     static bool contains(const std::string& text, const std::string& part) {
@@ -40,7 +40,7 @@
         CPPUNIT_ASSERT(contains(closing, "Connection: close\r\n\r\n"));
     }
 
-    void a_chunk_tells_its_length_in_hexadecimal() {
+    void chunk_length_is_hexadecimal() {
         CPPUNIT_ASSERT_EQUAL(std::string("1a\r\n") + std::string(26, 'x') + "\r\n",
                              render_chunk(std::string(26, 'x')));
     }
