--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST_SUITE(backend_registry_test);
     CPPUNIT_TEST(a_leaving_back_end_is_not_chosen);
     CPPUNIT_TEST(calls_of_a_program_go_to_one_engine);
-    CPPUNIT_TEST(an_unreachable_back_end_is_left_out_at_once);
+    CPPUNIT_TEST(unreachable_back_end_is_ejected_immediately);
     CPPUNIT_TEST(a_back_end_that_keeps_calls_without_a_byte_is_suspected);
     CPPUNIT_TEST(slowness_of_all_back_ends_suspects_none);
     CPPUNIT_TEST(a_turn_waiting_at_its_engine_books_only_what_the_engine_lacks);
@@ -215,7 +215,7 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(calls["b3"]), calls["b3"] < 20);
     }
 
-    void an_unreachable_back_end_is_left_out_at_once() {
+    void unreachable_back_end_is_ejected_immediately() {
         backend_registry registry("zone", 1);
         registry.update(engines(3), instant{});
         registry.unreachable("s", "b0", instant{});
