--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(a_leaving_back_end_is_not_chosen);
     CPPUNIT_TEST(calls_of_a_program_go_to_one_engine);
     CPPUNIT_TEST(unreachable_back_end_is_ejected_immediately);
-    CPPUNIT_TEST(a_back_end_that_keeps_calls_without_a_byte_is_suspected);
+    CPPUNIT_TEST(silent_back_end_is_ejected);
     CPPUNIT_TEST(slowness_of_all_back_ends_suspects_none);
     CPPUNIT_TEST(a_turn_waiting_at_its_engine_books_only_what_the_engine_lacks);
     CPPUNIT_TEST(a_call_that_ends_without_a_byte_leaves_nothing_booked);
@@ -255,7 +255,7 @@
         }
     }
 
-    void a_back_end_that_keeps_calls_without_a_byte_is_suspected() {
+    void silent_back_end_is_ejected() {
         backend_registry registry("zone", 1);
         answer_calls(registry, 60);
         backend_call call = registry.started("s", {"b0", {}, 0}, 0, at(100));
