--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(calls_of_a_program_go_to_one_engine);
     CPPUNIT_TEST(unreachable_back_end_is_ejected_immediately);
     CPPUNIT_TEST(silent_back_end_is_ejected);
-    CPPUNIT_TEST(slowness_of_all_back_ends_suspects_none);
+    CPPUNIT_TEST(uniform_slowness_ejects_no_back_end);
     CPPUNIT_TEST(a_turn_waiting_at_its_engine_books_only_what_the_engine_lacks);
     CPPUNIT_TEST(a_call_that_ends_without_a_byte_leaves_nothing_booked);
     CPPUNIT_TEST(an_engine_left_behind_counts_as_holding_only_what_it_read);
@@ -271,7 +271,7 @@
         CPPUNIT_ASSERT(registry.suspect_silent(at(5000)).empty());
     }
 
-    void slowness_of_all_back_ends_suspects_none() {
+    void uniform_slowness_ejects_no_back_end() {
         backend_registry registry("zone", 1);
         answer_calls(registry, 400);
         registry.started("s", {"b0", {}, 0}, 0, at(0));
