--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(unreachable_back_end_is_ejected_immediately);
     CPPUNIT_TEST(silent_back_end_is_ejected);
     CPPUNIT_TEST(uniform_slowness_ejects_no_back_end);
-    CPPUNIT_TEST(a_turn_waiting_at_its_engine_books_only_what_the_engine_lacks);
+    CPPUNIT_TEST(queued_turns_count_only_their_uncached_tokens);
     CPPUNIT_TEST(a_call_that_ends_without_a_byte_leaves_nothing_booked);
     CPPUNIT_TEST(an_engine_left_behind_counts_as_holding_only_what_it_read);
     CPPUNIT_TEST(new_input_isnt_taken_for_held);
@@ -307,7 +307,7 @@
         return *chosen;
     }
 
-    void a_turn_waiting_at_its_engine_books_only_what_the_engine_lacks() {
+    void queued_turns_count_only_their_uncached_tokens() {
         backend_registry registry("zone", 1);
         registry.update(engines(4), at(0));
         const std::string home = run_turn(registry, 1000).name;
