--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(silent_back_end_is_ejected);
     CPPUNIT_TEST(uniform_slowness_ejects_no_back_end);
     CPPUNIT_TEST(queued_turns_count_only_their_uncached_tokens);
-    CPPUNIT_TEST(a_call_that_ends_without_a_byte_leaves_nothing_booked);
+    CPPUNIT_TEST(call_without_first_byte_releases_its_pending_tokens);
     CPPUNIT_TEST(an_engine_left_behind_counts_as_holding_only_what_it_read);
     CPPUNIT_TEST(new_input_isnt_taken_for_held);
     CPPUNIT_TEST(nodes_that_pass_over_a_home_spread_over_the_engines);
@@ -320,7 +320,7 @@
         }
     }
 
-    void a_call_that_ends_without_a_byte_leaves_nothing_booked() {
+    void call_without_first_byte_releases_its_pending_tokens() {
         backend_registry registry("zone", 1);
         registry.update(engines(4), at(0));
         const std::string home = run_turn(registry, 1000).name;
