--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(uniform_slowness_ejects_no_back_end);
     CPPUNIT_TEST(queued_turns_count_only_their_uncached_tokens);
     CPPUNIT_TEST(call_without_first_byte_releases_its_pending_tokens);
-    CPPUNIT_TEST(an_engine_left_behind_counts_as_holding_only_what_it_read);
+    CPPUNIT_TEST(engine_with_longest_cached_prefix_is_chosen);
     CPPUNIT_TEST(new_input_isnt_taken_for_held);
     CPPUNIT_TEST(nodes_that_pass_over_a_home_spread_over_the_engines);
     CPPUNIT_TEST(a_holder_of_what_programs_share_draws_none_from_its_home);
@@ -332,7 +332,7 @@
         CPPUNIT_ASSERT_EQUAL(home, registry.choose(turn_question(prompt), at(200))->name);
     }
 
-    void an_engine_left_behind_counts_as_holding_only_what_it_read() {
+    void engine_with_longest_cached_prefix_is_chosen() {
         backend_registry registry("zone", 1);
         registry.update(engines(2), at(0));
         const std::string before = run_turn(registry, 1000).name;
