--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(queued_turns_count_only_their_uncached_tokens);
     CPPUNIT_TEST(call_without_first_byte_releases_its_pending_tokens);
     CPPUNIT_TEST(engine_with_longest_cached_prefix_is_chosen);
-    CPPUNIT_TEST(new_input_isnt_taken_for_held);
+    CPPUNIT_TEST(new_input_is_not_counted_as_cached);
     CPPUNIT_TEST(nodes_that_pass_over_a_home_spread_over_the_engines);
     CPPUNIT_TEST(a_holder_of_what_programs_share_draws_none_from_its_home);
     CPPUNIT_TEST(calls_that_must_not_repeat_avoid_what_broke_one_off);
@@ -344,7 +344,7 @@
         CPPUNIT_ASSERT_EQUAL(shared_tokens + 9000, chosen->cached_tokens);
     }
 
-    void new_input_isnt_taken_for_held() {
+    void new_input_is_not_counted_as_cached() {
         backend_registry registry("zone", 1);
         registry.update(engines(2), at(0));
         run_turn(registry, 1000);
