--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST(new_input_is_not_counted_as_cached);
     CPPUNIT_TEST(nodes_that_pass_over_a_home_spread_over_the_engines);
     CPPUNIT_TEST(a_holder_of_what_programs_share_draws_none_from_its_home);
-    CPPUNIT_TEST(calls_that_must_not_repeat_avoid_what_broke_one_off);
+    CPPUNIT_TEST(non_repeatable_calls_avoid_back_end_with_broken_connection);
     CPPUNIT_TEST(breaks_that_most_share_are_no_reason_to_crowd_the_others);
     CPPUNIT_TEST(every_node_expects_an_object_at_the_same_back_end);
     CPPUNIT_TEST(breaks_are_noted_once_and_forgotten);
@@ -51,7 +51,7 @@
         return counts;
     }
 
-    void calls_that_must_not_repeat_avoid_what_broke_one_off() {
+    void non_repeatable_calls_avoid_back_end_with_broken_connection() {
         const instant now(std::chrono::seconds(50));
         backend_registry registry("zone", 1);
         registry.update(engines(8), now);
