--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -21,7 +21,7 @@
     CPPUNIT_TEST(nodes_that_pass_over_a_home_spread_over_the_engines);
     CPPUNIT_TEST(a_holder_of_what_programs_share_draws_none_from_its_home);
     CPPUNIT_TEST(non_repeatable_calls_avoid_back_end_with_broken_connection);
-    CPPUNIT_TEST(breaks_that_most_share_are_no_reason_to_crowd_the_others);
+    CPPUNIT_TEST(failures_of_most_back_ends_are_ignored);
     CPPUNIT_TEST(every_node_expects_an_object_at_the_same_back_end);
     CPPUNIT_TEST(breaks_are_noted_once_and_forgotten);
     CPPUNIT_TEST(a_service_that_was_not_listed_for_a_while_keeps_the_nodes_own_order);
@@ -64,7 +64,7 @@
             choices(registry, false, now + reported_failures::first_distrust).contains(broken));
     }
 
-    void breaks_that_most_share_are_no_reason_to_crowd_the_others() {
+    void failures_of_most_back_ends_are_ignored() {
         const instant now(std::chrono::seconds(50));
         backend_registry registry("zone", 1);
         registry.update(engines(4), now);
