--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -22,7 +22,7 @@
     CPPUNIT_TEST(a_holder_of_what_programs_share_draws_none_from_its_home);
     CPPUNIT_TEST(non_repeatable_calls_avoid_back_end_with_broken_connection);
     CPPUNIT_TEST(failures_of_most_back_ends_are_ignored);
-    CPPUNIT_TEST(every_node_expects_an_object_at_the_same_back_end);
+    CPPUNIT_TEST(all_nodes_choose_the_same_home_of_an_object);
     CPPUNIT_TEST(breaks_are_noted_once_and_forgotten);
     CPPUNIT_TEST(a_service_that_was_not_listed_for_a_while_keeps_the_nodes_own_order);
     CPPUNIT_TEST_SUITE_END();
@@ -83,7 +83,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, homes.size());
     }
 
-    void every_node_expects_an_object_at_the_same_back_end() {
+    void all_nodes_choose_the_same_home_of_an_object() {
         const instant now(std::chrono::seconds(50));
         backend_registry one("zone-a", 1);
         backend_registry other("zone-b", 2);
