--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -23,7 +23,7 @@
     CPPUNIT_TEST(non_repeatable_calls_avoid_back_end_with_broken_connection);
     CPPUNIT_TEST(failures_of_most_back_ends_are_ignored);
     CPPUNIT_TEST(all_nodes_choose_the_same_home_of_an_object);
-    CPPUNIT_TEST(breaks_are_noted_once_and_forgotten);
+    CPPUNIT_TEST(broken_connections_are_recorded_once_and_expire);
     CPPUNIT_TEST(a_service_that_was_not_listed_for_a_while_keeps_the_nodes_own_order);
     CPPUNIT_TEST_SUITE_END();
 
@@ -110,7 +110,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{8}, used.size());
     }
 
-    void breaks_are_noted_once_and_forgotten() {
+    void broken_connections_are_recorded_once_and_expire() {
         const instant now(std::chrono::seconds(50));
         backend_registry registry("zone", 1);
         registry.update(engines(4), now);
