--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -24,7 +24,7 @@
     CPPUNIT_TEST(failures_of_most_back_ends_are_ignored);
     CPPUNIT_TEST(all_nodes_choose_the_same_home_of_an_object);
     CPPUNIT_TEST(broken_connections_are_recorded_once_and_expire);
-    CPPUNIT_TEST(a_service_that_was_not_listed_for_a_while_keeps_the_nodes_own_order);
+    CPPUNIT_TEST(relisted_service_keeps_node_specific_subset);
     CPPUNIT_TEST_SUITE_END();
 
     static std::vector<discovery::listed_backend> engines(std::size_t count) {
@@ -226,7 +226,7 @@
         }
     }
 
-    void a_service_that_was_not_listed_for_a_while_keeps_the_nodes_own_order() {
+    void relisted_service_keeps_node_specific_subset() {
         // Guards against nodes losing their node-specific subset while a service is unlisted.
         std::set<std::string> chosen;
         for (int node = 0; node < 20; ++node) {
