--- a/tests/plane/forwarding/finish_line_test.cpp
+++ b/tests/plane/forwarding/finish_line_test.cpp
@@ -11,11 +11,11 @@
 /// Operators' tools parse these lines, so the fields, their order and format must not change.
 class finish_line_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(finish_line_test);
-    CPPUNIT_TEST(a_request_that_got_nowhere_has_the_fields_of_every_line);
+    CPPUNIT_TEST(unsent_request_has_the_common_fields);
     CPPUNIT_TEST(a_turn_tells_its_stores_and_its_waits_too);
     CPPUNIT_TEST_SUITE_END();
 
-    void a_request_that_got_nowhere_has_the_fields_of_every_line() {
+    void unsent_request_has_the_common_fields() {
         finished_request finished;
         CPPUNIT_ASSERT_EQUAL(
             std::string("request= outcome=unknown status=0 route=- version=0 backend=- sends=0 "
