--- a/tests/plane/forwarding/finish_line_test.cpp
+++ b/tests/plane/forwarding/finish_line_test.cpp
@@ -12,7 +12,7 @@
 class finish_line_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(finish_line_test);
     CPPUNIT_TEST(unsent_request_has_the_common_fields);
-    CPPUNIT_TEST(a_turn_tells_its_stores_and_its_waits_too);
+    CPPUNIT_TEST(turn_adds_store_and_wait_fields);
     CPPUNIT_TEST_SUITE_END();
 
     void unsent_request_has_the_common_fields() {
@@ -35,7 +35,7 @@
             render_finished_request(finished));
     }
 
-    void a_turn_tells_its_stores_and_its_waits_too() {
+    void turn_adds_store_and_wait_fields() {
         finished_request finished;
         finished.request = "r2";
         finished.outcome = request_outcome::answered;
