--- a/tests/plane/forwarding/request_rendering_test.cpp
+++ b/tests/plane/forwarding/request_rendering_test.cpp
@@ -8,7 +8,7 @@
 
 class request_rendering_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(request_rendering_test);
-    CPPUNIT_TEST(a_body_is_sent_with_its_length);
+    CPPUNIT_TEST(body_has_content_length);
     CPPUNIT_TEST(a_request_without_a_body_gets_no_length);
     CPPUNIT_TEST_SUITE_END();
 
@@ -24,7 +24,7 @@
         return headers;
     }
 
-    void a_body_is_sent_with_its_length() {
+    void body_has_content_length() {
         http::message_head head = caller_head();
         head.framing = http::body_framing::chunked;
         CPPUNIT_ASSERT_EQUAL(
