--- a/tests/plane/forwarding/request_rendering_test.cpp
+++ b/tests/plane/forwarding/request_rendering_test.cpp
@@ -9,7 +9,7 @@
 class request_rendering_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(request_rendering_test);
     CPPUNIT_TEST(body_has_content_length);
-    CPPUNIT_TEST(a_request_without_a_body_gets_no_length);
+    CPPUNIT_TEST(request_without_body_has_no_content_length);
     CPPUNIT_TEST_SUITE_END();
 
     static http::message_head caller_head() {
@@ -35,7 +35,7 @@
             render_backend_request(head, one_field(), ""));
     }
 
-    void a_request_without_a_body_gets_no_length() {
+    void request_without_body_has_no_content_length() {
         CPPUNIT_ASSERT_EQUAL(std::string("POST /a/b?c=d HTTP/1.1\r\nX-One: 1\r\n\r\n"),
                              render_backend_request(caller_head(), one_field(), ""));
         // A turn without input whose body is only the history.
