--- a/tests/plane/forwarding/stream_pace_test.cpp
+++ b/tests/plane/forwarding/stream_pace_test.cpp
@@ -8,13 +8,13 @@
 
 class stream_pace_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(stream_pace_test);
-    CPPUNIT_TEST(the_time_to_the_first_event_is_no_distance);
+    CPPUNIT_TEST(time_to_first_event_is_not_a_gap);
     CPPUNIT_TEST(a_short_stream_says_nothing_of_an_idle_engine);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
-    void the_time_to_the_first_event_is_no_distance() {
+    void time_to_first_event_is_not_a_gap() {
         scheduling::engine_pace pace;
         stream_pace stream;
         stream.events_came(pace, "e", 1, at(900));
