--- a/tests/plane/forwarding/stream_pace_test.cpp
+++ b/tests/plane/forwarding/stream_pace_test.cpp
@@ -9,7 +9,7 @@
 class stream_pace_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(stream_pace_test);
     CPPUNIT_TEST(time_to_first_event_is_not_a_gap);
-    CPPUNIT_TEST(a_short_stream_says_nothing_of_an_idle_engine);
+    CPPUNIT_TEST(short_stream_does_not_change_the_idle_gap);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
@@ -27,7 +27,7 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(560, pace.call_ms(), 0.001);
     }
 
-    void a_short_stream_says_nothing_of_an_idle_engine() {
+    void short_stream_does_not_change_the_idle_gap() {
         scheduling::engine_pace pace;
         stream_pace stream;
         stream.events_came(pace, "e", 1, at(100));
