--- a/src/tallyfold/plane/forwarding/finish_line.cpp
+++ b/src/tallyfold/plane/forwarding/finished_request.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/forwarding/finish_line.hpp"
+#include "tallyfold/plane/forwarding/finished_request.hpp"
 
 #include <string_view>
 
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -6,7 +6,7 @@
 
 #include "tallyfold/base/logging/event_log.hpp"
 #include "tallyfold/plane/decisions/time_budget.hpp"
-#include "tallyfold/plane/forwarding/finish_line.hpp"
+#include "tallyfold/plane/forwarding/finished_request.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/plane/forwarding/send_loop_shell.hpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.hpp
@@ -11,7 +11,7 @@
 #include "tallyfold/plane/decisions/retry_policy.hpp"
 #include "tallyfold/plane/forwarding/answer_relay_shell.hpp"
 #include "tallyfold/plane/forwarding/backend_attempt_shell.hpp"
-#include "tallyfold/plane/forwarding/finish_line.hpp"
+#include "tallyfold/plane/forwarding/finished_request.hpp"
 
 namespace tallyfold::forwarding {
 
