--- a/tests/plane/forwarding/finished_request_test.cpp
+++ b/tests/plane/forwarding/finished_request_test.cpp
@@ -9,8 +9,8 @@
 using std::chrono::milliseconds;
 
 /// Operators' tools parse these lines, so the fields, their order and format must not change.
-class finish_line_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(finish_line_test);
+class finished_request_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(finished_request_test);
     CPPUNIT_TEST(unsent_request_has_the_common_fields);
     CPPUNIT_TEST(turn_adds_store_and_wait_fields);
     CPPUNIT_TEST_SUITE_END();
@@ -68,6 +68,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(finish_line_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(finished_request_test);
 
 }  // namespace tallyfold::tests
