--- a/src/tallyfold/plane/forwarding/caller_channel_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_channel_shell.hpp
@@ -26,7 +26,7 @@
     /// Calls `on_disconnect` once when the client disconnects while its request is served.
     void watch(std::function<void()> on_disconnect);
     void stop_watching() { connection_->stop_watching(); }
-    void note_disconnect() { disconnected_ = true; }
+    void mark_disconnected() { disconnected_ = true; }
     /// Resets the connection, so that the client can't take a truncated answer for a complete one.
     void abort() { connection_->abort(); }
 
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -104,7 +104,7 @@
 }
 
 void request_relay::on_client_disconnected() {
-    caller_.note_disconnect();
+    caller_.mark_disconnected();
     if (send_loop_) {
         send_loop_->abort_attempt();
     }
