--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -47,7 +47,7 @@
     int run();
 
   private:
-    void follow_directory();
+    void subscribe_to_directory();
     void follow_backend_list();
     void start_periodic_work();
     /// Starts listening for callers and readiness checks. @return the error; empty on success
@@ -226,7 +226,7 @@
     process_.after(stop_check_interval, [this] { continue_stop(); });
 }
 
-void forwarder_node::follow_directory() {
+void forwarder_node::subscribe_to_directory() {
     directory_.start(
         [this](const directory::configuration_pointer& configuration) {
             apply_configuration(configuration);
@@ -279,7 +279,7 @@
 }
 
 int forwarder_node::run() {
-    follow_directory();
+    subscribe_to_directory();
     follow_backend_list();
     start_periodic_work();
     const std::string problem = listen();
