--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -48,7 +48,7 @@
 
   private:
     void subscribe_to_directory();
-    void follow_backend_list();
+    void subscribe_to_backend_list();
     void start_periodic_work();
     /// Starts listening for callers and readiness checks. @return the error; empty on success
     std::string listen();
@@ -244,7 +244,7 @@
     });
 }
 
-void forwarder_node::follow_backend_list() {
+void forwarder_node::subscribe_to_backend_list() {
     // The directory distributes the list; this node polls the source itself only when no update has
     // arrived for some time.
     directory_.share_list(list_, [this](bool changed) { apply_backend_list(changed); });
@@ -280,7 +280,7 @@
 
 int forwarder_node::run() {
     subscribe_to_directory();
-    follow_backend_list();
+    subscribe_to_backend_list();
     start_periodic_work();
     const std::string problem = listen();
     if (!problem.empty()) {
