--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Maximum size of an answer's head in bytes.
-constexpr std::size_t max_answer_head = 64U << 10U;
+constexpr std::size_t max_answer_head_bytes = 64U << 10U;
 /// Maximum number of answers to other requests that are skipped before the expected one.
 /// Tolerates duplicate answers, but not a connection that is out of sync.
 constexpr int max_unmatched_answers = 2;
@@ -54,8 +54,9 @@
     if (opened) {
         co_return opened;
     }
-    opened = std::make_shared<http::connection>(asio::ip::tcp::socket(context_.process.loop()),
-                                                http::message_kind::response, max_answer_head);
+    opened =
+        std::make_shared<http::connection>(asio::ip::tcp::socket(context_.process.loop()),
+                                           http::message_kind::response, max_answer_head_bytes);
     // Set before connecting, so that abort() cancels a pending connect.
     connection_ = opened;
     context_.metrics.connected();
