--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -211,8 +211,8 @@
 }
 
 void forwarder_node::continue_stop() {
-    const work_left left{callers_.active_request_count(), turns_.settling()};
-    switch (stop_->next(http::steady_now(), left)) {
+    const work_left remaining{callers_.active_request_count(), turns_.settling()};
+    switch (stop_->next(http::steady_now(), remaining)) {
         case stop_step::take_no_more:
             callers_.take_no_more();
             break;
