--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -39,8 +39,8 @@
         return listed;
     }
 
-    static std::map<std::string, int> choices(backend_registry& registry, bool repeatable,
-                                              instant now) {
+    static std::map<std::string, int> count_choices(backend_registry& registry, bool repeatable,
+                                                    instant now) {
         backend_question question;
         question.service = "s";
         question.repeatable = repeatable;
@@ -55,13 +55,13 @@
         const instant now(std::chrono::seconds(50));
         backend_registry registry("zone", 1);
         registry.update(engines(8), now);
-        const std::string broken = choices(registry, false, now).begin()->first;
+        const std::string broken = count_choices(registry, false, now).begin()->first;
         CPPUNIT_ASSERT(!registry.record_broken_connection(broken, now).empty());
-        CPPUNIT_ASSERT(!choices(registry, false, now).contains(broken));
+        CPPUNIT_ASSERT(!count_choices(registry, false, now).contains(broken));
         // Repeatable calls may still use it.
-        CPPUNIT_ASSERT(choices(registry, true, now).contains(broken));
-        CPPUNIT_ASSERT(
-            choices(registry, false, now + reported_failures::first_distrust).contains(broken));
+        CPPUNIT_ASSERT(count_choices(registry, true, now).contains(broken));
+        CPPUNIT_ASSERT(count_choices(registry, false, now + reported_failures::first_distrust)
+                           .contains(broken));
     }
 
     void failures_of_most_back_ends_are_ignored() {
@@ -71,7 +71,7 @@
         for (int number = 0; number < 3; ++number) {
             registry.record_broken_connection("b" + std::to_string(number), now);
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, choices(registry, false, now).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, count_choices(registry, false, now).size());
         // Objects keep their home back ends, too.
         std::set<std::string> homes;
         for (int number = 0; number < 60; ++number) {
