--- a/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
+++ b/src/tallyfold/plane/forwarding/admission_queue_shell.hpp
@@ -27,7 +27,7 @@
 
 class admission_queue {
   public:
-    /// @param max_slowdown maximum slowdown of the engines relative to idle; 0 disables the limit
+    /// @param max_slowdown of the engines relative to idle; 0 disables the limit
     admission_queue(asio::io_context& loop, double max_slowdown)
         : loop_(loop), window_(max_slowdown), unbounded_(max_slowdown <= 0) {}
 
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -31,7 +31,7 @@
 class backend_registry {
   public:
     /// @param seed must differ between nodes, so that their choices differ
-    /// @param disabled mechanisms disabled for measurements
+    /// @param disabled mechanisms that are switched off for measurements
     backend_registry(std::string zone, std::uint64_t seed,
                      scheduling::strategy chosen = scheduling::strategy::policy,
                      settings::switched_off disabled = {});
--- a/src/tallyfold/plane/forwarding/connection_pool_shell.hpp
+++ b/src/tallyfold/plane/forwarding/connection_pool_shell.hpp
@@ -17,7 +17,7 @@
     /// Removes a usable idle connection to `address` from the pool; null when there is none.
     http::connection_pointer take(const std::string& address, instant now);
     /// Adds an idle connection.
-    /// @param idle_timeout idle timeout announced by the back end, if any
+    /// @param idle_timeout announced by the back end, if any
     void put(const std::string& address, http::connection_pointer idle,
              std::optional<duration> idle_timeout, instant now);
     /// Closes all idle connections to `address`.
--- a/src/tallyfold/plane/forwarding/forwarded_request.hpp
+++ b/src/tallyfold/plane/forwarding/forwarded_request.hpp
@@ -18,7 +18,7 @@
     const request_facts& facts;
     /// When the last byte of the request was read.
     instant received;
-    /// Keeps `route`, `service` and `tenant` alive.
+    /// Owns the objects that `route`, `service` and `tenant` refer to.
     std::shared_ptr<const routing::route_table> table;
     const routing::route& route;
     const routing::service& service;
--- a/src/tallyfold/plane/forwarding/request_codec.hpp
+++ b/src/tallyfold/plane/forwarding/request_codec.hpp
@@ -22,7 +22,7 @@
     std::string request;
     /// Timeout requested by the caller, if any.
     std::optional<duration> caller_timeout;
-    /// Identifier of the program that the request is a turn of; empty when it isn't a turn.
+    /// Identifier of the program that the request belongs to; empty for none.
     std::string program;
     /// Time left until the program's deadline objective; nothing without one.
     std::optional<duration> program_time_left;
--- a/src/tallyfold/plane/forwarding/stream_pace.hpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.hpp
@@ -16,8 +16,8 @@
     /// @param events total number of events up to `now`, over all attempts
     void events_came(scheduling::engine_pace& pace, const backend_name& engine,
                      std::uint64_t events, instant now);
-    /// Records the end of a completely answered call that was sent at `sent_at`. Streams of fewer
-    /// than three events don't contribute a mean gap.
+    /// Records the end of a completely answered call. Streams of fewer than three events don't
+    /// contribute a mean gap.
     void record_call_end(scheduling::engine_pace& pace, instant sent_at, instant now) const;
 
   private:
--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Retention in seconds for routes that set none. Must exceed the time between two turns of a
-/// program, during which its ledger must be kept.
+/// Retention in seconds for routes that set none. Must exceed the pauses between a program's turns
+/// (tool calls), during which its ledger must be kept.
 constexpr double default_retention_seconds = 60;
 
 }  // namespace
