--- a/src/tallyfold/plane/forwarding/forwarder_metrics.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_metrics.cpp
@@ -54,9 +54,9 @@
     permits_.Add({{"outcome", outcome}, {"asked", decision.asked ? "yes" : "no"}}).Increment();
 }
 
-void forwarder_metrics::finished(const std::string& outcome, duration took) {
+void forwarder_metrics::finished(const std::string& outcome, duration elapsed) {
     requests_.Add({{"outcome", outcome}}).Increment();
-    total_.Observe(seconds(took));
+    total_.Observe(seconds(elapsed));
 }
 
 void forwarder_metrics::attempt_failed(const std::string& reason) {
--- a/src/tallyfold/plane/forwarding/forwarder_metrics.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_metrics.hpp
@@ -20,11 +20,11 @@
 
     /// Records the end of a request.
     /// @param outcome text of the request_finished event's outcome
-    void finished(const std::string& outcome, duration took);
+    void finished(const std::string& outcome, duration elapsed);
     /// Records the time from the request's last byte to the answer's first byte.
-    void first_byte(duration took) { first_byte_.Observe(seconds(took)); }
+    void first_byte(duration elapsed) { first_byte_.Observe(seconds(elapsed)); }
     /// Records the time that the stores took to begin or settle a turn.
-    void stored(duration took) { store_.Observe(seconds(took)); }
+    void stored(duration elapsed) { store_.Observe(seconds(elapsed)); }
     /// Sets the gauges of engine load.
     /// @param slowdown of the slowest service's engines, relative to idle
     /// @param waiting number of calls in all admission queues
@@ -33,7 +33,7 @@
         waiting_.Set(static_cast<double>(waiting));
     }
     /// Records the time that a call spent in the admission queue.
-    void waited(duration took) { wait_.Observe(seconds(took)); }
+    void waited(duration elapsed) { wait_.Observe(seconds(elapsed)); }
     /// Counts a new connection to a back end.
     void connected() { connections_.Increment(); }
     /// Counts a turn that continues a conversation history stored by another store group.
