--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -46,7 +46,7 @@
     if (route_ != nullptr) {
         co_return std::nullopt;
     }
-    const instant began = http::steady_now();
+    const instant refresh_started = http::steady_now();
     const bool confirmed = co_await refresh_table();
     route_ = lookup_route();
     if (route_ != nullptr) {
@@ -55,7 +55,7 @@
     const own_answer refused = answer_to(refusal_of_unknown_route(confirmed));
     logging::write_event(logging::event_id::route_unknown,
                          "request=" + facts_.request + " status=" + std::to_string(refused.status) +
-                             " " + describe_proof(http::steady_now() - began));
+                             " " + describe_proof(http::steady_now() - refresh_started));
     co_return refused;
 }
 
@@ -73,7 +73,7 @@
     if (tenant_ != nullptr) {
         co_return std::nullopt;
     }
-    const instant began = http::steady_now();
+    const instant refresh_started = http::steady_now();
     const bool confirmed = co_await refresh_table();
     // The refresh may have changed or removed the route.
     std::optional<own_answer> without_route = co_await find_route();
@@ -85,7 +85,7 @@
         co_return std::nullopt;
     }
     const own_answer refused = answer_to(refusal_of_unknown_key(confirmed));
-    log_refusal(refused, http::steady_now() - began);
+    log_refusal(refused, http::steady_now() - refresh_started);
     co_return refused;
 }
 
