--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -86,16 +86,16 @@
     void all_nodes_choose_the_same_home_of_an_object() {
         const instant now(std::chrono::seconds(50));
         backend_registry first_node("zone-a", 1);
-        backend_registry other("zone-b", 2);
+        backend_registry second_node("zone-b", 2);
         first_node.update(engines(8), now);
-        other.update(engines(8), now);
+        second_node.update(engines(8), now);
         std::set<std::string> used;
         for (int number = 0; number < 60; ++number) {
             backend_question question;
             question.service = "s";
             question.object = std::to_string(number);
             const chosen_backend home = *first_node.choose(question, now);
-            CPPUNIT_ASSERT_EQUAL(home.name, other.choose(question, now)->name);
+            CPPUNIT_ASSERT_EQUAL(home.name, second_node.choose(question, now)->name);
             used.insert(home.name);
             // Another back end is chosen when the home is busy or was already tried.
             backend_call first = first_node.started("s", home, 0, now);
@@ -164,15 +164,15 @@
     void calls_of_a_program_go_to_one_engine() {
         // Nodes make the same choice without exchanging state.
         backend_registry first_node("zone-a", 1);
-        backend_registry other("zone-b", 2);
+        backend_registry second_node("zone-b", 2);
         first_node.update(engines(8), instant{});
-        other.update(engines(8), instant{});
+        second_node.update(engines(8), instant{});
         std::set<std::string> used;
         for (int number = 0; number < 40; ++number) {
             const auto prompt = prompt_of_program(number);
             const backend_question question = first_turn_of(number, prompt);
             const auto first = first_node.choose(question, instant{});
-            const auto second_choice = other.choose(question, instant{});
+            const auto second_choice = second_node.choose(question, instant{});
             CPPUNIT_ASSERT(first.has_value() && second_choice.has_value());
             CPPUNIT_ASSERT_EQUAL(first->name, second_choice->name);
             used.insert(first->name);
