--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -45,7 +45,7 @@
 }
 
 std::optional<duration> configuration_fetch::fetching_for(instant now) const {
-    return asked_.empty() ? std::nullopt : std::optional<duration>(now - began_);
+    return pending_node_.empty() ? std::nullopt : std::optional<duration>(now - began_);
 }
 
 configuration_request configuration_fetch::next_request() const {
@@ -62,14 +62,14 @@
     if (version <= held_->version) {
         return std::nullopt;
     }
-    const bool under_way = !asked_.empty() && now - asked_at_ < part_timeout;
+    const bool under_way = !pending_node_.empty() && now - asked_at_ < part_timeout;
     if (under_way) {
         return std::nullopt;
     }
-    if (asked_.empty()) {
+    if (pending_node_.empty()) {
         began_ = now;
     }
-    asked_ = by;
+    pending_node_ = by;
     asked_at_ = now;
     return next_request();
 }
@@ -83,8 +83,8 @@
 }
 
 void configuration_fetch::lost(const node_name& node) {
-    if (asked_ == node) {
-        asked_.clear();
+    if (pending_node_ == node) {
+        pending_node_.clear();
     }
 }
 
@@ -96,7 +96,7 @@
 configuration_fetch::progress configuration_fetch::receive(const node_name& from,
                                                            const configuration_part& part,
                                                            instant now) {
-    if (from != asked_) {
+    if (from != pending_node_) {
         // From a node that had been given up meanwhile.
         return {};
     }
@@ -105,7 +105,7 @@
     const bool usable =
         part.size <= max_content_bytes && !part.bytes.empty() && (goes_on || begins);
     if (part.version <= held_->version || !usable) {
-        asked_.clear();
+        pending_node_.clear();
         forget_content();
         return {};
     }
@@ -123,7 +123,7 @@
 
 configuration_fetch::progress configuration_fetch::finish() {
     auto made = unpack(bytes_, *held_);
-    asked_.clear();
+    pending_node_.clear();
     forget_content();
     wants_whole_ = !made;
     if (!made) {
