--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -62,7 +62,7 @@
     if (version <= held_->version) {
         return std::nullopt;
     }
-    const bool under_way = !pending_node_.empty() && now - asked_at_ < part_timeout;
+    const bool under_way = !pending_node_.empty() && now - requested_at_ < part_timeout;
     if (under_way) {
         return std::nullopt;
     }
@@ -70,7 +70,7 @@
         began_ = now;
     }
     pending_node_ = by;
-    asked_at_ = now;
+    requested_at_ = now;
     return next_request();
 }
 
@@ -117,7 +117,7 @@
     if (bytes_.size() >= part.size) {
         return finish();
     }
-    asked_at_ = now;
+    requested_at_ = now;
     return {next_request(), nullptr, std::nullopt};
 }
 
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -65,7 +65,7 @@
     configuration_pointer held_ = std::make_shared<const routing::configuration>();
     /// The node that was asked and hasn't answered yet; empty for none.
     node_name pending_node_;
-    instant asked_at_{};
+    instant requested_at_{};
     instant began_{};
     std::uint64_t content_ = 0;
     std::string bytes_;
