--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -45,7 +45,7 @@
 }
 
 std::optional<duration> configuration_fetch::fetching_for(instant now) const {
-    return pending_node_.empty() ? std::nullopt : std::optional<duration>(now - began_);
+    return pending_node_.empty() ? std::nullopt : std::optional<duration>(now - started_at_);
 }
 
 configuration_request configuration_fetch::next_request() const {
@@ -67,7 +67,7 @@
         return std::nullopt;
     }
     if (pending_node_.empty()) {
-        began_ = now;
+        started_at_ = now;
     }
     pending_node_ = by;
     requested_at_ = now;
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -66,7 +66,7 @@
     /// The node that was asked and hasn't answered yet; empty for none.
     node_name pending_node_;
     instant requested_at_{};
-    instant began_{};
+    instant started_at_{};
     std::uint64_t content_ = 0;
     std::string bytes_;
     /// A difference didn't fit what is held: the whole configuration is asked for next.
