--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -52,7 +52,7 @@
     configuration_request request;
     request.held = held_->version;
     request.whole = wants_whole_;
-    request.content = content_;
+    request.content = content_id_;
     request.offset = bytes_.size();
     return request;
 }
@@ -89,7 +89,7 @@
 }
 
 void configuration_fetch::forget_content() {
-    content_ = 0;
+    content_id_ = 0;
     bytes_.clear();
 }
 
@@ -100,7 +100,7 @@
         // From a node that had been given up meanwhile.
         return {};
     }
-    const bool goes_on = part.content == content_ && part.offset == bytes_.size();
+    const bool goes_on = part.content == content_id_ && part.offset == bytes_.size();
     const bool begins = part.offset == 0;
     const bool usable =
         part.size <= max_content_bytes && !part.bytes.empty() && (goes_on || begins);
@@ -111,7 +111,7 @@
     }
     if (!goes_on) {
         forget_content();
-        content_ = part.content;
+        content_id_ = part.content;
     }
     bytes_ += part.bytes;
     if (bytes_.size() >= part.size) {
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -67,7 +67,7 @@
     node_name pending_node_;
     instant requested_at_{};
     instant started_at_{};
-    std::uint64_t content_ = 0;
+    std::uint64_t content_id_ = 0;
     std::string bytes_;
     /// A difference didn't fit what is held: the whole configuration is asked for next.
     bool wants_whole_ = false;
