--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -53,7 +53,7 @@
     request.held = held_->version;
     request.whole = wants_whole_;
     request.content = content_id_;
-    request.offset = bytes_.size();
+    request.offset = received_bytes_.size();
     return request;
 }
 
@@ -90,7 +90,7 @@
 
 void configuration_fetch::forget_content() {
     content_id_ = 0;
-    bytes_.clear();
+    received_bytes_.clear();
 }
 
 configuration_fetch::progress configuration_fetch::receive(const node_name& from,
@@ -100,7 +100,7 @@
         // From a node that had been given up meanwhile.
         return {};
     }
-    const bool goes_on = part.content == content_id_ && part.offset == bytes_.size();
+    const bool goes_on = part.content == content_id_ && part.offset == received_bytes_.size();
     const bool begins = part.offset == 0;
     const bool usable =
         part.size <= max_content_bytes && !part.bytes.empty() && (goes_on || begins);
@@ -113,8 +113,8 @@
         forget_content();
         content_id_ = part.content;
     }
-    bytes_ += part.bytes;
-    if (bytes_.size() >= part.size) {
+    received_bytes_ += part.bytes;
+    if (received_bytes_.size() >= part.size) {
         return finish();
     }
     requested_at_ = now;
@@ -122,7 +122,7 @@
 }
 
 configuration_fetch::progress configuration_fetch::finish() {
-    auto made = unpack(bytes_, *held_);
+    auto made = unpack(received_bytes_, *held_);
     pending_node_.clear();
     forget_content();
     wants_whole_ = !made;
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -68,7 +68,7 @@
     instant requested_at_{};
     instant started_at_{};
     std::uint64_t content_id_ = 0;
-    std::string bytes_;
+    std::string received_bytes_;
     /// A difference didn't fit what is held: the whole configuration is asked for next.
     bool wants_whole_ = false;
 };
