--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -51,7 +51,7 @@
 configuration_request configuration_fetch::next_request() const {
     configuration_request request;
     request.held = held_->version;
-    request.whole = wants_whole_;
+    request.whole = needs_full_;
     request.content = content_id_;
     request.offset = received_bytes_.size();
     return request;
@@ -125,7 +125,7 @@
     auto made = unpack(received_bytes_, *held_);
     pending_node_.clear();
     forget_content();
-    wants_whole_ = !made;
+    needs_full_ = !made;
     if (!made) {
         return {std::nullopt, nullptr, made.error()};
     }
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -70,7 +70,7 @@
     std::uint64_t content_id_ = 0;
     std::string received_bytes_;
     /// A difference didn't fit what is held: the whole configuration is asked for next.
-    bool wants_whole_ = false;
+    bool needs_full_ = false;
 };
 
 }  // namespace tallyfold::directory
