--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -88,7 +88,7 @@
     }
 }
 
-void configuration_fetch::forget_content() {
+void configuration_fetch::discard_content() {
     content_id_ = 0;
     received_bytes_.clear();
 }
@@ -106,11 +106,11 @@
         part.size <= max_content_bytes && !part.bytes.empty() && (goes_on || begins);
     if (part.version <= held_->version || !usable) {
         pending_node_.clear();
-        forget_content();
+        discard_content();
         return {};
     }
     if (!goes_on) {
-        forget_content();
+        discard_content();
         content_id_ = part.content;
     }
     received_bytes_ += part.bytes;
@@ -124,7 +124,7 @@
 configuration_fetch::progress configuration_fetch::finish() {
     auto made = unpack(received_bytes_, *held_);
     pending_node_.clear();
-    forget_content();
+    discard_content();
     needs_full_ = !made;
     if (!made) {
         return {std::nullopt, nullptr, made.error()};
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -60,7 +60,7 @@
   private:
     [[nodiscard]] configuration_request next_request() const;
     progress finish();
-    void forget_content();
+    void discard_content();
 
     configuration_pointer held_ = std::make_shared<const routing::configuration>();
     /// The node that was asked and hasn't answered yet; empty for none.
