--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -115,13 +115,13 @@
     }
     received_bytes_ += part.bytes;
     if (received_bytes_.size() >= part.size) {
-        return finish();
+        return complete_fetch();
     }
     requested_at_ = now;
     return {next_request(), nullptr, std::nullopt};
 }
 
-configuration_fetch::progress configuration_fetch::finish() {
+configuration_fetch::progress configuration_fetch::complete_fetch() {
     auto made = unpack(received_bytes_, *held_);
     pending_node_.clear();
     discard_content();
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -59,7 +59,7 @@
 
   private:
     [[nodiscard]] configuration_request next_request() const;
-    progress finish();
+    progress complete_fetch();
     void discard_content();
 
     configuration_pointer held_ = std::make_shared<const routing::configuration>();
