--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t max_content_bytes = 64U << 20U;
 
 /// What a fetched content makes of `base`.
-tl::expected<routing::configuration, fetch_problem> unpack(const std::string& content,
-                                                           const routing::configuration& base) {
+tl::expected<routing::configuration, fetch_problem> decode_configuration(
+    const std::string& content, const routing::configuration& base) {
     const auto bytes = protocol::decompress(content, max_content_bytes);
     if (!bytes) {
         return tl::unexpected(fetch_problem{fetch_failure::unreadable, bytes.error().reason});
@@ -122,7 +122,7 @@
 }
 
 configuration_fetch::progress configuration_fetch::complete_fetch() {
-    auto made = unpack(received_bytes_, *held_);
+    auto made = decode_configuration(received_bytes_, *held_);
     pending_node_.clear();
     discard_content();
     needs_full_ = !made;
