--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -27,15 +27,15 @@
         return tl::unexpected(fetch_problem{fetch_failure::unreadable, change.error().reason});
     }
     const bool whole = change->base == routing::no_version;
-    auto made = routing::apply(*change, whole ? routing::configuration{} : base);
-    if (!made) {
-        const bool other_base = made.error() == routing::change_failure::other_base;
+    auto result = routing::apply(*change, whole ? routing::configuration{} : base);
+    if (!result) {
+        const bool other_base = result.error() == routing::change_failure::other_base;
         return tl::unexpected(
             other_base
                 ? fetch_problem{fetch_failure::other_base, "it is made from another version"}
                 : fetch_problem{fetch_failure::other_result, "its result isn't what was sent"});
     }
-    return std::move(*made);
+    return std::move(*result);
 }
 
 }  // namespace
@@ -122,17 +122,17 @@
 }
 
 configuration_fetch::progress configuration_fetch::complete_fetch() {
-    auto made = decode_configuration(received_bytes_, *held_);
+    auto result = decode_configuration(received_bytes_, *held_);
     pending_node_.clear();
     discard_content();
-    needs_full_ = !made;
-    if (!made) {
-        return {std::nullopt, nullptr, made.error()};
+    needs_full_ = !result;
+    if (!result) {
+        return {std::nullopt, nullptr, result.error()};
     }
-    if (made->version <= held_->version) {
+    if (result->version <= held_->version) {
         return {};
     }
-    held_ = std::make_shared<const routing::configuration>(std::move(*made));
+    held_ = std::make_shared<const routing::configuration>(std::move(*result));
     return {std::nullopt, held_, std::nullopt};
 }
 
