--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -26,8 +26,8 @@
     if (!change) {
         return tl::unexpected(fetch_problem{fetch_failure::unreadable, change.error().reason});
     }
-    const bool whole = change->base == routing::no_version;
-    auto result = routing::apply(*change, whole ? routing::configuration{} : base);
+    const bool is_full = change->base == routing::no_version;
+    auto result = routing::apply(*change, is_full ? routing::configuration{} : base);
     if (!result) {
         const bool other_base = result.error() == routing::change_failure::other_base;
         return tl::unexpected(
