--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -29,9 +29,9 @@
     const bool is_full = change->base == routing::no_version;
     auto result = routing::apply(*change, is_full ? routing::configuration{} : base);
     if (!result) {
-        const bool other_base = result.error() == routing::change_failure::other_base;
+        const bool is_base_mismatch = result.error() == routing::change_failure::other_base;
         return tl::unexpected(
-            other_base
+            is_base_mismatch
                 ? fetch_problem{fetch_failure::other_base, "it is made from another version"}
                 : fetch_problem{fetch_failure::other_result, "its result isn't what was sent"});
     }
