--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -32,7 +32,7 @@
         const bool is_base_mismatch = result.error() == routing::change_failure::other_base;
         return tl::unexpected(
             is_base_mismatch
-                ? fetch_problem{fetch_failure::other_base, "it is made from another version"}
+                ? fetch_problem{fetch_failure::base_mismatch, "it is made from another version"}
                 : fetch_problem{fetch_failure::other_result, "its result isn't what was sent"});
     }
     return std::move(*result);
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -18,7 +18,7 @@
     /// It can't be decompressed or decoded.
     unreadable,
     /// It is a difference from a version that this node doesn't hold.
-    other_base,
+    base_mismatch,
     /// The digest of its result isn't the one that it names.
     other_result,
 };
