--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -33,7 +33,7 @@
         return tl::unexpected(
             is_base_mismatch
                 ? fetch_problem{fetch_failure::base_mismatch, "it is made from another version"}
-                : fetch_problem{fetch_failure::other_result, "its result isn't what was sent"});
+                : fetch_problem{fetch_failure::result_mismatch, "its result isn't what was sent"});
     }
     return std::move(*result);
 }
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -20,7 +20,7 @@
     /// It is a difference from a version that this node doesn't hold.
     base_mismatch,
     /// The digest of its result isn't the one that it names.
-    other_result,
+    result_mismatch,
 };
 
 struct fetch_problem {
