--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -100,16 +100,17 @@
         // From a node that had been given up meanwhile.
         return {};
     }
-    const bool goes_on = part.content == content_id_ && part.offset == received_bytes_.size();
+    const bool continues_content =
+        part.content == content_id_ && part.offset == received_bytes_.size();
     const bool begins = part.offset == 0;
     const bool usable =
-        part.size <= max_content_bytes && !part.bytes.empty() && (goes_on || begins);
+        part.size <= max_content_bytes && !part.bytes.empty() && (continues_content || begins);
     if (part.version <= held_->version || !usable) {
         pending_node_.clear();
         discard_content();
         return {};
     }
-    if (!goes_on) {
+    if (!continues_content) {
         discard_content();
         content_id_ = part.content;
     }
--- a/src/tallyfold/plane/directory/configuration_source.cpp
+++ b/src/tallyfold/plane/directory/configuration_source.cpp
@@ -82,8 +82,9 @@
     part.content = given.id;
     part.version = given.version;
     part.size = given.bytes.size();
-    const bool goes_on = request.content == given.id && request.offset < given.bytes.size();
-    part.offset = goes_on ? request.offset : 0;
+    const bool continues_content =
+        request.content == given.id && request.offset < given.bytes.size();
+    part.offset = continues_content ? request.offset : 0;
     part.bytes = given.bytes.substr(part.offset, part_bytes);
     return part;
 }
