--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -103,9 +103,9 @@
     const bool continues_content =
         part.content == content_id_ && part.offset == received_bytes_.size();
     const bool starts_content = part.offset == 0;
-    const bool usable = part.size <= max_content_bytes && !part.bytes.empty() &&
-                        (continues_content || starts_content);
-    if (part.version <= held_->version || !usable) {
+    const bool is_usable = part.size <= max_content_bytes && !part.bytes.empty() &&
+                           (continues_content || starts_content);
+    if (part.version <= held_->version || !is_usable) {
         pending_node_.clear();
         discard_content();
         return {};
