--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -62,8 +62,8 @@
     if (version <= held_->version) {
         return std::nullopt;
     }
-    const bool under_way = !pending_node_.empty() && now - requested_at_ < part_timeout;
-    if (under_way) {
+    const bool request_pending = !pending_node_.empty() && now - requested_at_ < part_timeout;
+    if (request_pending) {
         return std::nullopt;
     }
     if (pending_node_.empty()) {
