--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -58,7 +58,7 @@
 }
 
 std::optional<configuration_request> configuration_fetch::told(
-    const node_name& by, routing::configuration_version version, instant now) {
+    const node_name& node, routing::configuration_version version, instant now) {
     if (version <= held_->version) {
         return std::nullopt;
     }
@@ -69,7 +69,7 @@
     if (pending_node_.empty()) {
         started_at_ = now;
     }
-    pending_node_ = by;
+    pending_node_ = node;
     requested_at_ = now;
     return next_request();
 }
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -42,7 +42,7 @@
 
     /// A directory node has said which version it holds. @return what to ask it now: something when
     /// it holds a newer one and none is being fetched, or when the node that gives it is silent
-    std::optional<configuration_request> told(const node_name& by,
+    std::optional<configuration_request> told(const node_name& node,
                                               routing::configuration_version version, instant now);
     /// A part has come. Parts from a node that was given up meanwhile change nothing; one that
     /// doesn't fit ends the fetch, which begins again with the next told().
--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -21,13 +21,13 @@
     return question_;
 }
 
-void configuration_proofs::answered(const node_name& by, std::uint64_t question,
+void configuration_proofs::answered(const node_name& node, std::uint64_t question,
                                     routing::configuration_version version) {
     const auto asked = asked_.find(question);
     if (asked == asked_.end()) {
         return;
     }
-    const configuration_proof proof{by, version, asked->second};
+    const configuration_proof proof{node, version, asked->second};
     asked_.erase(asked);
     if (version <= held_) {
         take(proof);
--- a/src/tallyfold/plane/directory/configuration_proofs.hpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.hpp
@@ -35,7 +35,7 @@
     /// @return the number of a question that is asked now; above 0 and growing
     std::uint64_t ask(instant now);
     /// A directory node answers a question: `version` was the newest when it was asked.
-    void answered(const node_name& by, std::uint64_t question,
+    void answered(const node_name& node, std::uint64_t question,
                   routing::configuration_version version);
     /// The node holds this version from now on.
     void holds(routing::configuration_version version);
