--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -14,11 +14,11 @@
 }  // namespace
 
 std::uint64_t configuration_proofs::ask(instant now) {
-    asked_[++question_] = now;
+    asked_[++last_question_] = now;
     if (asked_.size() > max_open_questions) {
         asked_.erase(asked_.begin());
     }
-    return question_;
+    return last_question_;
 }
 
 void configuration_proofs::answered(const node_name& node, std::uint64_t question,
