--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -14,21 +14,21 @@
 }  // namespace
 
 std::uint64_t configuration_proofs::ask(instant now) {
-    asked_[++last_question_] = now;
-    if (asked_.size() > max_open_questions) {
-        asked_.erase(asked_.begin());
+    question_times_[++last_question_] = now;
+    if (question_times_.size() > max_open_questions) {
+        question_times_.erase(question_times_.begin());
     }
     return last_question_;
 }
 
 void configuration_proofs::answered(const node_name& node, std::uint64_t question,
                                     routing::configuration_version version) {
-    const auto asked = asked_.find(question);
-    if (asked == asked_.end()) {
+    const auto asked = question_times_.find(question);
+    if (asked == question_times_.end()) {
         return;
     }
     const configuration_proof proof{node, version, asked->second};
-    asked_.erase(asked);
+    question_times_.erase(asked);
     if (version <= held_) {
         take(proof);
         return;
--- a/src/tallyfold/plane/directory/configuration_proofs.hpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.hpp
@@ -57,7 +57,7 @@
     configuration_proof newest_;
     routing::configuration_version held_ = routing::no_version;
     std::uint64_t last_question_ = 0;
-    std::map<std::uint64_t, instant> asked_;
+    std::map<std::uint64_t, instant> question_times_;
     /// Proofs of versions that the node doesn't hold yet.
     std::deque<configuration_proof> ahead_;
 };
