--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -33,20 +33,21 @@
         take(proof);
         return;
     }
-    ahead_.push_back(proof);
-    if (ahead_.size() > max_proofs_ahead) {
-        ahead_.pop_front();
+    pending_proofs_.push_back(proof);
+    if (pending_proofs_.size() > max_proofs_ahead) {
+        pending_proofs_.pop_front();
     }
 }
 
 void configuration_proofs::holds(routing::configuration_version version) {
     held_ = version;
-    for (const configuration_proof& proof : ahead_) {
+    for (const configuration_proof& proof : pending_proofs_) {
         if (proof.version <= held_) {
             take(proof);
         }
     }
-    std::erase_if(ahead_, [&](const configuration_proof& proof) { return proof.version <= held_; });
+    std::erase_if(pending_proofs_,
+                  [&](const configuration_proof& proof) { return proof.version <= held_; });
 }
 
 void configuration_proofs::take(const configuration_proof& proof) {
--- a/src/tallyfold/plane/directory/configuration_proofs.hpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.hpp
@@ -59,7 +59,7 @@
     std::uint64_t last_question_ = 0;
     std::map<std::uint64_t, instant> question_times_;
     /// Proofs of versions that the node doesn't hold yet.
-    std::deque<configuration_proof> ahead_;
+    std::deque<configuration_proof> pending_proofs_;
 };
 
 }  // namespace tallyfold::directory
