--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t max_open_questions = 64;
 /// Proofs of versions that aren't held yet. Chosen, not measured: while versions come quickly, each
 /// may be proved before it is fetched.
-constexpr std::size_t max_proofs_ahead = 16;
+constexpr std::size_t max_pending_proofs = 16;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
         return;
     }
     pending_proofs_.push_back(proof);
-    if (pending_proofs_.size() > max_proofs_ahead) {
+    if (pending_proofs_.size() > max_pending_proofs) {
         pending_proofs_.pop_front();
     }
 }
