--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -29,7 +29,7 @@
     }
     const configuration_proof proof{node, version, asked->second};
     question_times_.erase(asked);
-    if (version <= held_) {
+    if (version <= held_version_) {
         take(proof);
         return;
     }
@@ -40,14 +40,14 @@
 }
 
 void configuration_proofs::holds(routing::configuration_version version) {
-    held_ = version;
+    held_version_ = version;
     for (const configuration_proof& proof : pending_proofs_) {
-        if (proof.version <= held_) {
+        if (proof.version <= held_version_) {
             take(proof);
         }
     }
     std::erase_if(pending_proofs_,
-                  [&](const configuration_proof& proof) { return proof.version <= held_; });
+                  [&](const configuration_proof& proof) { return proof.version <= held_version_; });
 }
 
 void configuration_proofs::take(const configuration_proof& proof) {
--- a/src/tallyfold/plane/directory/configuration_proofs.hpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.hpp
@@ -55,7 +55,7 @@
     void take(const configuration_proof& proof);
 
     configuration_proof newest_;
-    routing::configuration_version held_ = routing::no_version;
+    routing::configuration_version held_version_ = routing::no_version;
     std::uint64_t last_question_ = 0;
     std::map<std::uint64_t, instant> question_times_;
     /// Proofs of versions that the node doesn't hold yet.
