--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -30,7 +30,7 @@
     const configuration_proof proof{node, version, asked->second};
     question_times_.erase(asked);
     if (version <= held_version_) {
-        take(proof);
+        keep_if_newer(proof);
         return;
     }
     pending_proofs_.push_back(proof);
@@ -43,14 +43,14 @@
     held_version_ = version;
     for (const configuration_proof& proof : pending_proofs_) {
         if (proof.version <= held_version_) {
-            take(proof);
+            keep_if_newer(proof);
         }
     }
     std::erase_if(pending_proofs_,
                   [&](const configuration_proof& proof) { return proof.version <= held_version_; });
 }
 
-void configuration_proofs::take(const configuration_proof& proof) {
+void configuration_proofs::keep_if_newer(const configuration_proof& proof) {
     if (proof.asked > newest_.asked) {
         newest_ = proof;
     }
--- a/src/tallyfold/plane/directory/configuration_proofs.hpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.hpp
@@ -52,7 +52,7 @@
     }
 
   private:
-    void take(const configuration_proof& proof);
+    void keep_if_newer(const configuration_proof& proof);
 
     configuration_proof newest_;
     routing::configuration_version held_version_ = routing::no_version;
