--- a/src/tallyfold/plane/directory/configuration_source.cpp
+++ b/src/tallyfold/plane/directory/configuration_source.cpp
@@ -27,18 +27,18 @@
 }  // namespace
 
 void configuration_source::show(const configuration_pointer& newest) {
-    if (newest->version <= (kept_.empty() ? routing::no_version : kept_.back()->version)) {
+    if (newest->version <= (versions_.empty() ? routing::no_version : versions_.back()->version)) {
         return;
     }
-    kept_.push_back(newest);
-    if (kept_.size() > kept_versions) {
-        kept_.pop_front();
+    versions_.push_back(newest);
+    if (versions_.size() > kept_versions) {
+        versions_.pop_front();
     }
 }
 
 const routing::configuration& configuration_source::base_for(
     routing::configuration_version version) const {
-    for (const configuration_pointer& each : kept_) {
+    for (const configuration_pointer& each : versions_) {
         if (each->version == version) {
             return *each;
         }
@@ -53,7 +53,7 @@
             return each;
         }
     }
-    const routing::configuration& newest = *kept_.back();
+    const routing::configuration& newest = *versions_.back();
     const routing::configuration& base =
         request.whole ? empty_configuration() : base_for(request.held);
     for (const content& each : contents_) {
@@ -75,7 +75,7 @@
 
 configuration_part configuration_source::answer(const configuration_request& request) {
     configuration_part part;
-    if (kept_.empty() || kept_.back()->version <= request.held) {
+    if (versions_.empty() || versions_.back()->version <= request.held) {
         return part;
     }
     const content& given = content_for(request);
--- a/src/tallyfold/plane/directory/configuration_source.hpp
+++ b/src/tallyfold/plane/directory/configuration_source.hpp
@@ -34,7 +34,7 @@
         routing::configuration_version version) const;
 
     /// The newest last.
-    std::deque<configuration_pointer> kept_;
+    std::deque<configuration_pointer> versions_;
     std::deque<content> contents_;
 };
 
