--- a/src/tallyfold/plane/directory/configuration_source.cpp
+++ b/src/tallyfold/plane/directory/configuration_source.cpp
@@ -11,7 +11,7 @@
 
 /// Versions from which differences are told: nodes rarely lag by more changes than come while one
 /// is fetched. Each holds some 2 MB at 6,000 routes.
-constexpr std::size_t kept_versions = 4;
+constexpr std::size_t max_versions = 4;
 /// Contents that nodes may still be fetching while newer versions come. Chosen, not measured: two
 /// for each version kept.
 constexpr std::size_t kept_contents = 8;
@@ -31,7 +31,7 @@
         return;
     }
     versions_.push_back(newest);
-    if (versions_.size() > kept_versions) {
+    if (versions_.size() > max_versions) {
         versions_.pop_front();
     }
 }
