--- a/src/tallyfold/plane/directory/configuration_source.cpp
+++ b/src/tallyfold/plane/directory/configuration_source.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t max_versions = 4;
 /// Contents that nodes may still be fetching while newer versions come. Chosen, not measured: two
 /// for each version kept.
-constexpr std::size_t kept_contents = 8;
+constexpr std::size_t max_contents = 8;
 /// What one answer carries, in bytes: 9 ms of a link with 30 Mbit/s, so that heartbeats don't wait
 /// behind it.
 constexpr std::size_t part_bytes = 32U << 10U;
@@ -67,7 +67,7 @@
     made.bytes = protocol::compress(protocol::encode(routing::difference(base, newest)));
     made.id = stable_hash(made.bytes);
     contents_.push_back(std::move(made));
-    if (contents_.size() > kept_contents) {
+    if (contents_.size() > max_contents) {
         contents_.pop_front();
     }
     return contents_.back();
