--- a/src/tallyfold/plane/directory/configuration_source.cpp
+++ b/src/tallyfold/plane/directory/configuration_source.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t max_contents = 8;
 /// What one answer carries, in bytes: 9 ms of a link with 30 Mbit/s, so that heartbeats don't wait
 /// behind it.
-constexpr std::size_t part_bytes = 32U << 10U;
+constexpr std::size_t max_part_bytes = 32U << 10U;
 
 const routing::configuration& empty_configuration() {
     static const routing::configuration empty;
@@ -85,7 +85,7 @@
     const bool continues_content =
         request.content == given.id && request.offset < given.bytes.size();
     part.offset = continues_content ? request.offset : 0;
-    part.bytes = given.bytes.substr(part.offset, part_bytes);
+    part.bytes = given.bytes.substr(part.offset, max_part_bytes);
     return part;
 }
 
