--- a/src/tallyfold/plane/directory/configuration_source.cpp
+++ b/src/tallyfold/plane/directory/configuration_source.cpp
@@ -78,14 +78,14 @@
     if (versions_.empty() || versions_.back()->version <= request.held) {
         return part;
     }
-    const content& given = content_for(request);
-    part.content = given.id;
-    part.version = given.version;
-    part.size = given.bytes.size();
+    const content& selected = content_for(request);
+    part.content = selected.id;
+    part.version = selected.version;
+    part.size = selected.bytes.size();
     const bool continues_content =
-        request.content == given.id && request.offset < given.bytes.size();
+        request.content == selected.id && request.offset < selected.bytes.size();
     part.offset = continues_content ? request.offset : 0;
-    part.bytes = given.bytes.substr(part.offset, max_part_bytes);
+    part.bytes = selected.bytes.substr(part.offset, max_part_bytes);
     return part;
 }
 
