--- a/src/tallyfold/plane/directory/configuration_source.cpp
+++ b/src/tallyfold/plane/directory/configuration_source.cpp
@@ -61,12 +61,12 @@
             return each;
         }
     }
-    content made;
-    made.base = base.version;
-    made.version = newest.version;
-    made.bytes = protocol::compress(protocol::encode(routing::difference(base, newest)));
-    made.id = stable_hash(made.bytes);
-    contents_.push_back(std::move(made));
+    content created;
+    created.base = base.version;
+    created.version = newest.version;
+    created.bytes = protocol::compress(protocol::encode(routing::difference(base, newest)));
+    created.id = stable_hash(created.bytes);
+    contents_.push_back(std::move(created));
     if (contents_.size() > max_contents) {
         contents_.pop_front();
     }
