--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -43,7 +43,7 @@
       store_planner_(settings_.stores),
       leader_seen_(now) {
     if (const auto restored = state_.restore(recovered.base.state); !restored) {
-        stand_still("snapshot=" + std::to_string(recovered.base.index), restored.error().reason);
+        halt("snapshot=" + std::to_string(recovered.base.index), restored.error().reason);
     }
     check_membership_entries();
     applied_ = replica_.log().snapshot_index();
@@ -105,7 +105,7 @@
     member_planner_.on_join(request, now);
 }
 
-void directory_core::stand_still(const std::string& what, const std::string& reason) {
+void directory_core::halt(const std::string& what, const std::string& reason) {
     if (stands_still_) {
         return;
     }
@@ -118,7 +118,7 @@
 
 void directory_core::check_membership_entries() {
     if (const auto index = replica_.unreadable_entry()) {
-        stand_still("index=" + std::to_string(*index), "it doesn't decode as a membership");
+        halt("index=" + std::to_string(*index), "it doesn't decode as a membership");
     }
 }
 
@@ -263,9 +263,9 @@
     if (!command) {
         // Passed over, it would be acknowledged all the same, and whoever asks this node would go
         // by an older configuration.
-        stand_still("index=" + std::to_string(entry.index) +
-                        " bytes=" + std::to_string(entry.payload.size()),
-                    command.error().reason);
+        halt("index=" + std::to_string(entry.index) +
+                 " bytes=" + std::to_string(entry.payload.size()),
+             command.error().reason);
         return;
     }
     const routing::configuration_version version = state_.configuration().version;
@@ -346,7 +346,7 @@
     if (ready.received_snapshot.has_value()) {
         const consensus::log_index index = ready.received_snapshot->index;
         if (const auto restored = state_.restore(ready.received_snapshot->state); !restored) {
-            stand_still("snapshot=" + std::to_string(index), restored.error().reason);
+            halt("snapshot=" + std::to_string(index), restored.error().reason);
         }
         applied_ = index;
         write.base = std::move(ready.received_snapshot);
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -113,7 +113,7 @@
     void apply_command(const consensus::log_entry& entry);
     void log_changed_groups(turns::map_epoch since);
     /// Ends this replica's part in its group. @param what can't be read, and why
-    void stand_still(const std::string& what, const std::string& reason);
+    void halt(const std::string& what, const std::string& reason);
     void check_membership_entries();
     /// Gives the configuration whole to a node that knows no other way.
     void add_whole_configuration(const node_report& report, node_report_answer& answer);
