--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -62,7 +62,7 @@
 }
 
 bool directory_core::leads() const {
-    return !stands_still_ && replica_.role() == consensus::replica_role::leader;
+    return !halted_ && replica_.role() == consensus::replica_role::leader;
 }
 
 node_name directory_core::leader_address() const {
@@ -85,7 +85,7 @@
 
 void directory_core::receive(const node_name& from, const consensus::replica_message& message,
                              instant now) {
-    if (stands_still_) {
+    if (halted_) {
         return;
     }
     if (!from.empty()) {
@@ -106,11 +106,11 @@
 }
 
 void directory_core::halt(const std::string& what, const std::string& reason) {
-    if (stands_still_) {
+    if (halted_) {
         return;
     }
     log(logging::event_id::entry_unreadable, what + " reason=\"" + reason + "\"");
-    stands_still_ = true;
+    halted_ = true;
     for (const request_token token : pending_.take_commands()) {
         answer(token, answer_kind::unknown);
     }
@@ -142,7 +142,7 @@
 
 void directory_core::confirm(request_token token, instant now) {
     const pending_requests::read_number read = pending_.next_read();
-    if (stands_still_ || !replica_.request_read(read, now)) {
+    if (halted_ || !replica_.request_read(read, now)) {
         answer(token, answer_kind::not_leader);
         return;
     }
@@ -151,7 +151,7 @@
 
 void directory_core::prove(request_token token, instant now) {
     const pending_requests::read_number read = pending_.next_read();
-    if (stands_still_ || !replica_.request_read_at_any_replica(read, now)) {
+    if (halted_ || !replica_.request_read_at_any_replica(read, now)) {
         work_.proofs.push_back({token, false});
         return;
     }
@@ -246,7 +246,7 @@
 }
 
 void directory_core::tick(instant now) {
-    if (stands_still_) {
+    if (halted_) {
         return;
     }
     replica_.tick(now);
@@ -284,7 +284,7 @@
     if (entry.kind == consensus::entry_kind::command) {
         apply_command(entry);
     }
-    if (stands_still_) {
+    if (halted_) {
         return;
     }
     applied_ = entry.index;
@@ -327,7 +327,7 @@
     const bool due = applied_ >= log.snapshot_index() + settings_.snapshot_interval ||
                      applied_bytes_ >= settings_.snapshot_bytes ||
                      applied_disk_bytes_ >= settings_.snapshot_disk_bytes;
-    if (write.base.has_value() || !due || stands_still_) {
+    if (write.base.has_value() || !due || halted_) {
         return;
     }
     applied_bytes_ = 0;
@@ -352,17 +352,17 @@
         write.base = std::move(ready.received_snapshot);
     }
     for (const consensus::log_entry& entry : ready.committed) {
-        if (!stands_still_) {
+        if (!halted_) {
             apply(entry);
         }
     }
     for (const std::uint64_t read : ready.confirmed_reads) {
-        end_read(read, !stands_still_);
+        end_read(read, !halted_);
     }
     for (const std::uint64_t read : ready.failed_reads) {
         end_read(read, false);
     }
-    if (!stands_still_) {
+    if (!halted_) {
         queue(ready.messages_before_sync, work_.before_sync);
         queue(ready.messages_after_sync, work_.after_sync);
     }
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -55,7 +55,7 @@
     [[nodiscard]] bool may_bring_tenants(instant now) const;
     [[nodiscard]] const format_survey& formats() const { return formats_; }
     /// True when this replica can't read what its group has committed.
-    [[nodiscard]] bool stands_still() const { return stands_still_; }
+    [[nodiscard]] bool stands_still() const { return halted_; }
 
     /// Appends a command; its answer comes out of take_work().
     void submit(request_token token, const directory_command& command);
@@ -143,7 +143,7 @@
     /// Addresses of replicas by their last message, for those that the membership doesn't name.
     std::map<consensus::replica_id, node_name> addresses_;
     format_survey formats_;
-    bool stands_still_ = false;
+    bool halted_ = false;
     instant next_awaited_log_{};
     bool was_leading_ = false;
     instant next_plan_{};
