--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -76,14 +76,15 @@
 }
 
 const configuration_pointer& directory_core::shown_configuration() const {
-    const bool has_newest = state_.configuration().version >= earlier_.configuration().version;
-    return has_newest ? state_.shared_configuration() : earlier_.shared_configuration();
+    const bool has_newest =
+        state_.configuration().version >= previous_state_.configuration().version;
+    return has_newest ? state_.shared_configuration() : previous_state_.shared_configuration();
 }
 
 node_report_answer directory_core::answer_to(const node_report& report) const {
-    const bool has_newest_stores = state_.stores().epoch >= earlier_.stores().epoch;
+    const bool has_newest_stores = state_.stores().epoch >= previous_state_.stores().epoch;
     const turns::store_table& shown_stores =
-        has_newest_stores ? state_.stores() : earlier_.stores();
+        has_newest_stores ? state_.stores() : previous_state_.stores();
     node_report_answer answer;
     answer.configuration = shown_configuration()->version;
     if (shown_stores.epoch > report.stores) {
