--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -73,7 +73,7 @@
     [[nodiscard]] const directory_state& state() const { return state_; }
     /// Takes over a committed state that this node had applied before its restart, so that other
     /// nodes learn it before a leader has confirmed the log. It is shown, never built upon.
-    void show_earlier_state(directory_state earlier) { previous_state_ = std::move(earlier); }
+    void show_earlier_state(directory_state previous) { previous_state_ = std::move(previous); }
     [[nodiscard]] bool leads() const;
     /// "ip:port" of the node that leads, as far as this one knows; empty for none.
     [[nodiscard]] node_name leader_address() const;
