--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -96,7 +96,7 @@
     void answer(request_token token, answer_kind kind);
     /// The newest configuration that this node knows to have been in force, now or before its
     /// restart.
-    [[nodiscard]] const configuration_pointer& shown_configuration() const;
+    [[nodiscard]] const configuration_pointer& newest_known_configuration() const;
 
     void follow_leadership(instant now);
     /// Begins and ends changes of the members and of the store groups, as leader.
--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -32,7 +32,7 @@
 
 void directory_core::add_whole_configuration(const node_report& report,
                                              node_report_answer& answer) {
-    const configuration_pointer& shown = shown_configuration();
+    const configuration_pointer& shown = newest_known_configuration();
     // Without its tenants it would let in whoever has no key.
     if (shown->version > report.configuration && shown->tenants.empty()) {
         answer.newer_configuration.push_back(shown);
@@ -71,11 +71,11 @@
 }
 
 configuration_part directory_core::receive(const configuration_request& request) {
-    source_.show(shown_configuration());
+    source_.show(newest_known_configuration());
     return source_.answer(request);
 }
 
-const configuration_pointer& directory_core::shown_configuration() const {
+const configuration_pointer& directory_core::newest_known_configuration() const {
     const bool has_newest =
         state_.configuration().version >= previous_state_.configuration().version;
     return has_newest ? state_.shared_configuration() : previous_state_.shared_configuration();
@@ -86,7 +86,7 @@
     const turns::store_table& shown_stores =
         has_newest_stores ? state_.stores() : previous_state_.stores();
     node_report_answer answer;
-    answer.configuration = shown_configuration()->version;
+    answer.configuration = newest_known_configuration()->version;
     if (shown_stores.epoch > report.stores) {
         answer.newer_stores.push_back(shown_stores);
     }
