--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -32,10 +32,10 @@
 
 void directory_core::add_whole_configuration(const node_report& report,
                                              node_report_answer& answer) {
-    const configuration_pointer& shown = newest_known_configuration();
+    const configuration_pointer& newest = newest_known_configuration();
     // Without its tenants it would let in whoever has no key.
-    if (shown->version > report.configuration && shown->tenants.empty()) {
-        answer.newer_configuration.push_back(shown);
+    if (newest->version > report.configuration && newest->tenants.empty()) {
+        answer.newer_configuration.push_back(newest);
     }
 }
 
