--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -83,12 +83,12 @@
 
 node_report_answer directory_core::answer_to(const node_report& report) const {
     const bool has_newest_stores = state_.stores().epoch >= previous_state_.stores().epoch;
-    const turns::store_table& shown_stores =
+    const turns::store_table& newest_stores =
         has_newest_stores ? state_.stores() : previous_state_.stores();
     node_report_answer answer;
     answer.configuration = newest_known_configuration()->version;
-    if (shown_stores.epoch > report.stores) {
-        answer.newer_stores.push_back(shown_stores);
+    if (newest_stores.epoch > report.stores) {
+        answer.newer_stores.push_back(newest_stores);
     }
     for (const auto& [id, member] : replica_.members().members) {
         answer.directory_addresses.push_back(member.node);
