--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -116,7 +116,7 @@
     void halt(const std::string& what, const std::string& reason);
     void check_membership_entries();
     /// Gives the configuration whole to a node that knows no other way.
-    void add_whole_configuration(const node_report& report, node_report_answer& answer);
+    void add_full_configuration(const node_report& report, node_report_answer& answer);
     /// Logs, now and then, what has to wait for nodes that know the first form alone.
     void log_awaited_format(const std::string& what, const node_name& node, instant now);
     void end_read(std::uint64_t number, bool confirmed);
--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -21,7 +21,7 @@
     }
     node_report_answer answer = answer_to(report);
     if (format < protocol::format_version::v2 && report.wants_configuration) {
-        add_whole_configuration(report, answer);
+        add_full_configuration(report, answer);
         if (answer.configuration > report.configuration && answer.newer_configuration.empty()) {
             log_awaited_format("configuration=" + std::to_string(answer.configuration), report.node,
                                now);
@@ -30,8 +30,7 @@
     return answer;
 }
 
-void directory_core::add_whole_configuration(const node_report& report,
-                                             node_report_answer& answer) {
+void directory_core::add_full_configuration(const node_report& report, node_report_answer& answer) {
     const configuration_pointer& newest = newest_known_configuration();
     // Without its tenants it would let in whoever has no key.
     if (newest->version > report.configuration && newest->tenants.empty()) {
