--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -144,7 +144,7 @@
     std::map<consensus::replica_id, node_name> addresses_;
     format_survey formats_;
     bool halted_ = false;
-    instant next_awaited_log_{};
+    instant next_format_log_{};
     bool was_leading_ = false;
     instant next_plan_{};
     instant next_join_{};
--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -62,10 +62,10 @@
 
 void directory_core::log_awaited_format(const std::string& what, const node_name& node,
                                         instant now) {
-    if (now < next_awaited_log_) {
+    if (now < next_format_log_) {
         return;
     }
-    next_awaited_log_ = now + awaited_log_interval;
+    next_format_log_ = now + awaited_log_interval;
     log(logging::event_id::format_awaited, what + " peer=" + node);
 }
 
