--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -10,7 +10,7 @@
 
 /// Pause between two lines about what waits for nodes that know the first form alone. Chosen, not
 /// measured: an upgrade takes minutes.
-constexpr duration awaited_log_interval = std::chrono::seconds(2);
+constexpr duration format_log_interval = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -65,7 +65,7 @@
     if (now < next_format_log_) {
         return;
     }
-    next_format_log_ = now + awaited_log_interval;
+    next_format_log_ = now + format_log_interval;
     log(logging::event_id::format_awaited, what + " peer=" + node);
 }
 
