--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -41,7 +41,7 @@
                now),
       member_planner_(settings_.members),
       store_planner_(settings_.stores),
-      leader_seen_(now) {
+      last_leader_message_(now) {
     if (const auto restored = state_.restore(recovered.base.state); !restored) {
         halt("snapshot=" + std::to_string(recovered.base.index), restored.error().reason);
     }
@@ -95,7 +95,7 @@
     replica_.step(message, now);
     check_membership_entries();
     if (replica_.leader() == message.from) {
-        leader_seen_ = now;
+        last_leader_message_ = now;
     }
     follow_leadership(now);
 }
@@ -227,7 +227,7 @@
 }
 
 void directory_core::join(instant now) {
-    const bool orphaned = !leads() && now - leader_seen_ > orphaned_after;
+    const bool orphaned = !leads() && now - last_leader_message_ > orphaned_after;
     if ((is_member() && !orphaned) || now < next_join_) {
         return;
     }
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -149,7 +149,7 @@
     instant next_plan_{};
     instant next_join_{};
     /// When the leader's last message came.
-    instant leader_seen_{};
+    instant last_leader_message_{};
     directory_work work_;
     /// The last entry of the write under way, and the snapshot taken with it.
     std::optional<std::pair<consensus::log_index, consensus::term_number>> writing_;
