--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -384,7 +384,7 @@
         take_ready(write);
     }
     if (!write.entries.empty()) {
-        writing_ = {write.entries.back().index, write.entries.back().term};
+        pending_write_ = {write.entries.back().index, write.entries.back().term};
     }
     if (write.state || write.base || !write.entries.empty()) {
         work_.write = std::move(write);
@@ -395,9 +395,9 @@
 }
 
 void directory_core::persisted() {
-    if (writing_.has_value()) {
-        replica_.persisted(writing_->first, writing_->second);
-        writing_.reset();
+    if (pending_write_.has_value()) {
+        replica_.persisted(pending_write_->first, pending_write_->second);
+        pending_write_.reset();
     }
     if (writing_snapshot_.has_value()) {
         replica_.compacted(writing_snapshot_->index);
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -152,7 +152,7 @@
     instant last_leader_message_{};
     directory_work work_;
     /// The last entry of the write under way, and the snapshot taken with it.
-    std::optional<std::pair<consensus::log_index, consensus::term_number>> writing_;
+    std::optional<std::pair<consensus::log_index, consensus::term_number>> pending_write_;
     std::optional<consensus::snapshot> writing_snapshot_;
     /// What forms a new directory, to be written with the first work.
     std::optional<consensus::group_write> first_write_;
