--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -338,7 +338,7 @@
     own.members = replica_.members_at(applied_);
     own.state = state_.to_bytes();
     write.base = own;
-    writing_snapshot_ = std::move(own);
+    pending_snapshot_ = std::move(own);
 }
 
 void directory_core::take_ready(consensus::group_write& write) {
@@ -399,10 +399,10 @@
         replica_.persisted(pending_write_->first, pending_write_->second);
         pending_write_.reset();
     }
-    if (writing_snapshot_.has_value()) {
-        replica_.compacted(writing_snapshot_->index);
-        replica_.set_snapshot(std::move(*writing_snapshot_));
-        writing_snapshot_.reset();
+    if (pending_snapshot_.has_value()) {
+        replica_.compacted(pending_snapshot_->index);
+        replica_.set_snapshot(std::move(*pending_snapshot_));
+        pending_snapshot_.reset();
     }
 }
 
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -153,7 +153,7 @@
     directory_work work_;
     /// The last entry of the write under way, and the snapshot taken with it.
     std::optional<std::pair<consensus::log_index, consensus::term_number>> pending_write_;
-    std::optional<consensus::snapshot> writing_snapshot_;
+    std::optional<consensus::snapshot> pending_snapshot_;
     /// What forms a new directory, to be written with the first work.
     std::optional<consensus::group_write> first_write_;
 };
