--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -53,7 +53,7 @@
         write.group = configuration_group;
         write.state = first.state;
         write.base = first.base;
-        first_write_ = std::move(write);
+        bootstrap_write_ = std::move(write);
     }
 }
 
@@ -376,9 +376,9 @@
 directory_work directory_core::take_work() {
     consensus::group_write write;
     write.group = configuration_group;
-    if (first_write_.has_value()) {
-        write = std::move(*first_write_);
-        first_write_.reset();
+    if (bootstrap_write_.has_value()) {
+        write = std::move(*bootstrap_write_);
+        bootstrap_write_.reset();
     }
     if (replica_.has_ready()) {
         take_ready(write);
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -155,7 +155,7 @@
     std::optional<std::pair<consensus::log_index, consensus::term_number>> pending_write_;
     std::optional<consensus::snapshot> pending_snapshot_;
     /// What forms a new directory, to be written with the first work.
-    std::optional<consensus::group_write> first_write_;
+    std::optional<consensus::group_write> bootstrap_write_;
 };
 
 }  // namespace tallyfold::directory
