--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -19,7 +19,7 @@
 constexpr duration join_interval = std::chrono::milliseconds(300);
 /// A replica that no leader has spoken to for this long asks to be taken in again. Chosen, not
 /// measured: longer than an election, which takes 0.5 to 1 s.
-constexpr duration orphaned_after = std::chrono::milliseconds(2500);
+constexpr duration orphan_timeout = std::chrono::milliseconds(2500);
 /// The longest time that the configuration's routes have turns kept.
 duration longest_retention(const routing::configuration& configuration) {
     double seconds = 0;
@@ -227,7 +227,7 @@
 }
 
 void directory_core::join(instant now) {
-    const bool orphaned = !leads() && now - last_leader_message_ > orphaned_after;
+    const bool orphaned = !leads() && now - last_leader_message_ > orphan_timeout;
     if ((is_member() && !orphaned) || now < next_join_) {
         return;
     }
