--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -226,7 +226,7 @@
     }
 }
 
-void directory_core::join(instant now) {
+void directory_core::request_to_join(instant now) {
     const bool orphaned = !leads() && now - last_leader_message_ > orphan_timeout;
     if ((is_member() && !orphaned) || now < next_join_) {
         return;
@@ -251,7 +251,7 @@
     }
     replica_.tick(now);
     follow_leadership(now);
-    join(now);
+    request_to_join(now);
     if (now >= next_plan_) {
         next_plan_ = now + plan_interval;
         plan_changes(now);
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -104,7 +104,7 @@
     void plan_members(instant now);
     void plan_stores(instant now);
     /// Asks the other nodes to be taken in when this one is no member, or no leader speaks to it.
-    void join(instant now);
+    void request_to_join(instant now);
     [[nodiscard]] bool is_member() const;
 
     /// Sorts what the replica hands out into work_ and into the write.
