--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -232,13 +232,13 @@
         return;
     }
     next_join_ = now + join_interval;
-    std::vector<node_name> asked = settings_.seeds;
+    std::vector<node_name> targets = settings_.seeds;
     for (const auto& [id, member] : replica_.members().members) {
-        asked.push_back(member.node);
+        targets.push_back(member.node);
     }
-    std::sort(asked.begin(), asked.end());
-    asked.erase(std::unique(asked.begin(), asked.end()), asked.end());
-    for (const node_name& address : asked) {
+    std::sort(targets.begin(), targets.end());
+    targets.erase(std::unique(targets.begin(), targets.end()), targets.end());
+    for (const node_name& address : targets) {
         if (address != settings_.address) {
             work_.before_sync.push_back({address, join_request{identity_, settings_.address}});
         }
