--- a/src/tallyfold/plane/directory/format_survey.hpp
+++ b/src/tallyfold/plane/directory/format_survey.hpp
@@ -30,11 +30,11 @@
     [[nodiscard]] std::size_t count(protocol::format_version format, instant now) const;
 
   private:
-    struct heard_format {
+    struct reported_format {
         protocol::format_version format = protocol::oldest_format;
         instant heard{};
     };
-    std::map<node_name, heard_format> nodes_;
+    std::map<node_name, reported_format> nodes_;
 };
 
 }  // namespace tallyfold::directory
