--- a/src/tallyfold/plane/directory/format_survey.cpp
+++ b/src/tallyfold/plane/directory/format_survey.cpp
@@ -21,7 +21,7 @@
     entry->second = {format, now};
     if (is_new) {
         std::erase_if(nodes_,
-                      [&](const auto& each) { return now - each.second.heard > remembered; });
+                      [&](const auto& each) { return now - each.second.last_seen > remembered; });
     }
     return changed;
 }
@@ -29,7 +29,7 @@
 std::optional<node_name> format_survey::lately_below(protocol::format_version format,
                                                      instant now) const {
     const auto found = std::find_if(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
-        return entry.second.format < format && now - entry.second.heard <= lately;
+        return entry.second.format < format && now - entry.second.last_seen <= lately;
     });
     return found == nodes_.end() ? std::nullopt : std::optional<node_name>(found->first);
 }
@@ -45,7 +45,7 @@
 std::size_t format_survey::count(protocol::format_version format, instant now) const {
     return static_cast<std::size_t>(
         std::count_if(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
-            return entry.second.format == format && now - entry.second.heard <= lately;
+            return entry.second.format == format && now - entry.second.last_seen <= lately;
         }));
 }
 
--- a/src/tallyfold/plane/directory/format_survey.hpp
+++ b/src/tallyfold/plane/directory/format_survey.hpp
@@ -32,7 +32,7 @@
   private:
     struct reported_format {
         protocol::format_version format = protocol::oldest_format;
-        instant heard{};
+        instant last_seen{};
     };
     std::map<node_name, reported_format> nodes_;
 };
