--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -40,7 +40,7 @@
 
 void directory_core::heard_format(const node_name& node, protocol::format_version format,
                                   instant now) {
-    if (formats_.heard(node, format, now)) {
+    if (formats_.record(node, format, now)) {
         log(logging::event_id::node_format,
             "peer=" + node + " format=" + protocol::to_string(format));
     }
--- a/src/tallyfold/plane/directory/format_survey.cpp
+++ b/src/tallyfold/plane/directory/format_survey.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-bool format_survey::heard(const node_name& node, protocol::format_version format, instant now) {
+bool format_survey::record(const node_name& node, protocol::format_version format, instant now) {
     const auto [entry, is_new] = nodes_.try_emplace(node);
     const bool changed = is_new || entry->second.format != format;
     entry->second = {format, now};
--- a/src/tallyfold/plane/directory/format_survey.hpp
+++ b/src/tallyfold/plane/directory/format_survey.hpp
@@ -18,7 +18,7 @@
   public:
     /// A message came from the node over a connection on which it said, or didn't say, what it
     /// knows. @return true when that is new
-    bool heard(const node_name& node, protocol::format_version format, instant now);
+    bool record(const node_name& node, protocol::format_version format, instant now);
 
     /// A node heard of lately that doesn't know `format`; nothing when all of them do.
     [[nodiscard]] std::optional<node_name> lately_below(protocol::format_version format,
