--- a/src/tallyfold/plane/directory/format_survey.cpp
+++ b/src/tallyfold/plane/directory/format_survey.cpp
@@ -8,7 +8,7 @@
 
 /// A node that was silent for longer isn't counted any more. Chosen, not measured: each reports to
 /// one directory node after another every 120 ms, so nine of them hear it about once a second.
-constexpr duration lately = std::chrono::seconds(5);
+constexpr duration active_window = std::chrono::seconds(5);
 /// What a node said is forgotten after this time: machines are replaced, and their names don't come
 /// back. Chosen, not measured: far longer than a restart.
 constexpr duration remembered = std::chrono::minutes(30);
@@ -29,7 +29,7 @@
 std::optional<node_name> format_survey::lately_below(protocol::format_version format,
                                                      instant now) const {
     const auto found = std::find_if(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
-        return entry.second.format < format && now - entry.second.last_seen <= lately;
+        return entry.second.format < format && now - entry.second.last_seen <= active_window;
     });
     return found == nodes_.end() ? std::nullopt : std::optional<node_name>(found->first);
 }
@@ -45,7 +45,7 @@
 std::size_t format_survey::count(protocol::format_version format, instant now) const {
     return static_cast<std::size_t>(
         std::count_if(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
-            return entry.second.format == format && now - entry.second.last_seen <= lately;
+            return entry.second.format == format && now - entry.second.last_seen <= active_window;
         }));
 }
 
