--- a/src/tallyfold/plane/directory/format_survey.cpp
+++ b/src/tallyfold/plane/directory/format_survey.cpp
@@ -11,7 +11,7 @@
 constexpr duration active_window = std::chrono::seconds(5);
 /// What a node said is forgotten after this time: machines are replaced, and their names don't come
 /// back. Chosen, not measured: far longer than a restart.
-constexpr duration remembered = std::chrono::minutes(30);
+constexpr duration entry_lifetime = std::chrono::minutes(30);
 
 }  // namespace
 
@@ -20,8 +20,8 @@
     const bool changed = is_new || entry->second.format != format;
     entry->second = {format, now};
     if (is_new) {
-        std::erase_if(nodes_,
-                      [&](const auto& each) { return now - each.second.last_seen > remembered; });
+        std::erase_if(
+            nodes_, [&](const auto& each) { return now - each.second.last_seen > entry_lifetime; });
     }
     return changed;
 }
