--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -203,7 +203,7 @@
     }
     const duration retention = longest_retention(state_.configuration()) + retention_margin;
     store_planner_.watch_losses(state_, retention, now);
-    const auto older_node = formats_.lately_below(protocol::format_version::v2, now);
+    const auto older_node = formats_.active_node_below(protocol::format_version::v2, now);
     store_planner_.allow_recovery(!older_node.has_value());
     if (older_node && store_planner_.wants_recovery(state_, now)) {
         log_awaited_format("recovery=store_groups", *older_node, now);
--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -57,7 +57,7 @@
         }
     }
     return formats_.all_know(protocol::format_version::v2, others) &&
-           !formats_.lately_below(protocol::format_version::v2, now);
+           !formats_.active_node_below(protocol::format_version::v2, now);
 }
 
 void directory_core::log_awaited_format(const std::string& what, const node_name& node,
--- a/src/tallyfold/plane/directory/format_survey.cpp
+++ b/src/tallyfold/plane/directory/format_survey.cpp
@@ -26,8 +26,8 @@
     return changed;
 }
 
-std::optional<node_name> format_survey::lately_below(protocol::format_version format,
-                                                     instant now) const {
+std::optional<node_name> format_survey::active_node_below(protocol::format_version format,
+                                                          instant now) const {
     const auto found = std::find_if(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
         return entry.second.format < format && now - entry.second.last_seen <= active_window;
     });
--- a/src/tallyfold/plane/directory/format_survey.hpp
+++ b/src/tallyfold/plane/directory/format_survey.hpp
@@ -21,8 +21,8 @@
     bool record(const node_name& node, protocol::format_version format, instant now);
 
     /// A node heard of lately that doesn't know `format`; nothing when all of them do.
-    [[nodiscard]] std::optional<node_name> lately_below(protocol::format_version format,
-                                                        instant now) const;
+    [[nodiscard]] std::optional<node_name> active_node_below(protocol::format_version format,
+                                                             instant now) const;
     /// True when each of these nodes was heard to know `format`, if long ago.
     [[nodiscard]] bool all_know(protocol::format_version format,
                                 const std::vector<node_name>& nodes) const;
