--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -56,7 +56,7 @@
             others.push_back(member.node);
         }
     }
-    return formats_.all_know(protocol::format_version::v2, others) &&
+    return formats_.all_support(protocol::format_version::v2, others) &&
            !formats_.active_node_below(protocol::format_version::v2, now);
 }
 
--- a/src/tallyfold/plane/directory/format_survey.cpp
+++ b/src/tallyfold/plane/directory/format_survey.cpp
@@ -34,8 +34,8 @@
     return found == nodes_.end() ? std::nullopt : std::optional<node_name>(found->first);
 }
 
-bool format_survey::all_know(protocol::format_version format,
-                             const std::vector<node_name>& nodes) const {
+bool format_survey::all_support(protocol::format_version format,
+                                const std::vector<node_name>& nodes) const {
     return std::all_of(nodes.begin(), nodes.end(), [&](const node_name& node) {
         const auto found = nodes_.find(node);
         return found != nodes_.end() && found->second.format >= format;
--- a/src/tallyfold/plane/directory/format_survey.hpp
+++ b/src/tallyfold/plane/directory/format_survey.hpp
@@ -24,8 +24,8 @@
     [[nodiscard]] std::optional<node_name> active_node_below(protocol::format_version format,
                                                              instant now) const;
     /// True when each of these nodes was heard to know `format`, if long ago.
-    [[nodiscard]] bool all_know(protocol::format_version format,
-                                const std::vector<node_name>& nodes) const;
+    [[nodiscard]] bool all_support(protocol::format_version format,
+                                   const std::vector<node_name>& nodes) const;
     /// Nodes heard of lately whose newest form is `format`.
     [[nodiscard]] std::size_t count(protocol::format_version format, instant now) const;
 
