--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -13,7 +13,7 @@
 
 /// Times the first gathering after which groups are formed of fewer stores than a group's size.
 /// Chosen, not measured: 6 s, in which a machine that starts late has started.
-constexpr int gatherings_for_a_small_group = 4;
+constexpr int small_group_wait_factor = 4;
 
 /// The stores in an order in which any run of them, as long as there are zones, lies in different
 /// zones.
@@ -157,9 +157,8 @@
 std::optional<change_store_groups> form_groups(const store_view& view) {
     const store_planner_settings& settings = view.settings();
     const store_list found = view.live_stores();
-    const bool enough =
-        found.size() >= settings.group_size() ||
-        view.listened_for() > gatherings_for_a_small_group * settings.first_gathering;
+    const bool enough = found.size() >= settings.group_size() ||
+                        view.listened_for() > small_group_wait_factor * settings.first_gathering;
     if (found.empty() || view.listened_for() < settings.first_gathering || !enough) {
         return std::nullopt;
     }
