--- a/src/tallyfold/plane/directory/store_view.hpp
+++ b/src/tallyfold/plane/directory/store_view.hpp
@@ -32,7 +32,7 @@
     duration retention = std::chrono::seconds(75);
     /// At the very first start reports are gathered for this long, so that the groups are formed of
     /// all stores. Chosen, not measured: five reports.
-    duration first_gathering = std::chrono::milliseconds(1500);
+    duration formation_wait = std::chrono::milliseconds(1500);
 
     /// Stores of a group: a majority of them outlives the losses.
     [[nodiscard]] std::size_t group_size() const { return 2 * losses + 1; }
