--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -34,7 +34,7 @@
 }
 
 /// Takes out the candidate whose zone has the fewest of the members; the first of several.
-store_member take_best(store_list& candidates, const store_list& members) {
+store_member take_best_for_zone_spread(store_list& candidates, const store_list& members) {
     const auto in_zone = [&](const store_member& candidate) {
         return std::count_if(members.begin(), members.end(), [&](const store_member& member) {
             return member.zone == candidate.zone;
@@ -94,11 +94,11 @@
     store_list members = staying_members(view, map);
     store_list candidates = candidates_for(view, map, members);
     while (members.size() < view.settings().group_size() && !candidates.empty()) {
-        members.push_back(take_best(candidates, members));
+        members.push_back(take_best_for_zone_spread(candidates, members));
     }
     for (store_member& member : members) {
         if (view.is_silent(member.id) && !candidates.empty()) {
-            member = take_best(candidates, members);
+            member = take_best_for_zone_spread(candidates, members);
         }
     }
     drop_surplus(view, members);
