--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -50,7 +50,7 @@
 }
 
 /// Members whose disks are there and aren't to be emptied.
-store_list staying_members(const store_view& view, const store_map& map) {
+store_list remaining_members(const store_view& view, const store_map& map) {
     store_list members;
     for (const store_member& member : map.current) {
         if (!view.is_retired(member.id) && !view.is_replaced(member)) {
@@ -91,7 +91,7 @@
 }  // namespace
 
 store_list choose_members(const store_view& view, const store_map& map) {
-    store_list members = staying_members(view, map);
+    store_list members = remaining_members(view, map);
     store_list candidates = candidates_for(view, map, members);
     while (members.size() < view.settings().group_size() && !candidates.empty()) {
         members.push_back(take_best_for_zone_spread(candidates, members));
