--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -120,7 +120,7 @@
     return with_members(map, map.current, std::move(members));
 }
 
-bool copies_suffice(const store_view& view, const store_map& map) {
+bool has_enough_copies(const store_view& view, const store_map& map) {
     const auto has_copied = [&](const store_member& member) {
         return view.has_copied(member, map);
     };
@@ -137,7 +137,7 @@
 }
 
 std::optional<store_map> continue_change(const store_view& view, const store_map& map) {
-    if (copies_suffice(view, map)) {
+    if (has_enough_copies(view, map)) {
         return with_members(map, map.next, {});
     }
     // A joining store that died would hold the change up for ever: plan again without it.
--- a/src/tallyfold/plane/directory/group_members.hpp
+++ b/src/tallyfold/plane/directory/group_members.hpp
@@ -33,7 +33,7 @@
 
 /// True when the open change may end: each store that joins holds a whole copy, and so many of all
 /// new members do that each majority of them has one.
-[[nodiscard]] bool copies_suffice(const store_view& view, const turns::store_map& map);
+[[nodiscard]] bool has_enough_copies(const store_view& view, const turns::store_map& map);
 
 /// Ends an open change whose copies suffice, or begins it anew when a store that joins has fallen
 /// silent before it had copied; nothing when it has to wait.
