--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -105,7 +105,7 @@
     return members;
 }
 
-bool has_too_few(const store_view& view, const store_list& members, const store_map& map) {
+bool has_too_few_members(const store_view& view, const store_list& members, const store_map& map) {
     return members.size() < std::min(view.settings().group_size(), map.current.size());
 }
 
@@ -114,7 +114,7 @@
         return std::nullopt;
     }
     store_list members = choose_members(view, map);
-    if (has_too_few(view, members, map) || same_members(members, map.current)) {
+    if (has_too_few_members(view, members, map) || same_members(members, map.current)) {
         return std::nullopt;
     }
     return with_members(map, map.current, std::move(members));
@@ -148,7 +148,7 @@
         return std::nullopt;
     }
     store_list members = choose_members(view, map);
-    if (has_too_few(view, members, map) || same_members(members, map.next)) {
+    if (has_too_few_members(view, members, map) || same_members(members, map.next)) {
         return std::nullopt;
     }
     return with_members(map, map.current, std::move(members));
--- a/src/tallyfold/plane/directory/group_members.hpp
+++ b/src/tallyfold/plane/directory/group_members.hpp
@@ -23,8 +23,8 @@
 
 /// True when so few members bear fewer losses than the group does now: a group keeps the members it
 /// has until a store stands by.
-[[nodiscard]] bool has_too_few(const store_view& view, const store_list& members,
-                               const turns::store_map& map);
+[[nodiscard]] bool has_too_few_members(const store_view& view, const store_list& members,
+                                       const turns::store_map& map);
 
 /// Begins a change to the members that the group should have; nothing when it has them, when too
 /// few stores stand by, or while this leader hasn't listened long enough to judge who is silent.
--- a/src/tallyfold/plane/directory/group_recovery.cpp
+++ b/src/tallyfold/plane/directory/group_recovery.cpp
@@ -75,7 +75,7 @@
         return std::nullopt;
     }
     store_list members = choose_members(view, *survivors);
-    if (has_too_few(view, members, map)) {
+    if (has_too_few_members(view, members, map)) {
         return std::nullopt;
     }
     // A new disk that the map doesn't list yet has been written to under its predecessor's address,
