--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -83,8 +83,8 @@
 void drop_surplus(const store_view& view, store_list& members) {
     for (auto member = members.begin(); member != members.end();) {
         const bool is_surplus = members.size() > view.settings().group_size();
-        const bool leaves = is_surplus && view.is_silent(member->id);
-        member = leaves ? members.erase(member) : member + 1;
+        const bool is_dropped = is_surplus && view.is_silent(member->id);
+        member = is_dropped ? members.erase(member) : member + 1;
     }
 }
 
