--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -127,13 +127,13 @@
     const auto stays_or_has_copied = [&](const store_member& member) {
         return has_id(map.current, member.id) || has_copied(member);
     };
-    const auto whole = std::count_if(map.next.begin(), map.next.end(), has_copied);
+    const auto complete_copies = std::count_if(map.next.begin(), map.next.end(), has_copied);
     // A member that stays and is away doesn't hold the change up: while it is open, the loss of one
     // more disk stops the group.
     const std::size_t majority = map.next.size() / 2 + 1;
     const std::size_t needed = map.next.size() - majority + 1;
     return std::all_of(map.next.begin(), map.next.end(), stays_or_has_copied) &&
-           static_cast<std::size_t>(whole) >= needed;
+           static_cast<std::size_t>(complete_copies) >= needed;
 }
 
 std::optional<store_map> continue_change(const store_view& view, const store_map& map) {
