--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -141,10 +141,10 @@
         return with_members(map, map.next, {});
     }
     // A joining store that died would hold the change up for ever: plan again without it.
-    const auto will_not_copy = [&](const store_member& member) {
+    const auto cannot_copy = [&](const store_member& member) {
         return !view.has_copied(member, map) && !view.is_live(member.id);
     };
-    if (!view.has_listened() || std::none_of(map.next.begin(), map.next.end(), will_not_copy)) {
+    if (!view.has_listened() || std::none_of(map.next.begin(), map.next.end(), cannot_copy)) {
         return std::nullopt;
     }
     store_list members = choose_members(view, map);
