--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -158,8 +158,8 @@
     const store_planner_settings& settings = view.settings();
     const store_list found = view.live_stores();
     const bool enough = found.size() >= settings.group_size() ||
-                        view.listened_for() > small_group_wait_factor * settings.formation_wait;
-    if (found.empty() || view.listened_for() < settings.formation_wait || !enough) {
+                        view.leading_for() > small_group_wait_factor * settings.formation_wait;
+    if (found.empty() || view.leading_for() < settings.formation_wait || !enough) {
         return std::nullopt;
     }
     const store_list ordered = interleave_zones(found);
--- a/src/tallyfold/plane/directory/store_view.hpp
+++ b/src/tallyfold/plane/directory/store_view.hpp
@@ -58,9 +58,9 @@
         : settings_(settings), heartbeats_(heartbeats), state_(state), now_(now) {}
 
     /// False while this leader may not have heard every live store yet.
-    [[nodiscard]] bool has_listened() const { return listened_for() >= settings_.live; }
+    [[nodiscard]] bool has_listened() const { return leading_for() >= settings_.live; }
     /// Time since this node began to lead.
-    [[nodiscard]] duration listened_for() const { return now_ - heartbeats_.started(); }
+    [[nodiscard]] duration leading_for() const { return now_ - heartbeats_.started(); }
 
     /// The store has reported lately (`live`).
     [[nodiscard]] bool is_live(turns::store_id id) const;
