--- a/src/tallyfold/plane/directory/group_recovery.cpp
+++ b/src/tallyfold/plane/directory/group_recovery.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// Members of both lists, and those that the group went on without.
-store_list all_former_members(const store_map& map) {
+store_list all_known_members(const store_map& map) {
     store_list known = map.all();
     known.insert(known.end(), map.absent.begin(), map.absent.end());
     return known;
@@ -25,7 +25,7 @@
     store_map survivors;
     survivors.group = map.group;
     survivors.after_loss = true;
-    for (const store_member& member : all_former_members(map)) {
+    for (const store_member& member : all_known_members(map)) {
         if (view.is_lost(member)) {
             continue;
         }
