--- a/src/tallyfold/plane/directory/group_recovery.cpp
+++ b/src/tallyfold/plane/directory/group_recovery.cpp
@@ -51,7 +51,7 @@
 
 bool needs_recovery(const store_view& view, const store_map& map) {
     std::set<store_id> may_answer;
-    std::set<store_id> out_of_reach;
+    std::set<store_id> unreachable;
     bool any_lost = false;
     for (const store_member& member : map.current) {
         if (view.is_lost(member)) {
@@ -59,14 +59,14 @@
             continue;
         }
         if (!view.is_live(member.id)) {
-            out_of_reach.insert(member.id);
+            unreachable.insert(member.id);
         }
         if (!is_given_up(view, map, member)) {
             may_answer.insert(member.id);
         }
     }
     return any_lost && !map.suffices_of_current(may_answer) &&
-           !map.suffices_of_current(out_of_reach);
+           !map.suffices_of_current(unreachable);
 }
 
 std::optional<store_map> recover_from_survivors(const store_view& view, const store_map& map) {
