--- a/src/tallyfold/plane/directory/group_recovery.cpp
+++ b/src/tallyfold/plane/directory/group_recovery.cpp
@@ -90,15 +90,15 @@
 }
 
 std::optional<store_map> readmit_absent(const store_view& view, const store_map& map) {
-    store_map joined = with_members(map, map.current, map.current);
-    joined.absent.clear();
+    store_map readmitted = with_members(map, map.current, map.current);
+    readmitted.absent.clear();
     for (const store_member& member : map.absent) {
-        (view.is_live(member.id) ? joined.current : joined.absent).push_back(member);
+        (view.is_live(member.id) ? readmitted.current : readmitted.absent).push_back(member);
     }
-    if (joined.current.size() == map.current.size()) {
+    if (readmitted.current.size() == map.current.size()) {
         return std::nullopt;
     }
-    return joined;
+    return readmitted;
 }
 
 }  // namespace tallyfold::directory
