--- a/src/tallyfold/plane/directory/member_planner.cpp
+++ b/src/tallyfold/plane/directory/member_planner.cpp
@@ -36,7 +36,7 @@
     joining_[request.replica] = {request.address, now};
 }
 
-bool member_planner::silent(replica_id id, duration limit, instant now) const {
+bool member_planner::is_silent(replica_id id, duration limit, instant now) const {
     const auto found = heard_.find(id);
     const instant last = found == heard_.end() ? started_ : found->second;
     return now - last > limit;
@@ -63,7 +63,7 @@
         const auto found = view.matched.find(id);
         const consensus::log_index matched = found == view.matched.end() ? 0 : found->second;
         const bool caught_up = matched > 0 && matched + caught_up_lag >= view.commit_index;
-        if (member.learner && caught_up && !silent(id, join_lifetime, now)) {
+        if (member.learner && caught_up && !is_silent(id, join_lifetime, now)) {
             return id;
         }
     }
@@ -102,7 +102,7 @@
     for (const auto& [id, member] : members.members) {
         const duration limit = member.learner ? settings_.learner_silence : settings_.silence;
         const bool may_go = member.learner || may_lose_voter;
-        if (id != self && may_go && silent(id, limit, now)) {
+        if (id != self && may_go && is_silent(id, limit, now)) {
             return id;
         }
     }
--- a/src/tallyfold/plane/directory/member_planner.hpp
+++ b/src/tallyfold/plane/directory/member_planner.hpp
@@ -63,7 +63,7 @@
         node_name address;
         instant asked{};
     };
-    [[nodiscard]] bool silent(consensus::replica_id id, duration limit, instant now) const;
+    [[nodiscard]] bool is_silent(consensus::replica_id id, duration limit, instant now) const;
     [[nodiscard]] std::optional<consensus::replica_id> lost_disk(
         const consensus::membership& members, instant now) const;
     [[nodiscard]] std::optional<consensus::replica_id> ready_learner(const replication_view& view,
