--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -91,7 +91,7 @@
     if (!from.empty()) {
         addresses_[message.from] = from;
     }
-    member_planner_.heard(message.from, now);
+    member_planner_.on_message(message.from, now);
     replica_.step(message, now);
     check_membership_entries();
     if (replica_.leader() == message.from) {
--- a/src/tallyfold/plane/directory/member_planner.hpp
+++ b/src/tallyfold/plane/directory/member_planner.hpp
@@ -46,7 +46,7 @@
     /// This node has begun to lead.
     void start(instant now);
     /// A message came from `replica`.
-    void heard(consensus::replica_id replica, instant now) { heard_[replica] = now; }
+    void on_message(consensus::replica_id replica, instant now) { heard_[replica] = now; }
     void on_join(const join_request& request, instant now);
     /// The membership to propose, or nothing.
     [[nodiscard]] std::optional<consensus::membership> plan(const replication_view& view,
--- a/tests/plane/directory/member_planner_test.cpp
+++ b/tests/plane/directory/member_planner_test.cpp
@@ -34,7 +34,7 @@
         member_planner planner({});
         planner.start(at(0));
         for (const auto& [id, member] : view.members.members) {
-            planner.heard(id, id == dead ? at(0) : now);
+            planner.on_message(id, id == dead ? at(0) : now);
         }
         return planner;
     }
