--- a/src/tallyfold/plane/directory/member_planner.cpp
+++ b/src/tallyfold/plane/directory/member_planner.cpp
@@ -28,7 +28,7 @@
 
 void member_planner::start(instant now) {
     started_ = now;
-    heard_.clear();
+    last_message_.clear();
     joining_.clear();
 }
 
@@ -37,8 +37,8 @@
 }
 
 bool member_planner::is_silent(replica_id id, duration limit, instant now) const {
-    const auto found = heard_.find(id);
-    const instant last = found == heard_.end() ? started_ : found->second;
+    const auto found = last_message_.find(id);
+    const instant last = found == last_message_.end() ? started_ : found->second;
     return now - last > limit;
 }
 
--- a/src/tallyfold/plane/directory/member_planner.hpp
+++ b/src/tallyfold/plane/directory/member_planner.hpp
@@ -46,7 +46,7 @@
     /// This node has begun to lead.
     void start(instant now);
     /// A message came from `replica`.
-    void on_message(consensus::replica_id replica, instant now) { heard_[replica] = now; }
+    void on_message(consensus::replica_id replica, instant now) { last_message_[replica] = now; }
     void on_join(const join_request& request, instant now);
     /// The membership to propose, or nothing.
     [[nodiscard]] std::optional<consensus::membership> plan(const replication_view& view,
@@ -71,7 +71,7 @@
 
     member_planner_settings settings_;
     instant started_{};
-    std::map<consensus::replica_id, instant> heard_;
+    std::map<consensus::replica_id, instant> last_message_;
     std::map<consensus::replica_id, joining_replica> joining_;
 };
 
