--- a/src/tallyfold/plane/directory/member_planner.cpp
+++ b/src/tallyfold/plane/directory/member_planner.cpp
@@ -45,7 +45,7 @@
 std::optional<replica_id> member_planner::lost_disk(const membership& members, instant now) const {
     // Another replica asks to join from the same address: the disk of the old one is gone.
     for (const auto& [id, joining] : joining_) {
-        if (now - joining.asked > join_lifetime) {
+        if (now - joining.requested_at > join_lifetime) {
             continue;
         }
         for (const auto& [other, member] : members.members) {
@@ -78,7 +78,7 @@
         return next;
     }
     for (const auto& [id, joining] : joining_) {
-        if (now - joining.asked <= join_lifetime && !next.members.contains(id)) {
+        if (now - joining.requested_at <= join_lifetime && !next.members.contains(id)) {
             next.members[id] = {joining.address, true};
             return next;
         }
--- a/src/tallyfold/plane/directory/member_planner.hpp
+++ b/src/tallyfold/plane/directory/member_planner.hpp
@@ -61,7 +61,7 @@
         instant now) const;
     struct joining_replica {
         node_name address;
-        instant asked{};
+        instant requested_at{};
     };
     [[nodiscard]] bool is_silent(consensus::replica_id id, duration limit, instant now) const;
     [[nodiscard]] std::optional<consensus::replica_id> lost_disk(
