--- a/src/tallyfold/plane/directory/member_planner.cpp
+++ b/src/tallyfold/plane/directory/member_planner.cpp
@@ -29,11 +29,11 @@
 void member_planner::start(instant now) {
     started_ = now;
     last_message_.clear();
-    joining_.clear();
+    join_requests_.clear();
 }
 
 void member_planner::on_join(const join_request& request, instant now) {
-    joining_[request.replica] = {request.address, now};
+    join_requests_[request.replica] = {request.address, now};
 }
 
 bool member_planner::is_silent(replica_id id, duration limit, instant now) const {
@@ -44,7 +44,7 @@
 
 std::optional<replica_id> member_planner::lost_disk(const membership& members, instant now) const {
     // Another replica asks to join from the same address: the disk of the old one is gone.
-    for (const auto& [id, joining] : joining_) {
+    for (const auto& [id, joining] : join_requests_) {
         if (now - joining.requested_at > join_lifetime) {
             continue;
         }
@@ -77,7 +77,7 @@
         next.members.erase(*lost);
         return next;
     }
-    for (const auto& [id, joining] : joining_) {
+    for (const auto& [id, joining] : join_requests_) {
         if (now - joining.requested_at <= join_lifetime && !next.members.contains(id)) {
             next.members[id] = {joining.address, true};
             return next;
--- a/src/tallyfold/plane/directory/member_planner.hpp
+++ b/src/tallyfold/plane/directory/member_planner.hpp
@@ -72,7 +72,7 @@
     member_planner_settings settings_;
     instant started_{};
     std::map<consensus::replica_id, instant> last_message_;
-    std::map<consensus::replica_id, joining_replica> joining_;
+    std::map<consensus::replica_id, joining_replica> join_requests_;
 };
 
 }  // namespace tallyfold::directory
