--- a/src/tallyfold/plane/directory/member_planner.cpp
+++ b/src/tallyfold/plane/directory/member_planner.cpp
@@ -12,7 +12,7 @@
 constexpr duration join_lifetime = std::chrono::milliseconds(1500);
 /// Entries by which a learner may lag and still count as caught up. Chosen, not measured: a few
 /// changes under way.
-constexpr consensus::log_index caught_up_lag = 4;
+constexpr consensus::log_index max_learner_lag = 4;
 
 }  // namespace
 
@@ -62,7 +62,7 @@
     for (const auto& [id, member] : view.members.members) {
         const auto found = view.matched.find(id);
         const consensus::log_index matched = found == view.matched.end() ? 0 : found->second;
-        const bool caught_up = matched > 0 && matched + caught_up_lag >= view.commit_index;
+        const bool caught_up = matched > 0 && matched + max_learner_lag >= view.commit_index;
         if (member.learner && caught_up && !is_silent(id, join_lifetime, now)) {
             return id;
         }
