--- a/src/tallyfold/plane/directory/member_planner.cpp
+++ b/src/tallyfold/plane/directory/member_planner.cpp
@@ -57,8 +57,8 @@
     return std::nullopt;
 }
 
-std::optional<replica_id> member_planner::ready_learner(const replication_view& view,
-                                                        instant now) const {
+std::optional<replica_id> member_planner::promotable_learner(const replication_view& view,
+                                                             instant now) const {
     for (const auto& [id, member] : view.members.members) {
         const auto found = view.matched.find(id);
         const consensus::log_index matched = found == view.matched.end() ? 0 : found->second;
@@ -83,7 +83,7 @@
             return next;
         }
     }
-    const auto learner = ready_learner(view, now);
+    const auto learner = promotable_learner(view, now);
     if (learner && next.voter_count() < settings_.max_voters) {
         next.members[*learner].learner = false;
         return next;
--- a/src/tallyfold/plane/directory/member_planner.hpp
+++ b/src/tallyfold/plane/directory/member_planner.hpp
@@ -66,8 +66,8 @@
     [[nodiscard]] bool is_silent(consensus::replica_id id, duration limit, instant now) const;
     [[nodiscard]] std::optional<consensus::replica_id> lost_disk(
         const consensus::membership& members, instant now) const;
-    [[nodiscard]] std::optional<consensus::replica_id> ready_learner(const replication_view& view,
-                                                                     instant now) const;
+    [[nodiscard]] std::optional<consensus::replica_id> promotable_learner(
+        const replication_view& view, instant now) const;
 
     member_planner_settings settings_;
     instant started_{};
