--- a/src/tallyfold/plane/directory/member_planner.cpp
+++ b/src/tallyfold/plane/directory/member_planner.cpp
@@ -101,8 +101,8 @@
     const bool may_lose_voter = has_successor || members.voter_count() > settings_.min_voters;
     for (const auto& [id, member] : members.members) {
         const duration limit = member.learner ? settings_.learner_silence : settings_.silence;
-        const bool may_go = member.learner || may_lose_voter;
-        if (id != self && may_go && is_silent(id, limit, now)) {
+        const bool is_removable = member.learner || may_lose_voter;
+        if (id != self && is_removable && is_silent(id, limit, now)) {
             return id;
         }
     }
