--- a/src/tallyfold/plane/directory/member_planner.cpp
+++ b/src/tallyfold/plane/directory/member_planner.cpp
@@ -27,7 +27,7 @@
 }
 
 void member_planner::start(instant now) {
-    started_ = now;
+    leading_since_ = now;
     last_message_.clear();
     join_requests_.clear();
 }
@@ -38,7 +38,7 @@
 
 bool member_planner::is_silent(replica_id id, duration limit, instant now) const {
     const auto found = last_message_.find(id);
-    const instant last = found == last_message_.end() ? started_ : found->second;
+    const instant last = found == last_message_.end() ? leading_since_ : found->second;
     return now - last > limit;
 }
 
--- a/src/tallyfold/plane/directory/member_planner.hpp
+++ b/src/tallyfold/plane/directory/member_planner.hpp
@@ -70,7 +70,7 @@
         const replication_view& view, instant now) const;
 
     member_planner_settings settings_;
-    instant started_{};
+    instant leading_since_{};
     std::map<consensus::replica_id, instant> last_message_;
     std::map<consensus::replica_id, joining_replica> join_requests_;
 };
--- a/src/tallyfold/plane/directory/store_heartbeats.cpp
+++ b/src/tallyfold/plane/directory/store_heartbeats.cpp
@@ -8,7 +8,7 @@
 using turns::store_member;
 
 void store_heartbeats::start(instant now) {
-    started_ = now;
+    leading_since_ = now;
     stores_.clear();
 }
 
@@ -23,7 +23,7 @@
 
 duration store_heartbeats::silent_for(store_id id, instant now) const {
     const auto found = stores_.find(id);
-    return now - (found == stores_.end() ? started_ : found->second.heard);
+    return now - (found == stores_.end() ? leading_since_ : found->second.heard);
 }
 
 bool store_heartbeats::is_replaced(const store_member& member, duration limit, instant now) const {
--- a/src/tallyfold/plane/directory/store_heartbeats.hpp
+++ b/src/tallyfold/plane/directory/store_heartbeats.hpp
@@ -37,11 +37,11 @@
     [[nodiscard]] turns::map_epoch copied_epoch(turns::store_id id) const;
 
     /// When this node began to lead.
-    [[nodiscard]] instant started() const { return started_; }
+    [[nodiscard]] instant started() const { return leading_since_; }
     [[nodiscard]] const std::map<turns::store_id, last_heartbeat>& all() const { return stores_; }
 
   private:
-    instant started_{};
+    instant leading_since_{};
     std::map<turns::store_id, last_heartbeat> stores_;
 };
 
