--- a/src/tallyfold/plane/directory/member_planner.hpp
+++ b/src/tallyfold/plane/directory/member_planner.hpp
@@ -36,7 +36,7 @@
     duration silence = std::chrono::seconds(4);
     /// A learner that was silent for this long is removed. Chosen, not measured: it costs nothing
     /// but messages, so it may restart meanwhile.
-    duration learner_silence = std::chrono::seconds(15);
+    duration learner_silence_timeout = std::chrono::seconds(15);
 };
 
 class member_planner {
