--- a/src/tallyfold/plane/directory/member_planner.cpp
+++ b/src/tallyfold/plane/directory/member_planner.cpp
@@ -101,7 +101,7 @@
     const bool may_lose_voter = has_successor || members.voter_count() > settings_.min_voters;
     for (const auto& [id, member] : members.members) {
         const duration limit =
-            member.learner ? settings_.learner_silence_timeout : settings_.silence;
+            member.learner ? settings_.learner_silence_timeout : settings_.silence_timeout;
         const bool is_removable = member.learner || may_lose_voter;
         if (id != self && is_removable && is_silent(id, limit, now)) {
             return id;
--- a/src/tallyfold/plane/directory/member_planner.hpp
+++ b/src/tallyfold/plane/directory/member_planner.hpp
@@ -33,7 +33,7 @@
     /// A voter that was silent for this long makes room for a caught-up learner, or is removed
     /// when enough others remain: a dead voter costs the group one further loss. Chosen, not
     /// measured: ten times an election's time-out.
-    duration silence = std::chrono::seconds(4);
+    duration silence_timeout = std::chrono::seconds(4);
     /// A learner that was silent for this long is removed. Chosen, not measured: it costs nothing
     /// but messages, so it may restart meanwhile.
     duration learner_silence_timeout = std::chrono::seconds(15);
--- a/src/tallyfold/plane/directory/store_view.cpp
+++ b/src/tallyfold/plane/directory/store_view.cpp
@@ -35,7 +35,7 @@
 }
 
 bool store_view::is_silent(store_id id) const {
-    return heartbeats_.silent_for(id, now_) > settings_.silence;
+    return heartbeats_.silent_for(id, now_) > settings_.silence_timeout;
 }
 
 bool store_view::is_silent_beyond_retention(store_id id) const {
--- a/src/tallyfold/plane/directory/store_view.hpp
+++ b/src/tallyfold/plane/directory/store_view.hpp
@@ -21,7 +21,7 @@
     /// A store that was silent for this long is replaced when another stands by. Chosen, not
     /// measured: twenty reports, longer than a restart takes, since each replacement copies a
     /// group's turns.
-    duration silence = std::chrono::seconds(6);
+    duration silence_timeout = std::chrono::seconds(6);
     /// A store counts as live within this time of its last report, and a new leader listens for as
     /// long before it judges who is silent. Chosen, not measured: five reports.
     duration live = std::chrono::milliseconds(1500);
@@ -64,7 +64,7 @@
 
     /// The store has reported lately (`live`).
     [[nodiscard]] bool is_live(turns::store_id id) const;
-    /// The store hasn't reported for so long that another may take its place (`silence`).
+    /// The store hasn't reported for so long that another may take its place (`silence_timeout`).
     [[nodiscard]] bool is_silent(turns::store_id id) const;
     /// The store has been silent for longer than turns are kept.
     [[nodiscard]] bool is_silent_beyond_retention(turns::store_id id) const;
