--- a/src/tallyfold/plane/directory/store_view.cpp
+++ b/src/tallyfold/plane/directory/store_view.cpp
@@ -31,7 +31,7 @@
 }
 
 bool store_view::is_live(store_id id) const {
-    return heartbeats_.heard_within(id, settings_.live, now_);
+    return heartbeats_.heard_within(id, settings_.live_timeout, now_);
 }
 
 bool store_view::is_silent(store_id id) const {
@@ -43,7 +43,7 @@
 }
 
 bool store_view::is_replaced(const store_member& member) const {
-    return heartbeats_.is_replaced(member, settings_.live, now_);
+    return heartbeats_.is_replaced(member, settings_.live_timeout, now_);
 }
 
 bool store_view::is_retired(store_id id) const {
--- a/src/tallyfold/plane/directory/store_view.hpp
+++ b/src/tallyfold/plane/directory/store_view.hpp
@@ -24,7 +24,7 @@
     duration silence_timeout = std::chrono::seconds(6);
     /// A store counts as live within this time of its last report, and a new leader listens for as
     /// long before it judges who is silent. Chosen, not measured: five reports.
-    duration live = std::chrono::milliseconds(1500);
+    duration live_timeout = std::chrono::milliseconds(1500);
     /// The longest time that any store keeps a turn. After it nothing can be missing any more that
     /// was on a lost disk. store_planner::watch_losses() sets it from the configuration before each
     /// plan; this value holds before the first. Chosen, not measured: a minute and the 15 s that
@@ -58,11 +58,11 @@
         : settings_(settings), heartbeats_(heartbeats), state_(state), now_(now) {}
 
     /// False while this leader may not have heard every live store yet.
-    [[nodiscard]] bool has_listened() const { return leading_for() >= settings_.live; }
+    [[nodiscard]] bool has_listened() const { return leading_for() >= settings_.live_timeout; }
     /// Time since this node began to lead.
     [[nodiscard]] duration leading_for() const { return now_ - heartbeats_.started(); }
 
-    /// The store has reported lately (`live`).
+    /// The store has reported lately (`live_timeout`).
     [[nodiscard]] bool is_live(turns::store_id id) const;
     /// The store hasn't reported for so long that another may take its place (`silence_timeout`).
     [[nodiscard]] bool is_silent(turns::store_id id) const;
