--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -165,7 +165,7 @@
     const store_list ordered = interleave_zones(found);
     change_store_groups change;
     auto position = ordered.begin();
-    for (std::size_t number = 0; number < settings.groups_of(ordered.size()); ++number) {
+    for (std::size_t number = 0; number < settings.group_count(ordered.size()); ++number) {
         store_map map;
         map.epoch = view.state().stores().epoch + 1 + number;
         map.group = static_cast<turns::group_number>(number);
--- a/src/tallyfold/plane/directory/store_view.hpp
+++ b/src/tallyfold/plane/directory/store_view.hpp
@@ -37,7 +37,7 @@
     /// Stores of a group: a majority of them outlives the losses.
     [[nodiscard]] std::size_t group_size() const { return 2 * losses + 1; }
     /// Groups that so many stores form; each has one store that stands by.
-    [[nodiscard]] std::size_t groups_of(std::size_t stores) const {
+    [[nodiscard]] std::size_t group_count(std::size_t stores) const {
         return std::max<std::size_t>(1, stores / (group_size() + 1));
     }
 };
