--- a/src/tallyfold/plane/directory/store_heartbeats.hpp
+++ b/src/tallyfold/plane/directory/store_heartbeats.hpp
@@ -37,7 +37,7 @@
     [[nodiscard]] turns::map_epoch copied_epoch(turns::store_id id) const;
 
     /// When this node began to lead.
-    [[nodiscard]] instant started() const { return leading_since_; }
+    [[nodiscard]] instant leading_since() const { return leading_since_; }
     [[nodiscard]] const std::map<turns::store_id, last_heartbeat>& all() const { return stores_; }
 
   private:
--- a/src/tallyfold/plane/directory/store_planner.hpp
+++ b/src/tallyfold/plane/directory/store_planner.hpp
@@ -41,7 +41,7 @@
                                                                  instant now) const;
     /// False while this leader may not have heard every live store yet.
     [[nodiscard]] bool has_listened(instant now) const {
-        return now - heartbeats_.started() >= settings_.live_timeout;
+        return now - heartbeats_.leading_since() >= settings_.live_timeout;
     }
 
   private:
--- a/src/tallyfold/plane/directory/store_view.hpp
+++ b/src/tallyfold/plane/directory/store_view.hpp
@@ -60,7 +60,7 @@
     /// False while this leader may not have heard every live store yet.
     [[nodiscard]] bool has_listened() const { return leading_for() >= settings_.live_timeout; }
     /// Time since this node began to lead.
-    [[nodiscard]] duration leading_for() const { return now_ - heartbeats_.started(); }
+    [[nodiscard]] duration leading_for() const { return now_ - heartbeats_.leading_since(); }
 
     /// The store has reported lately (`live_timeout`).
     [[nodiscard]] bool is_live(turns::store_id id) const;
