--- a/src/tallyfold/plane/directory/store_heartbeats.cpp
+++ b/src/tallyfold/plane/directory/store_heartbeats.cpp
@@ -18,21 +18,21 @@
 
 bool store_heartbeats::heard_within(store_id id, duration limit, instant now) const {
     const auto found = stores_.find(id);
-    return found != stores_.end() && now - found->second.heard <= limit;
+    return found != stores_.end() && now - found->second.received_at <= limit;
 }
 
 duration store_heartbeats::silent_for(store_id id, instant now) const {
     const auto found = stores_.find(id);
-    return now - (found == stores_.end() ? leading_since_ : found->second.heard);
+    return now - (found == stores_.end() ? leading_since_ : found->second.received_at);
 }
 
 bool store_heartbeats::is_replaced(const store_member& member, duration limit, instant now) const {
     const auto old = stores_.find(member.id);
-    const instant heard = old == stores_.end() ? instant::min() : old->second.heard;
+    const instant received_at = old == stores_.end() ? instant::min() : old->second.received_at;
     return std::any_of(stores_.begin(), stores_.end(), [&](const auto& entry) {
         const store_member& other = entry.second.report.member;
         return other.node == member.node && other.id != member.id &&
-               heard_within(other.id, limit, now) && entry.second.heard > heard;
+               heard_within(other.id, limit, now) && entry.second.received_at > received_at;
     });
 }
 
--- a/src/tallyfold/plane/directory/store_heartbeats.hpp
+++ b/src/tallyfold/plane/directory/store_heartbeats.hpp
@@ -15,7 +15,7 @@
   public:
     struct last_heartbeat {
         store_report report;
-        instant heard{};
+        instant received_at{};
     };
 
     /// This node has begun to lead: earlier reports may have gone to another leader, so they are
