--- a/src/tallyfold/plane/directory/store_heartbeats.cpp
+++ b/src/tallyfold/plane/directory/store_heartbeats.cpp
@@ -16,7 +16,7 @@
     stores_[report.member.id] = {report, now};
 }
 
-bool store_heartbeats::heard_within(store_id id, duration limit, instant now) const {
+bool store_heartbeats::reported_within(store_id id, duration limit, instant now) const {
     const auto found = stores_.find(id);
     return found != stores_.end() && now - found->second.received_at <= limit;
 }
@@ -32,7 +32,7 @@
     return std::any_of(stores_.begin(), stores_.end(), [&](const auto& entry) {
         const store_member& other = entry.second.report.member;
         return other.node == member.node && other.id != member.id &&
-               heard_within(other.id, limit, now) && entry.second.received_at > received_at;
+               reported_within(other.id, limit, now) && entry.second.received_at > received_at;
     });
 }
 
--- a/src/tallyfold/plane/directory/store_heartbeats.hpp
+++ b/src/tallyfold/plane/directory/store_heartbeats.hpp
@@ -24,7 +24,7 @@
     void on_report(const store_report& report, instant now);
 
     /// True when the store reported within `limit`.
-    [[nodiscard]] bool heard_within(turns::store_id id, duration limit, instant now) const;
+    [[nodiscard]] bool reported_within(turns::store_id id, duration limit, instant now) const;
     /// Time since the store's last report; since this leader began when it never reported.
     [[nodiscard]] duration silent_for(turns::store_id id, instant now) const;
     /// True when the disk's machine has since reported another disk, and that within `limit`.
--- a/src/tallyfold/plane/directory/store_view.cpp
+++ b/src/tallyfold/plane/directory/store_view.cpp
@@ -31,7 +31,7 @@
 }
 
 bool store_view::is_live(store_id id) const {
-    return heartbeats_.heard_within(id, settings_.live_timeout, now_);
+    return heartbeats_.reported_within(id, settings_.live_timeout, now_);
 }
 
 bool store_view::is_silent(store_id id) const {
