--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -38,7 +38,7 @@
                                                    instant now) const {
     // Which disks are gone is judged only once this leader has listened for a while.
     if (view.has_listened() && needs_recovery(view, map)) {
-        return may_recover_ ? recover_from_survivors(view, map) : std::nullopt;
+        return recovery_allowed_ ? recover_from_survivors(view, map) : std::nullopt;
     }
     if (map.changing()) {
         return continue_change(view, map);
--- a/src/tallyfold/plane/directory/store_planner.hpp
+++ b/src/tallyfold/plane/directory/store_planner.hpp
@@ -25,7 +25,7 @@
     void watch_losses(const directory_state& state, duration retention, instant now);
     /// Whether a group that lost a majority of its disks may go on from the survivors: not while a
     /// node is met that couldn't read the map of such a group.
-    void allow_recovery(bool allowed) { may_recover_ = allowed; }
+    void allow_recovery(bool allowed) { recovery_allowed_ = allowed; }
     /// True when a group has lost a majority of its disks, as far as this leader has heard.
     [[nodiscard]] bool wants_recovery(const directory_state& state, instant now) const;
     /// The next change to commit, or nothing.
@@ -57,7 +57,7 @@
 
     store_planner_settings settings_;
     store_heartbeats heartbeats_;
-    bool may_recover_ = true;
+    bool recovery_allowed_ = true;
     /// Since when this leader has seen a group's map that may lack turns, by the map's epoch.
     std::map<turns::map_epoch, instant> may_lack_turns_since_;
 };
