--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -14,7 +14,7 @@
 
 void store_planner::start(instant now) {
     heartbeats_.start(now);
-    may_lack_turns_since_.clear();
+    incomplete_since_.clear();
 }
 
 void store_planner::watch_losses(const directory_state& state, duration retention, instant now) {
@@ -22,16 +22,16 @@
     std::map<turns::map_epoch, instant> since;
     for (const store_map& map : state.stores().groups) {
         if (map.after_loss && !map.changing()) {
-            const auto known = may_lack_turns_since_.find(map.epoch);
-            since[map.epoch] = known == may_lack_turns_since_.end() ? now : known->second;
+            const auto known = incomplete_since_.find(map.epoch);
+            since[map.epoch] = known == incomplete_since_.end() ? now : known->second;
         }
     }
-    may_lack_turns_since_ = std::move(since);
+    incomplete_since_ = std::move(since);
 }
 
 bool store_planner::is_complete_again(const store_map& map, instant now) const {
-    const auto since = may_lack_turns_since_.find(map.epoch);
-    return since != may_lack_turns_since_.end() && now - since->second > settings_.retention;
+    const auto since = incomplete_since_.find(map.epoch);
+    return since != incomplete_since_.end() && now - since->second > settings_.retention;
 }
 
 std::optional<store_map> store_planner::plan_group(const store_view& view, const store_map& map,
--- a/src/tallyfold/plane/directory/store_planner.hpp
+++ b/src/tallyfold/plane/directory/store_planner.hpp
@@ -59,7 +59,7 @@
     store_heartbeats heartbeats_;
     bool recovery_allowed_ = true;
     /// Since when this leader has seen a group's map that may lack turns, by the map's epoch.
-    std::map<turns::map_epoch, instant> may_lack_turns_since_;
+    std::map<turns::map_epoch, instant> incomplete_since_;
 };
 
 }  // namespace tallyfold::directory
