--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -29,7 +29,7 @@
     incomplete_since_ = std::move(since);
 }
 
-bool store_planner::is_complete_again(const store_map& map, instant now) const {
+bool store_planner::lost_turns_have_expired(const store_map& map, instant now) const {
     const auto since = incomplete_since_.find(map.epoch);
     return since != incomplete_since_.end() && now - since->second > settings_.retention;
 }
@@ -49,7 +49,7 @@
     if (std::optional<store_map> next = begin_change(view, map)) {
         return next;
     }
-    if (is_complete_again(map, now)) {
+    if (lost_turns_have_expired(map, now)) {
         // The same members, without after_loss and without those out of reach.
         return store_map{0, map.current, {}, map.group};
     }
--- a/src/tallyfold/plane/directory/store_planner.hpp
+++ b/src/tallyfold/plane/directory/store_planner.hpp
@@ -53,7 +53,7 @@
                                                              instant now) const;
     /// True once everything that the group's lost disks held would have expired, so that a turn
     /// that no store holds is known not to exist.
-    [[nodiscard]] bool is_complete_again(const turns::store_map& map, instant now) const;
+    [[nodiscard]] bool lost_turns_have_expired(const turns::store_map& map, instant now) const;
 
     store_planner_settings settings_;
     store_heartbeats heartbeats_;
