--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -56,7 +56,7 @@
     return std::nullopt;
 }
 
-bool store_planner::wants_recovery(const directory_state& state, instant now) const {
+bool store_planner::any_group_needs_recovery(const directory_state& state, instant now) const {
     const store_view view(settings_, heartbeats_, state, now);
     const auto& groups = state.stores().groups;
     return view.has_listened() &&
--- a/src/tallyfold/plane/directory/store_planner.hpp
+++ b/src/tallyfold/plane/directory/store_planner.hpp
@@ -27,7 +27,7 @@
     /// node is met that couldn't read the map of such a group.
     void allow_recovery(bool allowed) { recovery_allowed_ = allowed; }
     /// True when a group has lost a majority of its disks, as far as this leader has heard.
-    [[nodiscard]] bool wants_recovery(const directory_state& state, instant now) const;
+    [[nodiscard]] bool any_group_needs_recovery(const directory_state& state, instant now) const;
     /// The next change to commit, or nothing.
     [[nodiscard]] std::optional<change_store_groups> plan(const directory_state& state,
                                                           instant now) const;
--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -168,7 +168,7 @@
         store_planner planner({});
         planner.allow_recovery(false);
         CPPUNIT_ASSERT(!after_two_lost_disks(planner, state).has_value());
-        CPPUNIT_ASSERT(planner.wants_recovery(state, at(3000)));
+        CPPUNIT_ASSERT(planner.any_group_needs_recovery(state, at(3000)));
         planner.allow_recovery(true);
         const auto map = planned(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
