--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -73,14 +73,14 @@
     // One group at a time finds its new members, or two would choose the same store; those that
     // are complete don't wait for each other.
     change_store_groups change;
-    bool searched = false;
+    bool has_membership_change = false;
     for (const store_map& map : state.stores().groups) {
         std::optional<store_map> next = plan_group(view, map, now);
         const bool completes = next.has_value() && !next->changing();
-        if (!next.has_value() || (!completes && searched)) {
+        if (!next.has_value() || (!completes && has_membership_change)) {
             continue;
         }
-        searched = searched || !completes;
+        has_membership_change = has_membership_change || !completes;
         next->epoch = state.stores().epoch + 1 + change.maps.size();
         change.maps.push_back(std::move(*next));
     }
