--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -125,19 +125,19 @@
 
 bool store_planner::may_retire(const directory_state& state, const node_name& node) const {
     // Machines are counted: one that lost a disk would count twice by its disks.
-    std::set<node_name> left;
+    std::set<node_name> remaining;
     std::set<node_name> emptied;
     for (const store_member& member : known_stores(state)) {
-        (state.retired().contains(member.id) ? emptied : left).insert(member.node);
+        (state.retired().contains(member.id) ? emptied : remaining).insert(member.node);
     }
-    left.erase(node);
+    remaining.erase(node);
     for (const node_name& gone : emptied) {
-        left.erase(gone);
+        remaining.erase(gone);
     }
     // Before the groups are formed, one of them has to be possible: an order taken then would leave
     // the system without any.
     const std::size_t groups = std::max<std::size_t>(1, state.stores().groups.size());
-    return left.size() >= settings_.group_size() * groups;
+    return remaining.size() >= settings_.group_size() * groups;
 }
 
 std::vector<store_id> store_planner::disks_of(const directory_state& state,
