--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -126,12 +126,12 @@
 bool store_planner::may_retire(const directory_state& state, const node_name& node) const {
     // Machines are counted: one that lost a disk would count twice by its disks.
     std::set<node_name> remaining;
-    std::set<node_name> emptied;
+    std::set<node_name> retired_nodes;
     for (const store_member& member : known_stores(state)) {
-        (state.retired().contains(member.id) ? emptied : remaining).insert(member.node);
+        (state.retired().contains(member.id) ? retired_nodes : remaining).insert(member.node);
     }
     remaining.erase(node);
-    for (const node_name& gone : emptied) {
+    for (const node_name& gone : retired_nodes) {
         remaining.erase(gone);
     }
     // Before the groups are formed, one of them has to be possible: an order taken then would leave
