--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -131,8 +131,8 @@
         (state.retired().contains(member.id) ? retired_nodes : remaining).insert(member.node);
     }
     remaining.erase(node);
-    for (const node_name& gone : retired_nodes) {
-        remaining.erase(gone);
+    for (const node_name& retired_node : retired_nodes) {
+        remaining.erase(retired_node);
     }
     // Before the groups are formed, one of them has to be possible: an order taken then would leave
     // the system without any.
