--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -105,11 +105,11 @@
         const auto is_uncopied = [&](const store_member& member) {
             return !view.has_copied(member, map);
         };
-        const auto is_silent_too = [&](const store_member& member) {
+        const auto is_uncopied_and_silent = [&](const store_member& member) {
             return is_uncopied(member) && !view.is_live(member.id);
         };
         lines.push_back(turns::describe(map) + " uncopied=" + count(map.next, is_uncopied) +
-                        " silent=" + count(map.next, is_silent_too) +
+                        " silent=" + count(map.next, is_uncopied_and_silent) +
                         " lost=" + count(map.current, is_lost));
     }
     return lines;
