--- a/src/tallyfold/plane/directory/version_tracker.cpp
+++ b/src/tallyfold/plane/directory/version_tracker.cpp
@@ -8,7 +8,7 @@
 
 /// Silence after which a node doesn't count any more: it reports to each of some nine directory
 /// nodes about once a second, so it has missed two or three reports by then.
-constexpr duration silent_after = std::chrono::seconds(3);
+constexpr duration node_timeout = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -33,7 +33,7 @@
 
 std::optional<version_tracker::propagation> version_tracker::take_propagated(instant now) {
     const auto is_silent = [&](const auto& entry) {
-        return now - entry.second.heard > silent_after;
+        return now - entry.second.heard > node_timeout;
     };
     std::erase_if(nodes_, is_silent);
     if (is_taken_ || nodes_.empty() || nodes_behind() > 0) {
