--- a/src/tallyfold/plane/directory/version_tracker.cpp
+++ b/src/tallyfold/plane/directory/version_tracker.cpp
@@ -18,7 +18,7 @@
     }
     newest_ = version;
     applied_at_ = now;
-    is_taken_ = false;
+    is_reported_ = false;
 }
 
 void version_tracker::on_report(const node_name& node, routing::configuration_version version,
@@ -36,10 +36,10 @@
         return now - entry.second.heard > node_timeout;
     };
     std::erase_if(nodes_, is_silent);
-    if (is_taken_ || nodes_.empty() || nodes_behind() > 0) {
+    if (is_reported_ || nodes_.empty() || nodes_behind() > 0) {
         return std::nullopt;
     }
-    is_taken_ = true;
+    is_reported_ = true;
     return propagation{newest_, nodes_.size(), now - applied_at_};
 }
 
--- a/src/tallyfold/plane/directory/version_tracker.hpp
+++ b/src/tallyfold/plane/directory/version_tracker.hpp
@@ -41,7 +41,7 @@
     routing::configuration_version newest_ = routing::no_version;
     instant applied_at_{};
     /// True when the newest version has been returned by take_propagated().
-    bool is_taken_ = true;
+    bool is_reported_ = true;
     std::map<node_name, reported_version> nodes_;
 };
 
