--- a/src/tallyfold/plane/directory/version_tracker.cpp
+++ b/src/tallyfold/plane/directory/version_tracker.cpp
@@ -33,7 +33,7 @@
 
 std::optional<version_tracker::propagation> version_tracker::take_propagated(instant now) {
     const auto is_silent = [&](const auto& entry) {
-        return now - entry.second.heard > node_timeout;
+        return now - entry.second.last_seen > node_timeout;
     };
     std::erase_if(nodes_, is_silent);
     if (is_reported_ || nodes_.empty() || nodes_behind() > 0) {
--- a/src/tallyfold/plane/directory/version_tracker.hpp
+++ b/src/tallyfold/plane/directory/version_tracker.hpp
@@ -35,7 +35,7 @@
   private:
     struct reported_version {
         routing::configuration_version version = routing::no_version;
-        instant heard{};
+        instant last_seen{};
     };
 
     routing::configuration_version newest_ = routing::no_version;
