--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -10,7 +10,7 @@
 
 class configuration_fetch_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_fetch_test);
-    CPPUNIT_TEST(a_node_without_any_fetches_the_whole);
+    CPPUNIT_TEST(fetches_full_configuration_when_none_is_held);
     CPPUNIT_TEST(a_node_with_an_older_one_fetches_the_difference);
     CPPUNIT_TEST(one_copy_is_under_way_at_a_time);
     CPPUNIT_TEST(a_silent_node_is_replaced_and_the_fetch_goes_on);
@@ -51,7 +51,7 @@
         return parts;
     }
 
-    void a_node_without_any_fetches_the_whole() {
+    void fetches_full_configuration_when_none_is_held() {
         configuration_source source;
         source.show(make(3, 3'000));
         configuration_fetch fetch;
