--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -11,7 +11,7 @@
 class configuration_fetch_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_fetch_test);
     CPPUNIT_TEST(fetches_full_configuration_when_none_is_held);
-    CPPUNIT_TEST(a_node_with_an_older_one_fetches_the_difference);
+    CPPUNIT_TEST(fetches_difference_from_held_version);
     CPPUNIT_TEST(one_copy_is_under_way_at_a_time);
     CPPUNIT_TEST(a_silent_node_is_replaced_and_the_fetch_goes_on);
     CPPUNIT_TEST(a_lost_connection_ends_the_wait);
@@ -61,7 +61,7 @@
         CPPUNIT_ASSERT(!fetch.told("b", 3, now_).has_value());
     }
 
-    void a_node_with_an_older_one_fetches_the_difference() {
+    void fetches_difference_from_held_version() {
         configuration_source source;
         configuration_fetch fetch;
         source.show(make(3, 3'000));
