--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST_SUITE(configuration_fetch_test);
     CPPUNIT_TEST(fetches_full_configuration_when_none_is_held);
     CPPUNIT_TEST(fetches_difference_from_held_version);
-    CPPUNIT_TEST(one_copy_is_under_way_at_a_time);
+    CPPUNIT_TEST(only_one_fetch_is_pending);
     CPPUNIT_TEST(a_silent_node_is_replaced_and_the_fetch_goes_on);
     CPPUNIT_TEST(a_lost_connection_ends_the_wait);
     CPPUNIT_TEST(a_newer_version_meanwhile_doesnt_begin_it_anew);
@@ -77,7 +77,7 @@
         CPPUNIT_ASSERT(*fetch.held() == *make(11, 3'000));
     }
 
-    void one_copy_is_under_way_at_a_time() {
+    void only_one_fetch_is_pending() {
         configuration_fetch fetch;
         CPPUNIT_ASSERT(fetch.told("a", 3, now_).has_value());
         now_ += part_timeout / 2;
