--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(fetches_full_configuration_when_none_is_held);
     CPPUNIT_TEST(fetches_difference_from_held_version);
     CPPUNIT_TEST(only_one_fetch_is_pending);
-    CPPUNIT_TEST(a_silent_node_is_replaced_and_the_fetch_goes_on);
+    CPPUNIT_TEST(fetch_resumes_at_another_node_after_timeout);
     CPPUNIT_TEST(a_lost_connection_ends_the_wait);
     CPPUNIT_TEST(a_newer_version_meanwhile_doesnt_begin_it_anew);
     CPPUNIT_TEST(a_difference_that_doesnt_fit_is_followed_by_the_whole);
@@ -85,7 +85,7 @@
         CPPUNIT_ASSERT(!fetch.told("a", 4, now_).has_value());
     }
 
-    void a_silent_node_is_replaced_and_the_fetch_goes_on() {
+    void fetch_resumes_at_another_node_after_timeout() {
         configuration_source one;
         configuration_source other;
         one.show(make(3, 3'000));
