--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(fetches_difference_from_held_version);
     CPPUNIT_TEST(only_one_fetch_is_pending);
     CPPUNIT_TEST(fetch_resumes_at_another_node_after_timeout);
-    CPPUNIT_TEST(a_lost_connection_ends_the_wait);
+    CPPUNIT_TEST(lost_connection_cancels_pending_request);
     CPPUNIT_TEST(a_newer_version_meanwhile_doesnt_begin_it_anew);
     CPPUNIT_TEST(a_difference_that_doesnt_fit_is_followed_by_the_whole);
     CPPUNIT_TEST(parts_that_make_no_sense_are_refused);
@@ -104,7 +104,7 @@
         CPPUNIT_ASSERT(*fetch.held() == *make(3, 3'000));
     }
 
-    void a_lost_connection_ends_the_wait() {
+    void lost_connection_cancels_pending_request() {
         configuration_fetch fetch;
         fetch.told("a", 3, now_);
         fetch.lost("b");
