--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(only_one_fetch_is_pending);
     CPPUNIT_TEST(fetch_resumes_at_another_node_after_timeout);
     CPPUNIT_TEST(lost_connection_cancels_pending_request);
-    CPPUNIT_TEST(a_newer_version_meanwhile_doesnt_begin_it_anew);
+    CPPUNIT_TEST(newer_version_does_not_restart_fetch);
     CPPUNIT_TEST(a_difference_that_doesnt_fit_is_followed_by_the_whole);
     CPPUNIT_TEST(parts_that_make_no_sense_are_refused);
     CPPUNIT_TEST(any_order_of_answers_ends_with_the_newest);
@@ -113,7 +113,7 @@
         CPPUNIT_ASSERT(fetch.told("b", 3, now_).has_value());
     }
 
-    void a_newer_version_meanwhile_doesnt_begin_it_anew() {
+    void newer_version_does_not_restart_fetch() {
         configuration_source source;
         source.show(make(3, 3'000));
         configuration_fetch fetch;
