--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(fetch_resumes_at_another_node_after_timeout);
     CPPUNIT_TEST(lost_connection_cancels_pending_request);
     CPPUNIT_TEST(newer_version_does_not_restart_fetch);
-    CPPUNIT_TEST(a_difference_that_doesnt_fit_is_followed_by_the_whole);
+    CPPUNIT_TEST(full_configuration_follows_mismatched_difference);
     CPPUNIT_TEST(parts_that_make_no_sense_are_refused);
     CPPUNIT_TEST(any_order_of_answers_ends_with_the_newest);
     CPPUNIT_TEST(proof_counts_once_the_version_is_held);
@@ -129,7 +129,7 @@
         CPPUNIT_ASSERT_EQUAL(version, fetch.version());
     }
 
-    void a_difference_that_doesnt_fit_is_followed_by_the_whole() {
+    void full_configuration_follows_mismatched_difference() {
         configuration_source one;
         configuration_fetch fetch;
         one.show(make(3, 10));
