--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(lost_connection_cancels_pending_request);
     CPPUNIT_TEST(newer_version_does_not_restart_fetch);
     CPPUNIT_TEST(full_configuration_follows_mismatched_difference);
-    CPPUNIT_TEST(parts_that_make_no_sense_are_refused);
+    CPPUNIT_TEST(corrupt_parts_are_rejected);
     CPPUNIT_TEST(any_order_of_answers_ends_with_the_newest);
     CPPUNIT_TEST(proof_counts_once_the_version_is_held);
     CPPUNIT_TEST(an_answer_proves_only_what_was_asked);
@@ -148,7 +148,7 @@
         CPPUNIT_ASSERT(*fetch.held() == *make(4, 12));
     }
 
-    void parts_that_make_no_sense_are_refused() {
+    void corrupt_parts_are_rejected() {
         check_property("no part makes a node hold something else or wait for ever", [this] {
             configuration_source source;
             source.show(make(3, 500));
