--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(newer_version_does_not_restart_fetch);
     CPPUNIT_TEST(full_configuration_follows_mismatched_difference);
     CPPUNIT_TEST(corrupt_parts_are_rejected);
-    CPPUNIT_TEST(any_order_of_answers_ends_with_the_newest);
+    CPPUNIT_TEST(converges_to_newest_version_in_any_order);
     CPPUNIT_TEST(proof_counts_once_the_version_is_held);
     CPPUNIT_TEST(an_answer_proves_only_what_was_asked);
     CPPUNIT_TEST_SUITE_END();
@@ -185,7 +185,7 @@
         });
     }
 
-    void any_order_of_answers_ends_with_the_newest() {
+    void converges_to_newest_version_in_any_order() {
         check_property("nodes that lag, are silent or lost: the newest is held in the end", [this] {
             std::vector<configuration_source> sources(3);
             std::vector<routing::configuration_version> shown(3, 0);
