--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -19,7 +19,7 @@
     CPPUNIT_TEST(full_configuration_follows_mismatched_difference);
     CPPUNIT_TEST(corrupt_parts_are_rejected);
     CPPUNIT_TEST(converges_to_newest_version_in_any_order);
-    CPPUNIT_TEST(proof_counts_once_the_version_is_held);
+    CPPUNIT_TEST(proof_takes_effect_when_version_is_held);
     CPPUNIT_TEST(an_answer_proves_only_what_was_asked);
     CPPUNIT_TEST_SUITE_END();
 
@@ -231,7 +231,7 @@
         });
     }
 
-    void proof_counts_once_the_version_is_held() {
+    void proof_takes_effect_when_version_is_held() {
         configuration_proofs proofs;
         proofs.holds(3);
         const std::uint64_t first = proofs.ask(now_);
