--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST(corrupt_parts_are_rejected);
     CPPUNIT_TEST(converges_to_newest_version_in_any_order);
     CPPUNIT_TEST(proof_takes_effect_when_version_is_held);
-    CPPUNIT_TEST(an_answer_proves_only_what_was_asked);
+    CPPUNIT_TEST(answer_without_pending_question_is_ignored);
     CPPUNIT_TEST_SUITE_END();
 
     instant now_{std::chrono::seconds(1)};
@@ -246,7 +246,7 @@
         CPPUNIT_ASSERT(proofs.newest().asked == now_);
     }
 
-    void an_answer_proves_only_what_was_asked() {
+    void answer_without_pending_question_is_ignored() {
         configuration_proofs proofs;
         proofs.holds(3);
         proofs.answered("a", 1, 3);
