--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -27,7 +27,8 @@
     static constexpr duration part_timeout = std::chrono::milliseconds(400);
 
     /// Routes whose names don't compress away.
-    static configuration_pointer make(routing::configuration_version version, std::size_t routes) {
+    static configuration_pointer make_configuration(routing::configuration_version version,
+                                                    std::size_t routes) {
         random_source random(5);
         routing::configuration made;
         made.version = version;
@@ -53,28 +54,28 @@
 
     void fetches_full_configuration_when_none_is_held() {
         configuration_source source;
-        source.show(make(3, 3'000));
+        source.show(make_configuration(3, 3'000));
         configuration_fetch fetch;
         const int parts = take_all(fetch, "a", source, fetch.told("a", 3, now_));
         CPPUNIT_ASSERT(parts > 1);
-        CPPUNIT_ASSERT(*fetch.held() == *make(3, 3'000));
+        CPPUNIT_ASSERT(*fetch.held() == *make_configuration(3, 3'000));
         CPPUNIT_ASSERT(!fetch.told("b", 3, now_).has_value());
     }
 
     void fetches_difference_from_held_version() {
         configuration_source source;
         configuration_fetch fetch;
-        source.show(make(3, 3'000));
+        source.show(make_configuration(3, 3'000));
         take_all(fetch, "a", source, fetch.told("a", 3, now_));
-        source.show(make(5, 3'001));
+        source.show(make_configuration(5, 3'001));
         CPPUNIT_ASSERT_EQUAL(1, take_all(fetch, "b", source, fetch.told("b", 5, now_)));
-        CPPUNIT_ASSERT(*fetch.held() == *make(5, 3'001));
+        CPPUNIT_ASSERT(*fetch.held() == *make_configuration(5, 3'001));
         // A version from before what is kept: the whole.
         for (routing::configuration_version version = 6; version < 12; ++version) {
-            source.show(make(version, 3'000));
+            source.show(make_configuration(version, 3'000));
         }
         CPPUNIT_ASSERT(take_all(fetch, "c", source, fetch.told("c", 11, now_)) > 1);
-        CPPUNIT_ASSERT(*fetch.held() == *make(11, 3'000));
+        CPPUNIT_ASSERT(*fetch.held() == *make_configuration(11, 3'000));
     }
 
     void only_one_fetch_is_pending() {
@@ -88,8 +89,8 @@
     void fetch_resumes_at_another_node_after_timeout() {
         configuration_source one;
         configuration_source other;
-        one.show(make(3, 3'000));
-        other.show(make(3, 3'000));
+        one.show(make_configuration(3, 3'000));
+        other.show(make_configuration(3, 3'000));
         configuration_fetch fetch;
         const auto first = fetch.told("a", 3, now_);
         const auto second = fetch.receive("a", one.answer(*first), now_).next;
@@ -101,7 +102,7 @@
         // What the first node sends late is of no use any more.
         CPPUNIT_ASSERT(!fetch.receive("a", one.answer(*second), now_).next.has_value());
         take_all(fetch, "b", other, again);
-        CPPUNIT_ASSERT(*fetch.held() == *make(3, 3'000));
+        CPPUNIT_ASSERT(*fetch.held() == *make_configuration(3, 3'000));
     }
 
     void lost_connection_cancels_pending_request() {
@@ -115,13 +116,13 @@
 
     void newer_version_does_not_restart_fetch() {
         configuration_source source;
-        source.show(make(3, 3'000));
+        source.show(make_configuration(3, 3'000));
         configuration_fetch fetch;
         auto request = fetch.told("a", 3, now_);
         routing::configuration_version version = 3;
         while (request) {
             // A change comes with each part.
-            source.show(make(++version, 3'000));
+            source.show(make_configuration(++version, 3'000));
             request = fetch.receive("a", source.answer(*request), now_).next;
         }
         CPPUNIT_ASSERT(fetch.version() >= 3);
@@ -132,12 +133,12 @@
     void full_configuration_follows_mismatched_difference() {
         configuration_source one;
         configuration_fetch fetch;
-        one.show(make(3, 10));
+        one.show(make_configuration(3, 10));
         take_all(fetch, "a", one, fetch.told("a", 3, now_));
         // Another content under the version that the node holds.
         configuration_source other;
-        other.show(make(3, 11));
-        other.show(make(4, 12));
+        other.show(make_configuration(3, 11));
+        other.show(make_configuration(4, 12));
         const auto request = fetch.told("b", 4, now_);
         const auto progress = fetch.receive("b", other.answer(*request), now_);
         CPPUNIT_ASSERT(progress.problem.has_value());
@@ -145,13 +146,13 @@
         const auto whole = fetch.told("b", 4, now_);
         CPPUNIT_ASSERT(whole->whole);
         take_all(fetch, "b", other, whole);
-        CPPUNIT_ASSERT(*fetch.held() == *make(4, 12));
+        CPPUNIT_ASSERT(*fetch.held() == *make_configuration(4, 12));
     }
 
     void corrupt_parts_are_rejected() {
         check_property("no part makes a node hold something else or wait for ever", [this] {
             configuration_source source;
-            source.show(make(3, 500));
+            source.show(make_configuration(3, 500));
             configuration_fetch fetch;
             auto request = fetch.told("a", 3, now_);
             for (int count = 0; count < 20; ++count) {
@@ -176,12 +177,12 @@
                 if (!request) {
                     request = fetch.told("a", 3, now_);
                 }
-                RC_ASSERT(fetch.version() == 0 || *fetch.held() == *make(3, 500));
+                RC_ASSERT(fetch.version() == 0 || *fetch.held() == *make_configuration(3, 500));
             }
             now_ += part_timeout;
             take_all(fetch, "b", source, fetch.told("b", 3, now_));
             take_all(fetch, "b", source, fetch.told("b", 3, now_));
-            RC_ASSERT(*fetch.held() == *make(3, 500));
+            RC_ASSERT(*fetch.held() == *make_configuration(3, 500));
         });
     }
 
@@ -201,7 +202,7 @@
                 switch (*rc::gen::inRange(0, 4)) {
                     case 0:
                         shown[node] = std::max(shown[node], ++newest);
-                        sources[node].show(make(shown[node], 400 + newest % 7));
+                        sources[node].show(make_configuration(shown[node], 400 + newest % 7));
                         break;
                     case 1:
                         if (auto next = fetch.told(name, shown[node], now_)) {
@@ -222,7 +223,7 @@
                 }
                 RC_ASSERT(fetch.version() >= before);
             }
-            sources[0].show(make(++newest, 400));
+            sources[0].show(make_configuration(++newest, 400));
             for (int count = 0; count < 3; ++count) {
                 now_ += part_timeout;
                 take_all(fetch, "a", sources[0], fetch.told("a", newest, now_));
