--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -42,8 +42,9 @@
     }
 
     /// Has `fetch` take all parts of what `source` gives. @return parts that it took
-    int take_all(configuration_fetch& fetch, const node_name& node, configuration_source& source,
-                 std::optional<configuration_request> request) {
+    int fetch_all_parts(configuration_fetch& fetch, const node_name& node,
+                        configuration_source& source,
+                        std::optional<configuration_request> request) {
         int parts = 0;
         while (request) {
             ++parts;
@@ -56,7 +57,7 @@
         configuration_source source;
         source.show(make_configuration(3, 3'000));
         configuration_fetch fetch;
-        const int parts = take_all(fetch, "a", source, fetch.told("a", 3, now_));
+        const int parts = fetch_all_parts(fetch, "a", source, fetch.told("a", 3, now_));
         CPPUNIT_ASSERT(parts > 1);
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(3, 3'000));
         CPPUNIT_ASSERT(!fetch.told("b", 3, now_).has_value());
@@ -66,15 +67,15 @@
         configuration_source source;
         configuration_fetch fetch;
         source.show(make_configuration(3, 3'000));
-        take_all(fetch, "a", source, fetch.told("a", 3, now_));
+        fetch_all_parts(fetch, "a", source, fetch.told("a", 3, now_));
         source.show(make_configuration(5, 3'001));
-        CPPUNIT_ASSERT_EQUAL(1, take_all(fetch, "b", source, fetch.told("b", 5, now_)));
+        CPPUNIT_ASSERT_EQUAL(1, fetch_all_parts(fetch, "b", source, fetch.told("b", 5, now_)));
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(5, 3'001));
         // A version from before what is kept: the whole.
         for (routing::configuration_version version = 6; version < 12; ++version) {
             source.show(make_configuration(version, 3'000));
         }
-        CPPUNIT_ASSERT(take_all(fetch, "c", source, fetch.told("c", 11, now_)) > 1);
+        CPPUNIT_ASSERT(fetch_all_parts(fetch, "c", source, fetch.told("c", 11, now_)) > 1);
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(11, 3'000));
     }
 
@@ -101,7 +102,7 @@
         CPPUNIT_ASSERT_EQUAL(second->offset, again->offset);
         // What the first node sends late is of no use any more.
         CPPUNIT_ASSERT(!fetch.receive("a", one.answer(*second), now_).next.has_value());
-        take_all(fetch, "b", other, again);
+        fetch_all_parts(fetch, "b", other, again);
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(3, 3'000));
     }
 
@@ -126,7 +127,8 @@
             request = fetch.receive("a", source.answer(*request), now_).next;
         }
         CPPUNIT_ASSERT(fetch.version() >= 3);
-        CPPUNIT_ASSERT_EQUAL(1, take_all(fetch, "a", source, fetch.told("a", version, now_)));
+        CPPUNIT_ASSERT_EQUAL(1,
+                             fetch_all_parts(fetch, "a", source, fetch.told("a", version, now_)));
         CPPUNIT_ASSERT_EQUAL(version, fetch.version());
     }
 
@@ -134,7 +136,7 @@
         configuration_source one;
         configuration_fetch fetch;
         one.show(make_configuration(3, 10));
-        take_all(fetch, "a", one, fetch.told("a", 3, now_));
+        fetch_all_parts(fetch, "a", one, fetch.told("a", 3, now_));
         // Another content under the version that the node holds.
         configuration_source other;
         other.show(make_configuration(3, 11));
@@ -145,7 +147,7 @@
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{3}, fetch.version());
         const auto whole = fetch.told("b", 4, now_);
         CPPUNIT_ASSERT(whole->whole);
-        take_all(fetch, "b", other, whole);
+        fetch_all_parts(fetch, "b", other, whole);
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(4, 12));
     }
 
@@ -180,8 +182,8 @@
                 RC_ASSERT(fetch.version() == 0 || *fetch.held() == *make_configuration(3, 500));
             }
             now_ += part_timeout;
-            take_all(fetch, "b", source, fetch.told("b", 3, now_));
-            take_all(fetch, "b", source, fetch.told("b", 3, now_));
+            fetch_all_parts(fetch, "b", source, fetch.told("b", 3, now_));
+            fetch_all_parts(fetch, "b", source, fetch.told("b", 3, now_));
             RC_ASSERT(*fetch.held() == *make_configuration(3, 500));
         });
     }
@@ -226,7 +228,7 @@
             sources[0].show(make_configuration(++newest, 400));
             for (int count = 0; count < 3; ++count) {
                 now_ += part_timeout;
-                take_all(fetch, "a", sources[0], fetch.told("a", newest, now_));
+                fetch_all_parts(fetch, "a", sources[0], fetch.told("a", newest, now_));
             }
             RC_ASSERT(fetch.version() == newest);
         });
