--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -191,7 +191,7 @@
     void converges_to_newest_version_in_any_order() {
         check_property("nodes that lag, are silent or lost: the newest is held in the end", [this] {
             std::vector<configuration_source> sources(3);
-            std::vector<routing::configuration_version> shown(3, 0);
+            std::vector<routing::configuration_version> published(3, 0);
             configuration_fetch fetch;
             std::optional<configuration_request> request;
             std::size_t asked = 0;
@@ -203,11 +203,11 @@
                 const routing::configuration_version before = fetch.version();
                 switch (*rc::gen::inRange(0, 4)) {
                     case 0:
-                        shown[node] = std::max(shown[node], ++newest);
-                        sources[node].show(make_configuration(shown[node], 400 + newest % 7));
+                        published[node] = std::max(published[node], ++newest);
+                        sources[node].show(make_configuration(published[node], 400 + newest % 7));
                         break;
                     case 1:
-                        if (auto next = fetch.told(name, shown[node], now_)) {
+                        if (auto next = fetch.told(name, published[node], now_)) {
                             request = next;
                             asked = node;
                         }
