--- a/tests/plane/directory/configuration_spread_test.cpp
+++ b/tests/plane/directory/configuration_spread_test.cpp
@@ -20,7 +20,7 @@
 
 class configuration_spread_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_spread_test);
-    CPPUNIT_TEST(a_node_that_lags_proves_nothing);
+    CPPUNIT_TEST(lagging_node_gives_no_proof);
     CPPUNIT_TEST(a_report_costs_the_same_however_large_the_configuration_is);
     CPPUNIT_TEST_SUITE_END();
 
@@ -50,7 +50,7 @@
         return report;
     }
 
-    void a_node_that_lags_proves_nothing() {
+    void lagging_node_gives_no_proof() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(!leader.empty());
