--- a/tests/plane/directory/configuration_spread_test.cpp
+++ b/tests/plane/directory/configuration_spread_test.cpp
@@ -21,7 +21,7 @@
 class configuration_spread_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_spread_test);
     CPPUNIT_TEST(lagging_node_gives_no_proof);
-    CPPUNIT_TEST(a_report_costs_the_same_however_large_the_configuration_is);
+    CPPUNIT_TEST(answer_size_is_independent_of_configuration_size);
     CPPUNIT_TEST_SUITE_END();
 
     static routing::configuration routes(routing::configuration_version version,
@@ -66,7 +66,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, answer.question);
     }
 
-    void a_report_costs_the_same_however_large_the_configuration_is() {
+    void answer_size_is_independent_of_configuration_size() {
         directory_group group(1);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(group.change(leader, routes(1, 4'000)));
