--- a/tests/plane/directory/configuration_spread_test.cpp
+++ b/tests/plane/directory/configuration_spread_test.cpp
@@ -24,8 +24,8 @@
     CPPUNIT_TEST(answer_size_is_independent_of_configuration_size);
     CPPUNIT_TEST_SUITE_END();
 
-    static routing::configuration routes(routing::configuration_version version,
-                                         std::size_t count) {
+    static routing::configuration make_configuration(routing::configuration_version version,
+                                                     std::size_t count) {
         routing::configuration made;
         made.version = version;
         made.services.push_back({"service-a", "/health", 10, false, 0, 0, 1});
@@ -54,12 +54,12 @@
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(!leader.empty());
-        CPPUNIT_ASSERT(group.change(leader, routes(1, 3)));
+        CPPUNIT_ASSERT(group.change(leader, make_configuration(1, 3)));
         const node_name lagging = group.followers().front();
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1},
                              group.node(lagging).state().configuration().version);
         group.cut(lagging);
-        CPPUNIT_ASSERT(group.change(leader, routes(2, 4)));
+        CPPUNIT_ASSERT(group.change(leader, make_configuration(2, 4)));
         const node_report_answer answer = group.node(lagging).receive(question(1), group.now());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1}, answer.configuration);
         // A question that comes back is proof that nothing newer had been acknowledged.
@@ -69,8 +69,8 @@
     void answer_size_is_independent_of_configuration_size() {
         directory_group group(1);
         const node_name leader = group.run_until_led();
-        CPPUNIT_ASSERT(group.change(leader, routes(1, 4'000)));
-        CPPUNIT_ASSERT(group.change(leader, routes(2, 6'000)));
+        CPPUNIT_ASSERT(group.change(leader, make_configuration(1, 4'000)));
+        CPPUNIT_ASSERT(group.change(leader, make_configuration(2, 6'000)));
         constexpr std::size_t max_bytes = 1'000;
         const node_report_answer answer = group.node(leader).receive(question(1), group.now());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{2}, answer.configuration);
