--- a/tests/plane/directory/configuration_spread_test.cpp
+++ b/tests/plane/directory/configuration_spread_test.cpp
@@ -42,7 +42,7 @@
     }
 
     /// What a forwarder asks that holds `version` and wants to know whether it is the newest.
-    static node_report question(routing::configuration_version version) {
+    static node_report report_with_question(routing::configuration_version version) {
         node_report report;
         report.node = "forwarder";
         report.configuration = version;
@@ -60,7 +60,8 @@
                              group.node(lagging).state().configuration().version);
         group.cut(lagging);
         CPPUNIT_ASSERT(group.change(leader, make_configuration(2, 4)));
-        const node_report_answer answer = group.node(lagging).receive(question(1), group.now());
+        const node_report_answer answer =
+            group.node(lagging).receive(report_with_question(1), group.now());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1}, answer.configuration);
         // A question that comes back is proof that nothing newer had been acknowledged.
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, answer.question);
@@ -72,7 +73,8 @@
         CPPUNIT_ASSERT(group.change(leader, make_configuration(1, 4'000)));
         CPPUNIT_ASSERT(group.change(leader, make_configuration(2, 6'000)));
         constexpr std::size_t max_bytes = 1'000;
-        const node_report_answer answer = group.node(leader).receive(question(1), group.now());
+        const node_report_answer answer =
+            group.node(leader).receive(report_with_question(1), group.now());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{2}, answer.configuration);
         CPPUNIT_ASSERT(messaging::encode_frame(answer).size() <= max_bytes);
     }
