--- a/tests/plane/directory/directory_core_test.cpp
+++ b/tests/plane/directory/directory_core_test.cpp
@@ -11,7 +11,7 @@
 class directory_core_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(directory_core_test);
     CPPUNIT_TEST(large_changes_are_compacted_by_their_bytes);
-    CPPUNIT_TEST(what_was_stored_uncompressed_is_read);
+    CPPUNIT_TEST(uncompressed_state_is_readable);
     CPPUNIT_TEST_SUITE_END();
 
     /// A directory of one node, which elects itself.
@@ -72,7 +72,7 @@
         CPPUNIT_ASSERT(snapshots <= changes / 3);
     }
 
-    void what_was_stored_uncompressed_is_read() {
+    void uncompressed_state_is_readable() {
         replace_configuration change;
         change.parsed.version = 7;
         change.parsed.routes.resize(100);
