--- a/tests/plane/directory/directory_core_test.cpp
+++ b/tests/plane/directory/directory_core_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     /// A directory of one node, which elects itself.
-    static directory_core alone(instant now) {
+    static directory_core single_node_core(instant now) {
         directory_settings settings;
         settings.address = "10.0.0.1:71";
         settings.seeds = {settings.address};
@@ -49,7 +49,7 @@
 
     void large_changes_are_compacted_by_their_bytes() {
         instant now{std::chrono::seconds(1)};
-        directory_core core = alone(now);
+        directory_core core = single_node_core(now);
         for (int step = 0; step < 200 && !core.leads(); ++step) {
             now += std::chrono::milliseconds(20);
             core.tick(now);
