--- a/tests/plane/directory/group_recovery_test.cpp
+++ b/tests/plane/directory/group_recovery_test.cpp
@@ -13,7 +13,7 @@
 /// other is in store_planner_test.
 class group_recovery_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(group_recovery_test);
-    CPPUNIT_TEST(a_disk_is_lost_when_its_machine_reports_another);
+    CPPUNIT_TEST(disk_is_lost_when_its_node_reports_another);
     CPPUNIT_TEST(silence_makes_a_disk_lost_only_after_an_order_to_empty_it);
     CPPUNIT_TEST(a_silent_member_is_waited_for_until_turns_expire);
     CPPUNIT_TEST(a_member_that_an_open_change_leaves_out_is_given_up_once_silent);
@@ -38,7 +38,7 @@
     }
     void report(const store_member& store, instant now) { heartbeats_.on_report({store, 0}, now); }
 
-    void a_disk_is_lost_when_its_machine_reports_another() {
+    void disk_is_lost_when_its_node_reports_another() {
         heartbeats_.start(at(0));
         report(member(1, "1"), at(100));
         CPPUNIT_ASSERT(!view_at(at(200)).is_lost(member(1, "1")));
