--- a/tests/plane/directory/group_recovery_test.cpp
+++ b/tests/plane/directory/group_recovery_test.cpp
@@ -14,7 +14,7 @@
 class group_recovery_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(group_recovery_test);
     CPPUNIT_TEST(disk_is_lost_when_its_node_reports_another);
-    CPPUNIT_TEST(silence_makes_a_disk_lost_only_after_an_order_to_empty_it);
+    CPPUNIT_TEST(silent_disk_is_lost_only_when_retired);
     CPPUNIT_TEST(a_silent_member_is_waited_for_until_turns_expire);
     CPPUNIT_TEST(a_member_that_an_open_change_leaves_out_is_given_up_once_silent);
     CPPUNIT_TEST(members_out_of_reach_that_would_suffice_forbid_a_recovery);
@@ -47,7 +47,7 @@
         CPPUNIT_ASSERT(!view_at(at(200)).is_lost(member(10, "1")));
     }
 
-    void silence_makes_a_disk_lost_only_after_an_order_to_empty_it() {
+    void silent_disk_is_lost_only_when_retired() {
         heartbeats_.start(at(0));
         const instant expired = at(0) + retention + std::chrono::milliseconds(1);
         CPPUNIT_ASSERT(!view_at(expired).is_lost(member(1, "1")));
