--- a/tests/plane/directory/group_recovery_test.cpp
+++ b/tests/plane/directory/group_recovery_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(disk_is_lost_when_its_node_reports_another);
     CPPUNIT_TEST(silent_disk_is_lost_only_when_retired);
     CPPUNIT_TEST(silent_member_is_given_up_after_retention);
-    CPPUNIT_TEST(a_member_that_an_open_change_leaves_out_is_given_up_once_silent);
+    CPPUNIT_TEST(silent_member_left_out_of_change_is_given_up);
     CPPUNIT_TEST(members_out_of_reach_that_would_suffice_forbid_a_recovery);
     CPPUNIT_TEST_SUITE_END();
 
@@ -63,7 +63,7 @@
         CPPUNIT_ASSERT(is_given_up(view_at(expired), three(), member(1, "1")));
     }
 
-    void a_member_that_an_open_change_leaves_out_is_given_up_once_silent() {
+    void silent_member_left_out_of_change_is_given_up() {
         heartbeats_.start(at(0));
         store_map changing = three();
         changing.next = {member(2, "2"), member(3, "3"), member(4, "4")};
