--- a/tests/plane/directory/group_recovery_test.cpp
+++ b/tests/plane/directory/group_recovery_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(silent_disk_is_lost_only_when_retired);
     CPPUNIT_TEST(silent_member_is_given_up_after_retention);
     CPPUNIT_TEST(silent_member_left_out_of_change_is_given_up);
-    CPPUNIT_TEST(members_out_of_reach_that_would_suffice_forbid_a_recovery);
+    CPPUNIT_TEST(no_recovery_while_unreachable_members_form_majority);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr duration retention = std::chrono::seconds(75);
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT(!is_given_up(view_at(at(6'001)), changing, member(2, "2")));
     }
 
-    void members_out_of_reach_that_would_suffice_forbid_a_recovery() {
+    void no_recovery_while_unreachable_members_form_majority() {
         heartbeats_.start(at(0));
         report(member(30, "3"), at(80'000));
         // Both others are silent for longer than turns are kept: two of three may go on elsewhere.
