--- a/tests/plane/directory/group_recovery_test.cpp
+++ b/tests/plane/directory/group_recovery_test.cpp
@@ -30,7 +30,9 @@
     static store_member member(store_id id, const std::string& node) {
         return {id, node, "10.0.0." + node + ":7000", "zone"};
     }
-    static store_map three() { return {1, {member(1, "1"), member(2, "2"), member(3, "3")}, {}}; }
+    static store_map three_member_map() {
+        return {1, {member(1, "1"), member(2, "2"), member(3, "3")}, {}};
+    }
 
     /// The view of a leader that began to lead at 0 ms.
     [[nodiscard]] store_view view_at(instant now) const {
@@ -58,14 +60,15 @@
 
     void silent_member_is_given_up_after_retention() {
         heartbeats_.start(at(0));
-        CPPUNIT_ASSERT(!is_given_up(view_at(at(0) + retention), three(), member(1, "1")));
+        CPPUNIT_ASSERT(
+            !is_given_up(view_at(at(0) + retention), three_member_map(), member(1, "1")));
         const instant expired = at(0) + retention + std::chrono::milliseconds(1);
-        CPPUNIT_ASSERT(is_given_up(view_at(expired), three(), member(1, "1")));
+        CPPUNIT_ASSERT(is_given_up(view_at(expired), three_member_map(), member(1, "1")));
     }
 
     void silent_member_left_out_of_change_is_given_up() {
         heartbeats_.start(at(0));
-        store_map changing = three();
+        store_map changing = three_member_map();
         changing.next = {member(2, "2"), member(3, "3"), member(4, "4")};
         CPPUNIT_ASSERT(!is_given_up(view_at(at(6'000)), changing, member(1, "1")));
         CPPUNIT_ASSERT(is_given_up(view_at(at(6'001)), changing, member(1, "1")));
@@ -77,11 +80,11 @@
         heartbeats_.start(at(0));
         report(member(30, "3"), at(80'000));
         // Both others are silent for longer than turns are kept: two of three may go on elsewhere.
-        CPPUNIT_ASSERT(!needs_recovery(view_at(at(80'000)), three()));
+        CPPUNIT_ASSERT(!needs_recovery(view_at(at(80'000)), three_member_map()));
         report(member(1, "1"), at(80'000));
-        CPPUNIT_ASSERT(needs_recovery(view_at(at(80'000)), three()));
+        CPPUNIT_ASSERT(needs_recovery(view_at(at(80'000)), three_member_map()));
         report(member(2, "2"), at(80'000));
-        CPPUNIT_ASSERT(!needs_recovery(view_at(at(80'000)), three()));
+        CPPUNIT_ASSERT(!needs_recovery(view_at(at(80'000)), three_member_map()));
     }
 };
 
