--- a/tests/plane/directory/member_planner_test.cpp
+++ b/tests/plane/directory/member_planner_test.cpp
@@ -9,7 +9,7 @@
 
 class member_planner_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(member_planner_test);
-    CPPUNIT_TEST(a_dead_voter_goes_when_enough_others_remain);
+    CPPUNIT_TEST(silent_voter_is_removed_when_enough_remain);
     CPPUNIT_TEST(a_dead_voter_stays_when_too_few_would_remain);
     CPPUNIT_TEST(a_caught_up_learner_takes_a_dead_voters_place);
     CPPUNIT_TEST(a_lost_disk_is_removed_as_soon_as_its_machine_joins_anew);
@@ -39,7 +39,7 @@
         return planner;
     }
 
-    void a_dead_voter_goes_when_enough_others_remain() {
+    void silent_voter_is_removed_when_enough_remain() {
         // Found on a day that emptied a machine for good and then wiped another one: two of four
         // voters were left, and no majority ever again.
         const replication_view view = voters(4);
