--- a/tests/plane/directory/member_planner_test.cpp
+++ b/tests/plane/directory/member_planner_test.cpp
@@ -10,7 +10,7 @@
 class member_planner_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(member_planner_test);
     CPPUNIT_TEST(silent_voter_is_removed_when_enough_remain);
-    CPPUNIT_TEST(a_dead_voter_stays_when_too_few_would_remain);
+    CPPUNIT_TEST(silent_voter_is_kept_when_too_few_would_remain);
     CPPUNIT_TEST(a_caught_up_learner_takes_a_dead_voters_place);
     CPPUNIT_TEST(a_lost_disk_is_removed_as_soon_as_its_machine_joins_anew);
     CPPUNIT_TEST(a_learner_votes_only_once_it_has_caught_up);
@@ -49,7 +49,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, next->voter_count());
     }
 
-    void a_dead_voter_stays_when_too_few_would_remain() {
+    void silent_voter_is_kept_when_too_few_would_remain() {
         const replication_view view = voters(3);
         CPPUNIT_ASSERT(!listening(view, 3, at(6000)).plan(view, self, at(6000)).has_value());
     }
