--- a/tests/plane/directory/member_planner_test.cpp
+++ b/tests/plane/directory/member_planner_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST_SUITE(member_planner_test);
     CPPUNIT_TEST(silent_voter_is_removed_when_enough_remain);
     CPPUNIT_TEST(silent_voter_is_kept_when_too_few_would_remain);
-    CPPUNIT_TEST(a_caught_up_learner_takes_a_dead_voters_place);
+    CPPUNIT_TEST(silent_voter_is_removed_for_caught_up_learner);
     CPPUNIT_TEST(a_lost_disk_is_removed_as_soon_as_its_machine_joins_anew);
     CPPUNIT_TEST(a_learner_votes_only_once_it_has_caught_up);
     CPPUNIT_TEST_SUITE_END();
@@ -54,7 +54,7 @@
         CPPUNIT_ASSERT(!listening(view, 3, at(6000)).plan(view, self, at(6000)).has_value());
     }
 
-    void a_caught_up_learner_takes_a_dead_voters_place() {
+    void silent_voter_is_removed_for_caught_up_learner() {
         replication_view view = voters(5);
         view.members.members[9] = {"10.0.0.9:7000", true};
         view.matched[9] = 10;
