--- a/tests/plane/directory/member_planner_test.cpp
+++ b/tests/plane/directory/member_planner_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(silent_voter_is_removed_when_enough_remain);
     CPPUNIT_TEST(silent_voter_is_kept_when_too_few_would_remain);
     CPPUNIT_TEST(silent_voter_is_removed_for_caught_up_learner);
-    CPPUNIT_TEST(a_lost_disk_is_removed_as_soon_as_its_machine_joins_anew);
+    CPPUNIT_TEST(replica_is_removed_when_its_node_joins_with_new_disk);
     CPPUNIT_TEST(a_learner_votes_only_once_it_has_caught_up);
     CPPUNIT_TEST_SUITE_END();
 
@@ -64,7 +64,7 @@
         CPPUNIT_ASSERT(next->members.contains(9));
     }
 
-    void a_lost_disk_is_removed_as_soon_as_its_machine_joins_anew() {
+    void replica_is_removed_when_its_node_joins_with_new_disk() {
         const replication_view view = voters(3);
         member_planner planner = listening(view, 0, at(1000));
         planner.on_join({77, "10.0.0.2:7000"}, at(1000));
