--- a/tests/plane/directory/member_planner_test.cpp
+++ b/tests/plane/directory/member_planner_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(silent_voter_is_kept_when_too_few_would_remain);
     CPPUNIT_TEST(silent_voter_is_removed_for_caught_up_learner);
     CPPUNIT_TEST(replica_is_removed_when_its_node_joins_with_new_disk);
-    CPPUNIT_TEST(a_learner_votes_only_once_it_has_caught_up);
+    CPPUNIT_TEST(learner_is_promoted_only_when_caught_up);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr replica_id self = 1;
@@ -76,7 +76,7 @@
         CPPUNIT_ASSERT(added.has_value() && added->members.at(77).learner);
     }
 
-    void a_learner_votes_only_once_it_has_caught_up() {
+    void learner_is_promoted_only_when_caught_up() {
         replication_view view = voters(3);
         view.members.members[9] = {"10.0.0.9:7000", true};
         view.matched[9] = 2;
