--- a/tests/plane/directory/member_planner_test.cpp
+++ b/tests/plane/directory/member_planner_test.cpp
@@ -30,7 +30,8 @@
     }
 
     /// A planner that heard all members but `dead` until shortly before `now`.
-    static member_planner listening(const replication_view& view, replica_id dead, instant now) {
+    static member_planner planner_with_silent_member(const replication_view& view, replica_id dead,
+                                                     instant now) {
         member_planner planner({});
         planner.start(at(0));
         for (const auto& [id, member] : view.members.members) {
@@ -43,7 +44,7 @@
         // Found on a day that emptied a machine for good and then wiped another one: two of four
         // voters were left, and no majority ever again.
         const replication_view view = voters(4);
-        const auto next = listening(view, 3, at(6000)).plan(view, self, at(6000));
+        const auto next = planner_with_silent_member(view, 3, at(6000)).plan(view, self, at(6000));
         CPPUNIT_ASSERT(next.has_value());
         CPPUNIT_ASSERT(!next->members.contains(3));
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, next->voter_count());
@@ -51,14 +52,15 @@
 
     void silent_voter_is_kept_when_too_few_would_remain() {
         const replication_view view = voters(3);
-        CPPUNIT_ASSERT(!listening(view, 3, at(6000)).plan(view, self, at(6000)).has_value());
+        CPPUNIT_ASSERT(
+            !planner_with_silent_member(view, 3, at(6000)).plan(view, self, at(6000)).has_value());
     }
 
     void silent_voter_is_removed_for_caught_up_learner() {
         replication_view view = voters(5);
         view.members.members[9] = {"10.0.0.9:7000", true};
         view.matched[9] = 10;
-        const auto next = listening(view, 2, at(6000)).plan(view, self, at(6000));
+        const auto next = planner_with_silent_member(view, 2, at(6000)).plan(view, self, at(6000));
         CPPUNIT_ASSERT(next.has_value());
         CPPUNIT_ASSERT(!next->members.contains(2));
         CPPUNIT_ASSERT(next->members.contains(9));
@@ -66,7 +68,7 @@
 
     void replica_is_removed_when_its_node_joins_with_new_disk() {
         const replication_view view = voters(3);
-        member_planner planner = listening(view, 0, at(1000));
+        member_planner planner = planner_with_silent_member(view, 0, at(1000));
         planner.on_join({77, "10.0.0.2:7000"}, at(1000));
         const auto removed = planner.plan(view, self, at(1000));
         CPPUNIT_ASSERT(removed.has_value() && !removed->members.contains(2));
@@ -80,7 +82,7 @@
         replication_view view = voters(3);
         view.members.members[9] = {"10.0.0.9:7000", true};
         view.matched[9] = 2;
-        member_planner planner = listening(view, 0, at(1000));
+        member_planner planner = planner_with_silent_member(view, 0, at(1000));
         CPPUNIT_ASSERT(!planner.plan(view, self, at(1000)).has_value());
         view.matched[9] = 9;
         const auto next = planner.plan(view, self, at(1000));
