--- a/tests/plane/directory/member_planner_test.cpp
+++ b/tests/plane/directory/member_planner_test.cpp
@@ -29,13 +29,13 @@
         return view;
     }
 
-    /// A planner that heard all members but `dead` until shortly before `now`.
-    static member_planner planner_with_silent_member(const replication_view& view, replica_id dead,
-                                                     instant now) {
+    /// A planner that heard all members but `silent_member` until shortly before `now`.
+    static member_planner planner_with_silent_member(const replication_view& view,
+                                                     replica_id silent_member, instant now) {
         member_planner planner({});
         planner.start(at(0));
         for (const auto& [id, member] : view.members.members) {
-            planner.on_message(id, id == dead ? at(0) : now);
+            planner.on_message(id, id == silent_member ? at(0) : now);
         }
         return planner;
     }
