--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -11,7 +11,7 @@
 
 class store_planner_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_planner_test);
-    CPPUNIT_TEST(the_first_map_waits_for_enough_stores);
+    CPPUNIT_TEST(first_map_waits_for_enough_stores);
     CPPUNIT_TEST(a_new_disk_takes_the_place_of_the_old_one);
     CPPUNIT_TEST(a_new_disk_is_seen_while_the_old_one_still_counts_as_live);
     CPPUNIT_TEST(a_change_ends_only_when_each_new_member_has_copied);
@@ -68,7 +68,7 @@
         return members;
     }
 
-    void the_first_map_waits_for_enough_stores() {
+    void first_map_waits_for_enough_stores() {
         store_planner planner({});
         planner.start(at(0));
         report(planner, three()[0], at(1600));
