--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST_SUITE(store_planner_test);
     CPPUNIT_TEST(first_map_waits_for_enough_stores);
     CPPUNIT_TEST(new_disk_replaces_old_disk_of_same_node);
-    CPPUNIT_TEST(a_new_disk_is_seen_while_the_old_one_still_counts_as_live);
+    CPPUNIT_TEST(new_disk_replaces_old_disk_that_is_still_live);
     CPPUNIT_TEST(a_change_ends_only_when_each_new_member_has_copied);
     CPPUNIT_TEST(a_member_that_stays_and_is_away_does_not_hold_a_change_up);
     CPPUNIT_TEST(a_group_goes_on_from_what_survives_a_lost_majority);
@@ -95,7 +95,7 @@
         CPPUNIT_ASSERT(map->next == next);
     }
 
-    void a_new_disk_is_seen_while_the_old_one_still_counts_as_live() {
+    void new_disk_replaces_old_disk_that_is_still_live() {
         store_planner planner({});
         planner.start(at(0));
         for (const store_member& store : three()) {
