--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(first_map_waits_for_enough_stores);
     CPPUNIT_TEST(new_disk_replaces_old_disk_of_same_node);
     CPPUNIT_TEST(new_disk_replaces_old_disk_that_is_still_live);
-    CPPUNIT_TEST(a_change_ends_only_when_each_new_member_has_copied);
+    CPPUNIT_TEST(change_completes_only_when_new_members_have_copied);
     CPPUNIT_TEST(a_member_that_stays_and_is_away_does_not_hold_a_change_up);
     CPPUNIT_TEST(a_group_goes_on_from_what_survives_a_lost_majority);
     CPPUNIT_TEST(recovery_waits_while_a_node_could_not_read_its_map);
@@ -107,7 +107,7 @@
         CPPUNIT_ASSERT(map.has_value() && map->next == next);
     }
 
-    void a_change_ends_only_when_each_new_member_has_copied() {
+    void change_completes_only_when_new_members_have_copied() {
         const std::vector<store_member> next{three()[0], three()[1], member(30, "3")};
         const directory_state state = with_map(three(), next);
         store_planner planner({});
