--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(new_disk_replaces_old_disk_that_is_still_live);
     CPPUNIT_TEST(change_completes_only_when_new_members_have_copied);
     CPPUNIT_TEST(change_completes_without_copy_at_one_remaining_member);
-    CPPUNIT_TEST(a_group_goes_on_from_what_survives_a_lost_majority);
+    CPPUNIT_TEST(group_recovers_from_survivors_of_lost_majority);
     CPPUNIT_TEST(recovery_waits_while_a_node_could_not_read_its_map);
     CPPUNIT_TEST(silence_alone_is_no_lost_majority);
     CPPUNIT_TEST(a_group_without_any_disk_left_goes_on_with_new_ones);
@@ -147,7 +147,7 @@
         return planned(planner, state, at(3000));
     }
 
-    void a_group_goes_on_from_what_survives_a_lost_majority() {
+    void group_recovers_from_survivors_of_lost_majority() {
         const std::vector<store_member> next{member(10, "1"), three()[1], three()[2]};
         store_planner planner({});
         const auto map = after_two_lost_disks(planner, with_map(three(), next));
