--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(change_completes_only_when_new_members_have_copied);
     CPPUNIT_TEST(change_completes_without_copy_at_one_remaining_member);
     CPPUNIT_TEST(group_recovers_from_survivors_of_lost_majority);
-    CPPUNIT_TEST(recovery_waits_while_a_node_could_not_read_its_map);
+    CPPUNIT_TEST(recovery_is_deferred_until_allowed);
     CPPUNIT_TEST(silence_alone_is_no_lost_majority);
     CPPUNIT_TEST(a_group_without_any_disk_left_goes_on_with_new_ones);
     CPPUNIT_TEST(members_that_are_emptied_together_still_give_their_copies);
@@ -162,7 +162,7 @@
     }
 
     /// A store or forwarder of the build before would count a majority of what survives.
-    void recovery_waits_while_a_node_could_not_read_its_map() {
+    void recovery_is_deferred_until_allowed() {
         const std::vector<store_member> next{member(10, "1"), three()[1], three()[2]};
         const directory_state state = with_map(three(), next);
         store_planner planner({});
