--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(change_completes_without_copy_at_one_remaining_member);
     CPPUNIT_TEST(group_recovers_from_survivors_of_lost_majority);
     CPPUNIT_TEST(recovery_is_deferred_until_allowed);
-    CPPUNIT_TEST(silence_alone_is_no_lost_majority);
+    CPPUNIT_TEST(silence_alone_does_not_start_recovery);
     CPPUNIT_TEST(a_group_without_any_disk_left_goes_on_with_new_ones);
     CPPUNIT_TEST(members_that_are_emptied_together_still_give_their_copies);
     CPPUNIT_TEST(a_group_goes_on_without_a_machine_that_is_gone_for_good);
@@ -174,7 +174,7 @@
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
     }
 
-    void silence_alone_is_no_lost_majority() {
+    void silence_alone_does_not_start_recovery() {
         store_planner planner({});
         planner.start(at(0));
         report(planner, three()[0], at(60'000));
