--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -19,7 +19,7 @@
     CPPUNIT_TEST(group_recovers_from_survivors_of_lost_majority);
     CPPUNIT_TEST(recovery_is_deferred_until_allowed);
     CPPUNIT_TEST(silence_alone_does_not_start_recovery);
-    CPPUNIT_TEST(a_group_without_any_disk_left_goes_on_with_new_ones);
+    CPPUNIT_TEST(group_without_surviving_disks_recovers_on_new_ones);
     CPPUNIT_TEST(members_that_are_emptied_together_still_give_their_copies);
     CPPUNIT_TEST(a_group_goes_on_without_a_machine_that_is_gone_for_good);
     CPPUNIT_TEST(a_member_that_is_only_dark_is_waited_for);
@@ -181,7 +181,7 @@
         CPPUNIT_ASSERT(!planner.plan(with_map(three()), at(60'000)).has_value());
     }
 
-    void a_group_without_any_disk_left_goes_on_with_new_ones() {
+    void group_without_surviving_disks_recovers_on_new_ones() {
         store_planner planner({});
         planner.start(at(0));
         for (const char* node : {"1", "2", "3"}) {
