--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST(recovery_is_deferred_until_allowed);
     CPPUNIT_TEST(silence_alone_does_not_start_recovery);
     CPPUNIT_TEST(group_without_surviving_disks_recovers_on_new_ones);
-    CPPUNIT_TEST(members_that_are_emptied_together_still_give_their_copies);
+    CPPUNIT_TEST(retired_members_remain_copy_sources);
     CPPUNIT_TEST(a_group_goes_on_without_a_machine_that_is_gone_for_good);
     CPPUNIT_TEST(a_member_that_is_only_dark_is_waited_for);
     CPPUNIT_TEST(a_member_that_comes_back_gives_what_only_it_holds);
@@ -198,7 +198,7 @@
         return with_map(three(), {member(40, "4"), three()[1], three()[2]});
     }
 
-    void members_that_are_emptied_together_still_give_their_copies() {
+    void retired_members_remain_copy_sources() {
         directory_state state = with_map(three());
         state.apply(retire_store{"1", {1}});
         state.apply(retire_store{"2", {2}});
