--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -21,7 +21,7 @@
     CPPUNIT_TEST(silence_alone_does_not_start_recovery);
     CPPUNIT_TEST(group_without_surviving_disks_recovers_on_new_ones);
     CPPUNIT_TEST(retired_members_remain_copy_sources);
-    CPPUNIT_TEST(a_group_goes_on_without_a_machine_that_is_gone_for_good);
+    CPPUNIT_TEST(group_recovers_without_permanently_silent_node);
     CPPUNIT_TEST(a_member_that_is_only_dark_is_waited_for);
     CPPUNIT_TEST(a_member_that_comes_back_gives_what_only_it_holds);
     CPPUNIT_TEST(doubt_ends_once_lost_turns_would_have_expired);
@@ -220,7 +220,7 @@
     // to it was open, another member lost its disk. Cause: the machine that was gone was only
     // silent, so its disk didn't count as lost, and the change waited for a majority that needed
     // it. Settled by: reading; a machine's successor at another name tells nothing of the machine.
-    void a_group_goes_on_without_a_machine_that_is_gone_for_good() {
+    void group_recovers_without_permanently_silent_node() {
         directory_state state = with_open_change();
         store_planner planner({});
         planner.start(at(0));
