--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -22,7 +22,7 @@
     CPPUNIT_TEST(group_without_surviving_disks_recovers_on_new_ones);
     CPPUNIT_TEST(retired_members_remain_copy_sources);
     CPPUNIT_TEST(group_recovers_without_permanently_silent_node);
-    CPPUNIT_TEST(a_member_that_is_only_dark_is_waited_for);
+    CPPUNIT_TEST(recovery_waits_for_unreachable_member);
     CPPUNIT_TEST(a_member_that_comes_back_gives_what_only_it_holds);
     CPPUNIT_TEST(doubt_ends_once_lost_turns_would_have_expired);
     CPPUNIT_TEST(a_change_whose_new_member_died_is_planned_again);
@@ -247,7 +247,7 @@
         CPPUNIT_ASSERT(!map.holds(1));
     }
 
-    void a_member_that_is_only_dark_is_waited_for() {
+    void recovery_waits_for_unreachable_member() {
         directory_state state = with_map(three());
         store_planner planner({});
         planner.start(at(0));
