--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -23,7 +23,7 @@
     CPPUNIT_TEST(retired_members_remain_copy_sources);
     CPPUNIT_TEST(group_recovers_without_permanently_silent_node);
     CPPUNIT_TEST(recovery_waits_for_unreachable_member);
-    CPPUNIT_TEST(a_member_that_comes_back_gives_what_only_it_holds);
+    CPPUNIT_TEST(returning_member_is_readmitted_as_copy_source);
     CPPUNIT_TEST(doubt_ends_once_lost_turns_would_have_expired);
     CPPUNIT_TEST(a_change_whose_new_member_died_is_planned_again);
     CPPUNIT_TEST(a_retired_store_leaves_and_does_not_return);
@@ -262,7 +262,7 @@
         CPPUNIT_ASSERT(state.stores().groups.front().holds(1));
     }
 
-    void a_member_that_comes_back_gives_what_only_it_holds() {
+    void returning_member_is_readmitted_as_copy_source() {
         const std::vector<store_member> members{three()[1], member(40, "4"), member(30, "3")};
         directory_state state;
         store_map going_on{1, members, {}, 0, true};
