--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -24,7 +24,7 @@
     CPPUNIT_TEST(group_recovers_without_permanently_silent_node);
     CPPUNIT_TEST(recovery_waits_for_unreachable_member);
     CPPUNIT_TEST(returning_member_is_readmitted_as_copy_source);
-    CPPUNIT_TEST(doubt_ends_once_lost_turns_would_have_expired);
+    CPPUNIT_TEST(after_loss_is_cleared_when_lost_turns_have_expired);
     CPPUNIT_TEST(a_change_whose_new_member_died_is_planned_again);
     CPPUNIT_TEST(a_retired_store_leaves_and_does_not_return);
     CPPUNIT_TEST(a_store_is_not_retired_when_too_few_would_remain);
@@ -283,7 +283,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->next.size());
     }
 
-    void doubt_ends_once_lost_turns_would_have_expired() {
+    void after_loss_is_cleared_when_lost_turns_have_expired() {
         directory_state state;
         state.apply(change_store_groups{{store_map{1, three(), {}, 0, true}}});
         store_planner planner({});
