--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -25,7 +25,7 @@
     CPPUNIT_TEST(recovery_waits_for_unreachable_member);
     CPPUNIT_TEST(returning_member_is_readmitted_as_copy_source);
     CPPUNIT_TEST(after_loss_is_cleared_when_lost_turns_have_expired);
-    CPPUNIT_TEST(a_change_whose_new_member_died_is_planned_again);
+    CPPUNIT_TEST(change_is_replanned_when_joining_member_is_silent);
     CPPUNIT_TEST(a_retired_store_leaves_and_does_not_return);
     CPPUNIT_TEST(a_store_is_not_retired_when_too_few_would_remain);
     CPPUNIT_TEST(a_lost_disk_is_not_counted_as_a_store_that_would_remain);
@@ -302,7 +302,7 @@
         CPPUNIT_ASSERT(certain->current == three() && !certain->changing());
     }
 
-    void a_change_whose_new_member_died_is_planned_again() {
+    void change_is_replanned_when_joining_member_is_silent() {
         const std::vector<store_member> next{three()[0], three()[1], three()[2], member(40, "4")};
         const directory_state state = with_map(three(), next);
         store_planner planner({});
