--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -26,7 +26,7 @@
     CPPUNIT_TEST(returning_member_is_readmitted_as_copy_source);
     CPPUNIT_TEST(after_loss_is_cleared_when_lost_turns_have_expired);
     CPPUNIT_TEST(change_is_replanned_when_joining_member_is_silent);
-    CPPUNIT_TEST(a_retired_store_leaves_and_does_not_return);
+    CPPUNIT_TEST(retired_store_is_removed_and_not_readmitted);
     CPPUNIT_TEST(a_store_is_not_retired_when_too_few_would_remain);
     CPPUNIT_TEST(a_lost_disk_is_not_counted_as_a_store_that_would_remain);
     CPPUNIT_TEST(no_store_is_retired_below_a_group_before_there_are_groups);
@@ -316,7 +316,7 @@
         CPPUNIT_ASSERT(again->next == three());
     }
 
-    void a_retired_store_leaves_and_does_not_return() {
+    void retired_store_is_removed_and_not_readmitted() {
         std::vector<store_member> four = three();
         four.push_back(member(4, "4"));
         directory_state state = with_map(four);
