--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -27,7 +27,7 @@
     CPPUNIT_TEST(after_loss_is_cleared_when_lost_turns_have_expired);
     CPPUNIT_TEST(change_is_replanned_when_joining_member_is_silent);
     CPPUNIT_TEST(retired_store_is_removed_and_not_readmitted);
-    CPPUNIT_TEST(a_store_is_not_retired_when_too_few_would_remain);
+    CPPUNIT_TEST(retirement_is_refused_when_too_few_would_remain);
     CPPUNIT_TEST(a_lost_disk_is_not_counted_as_a_store_that_would_remain);
     CPPUNIT_TEST(no_store_is_retired_below_a_group_before_there_are_groups);
     CPPUNIT_TEST(a_silent_store_is_left_out_while_enough_remain);
@@ -335,7 +335,7 @@
         CPPUNIT_ASSERT(!planner.plan(after, at(3000)).has_value());
     }
 
-    void a_store_is_not_retired_when_too_few_would_remain() {
+    void retirement_is_refused_when_too_few_would_remain() {
         const store_planner planner({});
         CPPUNIT_ASSERT(!planner.may_retire(with_map(three()), "1"));
         std::vector<store_member> four = three();
