--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -28,7 +28,7 @@
     CPPUNIT_TEST(change_is_replanned_when_joining_member_is_silent);
     CPPUNIT_TEST(retired_store_is_removed_and_not_readmitted);
     CPPUNIT_TEST(retirement_is_refused_when_too_few_would_remain);
-    CPPUNIT_TEST(a_lost_disk_is_not_counted_as_a_store_that_would_remain);
+    CPPUNIT_TEST(replaced_disk_does_not_count_as_remaining_store);
     CPPUNIT_TEST(no_store_is_retired_below_a_group_before_there_are_groups);
     CPPUNIT_TEST(a_silent_store_is_left_out_while_enough_remain);
     CPPUNIT_TEST(many_stores_form_groups_spread_over_zones);
@@ -351,7 +351,7 @@
     // Cause: the leader counted the disk that was gone beside the new one, so four seemed to be
     // there. Settled by: the simulation, which emptied one of three machines as soon as a disk was
     // lost.
-    void a_lost_disk_is_not_counted_as_a_store_that_would_remain() {
+    void replaced_disk_does_not_count_as_remaining_store() {
         store_planner planner({});
         planner.start(at(0));
         for (const store_member& store : three()) {
