--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -29,7 +29,7 @@
     CPPUNIT_TEST(retired_store_is_removed_and_not_readmitted);
     CPPUNIT_TEST(retirement_is_refused_when_too_few_would_remain);
     CPPUNIT_TEST(replaced_disk_does_not_count_as_remaining_store);
-    CPPUNIT_TEST(no_store_is_retired_below_a_group_before_there_are_groups);
+    CPPUNIT_TEST(retirement_before_formation_leaves_one_full_group);
     CPPUNIT_TEST(a_silent_store_is_left_out_while_enough_remain);
     CPPUNIT_TEST(many_stores_form_groups_spread_over_zones);
     CPPUNIT_TEST(a_lost_member_is_replaced_by_a_store_that_stands_by);
@@ -362,7 +362,7 @@
         CPPUNIT_ASSERT(!planner.may_retire(with_map(now_current), "1"));
     }
 
-    void no_store_is_retired_below_a_group_before_there_are_groups() {
+    void retirement_before_formation_leaves_one_full_group() {
         store_planner planner({});
         planner.start(at(0));
         for (const store_member& store : three()) {
