--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -30,7 +30,7 @@
     CPPUNIT_TEST(retirement_is_refused_when_too_few_would_remain);
     CPPUNIT_TEST(replaced_disk_does_not_count_as_remaining_store);
     CPPUNIT_TEST(retirement_before_formation_leaves_one_full_group);
-    CPPUNIT_TEST(a_silent_store_is_left_out_while_enough_remain);
+    CPPUNIT_TEST(silent_store_is_removed_while_enough_remain);
     CPPUNIT_TEST(many_stores_form_groups_spread_over_zones);
     CPPUNIT_TEST(a_lost_member_is_replaced_by_a_store_that_stands_by);
     CPPUNIT_TEST(two_groups_never_choose_the_same_store);
@@ -373,7 +373,7 @@
         CPPUNIT_ASSERT(planner.may_retire({}, "1"));
     }
 
-    void a_silent_store_is_left_out_while_enough_remain() {
+    void silent_store_is_removed_while_enough_remain() {
         std::vector<store_member> four = three();
         four.push_back(member(4, "4"));
         store_planner planner({});
