--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -31,7 +31,7 @@
     CPPUNIT_TEST(replaced_disk_does_not_count_as_remaining_store);
     CPPUNIT_TEST(retirement_before_formation_leaves_one_full_group);
     CPPUNIT_TEST(silent_store_is_removed_while_enough_remain);
-    CPPUNIT_TEST(many_stores_form_groups_spread_over_zones);
+    CPPUNIT_TEST(groups_are_spread_over_zones);
     CPPUNIT_TEST(a_lost_member_is_replaced_by_a_store_that_stands_by);
     CPPUNIT_TEST(two_groups_never_choose_the_same_store);
     CPPUNIT_TEST(a_group_does_not_shrink_while_no_store_stands_by);
@@ -417,7 +417,7 @@
         return state;
     }
 
-    void many_stores_form_groups_spread_over_zones() {
+    void groups_are_spread_over_zones() {
         const directory_state state = formed(with_two_losses(in_six_zones(36), at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, state.stores().groups.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{30}, state.stores().all().size());
