--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -32,7 +32,7 @@
     CPPUNIT_TEST(retirement_before_formation_leaves_one_full_group);
     CPPUNIT_TEST(silent_store_is_removed_while_enough_remain);
     CPPUNIT_TEST(groups_are_spread_over_zones);
-    CPPUNIT_TEST(a_lost_member_is_replaced_by_a_store_that_stands_by);
+    CPPUNIT_TEST(silent_member_is_replaced_by_spare_store);
     CPPUNIT_TEST(two_groups_never_choose_the_same_store);
     CPPUNIT_TEST(a_group_does_not_shrink_while_no_store_stands_by);
     CPPUNIT_TEST(a_store_that_stands_by_can_be_emptied);
@@ -434,7 +434,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, few.stores().all().size());
     }
 
-    void a_lost_member_is_replaced_by_a_store_that_stands_by() {
+    void silent_member_is_replaced_by_spare_store() {
         std::vector<store_member> stores = in_six_zones(36);
         const directory_state state = formed(with_two_losses(stores, at(1600)), at(1600));
         const store_member lost = state.stores().groups[2].current[1];
