--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -33,7 +33,7 @@
     CPPUNIT_TEST(silent_store_is_removed_while_enough_remain);
     CPPUNIT_TEST(groups_are_spread_over_zones);
     CPPUNIT_TEST(silent_member_is_replaced_by_spare_store);
-    CPPUNIT_TEST(two_groups_never_choose_the_same_store);
+    CPPUNIT_TEST(groups_never_choose_the_same_store);
     CPPUNIT_TEST(a_group_does_not_shrink_while_no_store_stands_by);
     CPPUNIT_TEST(a_store_that_stands_by_can_be_emptied);
     CPPUNIT_TEST_SUITE_END();
@@ -453,7 +453,7 @@
         }
     }
 
-    void two_groups_never_choose_the_same_store() {
+    void groups_never_choose_the_same_store() {
         std::vector<store_member> stores = in_six_zones(13);
         directory_state state = formed(with_two_losses(stores, at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, state.stores().groups.size());
