--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -34,7 +34,7 @@
     CPPUNIT_TEST(groups_are_spread_over_zones);
     CPPUNIT_TEST(silent_member_is_replaced_by_spare_store);
     CPPUNIT_TEST(groups_never_choose_the_same_store);
-    CPPUNIT_TEST(a_group_does_not_shrink_while_no_store_stands_by);
+    CPPUNIT_TEST(group_does_not_shrink_without_spare_store);
     CPPUNIT_TEST(a_store_that_stands_by_can_be_emptied);
     CPPUNIT_TEST_SUITE_END();
 
@@ -475,7 +475,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{10}, members.size());
     }
 
-    void a_group_does_not_shrink_while_no_store_stands_by() {
+    void group_does_not_shrink_without_spare_store() {
         directory_state state = with_map(three());
         state.apply(retire_store{"1", {}});
         store_planner planner({});
