--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -35,7 +35,7 @@
     CPPUNIT_TEST(silent_member_is_replaced_by_spare_store);
     CPPUNIT_TEST(groups_never_choose_the_same_store);
     CPPUNIT_TEST(group_does_not_shrink_without_spare_store);
-    CPPUNIT_TEST(a_store_that_stands_by_can_be_emptied);
+    CPPUNIT_TEST(spare_store_can_be_retired);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
@@ -488,7 +488,7 @@
         CPPUNIT_ASSERT(planner.plan(state, at(3000)).has_value());
     }
 
-    void a_store_that_stands_by_can_be_emptied() {
+    void spare_store_can_be_retired() {
         const std::vector<store_member> stores = in_six_zones(36);
         const store_planner planner = with_two_losses(stores, at(1600));
         directory_state state = formed(planner, at(1600));
