--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -62,7 +62,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, change->maps.size());
         return change->maps.front();
     }
-    static const std::vector<store_member>& three() {
+    static const std::vector<store_member>& three_stores() {
         static const std::vector<store_member> members{member(1, "1"), member(2, "2"),
                                                        member(3, "3")};
         return members;
@@ -71,10 +71,10 @@
     void first_map_waits_for_enough_stores() {
         store_planner planner({});
         planner.start(at(0));
-        report(planner, three()[0], at(1600));
-        report(planner, three()[1], at(1600));
+        report(planner, three_stores()[0], at(1600));
+        report(planner, three_stores()[1], at(1600));
         CPPUNIT_ASSERT(!planner.plan({}, at(1600)).has_value());
-        report(planner, three()[2], at(1600));
+        report(planner, three_stores()[2], at(1600));
         const auto map = planned(planner, {}, at(1600));
         CPPUNIT_ASSERT(map.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->current.size());
@@ -84,32 +84,32 @@
     void new_disk_replaces_old_disk_of_same_node() {
         store_planner planner({});
         planner.start(at(0));
-        report(planner, three()[0], at(3000));
-        report(planner, three()[1], at(3000));
+        report(planner, three_stores()[0], at(3000));
+        report(planner, three_stores()[1], at(3000));
         report(planner, member(30, "3"), at(3000));
-        const auto map = planned(planner, with_map(three()), at(3000));
+        const auto map = planned(planner, with_map(three_stores()), at(3000));
         CPPUNIT_ASSERT(map.has_value());
         CPPUNIT_ASSERT_EQUAL(turns::map_epoch{2}, map->epoch);
-        CPPUNIT_ASSERT(map->current == three());
-        const std::vector<store_member> next{three()[0], three()[1], member(30, "3")};
+        CPPUNIT_ASSERT(map->current == three_stores());
+        const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
         CPPUNIT_ASSERT(map->next == next);
     }
 
     void new_disk_replaces_old_disk_that_is_still_live() {
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(2800));
         }
         report(planner, member(30, "3"), at(3000));
-        const auto map = planned(planner, with_map(three()), at(3000));
-        const std::vector<store_member> next{three()[0], three()[1], member(30, "3")};
+        const auto map = planned(planner, with_map(three_stores()), at(3000));
+        const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
         CPPUNIT_ASSERT(map.has_value() && map->next == next);
     }
 
     void change_completes_only_when_new_members_have_copied() {
-        const std::vector<store_member> next{three()[0], three()[1], member(30, "3")};
-        const directory_state state = with_map(three(), next);
+        const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
+        const directory_state state = with_map(three_stores(), next);
         store_planner planner({});
         planner.start(at(0));
         report(planner, next[0], at(3000), 1);
@@ -123,8 +123,8 @@
     }
 
     void change_completes_without_copy_at_one_remaining_member() {
-        const std::vector<store_member> next{three()[0], three()[1], member(30, "3")};
-        const directory_state state = with_map(three(), next);
+        const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
+        const directory_state state = with_map(three_stores(), next);
         store_planner planner({});
         planner.start(at(0));
         report(planner, next[0], at(3000), 0);
@@ -142,18 +142,19 @@
                                                          const directory_state& state) {
         planner.start(at(0));
         report(planner, member(10, "1"), at(3000));
-        report(planner, three()[1], at(3000));
+        report(planner, three_stores()[1], at(3000));
         report(planner, member(30, "3"), at(3000));
         return planned(planner, state, at(3000));
     }
 
     void group_recovers_from_survivors_of_lost_majority() {
-        const std::vector<store_member> next{member(10, "1"), three()[1], three()[2]};
+        const std::vector<store_member> next{member(10, "1"), three_stores()[1], three_stores()[2]};
         store_planner planner({});
-        const auto map = after_two_lost_disks(planner, with_map(three(), next));
+        const auto map = after_two_lost_disks(planner, with_map(three_stores(), next));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
         // The successor may hold what only the second lost disk held.
-        const std::vector<store_member> survivors{three()[1], member(10, "1"), member(30, "3")};
+        const std::vector<store_member> survivors{three_stores()[1], member(10, "1"),
+                                                  member(30, "3")};
         CPPUNIT_ASSERT(map->current == survivors);
         CPPUNIT_ASSERT(map->next == survivors);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->copies_needed());
@@ -163,8 +164,8 @@
 
     /// A store or forwarder of the build before would count a majority of what survives.
     void recovery_is_deferred_until_allowed() {
-        const std::vector<store_member> next{member(10, "1"), three()[1], three()[2]};
-        const directory_state state = with_map(three(), next);
+        const std::vector<store_member> next{member(10, "1"), three_stores()[1], three_stores()[2]};
+        const directory_state state = with_map(three_stores(), next);
         store_planner planner({});
         planner.allow_recovery(false);
         CPPUNIT_ASSERT(!after_two_lost_disks(planner, state).has_value());
@@ -177,8 +178,8 @@
     void silence_alone_does_not_start_recovery() {
         store_planner planner({});
         planner.start(at(0));
-        report(planner, three()[0], at(60'000));
-        CPPUNIT_ASSERT(!planner.plan(with_map(three()), at(60'000)).has_value());
+        report(planner, three_stores()[0], at(60'000));
+        CPPUNIT_ASSERT(!planner.plan(with_map(three_stores()), at(60'000)).has_value());
     }
 
     void group_without_surviving_disks_recovers_on_new_ones() {
@@ -187,7 +188,7 @@
         for (const char* node : {"1", "2", "3"}) {
             report(planner, member(10 + static_cast<store_id>(node[0]), node), at(3000));
         }
-        const auto map = planned(planner, with_map(three()), at(3000));
+        const auto map = planned(planner, with_map(three_stores()), at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->current.size());
         CPPUNIT_ASSERT(map->current == map->next);
@@ -195,16 +196,16 @@
 
     /// Of a group that goes on without silent members, the directory's state.
     static directory_state with_open_change() {
-        return with_map(three(), {member(40, "4"), three()[1], three()[2]});
+        return with_map(three_stores(), {member(40, "4"), three_stores()[1], three_stores()[2]});
     }
 
     void retired_members_remain_copy_sources() {
-        directory_state state = with_map(three());
+        directory_state state = with_map(three_stores());
         state.apply(retire_store{"1", {1}});
         state.apply(retire_store{"2", {2}});
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(3000));
         }
         for (const char* node : {"4", "5"}) {
@@ -212,7 +213,7 @@
         }
         const auto map = planned(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value() && !map->after_loss);
-        CPPUNIT_ASSERT(map->current == three());
+        CPPUNIT_ASSERT(map->current == three_stores());
     }
 
     // Symptom: turns were refused for good, though three of four stores answered and wrote.
@@ -224,7 +225,7 @@
         directory_state state = with_open_change();
         store_planner planner({});
         planner.start(at(0));
-        const std::vector<store_member> alive{three()[1], member(40, "4"), member(30, "3")};
+        const std::vector<store_member> alive{three_stores()[1], member(40, "4"), member(30, "3")};
         const auto play_until = [&](int& now, int end) {
             for (; now < end; now += 100) {
                 for (const store_member& store : alive) {
@@ -243,16 +244,16 @@
         const store_map& map = state.stores().groups.front();
         CPPUNIT_ASSERT(map.after_loss && map.changing());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map.current.size());
-        CPPUNIT_ASSERT(map.absent == std::vector<store_member>{three()[0]});
+        CPPUNIT_ASSERT(map.absent == std::vector<store_member>{three_stores()[0]});
         CPPUNIT_ASSERT(!map.holds(1));
     }
 
     void recovery_waits_for_unreachable_member() {
-        directory_state state = with_map(three());
+        directory_state state = with_map(three_stores());
         store_planner planner({});
         planner.start(at(0));
         for (int now = 0; now < 60'000; now += 100) {
-            report(planner, three()[1], at(now));
+            report(planner, three_stores()[1], at(now));
             report(planner, member(30, "3"), at(now));
             if (const auto change = planner.plan(state, at(now))) {
                 state.apply(*change);
@@ -263,10 +264,11 @@
     }
 
     void returning_member_is_readmitted_as_copy_source() {
-        const std::vector<store_member> members{three()[1], member(40, "4"), member(30, "3")};
+        const std::vector<store_member> members{three_stores()[1], member(40, "4"),
+                                                member(30, "3")};
         directory_state state;
         store_map going_on{1, members, {}, 0, true};
-        going_on.absent = {three()[0]};
+        going_on.absent = {three_stores()[0]};
         state.apply(change_store_groups{{going_on}});
         store_planner planner({});
         planner.start(at(0));
@@ -274,7 +276,7 @@
             report(planner, store, at(3000));
         }
         CPPUNIT_ASSERT(!planner.plan(state, at(3000)).has_value());
-        report(planner, three()[0], at(3000));
+        report(planner, three_stores()[0], at(3000));
         const auto map = planned(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss && map->changing());
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, map->copies_needed());
@@ -285,12 +287,12 @@
 
     void after_loss_is_cleared_when_lost_turns_have_expired() {
         directory_state state;
-        state.apply(change_store_groups{{store_map{1, three(), {}, 0, true}}});
+        state.apply(change_store_groups{{store_map{1, three_stores(), {}, 0, true}}});
         store_planner planner({});
         planner.start(at(0));
         const auto planned_at = [&](int now) {
             planner.watch_losses(state, std::chrono::seconds(60), at(now));
-            for (const store_member& store : three()) {
+            for (const store_member& store : three_stores()) {
                 report(planner, store, at(now));
             }
             return planned(planner, state, at(now));
@@ -299,25 +301,26 @@
         CPPUNIT_ASSERT(!planned_at(63'000).has_value());
         const auto certain = planned_at(63'100);
         CPPUNIT_ASSERT(certain.has_value() && !certain->after_loss);
-        CPPUNIT_ASSERT(certain->current == three() && !certain->changing());
+        CPPUNIT_ASSERT(certain->current == three_stores() && !certain->changing());
     }
 
     void change_is_replanned_when_joining_member_is_silent() {
-        const std::vector<store_member> next{three()[0], three()[1], three()[2], member(40, "4")};
-        const directory_state state = with_map(three(), next);
+        const std::vector<store_member> next{three_stores()[0], three_stores()[1],
+                                             three_stores()[2], member(40, "4")};
+        const directory_state state = with_map(three_stores(), next);
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(3000), 1);
         }
         const auto again = planned(planner, state, at(3000));
         CPPUNIT_ASSERT(again.has_value());
-        CPPUNIT_ASSERT(again->current == three());
-        CPPUNIT_ASSERT(again->next == three());
+        CPPUNIT_ASSERT(again->current == three_stores());
+        CPPUNIT_ASSERT(again->next == three_stores());
     }
 
     void retired_store_is_removed_and_not_readmitted() {
-        std::vector<store_member> four = three();
+        std::vector<store_member> four = three_stores();
         four.push_back(member(4, "4"));
         directory_state state = with_map(four);
         state.apply(retire_store{"4", {}});
@@ -328,17 +331,17 @@
         }
         const auto map = planned(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value());
-        CPPUNIT_ASSERT(map->next == three());
-        directory_state after = with_map(four, three());
+        CPPUNIT_ASSERT(map->next == three_stores());
+        directory_state after = with_map(four, three_stores());
         after.apply(retire_store{"4", {}});
-        after.apply(change_store_groups{{store_map{2, three(), {}}}});
+        after.apply(change_store_groups{{store_map{2, three_stores(), {}}}});
         CPPUNIT_ASSERT(!planner.plan(after, at(3000)).has_value());
     }
 
     void retirement_is_refused_when_too_few_would_remain() {
         const store_planner planner({});
-        CPPUNIT_ASSERT(!planner.may_retire(with_map(three()), "1"));
-        std::vector<store_member> four = three();
+        CPPUNIT_ASSERT(!planner.may_retire(with_map(three_stores()), "1"));
+        std::vector<store_member> four = three_stores();
         four.push_back(member(4, "4"));
         directory_state state = with_map(four);
         CPPUNIT_ASSERT(planner.may_retire(state, "1"));
@@ -354,18 +357,19 @@
     void replaced_disk_does_not_count_as_remaining_store() {
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(100));
         }
         report(planner, member(30, "3"), at(3000));
-        const std::vector<store_member> now_current{three()[0], three()[1], member(30, "3")};
+        const std::vector<store_member> now_current{three_stores()[0], three_stores()[1],
+                                                    member(30, "3")};
         CPPUNIT_ASSERT(!planner.may_retire(with_map(now_current), "1"));
     }
 
     void retirement_before_formation_leaves_one_full_group() {
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(100));
         }
         CPPUNIT_ASSERT(!planner.may_retire({}, "1"));
@@ -374,20 +378,20 @@
     }
 
     void silent_store_is_removed_while_enough_remain() {
-        std::vector<store_member> four = three();
+        std::vector<store_member> four = three_stores();
         four.push_back(member(4, "4"));
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(8000));
         }
         const auto map = planned(planner, with_map(four), at(8000));
-        CPPUNIT_ASSERT(map.has_value() && map->next == three());
+        CPPUNIT_ASSERT(map.has_value() && map->next == three_stores());
         store_planner fewer({});
         fewer.start(at(0));
-        report(fewer, three()[0], at(8000));
-        report(fewer, three()[1], at(8000));
-        CPPUNIT_ASSERT(!fewer.plan(with_map(three()), at(8000)).has_value());
+        report(fewer, three_stores()[0], at(8000));
+        report(fewer, three_stores()[1], at(8000));
+        CPPUNIT_ASSERT(!fewer.plan(with_map(three_stores()), at(8000)).has_value());
     }
 
     /// `count` stores in six zones, as the large deployments have them.
@@ -476,11 +480,11 @@
     }
 
     void group_does_not_shrink_without_spare_store() {
-        directory_state state = with_map(three());
+        directory_state state = with_map(three_stores());
         state.apply(retire_store{"1", {}});
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(3000));
         }
         CPPUNIT_ASSERT(!planner.plan(state, at(3000)).has_value());
