--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -42,8 +42,8 @@
     static store_member member(store_id id, const std::string& node) {
         return {id, node, "10.0.0." + node + ":7000", "zone"};
     }
-    static directory_state with_map(std::vector<store_member> current,
-                                    std::vector<store_member> next = {}) {
+    static directory_state state_with_map(std::vector<store_member> current,
+                                          std::vector<store_member> next = {}) {
         directory_state state;
         state.apply(change_store_groups{{store_map{1, std::move(current), std::move(next)}}});
         return state;
@@ -87,7 +87,7 @@
         report(planner, three_stores()[0], at(3000));
         report(planner, three_stores()[1], at(3000));
         report(planner, member(30, "3"), at(3000));
-        const auto map = planned(planner, with_map(three_stores()), at(3000));
+        const auto map = planned(planner, state_with_map(three_stores()), at(3000));
         CPPUNIT_ASSERT(map.has_value());
         CPPUNIT_ASSERT_EQUAL(turns::map_epoch{2}, map->epoch);
         CPPUNIT_ASSERT(map->current == three_stores());
@@ -102,14 +102,14 @@
             report(planner, store, at(2800));
         }
         report(planner, member(30, "3"), at(3000));
-        const auto map = planned(planner, with_map(three_stores()), at(3000));
+        const auto map = planned(planner, state_with_map(three_stores()), at(3000));
         const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
         CPPUNIT_ASSERT(map.has_value() && map->next == next);
     }
 
     void change_completes_only_when_new_members_have_copied() {
         const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
-        const directory_state state = with_map(three_stores(), next);
+        const directory_state state = state_with_map(three_stores(), next);
         store_planner planner({});
         planner.start(at(0));
         report(planner, next[0], at(3000), 1);
@@ -124,7 +124,7 @@
 
     void change_completes_without_copy_at_one_remaining_member() {
         const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
-        const directory_state state = with_map(three_stores(), next);
+        const directory_state state = state_with_map(three_stores(), next);
         store_planner planner({});
         planner.start(at(0));
         report(planner, next[0], at(3000), 0);
@@ -150,7 +150,7 @@
     void group_recovers_from_survivors_of_lost_majority() {
         const std::vector<store_member> next{member(10, "1"), three_stores()[1], three_stores()[2]};
         store_planner planner({});
-        const auto map = after_two_lost_disks(planner, with_map(three_stores(), next));
+        const auto map = after_two_lost_disks(planner, state_with_map(three_stores(), next));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
         // The successor may hold what only the second lost disk held.
         const std::vector<store_member> survivors{three_stores()[1], member(10, "1"),
@@ -165,7 +165,7 @@
     /// A store or forwarder of the build before would count a majority of what survives.
     void recovery_is_deferred_until_allowed() {
         const std::vector<store_member> next{member(10, "1"), three_stores()[1], three_stores()[2]};
-        const directory_state state = with_map(three_stores(), next);
+        const directory_state state = state_with_map(three_stores(), next);
         store_planner planner({});
         planner.allow_recovery(false);
         CPPUNIT_ASSERT(!after_two_lost_disks(planner, state).has_value());
@@ -179,7 +179,7 @@
         store_planner planner({});
         planner.start(at(0));
         report(planner, three_stores()[0], at(60'000));
-        CPPUNIT_ASSERT(!planner.plan(with_map(three_stores()), at(60'000)).has_value());
+        CPPUNIT_ASSERT(!planner.plan(state_with_map(three_stores()), at(60'000)).has_value());
     }
 
     void group_without_surviving_disks_recovers_on_new_ones() {
@@ -188,7 +188,7 @@
         for (const char* node : {"1", "2", "3"}) {
             report(planner, member(10 + static_cast<store_id>(node[0]), node), at(3000));
         }
-        const auto map = planned(planner, with_map(three_stores()), at(3000));
+        const auto map = planned(planner, state_with_map(three_stores()), at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->current.size());
         CPPUNIT_ASSERT(map->current == map->next);
@@ -196,11 +196,12 @@
 
     /// Of a group that goes on without silent members, the directory's state.
     static directory_state with_open_change() {
-        return with_map(three_stores(), {member(40, "4"), three_stores()[1], three_stores()[2]});
+        return state_with_map(three_stores(),
+                              {member(40, "4"), three_stores()[1], three_stores()[2]});
     }
 
     void retired_members_remain_copy_sources() {
-        directory_state state = with_map(three_stores());
+        directory_state state = state_with_map(three_stores());
         state.apply(retire_store{"1", {1}});
         state.apply(retire_store{"2", {2}});
         store_planner planner({});
@@ -249,7 +250,7 @@
     }
 
     void recovery_waits_for_unreachable_member() {
-        directory_state state = with_map(three_stores());
+        directory_state state = state_with_map(three_stores());
         store_planner planner({});
         planner.start(at(0));
         for (int now = 0; now < 60'000; now += 100) {
@@ -307,7 +308,7 @@
     void change_is_replanned_when_joining_member_is_silent() {
         const std::vector<store_member> next{three_stores()[0], three_stores()[1],
                                              three_stores()[2], member(40, "4")};
-        const directory_state state = with_map(three_stores(), next);
+        const directory_state state = state_with_map(three_stores(), next);
         store_planner planner({});
         planner.start(at(0));
         for (const store_member& store : three_stores()) {
@@ -322,7 +323,7 @@
     void retired_store_is_removed_and_not_readmitted() {
         std::vector<store_member> four = three_stores();
         four.push_back(member(4, "4"));
-        directory_state state = with_map(four);
+        directory_state state = state_with_map(four);
         state.apply(retire_store{"4", {}});
         store_planner planner({});
         planner.start(at(0));
@@ -332,7 +333,7 @@
         const auto map = planned(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value());
         CPPUNIT_ASSERT(map->next == three_stores());
-        directory_state after = with_map(four, three_stores());
+        directory_state after = state_with_map(four, three_stores());
         after.apply(retire_store{"4", {}});
         after.apply(change_store_groups{{store_map{2, three_stores(), {}}}});
         CPPUNIT_ASSERT(!planner.plan(after, at(3000)).has_value());
@@ -340,10 +341,10 @@
 
     void retirement_is_refused_when_too_few_would_remain() {
         const store_planner planner({});
-        CPPUNIT_ASSERT(!planner.may_retire(with_map(three_stores()), "1"));
+        CPPUNIT_ASSERT(!planner.may_retire(state_with_map(three_stores()), "1"));
         std::vector<store_member> four = three_stores();
         four.push_back(member(4, "4"));
-        directory_state state = with_map(four);
+        directory_state state = state_with_map(four);
         CPPUNIT_ASSERT(planner.may_retire(state, "1"));
         state.apply(retire_store{"4", {}});
         CPPUNIT_ASSERT(!planner.may_retire(state, "1"));
@@ -363,7 +364,7 @@
         report(planner, member(30, "3"), at(3000));
         const std::vector<store_member> now_current{three_stores()[0], three_stores()[1],
                                                     member(30, "3")};
-        CPPUNIT_ASSERT(!planner.may_retire(with_map(now_current), "1"));
+        CPPUNIT_ASSERT(!planner.may_retire(state_with_map(now_current), "1"));
     }
 
     void retirement_before_formation_leaves_one_full_group() {
@@ -385,13 +386,13 @@
         for (const store_member& store : three_stores()) {
             report(planner, store, at(8000));
         }
-        const auto map = planned(planner, with_map(four), at(8000));
+        const auto map = planned(planner, state_with_map(four), at(8000));
         CPPUNIT_ASSERT(map.has_value() && map->next == three_stores());
         store_planner fewer({});
         fewer.start(at(0));
         report(fewer, three_stores()[0], at(8000));
         report(fewer, three_stores()[1], at(8000));
-        CPPUNIT_ASSERT(!fewer.plan(with_map(three_stores()), at(8000)).has_value());
+        CPPUNIT_ASSERT(!fewer.plan(state_with_map(three_stores()), at(8000)).has_value());
     }
 
     /// `count` stores in six zones, as the large deployments have them.
@@ -480,7 +481,7 @@
     }
 
     void group_does_not_shrink_without_spare_store() {
-        directory_state state = with_map(three_stores());
+        directory_state state = state_with_map(three_stores());
         state.apply(retire_store{"1", {}});
         store_planner planner({});
         planner.start(at(0));
