--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -195,7 +195,7 @@
     }
 
     /// Of a group that goes on without silent members, the directory's state.
-    static directory_state with_open_change() {
+    static directory_state state_with_open_change() {
         return state_with_map(three_stores(),
                               {member(40, "4"), three_stores()[1], three_stores()[2]});
     }
@@ -223,7 +223,7 @@
     // silent, so its disk didn't count as lost, and the change waited for a majority that needed
     // it. Settled by: reading; a machine's successor at another name tells nothing of the machine.
     void group_recovers_without_permanently_silent_node() {
-        directory_state state = with_open_change();
+        directory_state state = state_with_open_change();
         store_planner planner({});
         planner.start(at(0));
         const std::vector<store_member> alive{three_stores()[1], member(40, "4"), member(30, "3")};
