--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -404,7 +404,8 @@
         }
         return members;
     }
-    static store_planner with_two_losses(const std::vector<store_member>& stores, instant now) {
+    static store_planner planner_for_two_losses(const std::vector<store_member>& stores,
+                                                instant now) {
         store_planner_settings settings;
         settings.losses = 2;
         store_planner planner(settings);
@@ -424,7 +425,7 @@
 
     void groups_are_spread_over_zones() {
         const directory_state state =
-            state_with_formed_groups(with_two_losses(in_six_zones(36), at(1600)), at(1600));
+            state_with_formed_groups(planner_for_two_losses(in_six_zones(36), at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, state.stores().groups.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{30}, state.stores().all().size());
         for (const store_map& map : state.stores().groups) {
@@ -436,7 +437,7 @@
         }
         // Too few for two groups with one that stands by each.
         const directory_state few =
-            state_with_formed_groups(with_two_losses(in_six_zones(8), at(1600)), at(1600));
+            state_with_formed_groups(planner_for_two_losses(in_six_zones(8), at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, few.stores().groups.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, few.stores().all().size());
     }
@@ -444,10 +445,10 @@
     void silent_member_is_replaced_by_spare_store() {
         std::vector<store_member> stores = in_six_zones(36);
         const directory_state state =
-            state_with_formed_groups(with_two_losses(stores, at(1600)), at(1600));
+            state_with_formed_groups(planner_for_two_losses(stores, at(1600)), at(1600));
         const store_member lost = state.stores().groups[2].current[1];
         std::erase(stores, lost);
-        const store_planner planner = with_two_losses(stores, at(8000));
+        const store_planner planner = planner_for_two_losses(stores, at(8000));
         const auto change = planner.plan(state, at(8000));
         CPPUNIT_ASSERT(change.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, change->maps.size());
@@ -464,11 +465,11 @@
     void groups_never_choose_the_same_store() {
         std::vector<store_member> stores = in_six_zones(13);
         directory_state state =
-            state_with_formed_groups(with_two_losses(stores, at(1600)), at(1600));
+            state_with_formed_groups(planner_for_two_losses(stores, at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, state.stores().groups.size());
         std::erase(stores, state.stores().groups[0].current[0]);
         std::erase(stores, state.stores().groups[1].current[0]);
-        const store_planner planner = with_two_losses(stores, at(8000));
+        const store_planner planner = planner_for_two_losses(stores, at(8000));
         for (int round = 0; round < 2; ++round) {
             const auto change = planner.plan(state, at(8000));
             CPPUNIT_ASSERT(change.has_value());
@@ -499,7 +500,7 @@
 
     void spare_store_can_be_retired() {
         const std::vector<store_member> stores = in_six_zones(36);
-        const store_planner planner = with_two_losses(stores, at(1600));
+        const store_planner planner = planner_for_two_losses(stores, at(1600));
         directory_state state = state_with_formed_groups(planner, at(1600));
         const auto standing_by = std::find_if(
             stores.begin(), stores.end(),
