--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -396,7 +396,7 @@
     }
 
     /// `count` stores in six zones, as the large deployments have them.
-    static std::vector<store_member> in_six_zones(std::size_t count) {
+    static std::vector<store_member> stores_in_six_zones(std::size_t count) {
         std::vector<store_member> members;
         for (std::size_t number = 0; number < count; ++number) {
             const std::string name = std::to_string(number + 1);
@@ -424,8 +424,8 @@
     }
 
     void groups_are_spread_over_zones() {
-        const directory_state state =
-            state_with_formed_groups(planner_for_two_losses(in_six_zones(36), at(1600)), at(1600));
+        const directory_state state = state_with_formed_groups(
+            planner_for_two_losses(stores_in_six_zones(36), at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, state.stores().groups.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{30}, state.stores().all().size());
         for (const store_map& map : state.stores().groups) {
@@ -436,14 +436,14 @@
             CPPUNIT_ASSERT_EQUAL(std::size_t{5}, zones.size());
         }
         // Too few for two groups with one that stands by each.
-        const directory_state few =
-            state_with_formed_groups(planner_for_two_losses(in_six_zones(8), at(1600)), at(1600));
+        const directory_state few = state_with_formed_groups(
+            planner_for_two_losses(stores_in_six_zones(8), at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, few.stores().groups.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, few.stores().all().size());
     }
 
     void silent_member_is_replaced_by_spare_store() {
-        std::vector<store_member> stores = in_six_zones(36);
+        std::vector<store_member> stores = stores_in_six_zones(36);
         const directory_state state =
             state_with_formed_groups(planner_for_two_losses(stores, at(1600)), at(1600));
         const store_member lost = state.stores().groups[2].current[1];
@@ -463,7 +463,7 @@
     }
 
     void groups_never_choose_the_same_store() {
-        std::vector<store_member> stores = in_six_zones(13);
+        std::vector<store_member> stores = stores_in_six_zones(13);
         directory_state state =
             state_with_formed_groups(planner_for_two_losses(stores, at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, state.stores().groups.size());
@@ -499,7 +499,7 @@
     }
 
     void spare_store_can_be_retired() {
-        const std::vector<store_member> stores = in_six_zones(36);
+        const std::vector<store_member> stores = stores_in_six_zones(36);
         const store_planner planner = planner_for_two_losses(stores, at(1600));
         directory_state state = state_with_formed_groups(planner, at(1600));
         const auto standing_by = std::find_if(
