--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -138,8 +138,8 @@
     }
 
     /// Two of the three disks of before are gone; the first one's successor has joined the change.
-    static std::optional<store_map> after_two_lost_disks(store_planner& planner,
-                                                         const directory_state& state) {
+    static std::optional<store_map> map_after_two_lost_disks(store_planner& planner,
+                                                             const directory_state& state) {
         planner.start(at(0));
         report(planner, member(10, "1"), at(3000));
         report(planner, three_stores()[1], at(3000));
@@ -150,7 +150,7 @@
     void group_recovers_from_survivors_of_lost_majority() {
         const std::vector<store_member> next{member(10, "1"), three_stores()[1], three_stores()[2]};
         store_planner planner({});
-        const auto map = after_two_lost_disks(planner, state_with_map(three_stores(), next));
+        const auto map = map_after_two_lost_disks(planner, state_with_map(three_stores(), next));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
         // The successor may hold what only the second lost disk held.
         const std::vector<store_member> survivors{three_stores()[1], member(10, "1"),
@@ -168,7 +168,7 @@
         const directory_state state = state_with_map(three_stores(), next);
         store_planner planner({});
         planner.allow_recovery(false);
-        CPPUNIT_ASSERT(!after_two_lost_disks(planner, state).has_value());
+        CPPUNIT_ASSERT(!map_after_two_lost_disks(planner, state).has_value());
         CPPUNIT_ASSERT(planner.any_group_needs_recovery(state, at(3000)));
         planner.allow_recovery(true);
         const auto map = planned(planner, state, at(3000));
