--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -53,8 +53,8 @@
         planner.on_report({store, copied}, now);
     }
     /// The map that is planned for the only group.
-    static std::optional<store_map> planned(const store_planner& planner,
-                                            const directory_state& state, instant now) {
+    static std::optional<store_map> planned_map(const store_planner& planner,
+                                                const directory_state& state, instant now) {
         const auto change = planner.plan(state, now);
         if (!change.has_value()) {
             return std::nullopt;
@@ -75,7 +75,7 @@
         report(planner, three_stores()[1], at(1600));
         CPPUNIT_ASSERT(!planner.plan({}, at(1600)).has_value());
         report(planner, three_stores()[2], at(1600));
-        const auto map = planned(planner, {}, at(1600));
+        const auto map = planned_map(planner, {}, at(1600));
         CPPUNIT_ASSERT(map.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->current.size());
         CPPUNIT_ASSERT(!map->changing());
@@ -87,7 +87,7 @@
         report(planner, three_stores()[0], at(3000));
         report(planner, three_stores()[1], at(3000));
         report(planner, member(30, "3"), at(3000));
-        const auto map = planned(planner, state_with_map(three_stores()), at(3000));
+        const auto map = planned_map(planner, state_with_map(three_stores()), at(3000));
         CPPUNIT_ASSERT(map.has_value());
         CPPUNIT_ASSERT_EQUAL(turns::map_epoch{2}, map->epoch);
         CPPUNIT_ASSERT(map->current == three_stores());
@@ -102,7 +102,7 @@
             report(planner, store, at(2800));
         }
         report(planner, member(30, "3"), at(3000));
-        const auto map = planned(planner, state_with_map(three_stores()), at(3000));
+        const auto map = planned_map(planner, state_with_map(three_stores()), at(3000));
         const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
         CPPUNIT_ASSERT(map.has_value() && map->next == next);
     }
@@ -117,7 +117,7 @@
         report(planner, next[2], at(3000), 0);
         CPPUNIT_ASSERT(!planner.plan(state, at(3000)).has_value());
         report(planner, next[2], at(3000), 1);
-        const auto done = planned(planner, state, at(3000));
+        const auto done = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(done.has_value() && !done->changing());
         CPPUNIT_ASSERT(done->current == next);
     }
@@ -132,7 +132,7 @@
         report(planner, next[2], at(3000), 0);
         CPPUNIT_ASSERT(!planner.plan(state, at(3000)).has_value());
         report(planner, next[2], at(3000), 1);
-        const auto done = planned(planner, state, at(3000));
+        const auto done = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(done.has_value() && !done->changing());
         CPPUNIT_ASSERT(done->current == next);
     }
@@ -144,7 +144,7 @@
         report(planner, member(10, "1"), at(3000));
         report(planner, three_stores()[1], at(3000));
         report(planner, member(30, "3"), at(3000));
-        return planned(planner, state, at(3000));
+        return planned_map(planner, state, at(3000));
     }
 
     void group_recovers_from_survivors_of_lost_majority() {
@@ -171,7 +171,7 @@
         CPPUNIT_ASSERT(!map_after_two_lost_disks(planner, state).has_value());
         CPPUNIT_ASSERT(planner.any_group_needs_recovery(state, at(3000)));
         planner.allow_recovery(true);
-        const auto map = planned(planner, state, at(3000));
+        const auto map = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
     }
 
@@ -188,7 +188,7 @@
         for (const char* node : {"1", "2", "3"}) {
             report(planner, member(10 + static_cast<store_id>(node[0]), node), at(3000));
         }
-        const auto map = planned(planner, state_with_map(three_stores()), at(3000));
+        const auto map = planned_map(planner, state_with_map(three_stores()), at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->current.size());
         CPPUNIT_ASSERT(map->current == map->next);
@@ -212,7 +212,7 @@
         for (const char* node : {"4", "5"}) {
             report(planner, member(40 + static_cast<store_id>(node[0]), node), at(3000));
         }
-        const auto map = planned(planner, state, at(3000));
+        const auto map = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value() && !map->after_loss);
         CPPUNIT_ASSERT(map->current == three_stores());
     }
@@ -278,7 +278,7 @@
         }
         CPPUNIT_ASSERT(!planner.plan(state, at(3000)).has_value());
         report(planner, three_stores()[0], at(3000));
-        const auto map = planned(planner, state, at(3000));
+        const auto map = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss && map->changing());
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, map->copies_needed());
         CPPUNIT_ASSERT(map->holds(1));
@@ -296,7 +296,7 @@
             for (const store_member& store : three_stores()) {
                 report(planner, store, at(now));
             }
-            return planned(planner, state, at(now));
+            return planned_map(planner, state, at(now));
         };
         CPPUNIT_ASSERT(!planned_at(3'000).has_value());
         CPPUNIT_ASSERT(!planned_at(63'000).has_value());
@@ -314,7 +314,7 @@
         for (const store_member& store : three_stores()) {
             report(planner, store, at(3000), 1);
         }
-        const auto again = planned(planner, state, at(3000));
+        const auto again = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(again.has_value());
         CPPUNIT_ASSERT(again->current == three_stores());
         CPPUNIT_ASSERT(again->next == three_stores());
@@ -330,7 +330,7 @@
         for (const store_member& store : four) {
             report(planner, store, at(3000));
         }
-        const auto map = planned(planner, state, at(3000));
+        const auto map = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value());
         CPPUNIT_ASSERT(map->next == three_stores());
         directory_state after = state_with_map(four, three_stores());
@@ -386,7 +386,7 @@
         for (const store_member& store : three_stores()) {
             report(planner, store, at(8000));
         }
-        const auto map = planned(planner, state_with_map(four), at(8000));
+        const auto map = planned_map(planner, state_with_map(four), at(8000));
         CPPUNIT_ASSERT(map.has_value() && map->next == three_stores());
         store_planner fewer({});
         fewer.start(at(0));
