--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -227,7 +227,7 @@
         store_planner planner({});
         planner.start(at(0));
         const std::vector<store_member> alive{three_stores()[1], member(40, "4"), member(30, "3")};
-        const auto play_until = [&](int& now, int end) {
+        const auto run_until = [&](int& now, int end) {
             for (; now < end; now += 100) {
                 for (const store_member& store : alive) {
                     report(planner, store, at(now));
@@ -238,10 +238,10 @@
             }
         };
         int now = 0;
-        play_until(now, 6'000);
+        run_until(now, 6'000);
         // It may be back within a moment, and hold what nobody else does.
         CPPUNIT_ASSERT(!state.stores().groups.front().after_loss);
-        play_until(now, 7'000);
+        run_until(now, 7'000);
         const store_map& map = state.stores().groups.front();
         CPPUNIT_ASSERT(map.after_loss && map.changing());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map.current.size());
