--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -268,9 +268,9 @@
         const std::vector<store_member> members{three_stores()[1], member(40, "4"),
                                                 member(30, "3")};
         directory_state state;
-        store_map going_on{1, members, {}, 0, true};
-        going_on.absent = {three_stores()[0]};
-        state.apply(change_store_groups{{going_on}});
+        store_map map_after_loss{1, members, {}, 0, true};
+        map_after_loss.absent = {three_stores()[0]};
+        state.apply(change_store_groups{{map_after_loss}});
         store_planner planner({});
         planner.start(at(0));
         for (const store_member& store : members) {
