--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -300,9 +300,9 @@
         };
         CPPUNIT_ASSERT(!planned_at(3'000).has_value());
         CPPUNIT_ASSERT(!planned_at(63'000).has_value());
-        const auto certain = planned_at(63'100);
-        CPPUNIT_ASSERT(certain.has_value() && !certain->after_loss);
-        CPPUNIT_ASSERT(certain->current == three_stores() && !certain->changing());
+        const auto cleared = planned_at(63'100);
+        CPPUNIT_ASSERT(cleared.has_value() && !cleared->after_loss);
+        CPPUNIT_ASSERT(cleared->current == three_stores() && !cleared->changing());
     }
 
     void change_is_replanned_when_joining_member_is_silent() {
