--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -388,11 +388,11 @@
         }
         const auto map = planned_map(planner, state_with_map(four), at(8000));
         CPPUNIT_ASSERT(map.has_value() && map->next == three_stores());
-        store_planner fewer({});
-        fewer.start(at(0));
-        report(fewer, three_stores()[0], at(8000));
-        report(fewer, three_stores()[1], at(8000));
-        CPPUNIT_ASSERT(!fewer.plan(state_with_map(three_stores()), at(8000)).has_value());
+        store_planner smaller_planner({});
+        smaller_planner.start(at(0));
+        report(smaller_planner, three_stores()[0], at(8000));
+        report(smaller_planner, three_stores()[1], at(8000));
+        CPPUNIT_ASSERT(!smaller_planner.plan(state_with_map(three_stores()), at(8000)).has_value());
     }
 
     /// `count` stores in six zones, as the large deployments have them.
