--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -502,15 +502,15 @@
         const std::vector<store_member> stores = stores_in_six_zones(36);
         const store_planner planner = planner_for_two_losses(stores, at(1600));
         directory_state state = state_with_formed_groups(planner, at(1600));
-        const auto standing_by = std::find_if(
+        const auto spare = std::find_if(
             stores.begin(), stores.end(),
             [&](const store_member& store) { return !state.stores().holds(store.id); });
-        CPPUNIT_ASSERT(planner.may_retire(state, standing_by->node));
-        const auto disks = planner.disks_of(state, standing_by->node);
+        CPPUNIT_ASSERT(planner.may_retire(state, spare->node));
+        const auto disks = planner.disks_of(state, spare->node);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, disks.size());
         CPPUNIT_ASSERT(planner.disks_of(state, "unknown").empty());
-        state.apply(retire_store{standing_by->node, disks});
-        CPPUNIT_ASSERT(state.retired().contains(standing_by->id));
+        state.apply(retire_store{spare->node, disks});
+        CPPUNIT_ASSERT(state.retired().contains(spare->id));
         // Six may go; the seventh would leave a group too small.
         int emptied = 1;
         for (const store_member& store : stores) {
