--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -512,14 +512,14 @@
         state.apply(retire_store{spare->node, disks});
         CPPUNIT_ASSERT(state.retired().contains(spare->id));
         // Six may go; the seventh would leave a group too small.
-        int emptied = 1;
+        int retired_count = 1;
         for (const store_member& store : stores) {
             if (!state.retired().contains(store.id) && planner.may_retire(state, store.node)) {
                 state.apply(retire_store{store.node, planner.disks_of(state, store.node)});
-                ++emptied;
+                ++retired_count;
             }
         }
-        CPPUNIT_ASSERT_EQUAL(6, emptied);
+        CPPUNIT_ASSERT_EQUAL(6, retired_count);
     }
 };
 
