--- a/tests/plane/directory/version_tracker_test.cpp
+++ b/tests/plane/directory/version_tracker_test.cpp
@@ -8,13 +8,13 @@
 
 class version_tracker_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(version_tracker_test);
-    CPPUNIT_TEST(a_change_is_told_once_the_last_node_has_it);
+    CPPUNIT_TEST(propagation_is_reported_once_all_nodes_have_it);
     CPPUNIT_TEST(a_silent_node_isnt_waited_for);
     CPPUNIT_TEST_SUITE_END();
 
     instant now_{std::chrono::seconds(1)};
 
-    void a_change_is_told_once_the_last_node_has_it() {
+    void propagation_is_reported_once_all_nodes_have_it() {
         version_tracker tracker;
         tracker.on_applied(3, now_);
         tracker.on_report("a", 3, now_);
