--- a/tests/plane/directory/version_tracker_test.cpp
+++ b/tests/plane/directory/version_tracker_test.cpp
@@ -9,7 +9,7 @@
 class version_tracker_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(version_tracker_test);
     CPPUNIT_TEST(propagation_is_reported_once_all_nodes_have_it);
-    CPPUNIT_TEST(a_silent_node_isnt_waited_for);
+    CPPUNIT_TEST(silent_node_does_not_delay_propagation);
     CPPUNIT_TEST_SUITE_END();
 
     instant now_{std::chrono::seconds(1)};
@@ -31,7 +31,7 @@
         CPPUNIT_ASSERT(!tracker.take_propagated(now_).has_value());
     }
 
-    void a_silent_node_isnt_waited_for() {
+    void silent_node_does_not_delay_propagation() {
         version_tracker tracker;
         tracker.on_report("gone", 2, now_);
         tracker.on_applied(3, now_);
