--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// Without a part for this long, the next node that holds a newer version is asked to go on. A part
-/// takes some 15 ms; a directory node may be busy with a large change for 0.3 s.
+/// Time without a part after which the fetch continues at another node that holds a newer version.
+/// Longer than a directory node is busy with a large change.
 constexpr duration part_timeout = std::chrono::milliseconds(400);
-/// A larger content is taken for a damaged one, in bytes. Chosen, not measured: eight times the
-/// largest operators' call.
+/// Maximum size of a content in bytes, compressed and decompressed; a larger one is rejected as
+/// corrupt.
 constexpr std::size_t max_content_bytes = 64U << 20U;
 
-/// What a fetched content makes of `base`.
+/// Decodes a content and applies it to `base`.
 tl::expected<routing::configuration, fetch_problem> decode_configuration(
     const std::string& content, const routing::configuration& base) {
     const auto bytes = protocol::decompress(content, max_content_bytes);
@@ -32,8 +32,8 @@
         const bool is_base_mismatch = result.error() == routing::change_failure::other_base;
         return tl::unexpected(
             is_base_mismatch
-                ? fetch_problem{fetch_failure::base_mismatch, "it is made from another version"}
-                : fetch_problem{fetch_failure::result_mismatch, "its result isn't what was sent"});
+                ? fetch_problem{fetch_failure::base_mismatch, "base version is not held"}
+                : fetch_problem{fetch_failure::result_mismatch, "result digest does not match"});
     }
     return std::move(*result);
 }
@@ -97,7 +97,7 @@
                                                            const configuration_part& part,
                                                            instant now) {
     if (from != pending_node_) {
-        // From a node that had been given up meanwhile.
+        // A late part from a node that has timed out or disconnected.
         return {};
     }
     const bool continues_content =
--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -4,11 +4,9 @@
 
 namespace {
 
-/// Questions whose time of asking is remembered: three seconds of them, at one each 50 ms. An
-/// answer that takes longer is ignored; whoever waited for it has long been told to come again.
+/// Maximum number of pending questions. Requests that wait for an older one have timed out.
 constexpr std::size_t max_open_questions = 64;
-/// Proofs of versions that aren't held yet. Chosen, not measured: while versions come quickly, each
-/// may be proved before it is fetched.
+/// Maximum number of proofs for versions that are not held yet.
 constexpr std::size_t max_pending_proofs = 16;
 
 }  // namespace
--- a/src/tallyfold/plane/directory/configuration_source.cpp
+++ b/src/tallyfold/plane/directory/configuration_source.cpp
@@ -9,14 +9,13 @@
 
 namespace {
 
-/// Versions from which differences are told: nodes rarely lag by more changes than come while one
-/// is fetched. Each holds some 2 MB at 6,000 routes.
+/// Maximum number of versions from which differences can be computed. Nodes that hold an older one
+/// get the full configuration.
 constexpr std::size_t max_versions = 4;
-/// Contents that nodes may still be fetching while newer versions come. Chosen, not measured: two
-/// for each version kept.
+/// Maximum number of contents kept for nodes that are still fetching them.
 constexpr std::size_t max_contents = 8;
-/// What one answer carries, in bytes: 9 ms of a link with 30 Mbit/s, so that heartbeats don't wait
-/// behind it.
+/// Maximum size of a part in bytes; small, so that heartbeats on the same connection are not
+/// delayed.
 constexpr std::size_t max_part_bytes = 32U << 10U;
 
 const routing::configuration& empty_configuration() {
--- a/src/tallyfold/plane/directory/configuration_source.hpp
+++ b/src/tallyfold/plane/directory/configuration_source.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Gives the configuration to nodes that hold an older one, in parts that they ask for one by one.
-/// What nodes with the same older version get is made and compressed once. Pure.
+/// Serves the configuration in parts to nodes that hold an older version. The content for nodes
+/// with the same older version is encoded and compressed once. Pure.
 
 #include <deque>
 #include <string>
@@ -14,14 +14,14 @@
 
 class configuration_source {
   public:
-    /// From now on this is given out, unless a newer one already is.
+    /// Sets the configuration to serve; ignored unless it is newer than the current one.
     void show(const configuration_pointer& newest);
 
-    /// The part that is asked for; one without content when the asker holds nothing older.
+    /// Returns the requested part; an empty one when the requesting node is up to date.
     configuration_part answer(const configuration_request& request);
 
   private:
-    /// What leads from one version to another, ready to be sent.
+    /// Compressed change from one version to another.
     struct content {
         std::uint64_t id = 0;
         routing::configuration_version base = routing::no_version;
@@ -33,7 +33,7 @@
     [[nodiscard]] const routing::configuration& base_for(
         routing::configuration_version version) const;
 
-    /// The newest last.
+    /// Ordered by version, the newest last.
     std::deque<configuration_pointer> versions_;
     std::deque<content> contents_;
 };
--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -8,19 +8,17 @@
 
 namespace {
 
-/// Time between two plans of the leader: one change of members and one of stores at a time. Chosen,
-/// not measured: a round of the log takes a few milliseconds.
+/// Interval at which the leader plans changes of its members and of the store groups.
 constexpr duration plan_interval = std::chrono::milliseconds(100);
-/// How much longer than their time stores keep turns: after a restart their time starts anew, and
-/// clocks run apart. Chosen, not measured: longer than a store's restart.
+/// Margin on top of the retention: stores restart the retention of their turns after a restart, and
+/// clocks drift.
 constexpr duration retention_margin = std::chrono::seconds(15);
-/// Time between two requests to join. Chosen, not measured: a fifth of the time for which the
-/// leader remembers one (1.5 s).
+/// Interval between join requests; a fraction of the time for which the leader accepts one.
 constexpr duration join_interval = std::chrono::milliseconds(300);
-/// A replica that no leader has spoken to for this long asks to be taken in again. Chosen, not
-/// measured: longer than an election, which takes 0.5 to 1 s.
+/// Time without a message from a leader after which a replica asks to join again. Longer than an
+/// election.
 constexpr duration orphan_timeout = std::chrono::milliseconds(2500);
-/// The longest time that the configuration's routes have turns kept.
+/// The longest retention of turns among the configuration's routes.
 duration longest_retention(const routing::configuration& configuration) {
     double seconds = 0;
     for (const routing::route& route : configuration.routes) {
@@ -118,7 +116,7 @@
 
 void directory_core::check_membership_entries() {
     if (const auto index = replica_.unreadable_entry()) {
-        halt("index=" + std::to_string(*index), "it doesn't decode as a membership");
+        halt("index=" + std::to_string(*index), "entry does not decode as a membership");
     }
 }
 
@@ -131,7 +129,7 @@
         answer(token, answer_kind::not_leader);
         return;
     }
-    // Packed: a follower reads an entry whole before it sees the heartbeats behind it.
+    // Compressed, because a large entry delays the heartbeats behind it on the connection.
     const auto index = replica_.propose(protocol::encode_packed(command));
     if (!index) {
         answer(token, answer_kind::not_leader);
@@ -197,7 +195,7 @@
 }
 
 void directory_core::plan_stores(instant now) {
-    // The next change is planned from the state that the one before has made.
+    // The next change is planned from the state that results from the previous one.
     if (pending_.has_own_command()) {
         return;
     }
@@ -261,8 +259,8 @@
 void directory_core::apply_command(const consensus::log_entry& entry) {
     auto command = protocol::decode_packed<directory_command>(entry.payload);
     if (!command) {
-        // Passed over, it would be acknowledged all the same, and whoever asks this node would go
-        // by an older configuration.
+        // If the entry were skipped, it would still be acknowledged, and this node would serve an
+        // outdated configuration.
         halt("index=" + std::to_string(entry.index) +
                  " bytes=" + std::to_string(entry.payload.size()),
              command.error().reason);
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -1,12 +1,13 @@
 #pragma once
 /// @file
-/// One node of the directory: a replica of its log, the state that the log makes, and the leader's
-/// plans for members and store groups. Pure: messages and the time in, directory_work out. Owns the
-/// replica and the state; relies on its shell to do the work in the order that directory_work says.
+/// One node of the directory: a replica of its log, the state machine that the log drives, and the
+/// leader's planning of members and store groups. Owns the replica and the state; its shell carries
+/// out directory_work in the documented order. Pure: messages and time in, directory_work out.
 ///
-/// Nodes of several builds may be in touch. What is written into the log is of a form that all of
-/// them read (format_survey). A replica that can't read what its group has committed stands still:
-/// it acknowledges nothing more, doesn't vote or lead, and proves nothing.
+/// Rules for nodes of different builds:
+/// - Log entries are written in a format that all active nodes can read (format_survey).
+/// - A replica that cannot read a committed entry halts: it acknowledges nothing more, does not
+///   vote or lead, and gives no proofs.
 
 #include <map>
 #include <memory>
@@ -34,58 +35,59 @@
     directory_core(directory_settings settings, consensus::replica_id identity,
                    const consensus::recovered_state& recovered, instant now);
 
-    /// Lets elections, heartbeats, requests to join and the leader's plans take place.
+    /// Drives elections, heartbeats, join requests and the leader's planning.
     void tick(instant now);
-    /// @param from address that the message came from, for a replica no membership names yet
+    /// @param from address of the sender, used for replicas that are not in the membership
     void receive(const node_name& from, const consensus::replica_message& message, instant now);
     void receive(const join_request& request, instant now);
-    /// @param format the newest form that the reporting node knows
-    /// @return what the node lacks; it proves nothing
+    /// @param format the newest format that the reporting node supports
+    /// @return what the node lacks; no proof of its version
     node_report_answer receive(const node_report& report, instant now,
                                protocol::format_version format = protocol::newest_format);
-    /// The part of a newer configuration that a node asks for.
+    /// Returns the requested part of a newer configuration.
     configuration_part receive(const configuration_request& request);
-    /// What a reporting node lacks, as this node sees it now.
+    /// Returns what the reporting node lacks, according to this node's state.
     [[nodiscard]] node_report_answer answer_to(const node_report& report) const;
-    /// A message came from a node that knows `format`. @param node its name, or the address of a
-    /// directory node
+    /// Records the format that a node supports.
+    /// @param node its name, or the address of a directory node
     void heard_format(const node_name& node, protocol::format_version format, instant now);
-    /// False while a node may be met that knows the first form alone: a configuration with tenants
-    /// would be none to it. True once one is in force.
+    /// False while some node may support only format v1, which cannot represent tenants. True once
+    /// the state requires format v2.
     [[nodiscard]] bool may_bring_tenants(instant now) const;
     [[nodiscard]] const format_survey& formats() const { return formats_; }
-    /// True when this replica can't read what its group has committed.
+    /// True when this replica has halted because it cannot read what its group has committed.
     [[nodiscard]] bool stands_still() const { return halted_; }
 
-    /// Appends a command; its answer comes out of take_work().
+    /// Appends a command; take_work() returns its answer.
     void submit(request_token token, const directory_command& command);
-    /// Confirms that this leader's state is the newest; the answer comes out of take_work().
+    /// Confirms that this leader's state is the newest; take_work() returns the answer.
     void confirm(request_token token, instant now);
-    /// The same at any node, the leader or not; the proof comes out of take_work(). Tokens of
-    /// proofs and of answers are apart.
+    /// Proves at any replica, leading or not, that its state is the newest; take_work() returns the
+    /// proof. Tokens of proofs and answers are separate.
     void prove(request_token token, instant now);
 
-    /// All that is to be done now; to be taken again until it is empty.
+    /// Returns the pending work; to be called until it is empty.
     directory_work take_work();
-    /// The last work's write is durable.
+    /// Reports that the write of the last work is durable.
     void persisted();
 
     [[nodiscard]] const directory_state& state() const { return state_; }
-    /// Takes over a committed state that this node had applied before its restart, so that other
-    /// nodes learn it before a leader has confirmed the log. It is shown, never built upon.
+    /// Sets a committed state that was applied before the restart, so that it can be served before
+    /// a leader has confirmed the log. Commands are never applied to it.
     void show_earlier_state(directory_state previous) { previous_state_ = std::move(previous); }
     [[nodiscard]] bool leads() const;
-    /// "ip:port" of the node that leads, as far as this one knows; empty for none.
+    /// Address ("ip:port") of the leader; empty when unknown.
     [[nodiscard]] node_name leader_address() const;
     [[nodiscard]] consensus::term_number term() const { return replica_.term(); }
-    /// Place of this node among the members that don't lead, by address.
+    /// Rank of this node by address among the members that do not lead.
     [[nodiscard]] std::size_t rank_behind_leader() const;
     [[nodiscard]] bool may_retire(const node_name& node) const {
         return store_planner_.may_retire(state_, node);
     }
-    /// False while this leader may not have heard every live store yet.
+    /// False while reports of live stores may still be missing, shortly after this node became
+    /// leader.
     [[nodiscard]] bool has_listened(instant now) const { return store_planner_.has_listened(now); }
-    /// Disks of the node's store that the leader has heard of; empty when it knows no such store.
+    /// Disks of the node's store that are known to the leader; empty for an unknown store.
     [[nodiscard]] std::vector<turns::store_id> disks_of(const node_name& node) const {
         return store_planner_.disks_of(state_, node);
     }
@@ -94,30 +96,31 @@
   private:
     void log(logging::event_id id, std::string fields);
     void answer(request_token token, answer_kind kind);
-    /// The newest configuration that this node knows to have been in force, now or before its
+    /// The newest configuration known to have been in force, from the log or from before the
     /// restart.
     [[nodiscard]] const configuration_pointer& newest_known_configuration() const;
 
     void follow_leadership(instant now);
-    /// Begins and ends changes of the members and of the store groups, as leader.
+    /// Begins and completes changes of the members and of the store groups. Leader only.
     void plan_changes(instant now);
     void plan_members(instant now);
     void plan_stores(instant now);
-    /// Asks the other nodes to be taken in when this one is no member, or no leader speaks to it.
+    /// Sends join requests when this node is not a member or receives no messages from a leader.
     void request_to_join(instant now);
     [[nodiscard]] bool is_member() const;
 
-    /// Sorts what the replica hands out into work_ and into the write.
+    /// Moves the replica's output into work_ and `write`.
     void take_ready(consensus::group_write& write);
     void apply(const consensus::log_entry& entry);
     void apply_command(const consensus::log_entry& entry);
     void log_changed_groups(turns::map_epoch since);
-    /// Ends this replica's part in its group. @param what can't be read, and why
+    /// Halts this replica permanently after it failed to read committed data.
+    /// @param what log fields that identify it
     void halt(const std::string& what, const std::string& reason);
     void check_membership_entries();
-    /// Gives the configuration whole to a node that knows no other way.
+    /// Adds the full configuration for a node that cannot fetch parts.
     void add_full_configuration(const node_report& report, node_report_answer& answer);
-    /// Logs, now and then, what has to wait for nodes that know the first form alone.
+    /// Logs, at a limited rate, what is deferred because a node supports only format v1.
     void log_awaited_format(const std::string& what, const node_name& node, instant now);
     void end_read(std::uint64_t number, bool confirmed);
     [[nodiscard]] addressed_message address(consensus::replica_message message) const;
@@ -132,15 +135,15 @@
     directory_state previous_state_;
     configuration_source source_;
     consensus::log_index applied_ = 0;
-    /// Payload applied since the last snapshot was taken here, in bytes.
+    /// Bytes of payload applied since the last snapshot.
     std::size_t applied_bytes_ = 0;
-    /// The same without compression.
+    /// The same, uncompressed.
     std::size_t applied_disk_bytes_ = 0;
     member_planner member_planner_;
     store_planner store_planner_;
     leader_stall_log stall_log_;
     pending_requests pending_;
-    /// Addresses of replicas by their last message, for those that the membership doesn't name.
+    /// Address of each replica's last message, for replicas that are not in the membership.
     std::map<consensus::replica_id, node_name> addresses_;
     format_survey formats_;
     bool halted_ = false;
@@ -148,13 +151,12 @@
     bool was_leading_ = false;
     instant next_plan_{};
     instant next_join_{};
-    /// When the leader's last message came.
     instant last_leader_message_{};
     directory_work work_;
-    /// The last entry of the write under way, and the snapshot taken with it.
+    /// The last entry of the pending write, and the snapshot in it.
     std::optional<std::pair<consensus::log_index, consensus::term_number>> pending_write_;
     std::optional<consensus::snapshot> pending_snapshot_;
-    /// What forms a new directory, to be written with the first work.
+    /// The write that bootstraps a new directory; part of the first work.
     std::optional<consensus::group_write> bootstrap_write_;
 };
 
--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a directory node answers to reports, and what it knows of the forms that other nodes read.
-/// Members of directory_core.
+/// Members of directory_core that answer node reports and track the formats that other nodes
+/// support.
 
 #include "tallyfold/plane/directory/directory_core.hpp"
 
@@ -8,8 +8,7 @@
 
 namespace {
 
-/// Pause between two lines about what waits for nodes that know the first form alone. Chosen, not
-/// measured: an upgrade takes minutes.
+/// Minimum interval between log lines about deferred changes.
 constexpr duration format_log_interval = std::chrono::seconds(2);
 
 }  // namespace
@@ -32,7 +31,7 @@
 
 void directory_core::add_full_configuration(const node_report& report, node_report_answer& answer) {
     const configuration_pointer& newest = newest_known_configuration();
-    // Without its tenants it would let in whoever has no key.
+    // Format v1 has no tenants: without them, the node would admit requests that have no key.
     if (newest->version > report.configuration && newest->tenants.empty()) {
         answer.newer_configuration.push_back(newest);
     }
--- a/src/tallyfold/plane/directory/directory_state.cpp
+++ b/src/tallyfold/plane/directory/directory_state.cpp
@@ -8,7 +8,7 @@
 
 void directory_state::apply(directory_command command) {
     if (auto* change = std::get_if<replace_configuration>(&command)) {
-        // The highest version prevails; an equal one alters nothing.
+        // The highest version wins; an equal one changes nothing.
         if (change->parsed.version > configuration_->version) {
             configuration_ =
                 std::make_shared<const routing::configuration>(std::move(change->parsed));
--- a/src/tallyfold/plane/directory/directory_state.hpp
+++ b/src/tallyfold/plane/directory/directory_state.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The replicated state of the directory: the configuration in force, the groups of the stores,
-/// and which stores are being emptied. A deterministic state machine.
+/// The replicated state of the directory: the configuration in force, the store groups, and the
+/// retired disks. A deterministic state machine.
 
 #include <map>
 #include <memory>
@@ -16,7 +16,7 @@
 
 namespace tallyfold::directory {
 
-/// An operator's whole configuration, parsed, and its text as it was sent.
+/// Replaces the configuration: the parsed form, and the text as the operator sent it.
 struct replace_configuration {
     routing::configuration parsed;
     std::string text;
@@ -27,9 +27,9 @@
     }
 };
 
-/// Puts maps in place of those of their groups. Their epochs follow the table's one by one, so that
-/// no two maps share one; nothing happens when the table has moved on meanwhile. The first change
-/// forms the groups.
+/// Replaces the maps of some groups; the first such command creates the groups. The epochs of the
+/// maps continue the table's epoch without gaps, so that no two maps share one. Ignored when the
+/// table has changed in the meantime.
 struct change_store_groups {
     std::vector<turns::store_map> maps;
 
@@ -39,10 +39,10 @@
     }
 };
 
-/// Marks a store's machine as one to be emptied.
+/// Marks the store of a node as retired.
 struct retire_store {
     node_name node;
-    /// The disks that it is known to have had, beside those in the groups.
+    /// Known disks of the store, in addition to those in the groups.
     std::vector<turns::store_id> disks;
 
     template <class Archive>
@@ -64,18 +64,18 @@
     [[nodiscard]] const configuration_pointer& shared_configuration() const {
         return configuration_;
     }
-    /// The configuration's text, as its operator sent it.
+    /// The text of the configuration as the operator sent it.
     [[nodiscard]] const std::string& configuration_text() const { return text_; }
     [[nodiscard]] const turns::store_table& stores() const { return stores_; }
-    /// Disks that are to be emptied or were.
+    /// Disks that are retired, by ID, with their node.
     [[nodiscard]] const std::map<turns::store_id, node_name>& retired() const { return retired_; }
 
-    /// Compressed when there are many.
+    /// Serializes the state, compressed when it is large.
     [[nodiscard]] std::string to_bytes() const;
-    /// Takes over the state that to_bytes() of this build or an earlier one made; an empty one for
-    /// no bytes. When they can't be read it stays as it is.
+    /// Restores a state from to_bytes() of this build or an earlier one; no bytes restore an empty
+    /// state. The state is unchanged on error.
     tl::expected<void, protocol::decode_error> restore(const std::string& bytes);
-    /// True when it holds what builds that know no more than the first form can't read.
+    /// True when builds that support only format v1 cannot read the state.
     [[nodiscard]] bool needs_second_format() const;
 
     template <class Archive>
--- a/src/tallyfold/plane/directory/format_survey.cpp
+++ b/src/tallyfold/plane/directory/format_survey.cpp
@@ -6,11 +6,10 @@
 
 namespace {
 
-/// A node that was silent for longer isn't counted any more. Chosen, not measured: each reports to
-/// one directory node after another every 120 ms, so nine of them hear it about once a second.
+/// Time without a message after which a node no longer counts as active; several reporting
+/// intervals.
 constexpr duration active_window = std::chrono::seconds(5);
-/// What a node said is forgotten after this time: machines are replaced, and their names don't come
-/// back. Chosen, not measured: far longer than a restart.
+/// Entries that are older are removed, since names of replaced nodes are not reused.
 constexpr duration entry_lifetime = std::chrono::minutes(30);
 
 }  // namespace
--- a/src/tallyfold/plane/directory/format_survey.hpp
+++ b/src/tallyfold/plane/directory/format_survey.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Which forms the nodes know that a directory node hears of, so that it writes nothing that one of
-/// them couldn't read. Owns one entry for each node, by its name, or by its address where it is a
-/// directory node. Relies on its owner to tell what the connections say. Pure.
+/// Tracks the formats that other nodes support, so that nothing is written that one of them cannot
+/// read. Owns one entry for each node, keyed by its name, or by the address of a directory node.
+/// Its owner reports the format of each connection. Pure.
 
 #include <map>
 #include <optional>
@@ -16,17 +16,18 @@
 
 class format_survey {
   public:
-    /// A message came from the node over a connection on which it said, or didn't say, what it
-    /// knows. @return true when that is new
+    /// Records the format of the connection on which a message was received; the oldest format when
+    /// the node did not state one.
+    /// @return true when the node or its format is new
     bool record(const node_name& node, protocol::format_version format, instant now);
 
-    /// A node heard of lately that doesn't know `format`; nothing when all of them do.
+    /// Returns an active node that does not support `format`; empty when there is none.
     [[nodiscard]] std::optional<node_name> active_node_below(protocol::format_version format,
                                                              instant now) const;
-    /// True when each of these nodes was heard to know `format`, if long ago.
+    /// True when each of these nodes is known to support `format`, whether or not it is active.
     [[nodiscard]] bool all_support(protocol::format_version format,
                                    const std::vector<node_name>& nodes) const;
-    /// Nodes heard of lately whose newest form is `format`.
+    /// Number of active nodes whose newest format is `format`.
     [[nodiscard]] std::size_t count(protocol::format_version format, instant now) const;
 
   private:
--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -11,12 +11,11 @@
 
 namespace {
 
-/// Times the first gathering after which groups are formed of fewer stores than a group's size.
-/// Chosen, not measured: 6 s, in which a machine that starts late has started.
+/// Multiple of the formation wait after which groups are formed even if there are fewer stores than
+/// the group size. Leaves time for nodes that start late.
 constexpr int small_group_wait_factor = 4;
 
-/// The stores in an order in which any run of them, as long as there are zones, lies in different
-/// zones.
+/// Orders the stores so that consecutive ones are in different zones as far as possible.
 store_list interleave_zones(const store_list& stores) {
     std::map<std::string, store_list> by_zone;
     for (const store_member& store : stores) {
@@ -33,7 +32,7 @@
     return ordered;
 }
 
-/// Takes out the candidate whose zone has the fewest of the members; the first of several.
+/// Removes and returns the first candidate whose zone has the fewest members.
 store_member take_best_for_zone_spread(store_list& candidates, const store_list& members) {
     const auto in_zone = [&](const store_member& candidate) {
         return std::count_if(members.begin(), members.end(), [&](const store_member& member) {
@@ -49,7 +48,7 @@
     return taken;
 }
 
-/// Members whose disks are there and aren't to be emptied.
+/// Members whose disks are neither replaced nor retired.
 store_list remaining_members(const store_view& view, const store_map& map) {
     store_list members;
     for (const store_member& member : map.current) {
@@ -60,8 +59,8 @@
     return members;
 }
 
-/// Live stores that may join the group, those on machines of present members first: a new disk in
-/// an old one's place keeps the zones as they are.
+/// Live stores that may join the group. Those on nodes of current members come first, since a new
+/// disk on the same node preserves the spread over zones.
 store_list candidates_for(const store_view& view, const store_map& map, const store_list& members) {
     store_list candidates;
     for (const store_member& store : view.live_stores()) {
@@ -79,7 +78,7 @@
     return candidates;
 }
 
-/// Takes silent members out while the group has more than its size.
+/// Removes silent members while the group exceeds its size.
 void drop_surplus(const store_view& view, store_list& members) {
     for (auto member = members.begin(); member != members.end();) {
         const bool is_surplus = members.size() > view.settings().group_size();
@@ -128,8 +127,8 @@
         return has_id(map.current, member.id) || has_copied(member);
     };
     const auto complete_copies = std::count_if(map.next.begin(), map.next.end(), has_copied);
-    // A member that stays and is away doesn't hold the change up: while it is open, the loss of one
-    // more disk stops the group.
+    // The change does not wait for an unreachable member that remains: while the change is open,
+    // the loss of one more disk blocks the group.
     const std::size_t majority = map.next.size() / 2 + 1;
     const std::size_t needed = map.next.size() - majority + 1;
     return std::all_of(map.next.begin(), map.next.end(), stays_or_has_copied) &&
@@ -140,7 +139,7 @@
     if (has_enough_copies(view, map)) {
         return with_members(map, map.next, {});
     }
-    // A joining store that died would hold the change up for ever: plan again without it.
+    // A joining store that has failed would block the change forever, so members are chosen again.
     const auto cannot_copy = [&](const store_member& member) {
         return !view.has_copied(member, map) && !view.is_live(member.id);
     };
--- a/src/tallyfold/plane/directory/group_members.hpp
+++ b/src/tallyfold/plane/directory/group_members.hpp
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// Which stores belong to a group: how the groups are formed, which members a group should have,
-/// and when a change of its members is complete. Pure rules over a store_view.
+/// Rules for the members of a store group: how groups are formed, which members a group should
+/// have, and when a change of members is complete. Pure functions of a store_view.
 ///
-/// A group has as many members as outlive the losses to be borne (2f+1), spread over zones. Stores
-/// beyond that stand by, without a group, and take the place of members that are lost or emptied.
+/// - A group has 2f+1 members to tolerate f losses, spread over zones.
+/// - Other stores are spares without a group. They replace lost or retired members.
 
 #include <optional>
 
@@ -12,31 +12,33 @@
 
 namespace tallyfold::directory {
 
-/// The groups of a new system; nothing while too few stores have reported, or reports are still
-/// being gathered. Their number is fixed from then on: a program's group follows from it.
+/// The groups of a new system; empty while too few stores have reported or reports are still being
+/// collected. The number of groups never changes afterwards, because a program's group is derived
+/// from it.
 [[nodiscard]] std::optional<change_store_groups> form_groups(const store_view& view);
 
-/// The members that the group should have: those it has, but for disks that are gone or are to be
-/// emptied; live stores that stand by fill it up, and take the place of silent members. Fewer than
-/// a group's size when too few stand by.
+/// The members that the group should have: the current ones, without replaced and retired disks.
+/// Live spare stores fill up the group and replace silent members. The result is smaller than the
+/// group size when there are too few spares.
 [[nodiscard]] store_list choose_members(const store_view& view, const turns::store_map& map);
 
-/// True when so few members bear fewer losses than the group does now: a group keeps the members it
-/// has until a store stands by.
+/// True when these members tolerate fewer losses than the current ones. The group then keeps its
+/// members until a spare store is available.
 [[nodiscard]] bool has_too_few_members(const store_view& view, const store_list& members,
                                        const turns::store_map& map);
 
-/// Begins a change to the members that the group should have; nothing when it has them, when too
-/// few stores stand by, or while this leader hasn't listened long enough to judge who is silent.
+/// Begins a change to the members that the group should have. Empty when it has them, when there
+/// are too few spare stores, or while this leader has not led long enough to tell which stores are
+/// silent.
 [[nodiscard]] std::optional<turns::store_map> begin_change(const store_view& view,
                                                            const turns::store_map& map);
 
-/// True when the open change may end: each store that joins holds a whole copy, and so many of all
-/// new members do that each majority of them has one.
+/// True when the open change can be completed: each joining store holds a complete copy, and so do
+/// enough of the new members that every majority of them includes one.
 [[nodiscard]] bool has_enough_copies(const store_view& view, const turns::store_map& map);
 
-/// Ends an open change whose copies suffice, or begins it anew when a store that joins has fallen
-/// silent before it had copied; nothing when it has to wait.
+/// Completes an open change that has enough copies, or restarts it when a joining store stopped
+/// reporting before it had copied. Empty while the change has to wait.
 [[nodiscard]] std::optional<turns::store_map> continue_change(const store_view& view,
                                                               const turns::store_map& map);
 
--- a/src/tallyfold/plane/directory/group_recovery.cpp
+++ b/src/tallyfold/plane/directory/group_recovery.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-/// Members of both lists, and those that the group went on without.
+/// Current, next and absent members of the group.
 store_list all_known_members(const store_map& map) {
     store_list known = map.all();
     known.insert(known.end(), map.absent.begin(), map.absent.end());
     return known;
 }
 
-/// The group's map with the disks that survive as its members, those given up apart; nothing while
-/// one that isn't given up is out of reach.
+/// The group's map with the surviving disks as members and those given up as absent. Empty while a
+/// member that is not given up is unreachable.
 std::optional<store_map> map_of_survivors(const store_view& view, const store_map& map) {
     store_map survivors;
     survivors.group = map.group;
@@ -78,8 +78,8 @@
     if (has_too_few_members(view, members, map)) {
         return std::nullopt;
     }
-    // A new disk that the map doesn't list yet has been written to under its predecessor's address,
-    // and may be the last that holds a turn.
+    // A new disk that is not in the map yet may have been written to under the address of its
+    // predecessor, and may hold the only copy of a turn.
     for (const store_member& member : members) {
         if (!has_id(survivors->current, member.id)) {
             survivors->current.push_back(member);
--- a/src/tallyfold/plane/directory/group_recovery.hpp
+++ b/src/tallyfold/plane/directory/group_recovery.hpp
@@ -1,11 +1,11 @@
 #pragma once
 /// @file
-/// How a group goes on after more of its disks were lost than a majority bears, and takes back
-/// members that were out of reach meanwhile. Pure rules over a store_view.
+/// Rules by which a group recovers after losing more disks than its majority tolerates, and
+/// readmits members that were unreachable during the recovery. Pure functions of a store_view.
 ///
-/// Disks that are lost one after the other, each while the change for the one before is open, can
-/// leave fewer of a group's members than a majority, for good. The group then goes on from all
-/// disks that survive, each of which may hold the only copy of a turn.
+/// - Disks lost one after another, each during the change for the previous one, can leave fewer
+///   members than a majority for good.
+/// - The group then recovers from all surviving disks, since each may hold the only copy of a turn.
 
 #include <optional>
 
@@ -13,24 +13,24 @@
 
 namespace tallyfold::directory {
 
-/// True for a member that isn't waited for any more: it is silent and the open change leaves it
-/// out, or it has been silent for longer than turns are kept, or the group has gone on without it
-/// before and it isn't back.
+/// True for a member that is no longer waited for, because one of these holds:
+/// - it is silent, and the open change leaves it out;
+/// - it has been silent for longer than the retention;
+/// - an earlier recovery left it out, and it is not live.
 [[nodiscard]] bool is_given_up(const store_view& view, const turns::store_map& map,
                                const turns::store_member& member);
 
-/// True when the group can't go on by majorities: disks were lost, and the members that may still
-/// answer don't suffice. Never while those out of reach would suffice by themselves: they may be
+/// True when disks were lost and the members that may still answer are no majority. Never true
+/// while the unreachable members could form a majority by themselves, since they may be
 /// acknowledging turns elsewhere.
 [[nodiscard]] bool needs_recovery(const store_view& view, const turns::store_map& map);
 
-/// A change from the disks that survive to new members; nothing while a member that is out of reach
-/// may be back any moment, or while too few stores stand by.
+/// A change from the surviving disks to new members. Empty while an unreachable member may still
+/// return, or while there are too few spare stores.
 [[nodiscard]] std::optional<turns::store_map> recover_from_survivors(const store_view& view,
                                                                      const turns::store_map& map);
 
-/// A change that copies what members hold that the group went on without and that are back; nothing
-/// when none is.
+/// A change that copies the data of absent members that are live again; empty when there is none.
 [[nodiscard]] std::optional<turns::store_map> readmit_absent(const store_view& view,
                                                              const turns::store_map& map);
 
--- a/src/tallyfold/plane/directory/member_planner.cpp
+++ b/src/tallyfold/plane/directory/member_planner.cpp
@@ -7,11 +7,10 @@
 
 namespace {
 
-/// Age of a join request up to which its sender is taken in. It is repeated every 300 ms; an older
-/// one is from a process that ended.
+/// Age up to which a join request is valid; several request intervals. An older one is from a
+/// process that has ended.
 constexpr duration join_lifetime = std::chrono::milliseconds(1500);
-/// Entries by which a learner may lag and still count as caught up. Chosen, not measured: a few
-/// changes under way.
+/// Maximum number of entries by which a learner may lag when it is promoted to voter.
 constexpr consensus::log_index max_learner_lag = 4;
 
 }  // namespace
@@ -43,7 +42,8 @@
 }
 
 std::optional<replica_id> member_planner::lost_disk(const membership& members, instant now) const {
-    // Another replica asks to join from the same address: the disk of the old one is gone.
+    // A different replica that joins from a member's address means that the member's disk was
+    // replaced.
     for (const auto& [id, joining] : join_requests_) {
         if (now - joining.requested_at > join_lifetime) {
             continue;
--- a/src/tallyfold/plane/directory/member_planner.hpp
+++ b/src/tallyfold/plane/directory/member_planner.hpp
@@ -1,9 +1,13 @@
 #pragma once
 /// @file
-/// Decides the next change of the directory's own membership, one replica at a time, in this order:
-/// remove a replica whose disk is lost, take a joining replica in as learner, let a caught-up
-/// learner vote, remove a silent member. Owns what the leader has heard of replicas. Pure; runs at
-/// the leader.
+/// Plans the next change of the directory's own membership. Owns the times of the last messages and
+/// the join requests that the leader has received. Pure; runs at the leader.
+///
+/// One replica changes at a time, in this order:
+/// - remove a replica whose disk is lost;
+/// - add a joining replica as a learner;
+/// - promote a learner that has caught up;
+/// - remove a silent member.
 
 #include <map>
 #include <optional>
@@ -14,28 +18,28 @@
 
 namespace tallyfold::directory {
 
-/// What the leader's replica says of its group.
+/// The leader's view of its replication group.
 struct replication_view {
     consensus::membership members;
     consensus::log_index commit_index = 0;
-    /// Last index that each member is known to hold durably.
+    /// Last index that is known to be durable at each member.
     std::map<consensus::replica_id, consensus::log_index> matched;
 };
 
-/// The view of a replica that leads.
+/// Returns the view of a leading replica.
 replication_view view_of(const consensus::replica_fsm& replica);
 
 struct member_planner_settings {
-    /// Replicas with a vote at most; more members stay learners.
+    /// Maximum number of voters; further members remain learners.
     std::size_t max_voters = 5;
-    /// Voters that have to remain when a silent one is removed without a successor.
+    /// Minimum number of voters when a silent one is removed without a successor.
     std::size_t min_voters = 3;
-    /// A voter that was silent for this long makes room for a caught-up learner, or is removed
-    /// when enough others remain: a dead voter costs the group one further loss. Chosen, not
-    /// measured: ten times an election's time-out.
+    /// Silence after which a voter is replaced by a learner that has caught up, or removed when
+    /// enough voters remain: a failed voter reduces the losses that the group tolerates. Several
+    /// election timeouts.
     duration silence_timeout = std::chrono::seconds(4);
-    /// A learner that was silent for this long is removed. Chosen, not measured: it costs nothing
-    /// but messages, so it may restart meanwhile.
+    /// Silence after which a learner is removed. Longer than a restart, since a silent learner
+    /// costs only messages.
     duration learner_silence_timeout = std::chrono::seconds(15);
 };
 
@@ -43,19 +47,19 @@
   public:
     explicit member_planner(member_planner_settings settings) : settings_(settings) {}
 
-    /// This node has begun to lead.
+    /// Handles the start of this node's leadership.
     void start(instant now);
-    /// A message came from `replica`.
+    /// Records a message from `replica`.
     void on_message(consensus::replica_id replica, instant now) { last_message_[replica] = now; }
     void on_join(const join_request& request, instant now);
-    /// The membership to propose, or nothing.
+    /// The membership to propose; empty for no change.
     [[nodiscard]] std::optional<consensus::membership> plan(const replication_view& view,
                                                             consensus::replica_id self,
                                                             instant now) const;
 
   private:
-    /// The first silent voter that may go, or the first learner that was silent for too long.
-    /// @param has_successor a learner stands ready to vote
+    /// The first silent member that can be removed.
+    /// @param has_successor true when a learner has caught up
     [[nodiscard]] std::optional<consensus::replica_id> removable_member(
         const consensus::membership& members, bool has_successor, consensus::replica_id self,
         instant now) const;
--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -36,7 +36,7 @@
 
 std::optional<store_map> store_planner::plan_group(const store_view& view, const store_map& map,
                                                    instant now) const {
-    // Which disks are gone is judged only once this leader has listened for a while.
+    // Losses can be detected only once all live stores have had time to report.
     if (view.has_listened() && needs_recovery(view, map)) {
         return recovery_allowed_ ? recover_from_survivors(view, map) : std::nullopt;
     }
@@ -50,7 +50,7 @@
         return next;
     }
     if (lost_turns_have_expired(map, now)) {
-        // The same members, without after_loss and without those out of reach.
+        // The same members, without after_loss and without the absent ones.
         return store_map{0, map.current, {}, map.group};
     }
     return std::nullopt;
@@ -70,8 +70,8 @@
     if (state.stores().groups.empty()) {
         return form_groups(view);
     }
-    // One group at a time finds its new members, or two would choose the same store; those that
-    // are complete don't wait for each other.
+    // Only one group at a time may choose new members; otherwise two could choose the same store.
+    // Changes that complete are not limited.
     change_store_groups change;
     bool has_membership_change = false;
     for (const store_map& map : state.stores().groups) {
@@ -124,7 +124,7 @@
 }
 
 bool store_planner::may_retire(const directory_state& state, const node_name& node) const {
-    // Machines are counted: one that lost a disk would count twice by its disks.
+    // Counts nodes, not disks: a node whose disk was replaced has two.
     std::set<node_name> remaining;
     std::set<node_name> retired_nodes;
     for (const store_member& member : known_stores(state)) {
@@ -134,8 +134,7 @@
     for (const node_name& retired_node : retired_nodes) {
         remaining.erase(retired_node);
     }
-    // Before the groups are formed, one of them has to be possible: an order taken then would leave
-    // the system without any.
+    // Before the groups are formed, enough stores for one group have to remain.
     const std::size_t groups = std::max<std::size_t>(1, state.stores().groups.size());
     return remaining.size() >= settings_.group_size() * groups;
 }
--- a/src/tallyfold/plane/directory/store_view.hpp
+++ b/src/tallyfold/plane/directory/store_view.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What a directory's leader knows of the stores at one moment, as the questions that the rules for
-/// groups ask. Refers to the planner's settings and heartbeats and to the replicated state, which
+/// Snapshot of what the directory's leader knows about the stores, with the queries that the group
+/// rules need. Refers to the planner's settings and reports and to the replicated state, which must
 /// outlive it. Pure.
 
 #include <algorithm>
@@ -14,29 +14,27 @@
 
 namespace tallyfold::directory {
 
-/// Stores report to each directory node every 300 ms.
+/// Stores report to each directory node every 300 ms; the timeouts are multiples of that.
 struct store_planner_settings {
-    /// Stores that may be lost at once; `losses_borne` of the settings file.
+    /// Number of simultaneous store losses to tolerate; setting `losses_borne`.
     std::uint32_t losses = 1;
-    /// A store that was silent for this long is replaced when another stands by. Chosen, not
-    /// measured: twenty reports, longer than a restart takes, since each replacement copies a
-    /// group's turns.
+    /// Silence after which a store is replaced if there is a spare. Longer than a restart, since
+    /// each replacement copies a group's turns.
     duration silence_timeout = std::chrono::seconds(6);
-    /// A store counts as live within this time of its last report, and a new leader listens for as
-    /// long before it judges who is silent. Chosen, not measured: five reports.
+    /// A store counts as live for this long after its last report. A new leader waits as long
+    /// before it judges which stores are silent.
     duration live_timeout = std::chrono::milliseconds(1500);
-    /// The longest time that any store keeps a turn. After it nothing can be missing any more that
-    /// was on a lost disk. store_planner::watch_losses() sets it from the configuration before each
-    /// plan; this value holds before the first. Chosen, not measured: a minute and the 15 s that
-    /// stores add.
+    /// Longest retention of a turn at any store; afterwards, all turns on a lost disk have expired.
+    /// store_planner::watch_losses() sets it from the configuration before each plan; this default
+    /// applies until then.
     duration retention = std::chrono::seconds(75);
-    /// At the very first start reports are gathered for this long, so that the groups are formed of
-    /// all stores. Chosen, not measured: five reports.
+    /// Time for which reports are collected before the first groups are formed, so that they
+    /// include all stores.
     duration formation_wait = std::chrono::milliseconds(1500);
 
-    /// Stores of a group: a majority of them outlives the losses.
+    /// Number of members of a group, so that a majority survives the tolerated losses.
     [[nodiscard]] std::size_t group_size() const { return 2 * losses + 1; }
-    /// Groups that so many stores form; each has one store that stands by.
+    /// Number of groups for this many stores; leaves one spare store for each.
     [[nodiscard]] std::size_t group_count(std::size_t stores) const {
         return std::max<std::size_t>(1, stores / (group_size() + 1));
     }
@@ -45,9 +43,9 @@
 using store_list = std::vector<turns::store_member>;
 
 [[nodiscard]] bool has_id(const store_list& members, turns::store_id id);
-/// True when both lists hold the same stores, in any order.
+/// True when both lists contain the same stores, in any order.
 [[nodiscard]] bool same_members(store_list left, store_list right);
-/// The group's map with other members; its epoch is given when the change is planned.
+/// Copies the group's map with other members. Its epoch is 0 until the change is planned.
 [[nodiscard]] turns::store_map with_members(const turns::store_map& map, store_list current,
                                             store_list next);
 
@@ -57,37 +55,35 @@
                const directory_state& state, instant now)
         : settings_(settings), heartbeats_(heartbeats), state_(state), now_(now) {}
 
-    /// False while this leader may not have heard every live store yet.
+    /// False while reports of live stores may still be missing, shortly after this node became
+    /// leader.
     [[nodiscard]] bool has_listened() const { return leading_for() >= settings_.live_timeout; }
-    /// Time since this node began to lead.
     [[nodiscard]] duration leading_for() const { return now_ - heartbeats_.leading_since(); }
 
-    /// The store has reported lately (`live_timeout`).
+    /// True when the store has reported within `live_timeout`.
     [[nodiscard]] bool is_live(turns::store_id id) const;
-    /// The store hasn't reported for so long that another may take its place (`silence_timeout`).
+    /// True when the store has not reported for `silence_timeout`, so that a spare may replace it.
     [[nodiscard]] bool is_silent(turns::store_id id) const;
-    /// The store has been silent for longer than turns are kept.
+    /// True when the store has been silent for longer than the retention of turns.
     [[nodiscard]] bool is_silent_beyond_retention(turns::store_id id) const;
-    /// The disk is gone: its machine has since reported another one.
+    /// True when the disk's node has since reported a different disk.
     [[nodiscard]] bool is_replaced(const turns::store_member& member) const;
-    /// An operator has ordered the store to be emptied.
+    /// True when an operator has retired the store.
     [[nodiscard]] bool is_retired(turns::store_id id) const;
-    /// The store belongs to some group.
     [[nodiscard]] bool is_in_a_group(turns::store_id id) const;
-    /// The store holds a whole copy under this very map.
+    /// True when the store holds a complete copy for exactly this map.
     [[nodiscard]] bool has_copied(const turns::store_member& member,
                                   const turns::store_map& map) const;
-    /// True when the member's disk is known to be gone: its machine reports another one, or an
-    /// operator had it emptied and it has been silent for longer than turns are kept. Silence alone
-    /// proves nothing: a member that is cut off may hold the only copy of a turn, and may be half
-    /// of another majority.
+    /// True when the member's disk is known to be lost: its node reports a different disk, or it is
+    /// retired and has been silent for longer than the retention. Silence alone is not enough: an
+    /// unreachable member may hold the only copy of a turn, and may be part of another majority.
     [[nodiscard]] bool is_lost(const turns::store_member& member) const;
 
-    /// The store as it reported last.
+    /// The store as last reported; `known` when it has not reported.
     [[nodiscard]] const turns::store_member& latest(const turns::store_member& known) const {
         return heartbeats_.latest(known);
     }
-    /// Stores that are live, in a group or standing by.
+    /// Live stores, whether in a group or spare.
     [[nodiscard]] store_list live_stores() const;
 
     [[nodiscard]] const directory_state& state() const { return state_; }
--- a/src/tallyfold/plane/directory/version_tracker.cpp
+++ b/src/tallyfold/plane/directory/version_tracker.cpp
@@ -6,8 +6,7 @@
 
 namespace {
 
-/// Silence after which a node doesn't count any more: it reports to each of some nine directory
-/// nodes about once a second, so it has missed two or three reports by then.
+/// Silence after which a node is ignored; longer than two reporting intervals.
 constexpr duration node_timeout = std::chrono::seconds(3);
 
 }  // namespace
--- a/src/tallyfold/plane/directory/version_tracker.hpp
+++ b/src/tallyfold/plane/directory/version_tracker.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Which version of the configuration each node reported last, so that operators see how far a
-/// change has propagated. Owns one entry for each node heard of lately. Pure.
+/// Tracks the configuration version that each node last reported, so that operators can see how far
+/// a change has propagated. Owns one entry for each active node. Pure.
 
 #include <map>
 #include <optional>
@@ -14,22 +14,22 @@
 
 class version_tracker {
   public:
-    /// A version that all nodes that report have reached.
+    /// A version that all active nodes hold.
     struct propagation {
         routing::configuration_version version = routing::no_version;
         std::size_t nodes = 0;
-        /// Time since this directory node applied it.
+        /// Time since this directory node applied the version.
         duration took{};
     };
 
-    /// This directory node has applied a version; older ones than the newest are ignored.
+    /// Records that this directory node has applied a version; older versions are ignored.
     void on_applied(routing::configuration_version version, instant now);
-    /// A node holds this version.
+    /// Records the version that a node holds.
     void on_report(const node_name& node, routing::configuration_version version, instant now);
-    /// Forgets nodes that have been silent. @return the newest version, once, as soon as no node
-    /// lags behind it
+    /// Removes silent nodes.
+    /// @return the newest version, once, as soon as all remaining nodes hold it
     std::optional<propagation> take_propagated(instant now);
-    /// Nodes that last reported an older version than the newest.
+    /// Number of nodes whose last reported version is older than the newest.
     [[nodiscard]] std::size_t nodes_behind() const;
 
   private:
@@ -40,7 +40,7 @@
 
     routing::configuration_version newest_ = routing::no_version;
     instant applied_at_{};
-    /// True when the newest version has been returned by take_propagated().
+    /// True when take_propagated() has returned the newest version.
     bool is_reported_ = true;
     std::map<node_name, reported_version> nodes_;
 };
