--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -26,7 +26,7 @@
     instant now_{std::chrono::seconds(1)};
     static constexpr duration part_timeout = std::chrono::milliseconds(400);
 
-    /// Routes whose names don't compress away.
+    /// A configuration whose routes do not compress well, so that it is sent in several parts.
     static configuration_pointer make_configuration(routing::configuration_version version,
                                                     std::size_t routes) {
         random_source random(5);
@@ -41,7 +41,8 @@
         return std::make_shared<const routing::configuration>(std::move(made));
     }
 
-    /// Has `fetch` take all parts of what `source` gives. @return parts that it took
+    /// Fetches all parts of a content from `source`.
+    /// @return number of parts received
     int fetch_all_parts(configuration_fetch& fetch, const node_name& node,
                         configuration_source& source,
                         std::optional<configuration_request> request) {
@@ -71,7 +72,7 @@
         source.show(make_configuration(5, 3'001));
         CPPUNIT_ASSERT_EQUAL(1, fetch_all_parts(fetch, "b", source, fetch.told("b", 5, now_)));
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(5, 3'001));
-        // A version from before what is kept: the whole.
+        // The held version is older than those kept, so the full configuration is sent.
         for (routing::configuration_version version = 6; version < 12; ++version) {
             source.show(make_configuration(version, 3'000));
         }
@@ -100,7 +101,7 @@
         const auto again = fetch.told("b", 3, now_);
         CPPUNIT_ASSERT(again.has_value());
         CPPUNIT_ASSERT_EQUAL(second->offset, again->offset);
-        // What the first node sends late is of no use any more.
+        // A late part from the first node is ignored.
         CPPUNIT_ASSERT(!fetch.receive("a", one.answer(*second), now_).next.has_value());
         fetch_all_parts(fetch, "b", other, again);
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(3, 3'000));
@@ -122,7 +123,7 @@
         auto request = fetch.told("a", 3, now_);
         routing::configuration_version version = 3;
         while (request) {
-            // A change comes with each part.
+            // A newer version is published with each part.
             source.show(make_configuration(++version, 3'000));
             request = fetch.receive("a", source.answer(*request), now_).next;
         }
@@ -137,7 +138,7 @@
         configuration_fetch fetch;
         one.show(make_configuration(3, 10));
         fetch_all_parts(fetch, "a", one, fetch.told("a", 3, now_));
-        // Another content under the version that the node holds.
+        // A different configuration with the version number that the node holds.
         configuration_source other;
         other.show(make_configuration(3, 11));
         other.show(make_configuration(4, 12));
@@ -152,7 +153,7 @@
     }
 
     void corrupt_parts_are_rejected() {
-        check_property("no part makes a node hold something else or wait for ever", [this] {
+        check_property("corrupt parts never change what is held nor block the fetch", [this] {
             configuration_source source;
             source.show(make_configuration(3, 500));
             configuration_fetch fetch;
@@ -189,7 +190,7 @@
     }
 
     void converges_to_newest_version_in_any_order() {
-        check_property("nodes that lag, are silent or lost: the newest is held in the end", [this] {
+        check_property("newest version wins when nodes lag, are silent or disconnect", [this] {
             std::vector<configuration_source> sources(3);
             std::vector<routing::configuration_version> published(3, 0);
             configuration_fetch fetch;
--- a/tests/plane/directory/configuration_spread_test.cpp
+++ b/tests/plane/directory/configuration_spread_test.cpp
@@ -1,13 +1,8 @@
 /// @file
-/// A forwarder that had long been at work answered 404 on a route that an operator had added and
-/// that had been acknowledged three seconds before. Two faults met. Every directory node answered
-/// every report of a forwarder that held an older version with the whole configuration, so that a
-/// change with 2,000 further routes made the nodes copy and send for seconds: telling 255 nodes
-/// once took 220 ms of processor time at 4,000 routes and 630 ms at 6,000, on machines with 0.15
-/// cores, and forwarders asked again each 120 ms until the copy had come. Heartbeats waited behind
-/// the copies, so leaders changed without a fault and some directory nodes lagged. And a forwarder
-/// took the answer of any directory node, also of one that lagged, for proof that it held the
-/// newest configuration.
+/// Guards against routes that are missing on a forwarder after the change was acknowledged:
+/// - answers to reports must not grow with the configuration, or they delay heartbeats and cause
+///   elections;
+/// - a lagging directory node must not confirm that a forwarder's version is the newest.
 
 #include "tallyfold/plane/directory/directory_core.hpp"
 #include "tallyfold/plane/messaging/peer_message.hpp"
@@ -41,7 +36,7 @@
         return made;
     }
 
-    /// What a forwarder asks that holds `version` and wants to know whether it is the newest.
+    /// A forwarder's report that holds `version` and asks whether it is the newest.
     static node_report report_with_question(routing::configuration_version version) {
         node_report report;
         report.node = "forwarder";
@@ -63,7 +58,7 @@
         const node_report_answer answer =
             group.node(lagging).receive(report_with_question(1), group.now());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1}, answer.configuration);
-        // A question that comes back is proof that nothing newer had been acknowledged.
+        // Returning the question would prove that no newer version had been acknowledged.
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, answer.question);
     }
 
--- a/tests/plane/directory/directory_core_test.cpp
+++ b/tests/plane/directory/directory_core_test.cpp
@@ -24,7 +24,8 @@
         return {settings, first_identity(settings.address), {}, now};
     }
 
-    /// Does the work as the shell would. @return snapshots among it
+    /// Carries out all pending work, as the shell does.
+    /// @return number of snapshots in it
     static int drain(directory_core& core) {
         int snapshots = 0;
         for (directory_work work = core.take_work(); !work.empty(); work = core.take_work()) {
@@ -37,7 +38,7 @@
         return snapshots;
     }
 
-    /// Bytes that stay as many in the log, which compresses them.
+    /// Random bytes, so that the log cannot compress them.
     static std::string incompressible(std::size_t size, int seed) {
         random_source random(static_cast<std::uint64_t>(seed));
         std::string bytes;
@@ -67,7 +68,7 @@
         }
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{changes},
                              core.state().configuration().version);
-        // 4 MB of changes: some snapshots, though not one for each change.
+        // The changes total 4 MB: several snapshots, but not one for each change.
         CPPUNIT_ASSERT(snapshots >= 3);
         CPPUNIT_ASSERT(snapshots <= changes / 3);
     }
--- a/tests/plane/directory/group_recovery_test.cpp
+++ b/tests/plane/directory/group_recovery_test.cpp
@@ -9,8 +9,7 @@
 using turns::store_map;
 using turns::store_member;
 
-/// The rules by which a group goes on from the disks that survive, one by one; how they follow each
-/// other is in store_planner_test.
+/// Tests each recovery rule by itself; store_planner_test covers sequences.
 class group_recovery_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(group_recovery_test);
     CPPUNIT_TEST(disk_is_lost_when_its_node_reports_another);
@@ -34,7 +33,7 @@
         return {1, {member(1, "1"), member(2, "2"), member(3, "3")}, {}};
     }
 
-    /// The view of a leader that began to lead at 0 ms.
+    /// The view of a leader whose leadership began at 0 ms.
     [[nodiscard]] store_view view_at(instant now) const {
         return {settings_, heartbeats_, state_, now};
     }
@@ -72,14 +71,14 @@
         changing.next = {member(2, "2"), member(3, "3"), member(4, "4")};
         CPPUNIT_ASSERT(!is_given_up(view_at(at(6'000)), changing, member(1, "1")));
         CPPUNIT_ASSERT(is_given_up(view_at(at(6'001)), changing, member(1, "1")));
-        // One that the change keeps is waited for.
+        // A member that the change keeps is not given up.
         CPPUNIT_ASSERT(!is_given_up(view_at(at(6'001)), changing, member(2, "2")));
     }
 
     void no_recovery_while_unreachable_members_form_majority() {
         heartbeats_.start(at(0));
         report(member(30, "3"), at(80'000));
-        // Both others are silent for longer than turns are kept: two of three may go on elsewhere.
+        // The other two are silent, but could form a majority elsewhere.
         CPPUNIT_ASSERT(!needs_recovery(view_at(at(80'000)), three_member_map()));
         report(member(1, "1"), at(80'000));
         CPPUNIT_ASSERT(needs_recovery(view_at(at(80'000)), three_member_map()));
--- a/tests/plane/directory/member_planner_test.cpp
+++ b/tests/plane/directory/member_planner_test.cpp
@@ -29,7 +29,8 @@
         return view;
     }
 
-    /// A planner that heard all members but `silent_member` until shortly before `now`.
+    /// A planner that last received a message from `silent_member` at 0 ms, and from the others at
+    /// `now`.
     static member_planner planner_with_silent_member(const replication_view& view,
                                                      replica_id silent_member, instant now) {
         member_planner planner({});
@@ -41,8 +42,8 @@
     }
 
     void silent_voter_is_removed_when_enough_remain() {
-        // Found on a day that emptied a machine for good and then wiped another one: two of four
-        // voters were left, and no majority ever again.
+        // Guards against a silent voter that stays: after one further loss, two of four voters
+        // would be left, which is no majority.
         const replication_view view = voters(4);
         const auto next = planner_with_silent_member(view, 3, at(6000)).plan(view, self, at(6000));
         CPPUNIT_ASSERT(next.has_value());
--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -52,7 +52,7 @@
                        turns::map_epoch copied = 0) {
         planner.on_report({store, copied}, now);
     }
-    /// The map that is planned for the only group.
+    /// The map planned for the only group.
     static std::optional<store_map> planned_map(const store_planner& planner,
                                                 const directory_state& state, instant now) {
         const auto change = planner.plan(state, now);
@@ -137,7 +137,8 @@
         CPPUNIT_ASSERT(done->current == next);
     }
 
-    /// Two of the three disks of before are gone; the first one's successor has joined the change.
+    /// The map planned when two of three disks are lost and the first one's successor has joined
+    /// the open change.
     static std::optional<store_map> map_after_two_lost_disks(store_planner& planner,
                                                              const directory_state& state) {
         planner.start(at(0));
@@ -152,7 +153,7 @@
         store_planner planner({});
         const auto map = map_after_two_lost_disks(planner, state_with_map(three_stores(), next));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
-        // The successor may hold what only the second lost disk held.
+        // The successor may hold turns that are otherwise only on the second lost disk.
         const std::vector<store_member> survivors{three_stores()[1], member(10, "1"),
                                                   member(30, "3")};
         CPPUNIT_ASSERT(map->current == survivors);
@@ -162,7 +163,8 @@
         CPPUNIT_ASSERT(map->suffices_of_current({2, 10, 30}));
     }
 
-    /// A store or forwarder of the build before would count a majority of what survives.
+    /// Guards against nodes of an older build that would count a majority of the survivors as
+    /// sufficient.
     void recovery_is_deferred_until_allowed() {
         const std::vector<store_member> next{member(10, "1"), three_stores()[1], three_stores()[2]};
         const directory_state state = state_with_map(three_stores(), next);
@@ -194,7 +196,7 @@
         CPPUNIT_ASSERT(map->current == map->next);
     }
 
-    /// Of a group that goes on without silent members, the directory's state.
+    /// A group with an open change that replaces member 1 by a store on another node.
     static directory_state state_with_open_change() {
         return state_with_map(three_stores(),
                               {member(40, "4"), three_stores()[1], three_stores()[2]});
@@ -217,11 +219,9 @@
         CPPUNIT_ASSERT(map->current == three_stores());
     }
 
-    // Symptom: turns were refused for good, though three of four stores answered and wrote.
-    // Sequence: a machine was gone for good and another came at another address; while the change
-    // to it was open, another member lost its disk. Cause: the machine that was gone was only
-    // silent, so its disk didn't count as lost, and the change waited for a majority that needed
-    // it. Settled by: reading; a machine's successor at another name tells nothing of the machine.
+    // Guards against a group that is blocked for good: a node fails permanently, and another member
+    // loses its disk while the change to replace the node is open. The failed node is silent, not
+    // known to be lost, so the change must not wait for a majority that needs it.
     void group_recovers_without_permanently_silent_node() {
         directory_state state = state_with_open_change();
         store_planner planner({});
@@ -239,7 +239,7 @@
         };
         int now = 0;
         run_until(now, 6'000);
-        // It may be back within a moment, and hold what nobody else does.
+        // The member may return and may hold the only copy of a turn.
         CPPUNIT_ASSERT(!state.stores().groups.front().after_loss);
         run_until(now, 7'000);
         const store_map& map = state.stores().groups.front();
@@ -350,11 +350,8 @@
         CPPUNIT_ASSERT(!planner.may_retire(state, "1"));
     }
 
-    // Symptom: with three stores, an order to empty one was taken, and the group went on with two.
-    // Sequence: a store lost its disk and came back with a new one while the same leader led.
-    // Cause: the leader counted the disk that was gone beside the new one, so four seemed to be
-    // there. Settled by: the simulation, which emptied one of three machines as soon as a disk was
-    // lost.
+    // Guards against a group that shrinks below its size: a replaced disk must not count as a store
+    // beside its successor when a retirement is checked.
     void replaced_disk_does_not_count_as_remaining_store() {
         store_planner planner({});
         planner.start(at(0));
@@ -395,7 +392,7 @@
         CPPUNIT_ASSERT(!smaller_planner.plan(state_with_map(three_stores()), at(8000)).has_value());
     }
 
-    /// `count` stores in six zones, as the large deployments have them.
+    /// Creates `count` stores, distributed over six zones.
     static std::vector<store_member> stores_in_six_zones(std::size_t count) {
         std::vector<store_member> members;
         for (std::size_t number = 0; number < count; ++number) {
@@ -435,7 +432,7 @@
             }
             CPPUNIT_ASSERT_EQUAL(std::size_t{5}, zones.size());
         }
-        // Too few for two groups with one that stands by each.
+        // Too few stores for two groups with a spare each.
         const directory_state few = state_with_formed_groups(
             planner_for_two_losses(stores_in_six_zones(8), at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, few.stores().groups.size());
@@ -511,7 +508,7 @@
         CPPUNIT_ASSERT(planner.disks_of(state, "unknown").empty());
         state.apply(retire_store{spare->node, disks});
         CPPUNIT_ASSERT(state.retired().contains(spare->id));
-        // Six may go; the seventh would leave a group too small.
+        // There are six spares; retiring a seventh store would leave a group too small.
         int retired_count = 1;
         for (const store_member& store : stores) {
             if (!state.retired().contains(store.id) && planner.may_retire(state, store.node)) {
