--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -156,7 +156,7 @@
     pending_.add_proof(read, token);
 }
 
-void directory_core::end_read(pending_requests::read_number number, bool confirmed) {
+void directory_core::complete_read(pending_requests::read_number number, bool confirmed) {
     if (const auto token = pending_.take_read(number)) {
         answer(*token, confirmed ? answer_kind::done : answer_kind::not_leader);
     } else if (const auto proof = pending_.take_proof(number)) {
@@ -355,10 +355,10 @@
         }
     }
     for (const std::uint64_t read : ready.confirmed_reads) {
-        end_read(read, !halted_);
+        complete_read(read, !halted_);
     }
     for (const std::uint64_t read : ready.failed_reads) {
-        end_read(read, false);
+        complete_read(read, false);
     }
     if (!halted_) {
         queue(ready.messages_before_sync, work_.before_sync);
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -122,7 +122,7 @@
     void add_full_configuration(const node_report& report, node_report_answer& answer);
     /// Logs, at a limited rate, what is deferred because a node supports only format v1.
     void log_awaited_format(const std::string& what, const node_name& node, instant now);
-    void end_read(std::uint64_t number, bool confirmed);
+    void complete_read(std::uint64_t number, bool confirmed);
     [[nodiscard]] addressed_message address(consensus::replica_message message) const;
     void queue(std::vector<consensus::replica_message>& messages,
                std::vector<addressed_message>& queued) const;
