--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -204,7 +204,7 @@
     const auto older_node = formats_.active_node_below(protocol::format_version::v2, now);
     store_planner_.allow_recovery(!older_node.has_value());
     if (older_node && store_planner_.any_group_needs_recovery(state_, now)) {
-        log_awaited_format("recovery=store_groups", *older_node, now);
+        log_format_wait("recovery=store_groups", *older_node, now);
     }
     if (auto change = store_planner_.plan(state_, now)) {
         submit(own_command, std::move(*change));
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -121,7 +121,7 @@
     /// Adds the full configuration for a node that cannot fetch parts.
     void add_full_configuration(const node_report& report, node_report_answer& answer);
     /// Logs, at a limited rate, what is deferred because a node supports only format v1.
-    void log_awaited_format(const std::string& what, const node_name& node, instant now);
+    void log_format_wait(const std::string& what, const node_name& node, instant now);
     void complete_read(std::uint64_t number, bool confirmed);
     [[nodiscard]] addressed_message address(consensus::replica_message message) const;
     void queue(std::vector<consensus::replica_message>& messages,
--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -22,8 +22,8 @@
     if (format < protocol::format_version::v2 && report.wants_configuration) {
         add_full_configuration(report, answer);
         if (answer.configuration > report.configuration && answer.newer_configuration.empty()) {
-            log_awaited_format("configuration=" + std::to_string(answer.configuration), report.node,
-                               now);
+            log_format_wait("configuration=" + std::to_string(answer.configuration), report.node,
+                            now);
         }
     }
     return answer;
@@ -59,8 +59,7 @@
            !formats_.active_node_below(protocol::format_version::v2, now);
 }
 
-void directory_core::log_awaited_format(const std::string& what, const node_name& node,
-                                        instant now) {
+void directory_core::log_format_wait(const std::string& what, const node_name& node, instant now) {
     if (now < next_format_log_) {
         return;
     }
