--- a/src/tallyfold/plane/directory/directory_state.cpp
+++ b/src/tallyfold/plane/directory/directory_state.cpp
@@ -34,14 +34,14 @@
     stores_.epoch = expected;
 }
 
-void directory_state::retire(const retire_store& order) {
+void directory_state::retire(const retire_store& command) {
     for (const turns::store_member& member : stores_.all()) {
-        if (member.node == order.node) {
-            retired_[member.id] = order.node;
+        if (member.node == command.node) {
+            retired_[member.id] = command.node;
         }
     }
-    for (const turns::store_id disk : order.disks) {
-        retired_[disk] = order.node;
+    for (const turns::store_id disk : command.disks) {
+        retired_[disk] = command.node;
     }
 }
 
--- a/src/tallyfold/plane/directory/directory_state.hpp
+++ b/src/tallyfold/plane/directory/directory_state.hpp
@@ -91,7 +91,7 @@
 
   private:
     void change_groups(const change_store_groups& change);
-    void retire(const retire_store& order);
+    void retire(const retire_store& command);
 
     configuration_pointer configuration_ = std::make_shared<const routing::configuration>();
     std::string text_;
