--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -195,7 +195,7 @@
             std::vector<routing::configuration_version> published(3, 0);
             configuration_fetch fetch;
             std::optional<configuration_request> request;
-            std::size_t asked = 0;
+            std::size_t requested_node = 0;
             routing::configuration_version newest = 0;
             for (int count = 0; count < 60; ++count) {
                 const auto node = static_cast<std::size_t>(*rc::gen::inRange(0, 3));
@@ -210,7 +210,7 @@
                     case 1:
                         if (auto next = fetch.told(name, published[node], now_)) {
                             request = next;
-                            asked = node;
+                            requested_node = node;
                         }
                         break;
                     case 2:
@@ -218,9 +218,10 @@
                         break;
                     default:
                         if (request) {
-                            const node_name from(1, static_cast<char>('a' + asked));
+                            const node_name from(1, static_cast<char>('a' + requested_node));
                             request =
-                                fetch.receive(from, sources[asked].answer(*request), now_).next;
+                                fetch.receive(from, sources[requested_node].answer(*request), now_)
+                                    .next;
                         }
                         break;
                 }
