--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -359,9 +359,9 @@
             report(planner, store, at(100));
         }
         report(planner, member(30, "3"), at(3000));
-        const std::vector<store_member> now_current{three_stores()[0], three_stores()[1],
-                                                    member(30, "3")};
-        CPPUNIT_ASSERT(!planner.may_retire(state_with_map(now_current), "1"));
+        const std::vector<store_member> current_members{three_stores()[0], three_stores()[1],
+                                                        member(30, "3")};
+        CPPUNIT_ASSERT(!planner.may_retire(state_with_map(current_members), "1"));
     }
 
     void retirement_before_formation_leaves_one_full_group() {
