--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-/// Without a part for this long, the next node that holds a newer version is asked to go on. A part
-/// takes some 15 ms; a directory node may be busy with a large change for 0.3 s.
+/// Time without a part after which the fetch continues at another node that holds a newer version.
+/// Longer than a directory node is busy with a large change.
 constexpr duration part_timeout = std::chrono::milliseconds(400);
-/// A larger content is taken for a damaged one, in bytes. Chosen, not measured: eight times the
-/// largest operators' call.
+/// Maximum size of a content in bytes, compressed and decompressed; a larger one is rejected as
+/// corrupt.
 constexpr std::size_t max_content_bytes = 64U << 20U;
 
-/// What a fetched content makes of `base`.
-tl::expected<routing::configuration, fetch_problem> unpack(const std::string& content,
-                                                           const routing::configuration& base) {
+/// Decodes a content and applies it to `base`.
+tl::expected<routing::configuration, fetch_problem> decode_configuration(
+    const std::string& content, const routing::configuration& base) {
     const auto bytes = protocol::decompress(content, max_content_bytes);
     if (!bytes) {
         return tl::unexpected(fetch_problem{fetch_failure::unreadable, bytes.error().reason});
@@ -26,16 +26,16 @@
     if (!change) {
         return tl::unexpected(fetch_problem{fetch_failure::unreadable, change.error().reason});
     }
-    const bool whole = change->base == routing::no_version;
-    auto made = routing::apply(*change, whole ? routing::configuration{} : base);
-    if (!made) {
-        const bool other_base = made.error() == routing::change_failure::other_base;
+    const bool is_full = change->base == routing::no_version;
+    auto result = routing::apply(*change, is_full ? routing::configuration{} : base);
+    if (!result) {
+        const bool is_base_mismatch = result.error() == routing::change_failure::other_base;
         return tl::unexpected(
-            other_base
-                ? fetch_problem{fetch_failure::other_base, "it is made from another version"}
-                : fetch_problem{fetch_failure::other_result, "its result isn't what was sent"});
+            is_base_mismatch
+                ? fetch_problem{fetch_failure::base_mismatch, "base version is not held"}
+                : fetch_problem{fetch_failure::result_mismatch, "result digest does not match"});
     }
-    return std::move(*made);
+    return std::move(*result);
 }
 
 }  // namespace
@@ -45,32 +45,32 @@
 }
 
 std::optional<duration> configuration_fetch::fetching_for(instant now) const {
-    return asked_.empty() ? std::nullopt : std::optional<duration>(now - began_);
+    return pending_node_.empty() ? std::nullopt : std::optional<duration>(now - started_at_);
 }
 
 configuration_request configuration_fetch::next_request() const {
     configuration_request request;
     request.held = held_->version;
-    request.whole = wants_whole_;
-    request.content = content_;
-    request.offset = bytes_.size();
+    request.whole = needs_full_;
+    request.content = content_id_;
+    request.offset = received_bytes_.size();
     return request;
 }
 
 std::optional<configuration_request> configuration_fetch::told(
-    const node_name& by, routing::configuration_version version, instant now) {
+    const node_name& node, routing::configuration_version version, instant now) {
     if (version <= held_->version) {
         return std::nullopt;
     }
-    const bool under_way = !asked_.empty() && now - asked_at_ < part_timeout;
-    if (under_way) {
+    const bool request_pending = !pending_node_.empty() && now - requested_at_ < part_timeout;
+    if (request_pending) {
         return std::nullopt;
     }
-    if (asked_.empty()) {
-        began_ = now;
+    if (pending_node_.empty()) {
+        started_at_ = now;
     }
-    asked_ = by;
-    asked_at_ = now;
+    pending_node_ = node;
+    requested_at_ = now;
     return next_request();
 }
 
@@ -83,56 +83,57 @@
 }
 
 void configuration_fetch::lost(const node_name& node) {
-    if (asked_ == node) {
-        asked_.clear();
+    if (pending_node_ == node) {
+        pending_node_.clear();
     }
 }
 
-void configuration_fetch::forget_content() {
-    content_ = 0;
-    bytes_.clear();
+void configuration_fetch::discard_content() {
+    content_id_ = 0;
+    received_bytes_.clear();
 }
 
 configuration_fetch::progress configuration_fetch::receive(const node_name& from,
                                                            const configuration_part& part,
                                                            instant now) {
-    if (from != asked_) {
-        // From a node that had been given up meanwhile.
+    if (from != pending_node_) {
+        // A late part from a node that has timed out or disconnected.
         return {};
     }
-    const bool goes_on = part.content == content_ && part.offset == bytes_.size();
-    const bool begins = part.offset == 0;
-    const bool usable =
-        part.size <= max_content_bytes && !part.bytes.empty() && (goes_on || begins);
-    if (part.version <= held_->version || !usable) {
-        asked_.clear();
-        forget_content();
+    const bool continues_content =
+        part.content == content_id_ && part.offset == received_bytes_.size();
+    const bool starts_content = part.offset == 0;
+    const bool is_usable = part.size <= max_content_bytes && !part.bytes.empty() &&
+                           (continues_content || starts_content);
+    if (part.version <= held_->version || !is_usable) {
+        pending_node_.clear();
+        discard_content();
         return {};
     }
-    if (!goes_on) {
-        forget_content();
-        content_ = part.content;
+    if (!continues_content) {
+        discard_content();
+        content_id_ = part.content;
     }
-    bytes_ += part.bytes;
-    if (bytes_.size() >= part.size) {
-        return finish();
+    received_bytes_ += part.bytes;
+    if (received_bytes_.size() >= part.size) {
+        return complete_fetch();
     }
-    asked_at_ = now;
+    requested_at_ = now;
     return {next_request(), nullptr, std::nullopt};
 }
 
-configuration_fetch::progress configuration_fetch::finish() {
-    auto made = unpack(bytes_, *held_);
-    asked_.clear();
-    forget_content();
-    wants_whole_ = !made;
-    if (!made) {
-        return {std::nullopt, nullptr, made.error()};
+configuration_fetch::progress configuration_fetch::complete_fetch() {
+    auto result = decode_configuration(received_bytes_, *held_);
+    pending_node_.clear();
+    discard_content();
+    needs_full_ = !result;
+    if (!result) {
+        return {std::nullopt, nullptr, result.error()};
     }
-    if (made->version <= held_->version) {
+    if (result->version <= held_->version) {
         return {};
     }
-    held_ = std::make_shared<const routing::configuration>(std::move(*made));
+    held_ = std::make_shared<const routing::configuration>(std::move(*result));
     return {std::nullopt, held_, std::nullopt};
 }
 
--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -4,52 +4,51 @@
 
 namespace {
 
-/// Questions whose time of asking is remembered: three seconds of them, at one each 50 ms. An
-/// answer that takes longer is ignored; whoever waited for it has long been told to come again.
+/// Maximum number of pending questions. Requests that wait for an older one have timed out.
 constexpr std::size_t max_open_questions = 64;
-/// Proofs of versions that aren't held yet. Chosen, not measured: while versions come quickly, each
-/// may be proved before it is fetched.
-constexpr std::size_t max_proofs_ahead = 16;
+/// Maximum number of proofs for versions that are not held yet.
+constexpr std::size_t max_pending_proofs = 16;
 
 }  // namespace
 
 std::uint64_t configuration_proofs::ask(instant now) {
-    asked_[++question_] = now;
-    if (asked_.size() > max_open_questions) {
-        asked_.erase(asked_.begin());
+    question_times_[++last_question_] = now;
+    if (question_times_.size() > max_open_questions) {
+        question_times_.erase(question_times_.begin());
     }
-    return question_;
+    return last_question_;
 }
 
-void configuration_proofs::answered(const node_name& by, std::uint64_t question,
+void configuration_proofs::answered(const node_name& node, std::uint64_t question,
                                     routing::configuration_version version) {
-    const auto asked = asked_.find(question);
-    if (asked == asked_.end()) {
+    const auto asked = question_times_.find(question);
+    if (asked == question_times_.end()) {
         return;
     }
-    const configuration_proof proof{by, version, asked->second};
-    asked_.erase(asked);
-    if (version <= held_) {
-        take(proof);
+    const configuration_proof proof{node, version, asked->second};
+    question_times_.erase(asked);
+    if (version <= held_version_) {
+        keep_if_newer(proof);
         return;
     }
-    ahead_.push_back(proof);
-    if (ahead_.size() > max_proofs_ahead) {
-        ahead_.pop_front();
+    pending_proofs_.push_back(proof);
+    if (pending_proofs_.size() > max_pending_proofs) {
+        pending_proofs_.pop_front();
     }
 }
 
 void configuration_proofs::holds(routing::configuration_version version) {
-    held_ = version;
-    for (const configuration_proof& proof : ahead_) {
-        if (proof.version <= held_) {
-            take(proof);
+    held_version_ = version;
+    for (const configuration_proof& proof : pending_proofs_) {
+        if (proof.version <= held_version_) {
+            keep_if_newer(proof);
         }
     }
-    std::erase_if(ahead_, [&](const configuration_proof& proof) { return proof.version <= held_; });
+    std::erase_if(pending_proofs_,
+                  [&](const configuration_proof& proof) { return proof.version <= held_version_; });
 }
 
-void configuration_proofs::take(const configuration_proof& proof) {
+void configuration_proofs::keep_if_newer(const configuration_proof& proof) {
     if (proof.asked > newest_.asked) {
         newest_ = proof;
     }
--- a/src/tallyfold/plane/directory/configuration_source.cpp
+++ b/src/tallyfold/plane/directory/configuration_source.cpp
@@ -9,15 +9,14 @@
 
 namespace {
 
-/// Versions from which differences are told: nodes rarely lag by more changes than come while one
-/// is fetched. Each holds some 2 MB at 6,000 routes.
-constexpr std::size_t kept_versions = 4;
-/// Contents that nodes may still be fetching while newer versions come. Chosen, not measured: two
-/// for each version kept.
-constexpr std::size_t kept_contents = 8;
-/// What one answer carries, in bytes: 9 ms of a link with 30 Mbit/s, so that heartbeats don't wait
-/// behind it.
-constexpr std::size_t part_bytes = 32U << 10U;
+/// Maximum number of versions from which differences can be computed. Nodes that hold an older one
+/// get the full configuration.
+constexpr std::size_t max_versions = 4;
+/// Maximum number of contents kept for nodes that are still fetching them.
+constexpr std::size_t max_contents = 8;
+/// Maximum size of a part in bytes; small, so that heartbeats on the same connection are not
+/// delayed.
+constexpr std::size_t max_part_bytes = 32U << 10U;
 
 const routing::configuration& empty_configuration() {
     static const routing::configuration empty;
@@ -27,18 +26,18 @@
 }  // namespace
 
 void configuration_source::show(const configuration_pointer& newest) {
-    if (newest->version <= (kept_.empty() ? routing::no_version : kept_.back()->version)) {
+    if (newest->version <= (versions_.empty() ? routing::no_version : versions_.back()->version)) {
         return;
     }
-    kept_.push_back(newest);
-    if (kept_.size() > kept_versions) {
-        kept_.pop_front();
+    versions_.push_back(newest);
+    if (versions_.size() > max_versions) {
+        versions_.pop_front();
     }
 }
 
 const routing::configuration& configuration_source::base_for(
     routing::configuration_version version) const {
-    for (const configuration_pointer& each : kept_) {
+    for (const configuration_pointer& each : versions_) {
         if (each->version == version) {
             return *each;
         }
@@ -53,7 +52,7 @@
             return each;
         }
     }
-    const routing::configuration& newest = *kept_.back();
+    const routing::configuration& newest = *versions_.back();
     const routing::configuration& base =
         request.whole ? empty_configuration() : base_for(request.held);
     for (const content& each : contents_) {
@@ -61,13 +60,13 @@
             return each;
         }
     }
-    content made;
-    made.base = base.version;
-    made.version = newest.version;
-    made.bytes = protocol::compress(protocol::encode(routing::difference(base, newest)));
-    made.id = stable_hash(made.bytes);
-    contents_.push_back(std::move(made));
-    if (contents_.size() > kept_contents) {
+    content created;
+    created.base = base.version;
+    created.version = newest.version;
+    created.bytes = protocol::compress(protocol::encode(routing::difference(base, newest)));
+    created.id = stable_hash(created.bytes);
+    contents_.push_back(std::move(created));
+    if (contents_.size() > max_contents) {
         contents_.pop_front();
     }
     return contents_.back();
@@ -75,16 +74,17 @@
 
 configuration_part configuration_source::answer(const configuration_request& request) {
     configuration_part part;
-    if (kept_.empty() || kept_.back()->version <= request.held) {
+    if (versions_.empty() || versions_.back()->version <= request.held) {
         return part;
     }
-    const content& given = content_for(request);
-    part.content = given.id;
-    part.version = given.version;
-    part.size = given.bytes.size();
-    const bool goes_on = request.content == given.id && request.offset < given.bytes.size();
-    part.offset = goes_on ? request.offset : 0;
-    part.bytes = given.bytes.substr(part.offset, part_bytes);
+    const content& selected = content_for(request);
+    part.content = selected.id;
+    part.version = selected.version;
+    part.size = selected.bytes.size();
+    const bool continues_content =
+        request.content == selected.id && request.offset < selected.bytes.size();
+    part.offset = continues_content ? request.offset : 0;
+    part.bytes = selected.bytes.substr(part.offset, max_part_bytes);
     return part;
 }
 
--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -8,19 +8,17 @@
 
 namespace {
 
-/// Time between two plans of the leader: one change of members and one of stores at a time. Chosen,
-/// not measured: a round of the log takes a few milliseconds.
+/// Interval at which the leader plans changes of its members and of the store groups.
 constexpr duration plan_interval = std::chrono::milliseconds(100);
-/// How much longer than their time stores keep turns: after a restart their time starts anew, and
-/// clocks run apart. Chosen, not measured: longer than a store's restart.
+/// Margin on top of the retention: stores restart the retention of their turns after a restart, and
+/// clocks drift.
 constexpr duration retention_margin = std::chrono::seconds(15);
-/// Time between two requests to join. Chosen, not measured: a fifth of the time for which the
-/// leader remembers one (1.5 s).
+/// Interval between join requests; a fraction of the time for which the leader accepts one.
 constexpr duration join_interval = std::chrono::milliseconds(300);
-/// A replica that no leader has spoken to for this long asks to be taken in again. Chosen, not
-/// measured: longer than an election, which takes 0.5 to 1 s.
-constexpr duration orphaned_after = std::chrono::milliseconds(2500);
-/// The longest time that the configuration's routes have turns kept.
+/// Time without a message from a leader after which a replica asks to join again. Longer than an
+/// election.
+constexpr duration orphan_timeout = std::chrono::milliseconds(2500);
+/// The longest retention of turns among the configuration's routes.
 duration longest_retention(const routing::configuration& configuration) {
     double seconds = 0;
     for (const routing::route& route : configuration.routes) {
@@ -41,9 +39,9 @@
                now),
       member_planner_(settings_.members),
       store_planner_(settings_.stores),
-      leader_seen_(now) {
+      last_leader_message_(now) {
     if (const auto restored = state_.restore(recovered.base.state); !restored) {
-        stand_still("snapshot=" + std::to_string(recovered.base.index), restored.error().reason);
+        halt("snapshot=" + std::to_string(recovered.base.index), restored.error().reason);
     }
     check_membership_entries();
     applied_ = replica_.log().snapshot_index();
@@ -53,7 +51,7 @@
         write.group = configuration_group;
         write.state = first.state;
         write.base = first.base;
-        first_write_ = std::move(write);
+        bootstrap_write_ = std::move(write);
     }
 }
 
@@ -62,7 +60,7 @@
 }
 
 bool directory_core::leads() const {
-    return !stands_still_ && replica_.role() == consensus::replica_role::leader;
+    return !halted_ && replica_.role() == consensus::replica_role::leader;
 }
 
 node_name directory_core::leader_address() const {
@@ -85,17 +83,17 @@
 
 void directory_core::receive(const node_name& from, const consensus::replica_message& message,
                              instant now) {
-    if (stands_still_) {
+    if (halted_) {
         return;
     }
     if (!from.empty()) {
         addresses_[message.from] = from;
     }
-    member_planner_.heard(message.from, now);
+    member_planner_.on_message(message.from, now);
     replica_.step(message, now);
     check_membership_entries();
     if (replica_.leader() == message.from) {
-        leader_seen_ = now;
+        last_leader_message_ = now;
     }
     follow_leadership(now);
 }
@@ -105,12 +103,12 @@
     member_planner_.on_join(request, now);
 }
 
-void directory_core::stand_still(const std::string& what, const std::string& reason) {
-    if (stands_still_) {
+void directory_core::halt(const std::string& what, const std::string& reason) {
+    if (halted_) {
         return;
     }
     log(logging::event_id::entry_unreadable, what + " reason=\"" + reason + "\"");
-    stands_still_ = true;
+    halted_ = true;
     for (const request_token token : pending_.take_commands()) {
         answer(token, answer_kind::unknown);
     }
@@ -118,7 +116,7 @@
 
 void directory_core::check_membership_entries() {
     if (const auto index = replica_.unreadable_entry()) {
-        stand_still("index=" + std::to_string(*index), "it doesn't decode as a membership");
+        halt("index=" + std::to_string(*index), "entry does not decode as a membership");
     }
 }
 
@@ -131,7 +129,7 @@
         answer(token, answer_kind::not_leader);
         return;
     }
-    // Packed: a follower reads an entry whole before it sees the heartbeats behind it.
+    // Compressed, because a large entry delays the heartbeats behind it on the connection.
     const auto index = replica_.propose(protocol::encode_packed(command));
     if (!index) {
         answer(token, answer_kind::not_leader);
@@ -142,7 +140,7 @@
 
 void directory_core::confirm(request_token token, instant now) {
     const pending_requests::read_number read = pending_.next_read();
-    if (stands_still_ || !replica_.request_read(read, now)) {
+    if (halted_ || !replica_.request_read(read, now)) {
         answer(token, answer_kind::not_leader);
         return;
     }
@@ -151,14 +149,14 @@
 
 void directory_core::prove(request_token token, instant now) {
     const pending_requests::read_number read = pending_.next_read();
-    if (stands_still_ || !replica_.request_read_at_any_replica(read, now)) {
+    if (halted_ || !replica_.request_read_at_any_replica(read, now)) {
         work_.proofs.push_back({token, false});
         return;
     }
     pending_.add_proof(read, token);
 }
 
-void directory_core::end_read(pending_requests::read_number number, bool confirmed) {
+void directory_core::complete_read(pending_requests::read_number number, bool confirmed) {
     if (const auto token = pending_.take_read(number)) {
         answer(*token, confirmed ? answer_kind::done : answer_kind::not_leader);
     } else if (const auto proof = pending_.take_proof(number)) {
@@ -197,16 +195,16 @@
 }
 
 void directory_core::plan_stores(instant now) {
-    // The next change is planned from the state that the one before has made.
+    // The next change is planned from the state that results from the previous one.
     if (pending_.has_own_command()) {
         return;
     }
     const duration retention = longest_retention(state_.configuration()) + retention_margin;
     store_planner_.watch_losses(state_, retention, now);
-    const auto below = formats_.lately_below(protocol::format_version::v2, now);
-    store_planner_.allow_recovery(!below.has_value());
-    if (below && store_planner_.wants_recovery(state_, now)) {
-        log_awaited_format("recovery=store_groups", *below, now);
+    const auto older_node = formats_.active_node_below(protocol::format_version::v2, now);
+    store_planner_.allow_recovery(!older_node.has_value());
+    if (older_node && store_planner_.any_group_needs_recovery(state_, now)) {
+        log_format_wait("recovery=store_groups", *older_node, now);
     }
     if (auto change = store_planner_.plan(state_, now)) {
         submit(own_command, std::move(*change));
@@ -226,19 +224,19 @@
     }
 }
 
-void directory_core::join(instant now) {
-    const bool orphaned = !leads() && now - leader_seen_ > orphaned_after;
+void directory_core::request_to_join(instant now) {
+    const bool orphaned = !leads() && now - last_leader_message_ > orphan_timeout;
     if ((is_member() && !orphaned) || now < next_join_) {
         return;
     }
     next_join_ = now + join_interval;
-    std::vector<node_name> asked = settings_.seeds;
+    std::vector<node_name> targets = settings_.seeds;
     for (const auto& [id, member] : replica_.members().members) {
-        asked.push_back(member.node);
+        targets.push_back(member.node);
     }
-    std::sort(asked.begin(), asked.end());
-    asked.erase(std::unique(asked.begin(), asked.end()), asked.end());
-    for (const node_name& address : asked) {
+    std::sort(targets.begin(), targets.end());
+    targets.erase(std::unique(targets.begin(), targets.end()), targets.end());
+    for (const node_name& address : targets) {
         if (address != settings_.address) {
             work_.before_sync.push_back({address, join_request{identity_, settings_.address}});
         }
@@ -246,12 +244,12 @@
 }
 
 void directory_core::tick(instant now) {
-    if (stands_still_) {
+    if (halted_) {
         return;
     }
     replica_.tick(now);
     follow_leadership(now);
-    join(now);
+    request_to_join(now);
     if (now >= next_plan_) {
         next_plan_ = now + plan_interval;
         plan_changes(now);
@@ -261,11 +259,11 @@
 void directory_core::apply_command(const consensus::log_entry& entry) {
     auto command = protocol::decode_packed<directory_command>(entry.payload);
     if (!command) {
-        // Passed over, it would be acknowledged all the same, and whoever asks this node would go
-        // by an older configuration.
-        stand_still("index=" + std::to_string(entry.index) +
-                        " bytes=" + std::to_string(entry.payload.size()),
-                    command.error().reason);
+        // If the entry were skipped, it would still be acknowledged, and this node would serve an
+        // outdated configuration.
+        halt("index=" + std::to_string(entry.index) +
+                 " bytes=" + std::to_string(entry.payload.size()),
+             command.error().reason);
         return;
     }
     const routing::configuration_version version = state_.configuration().version;
@@ -284,7 +282,7 @@
     if (entry.kind == consensus::entry_kind::command) {
         apply_command(entry);
     }
-    if (stands_still_) {
+    if (halted_) {
         return;
     }
     applied_ = entry.index;
@@ -327,7 +325,7 @@
     const bool due = applied_ >= log.snapshot_index() + settings_.snapshot_interval ||
                      applied_bytes_ >= settings_.snapshot_bytes ||
                      applied_disk_bytes_ >= settings_.snapshot_disk_bytes;
-    if (write.base.has_value() || !due || stands_still_) {
+    if (write.base.has_value() || !due || halted_) {
         return;
     }
     applied_bytes_ = 0;
@@ -338,7 +336,7 @@
     own.members = replica_.members_at(applied_);
     own.state = state_.to_bytes();
     write.base = own;
-    writing_snapshot_ = std::move(own);
+    pending_snapshot_ = std::move(own);
 }
 
 void directory_core::take_ready(consensus::group_write& write) {
@@ -346,23 +344,23 @@
     if (ready.received_snapshot.has_value()) {
         const consensus::log_index index = ready.received_snapshot->index;
         if (const auto restored = state_.restore(ready.received_snapshot->state); !restored) {
-            stand_still("snapshot=" + std::to_string(index), restored.error().reason);
+            halt("snapshot=" + std::to_string(index), restored.error().reason);
         }
         applied_ = index;
         write.base = std::move(ready.received_snapshot);
     }
     for (const consensus::log_entry& entry : ready.committed) {
-        if (!stands_still_) {
+        if (!halted_) {
             apply(entry);
         }
     }
     for (const std::uint64_t read : ready.confirmed_reads) {
-        end_read(read, !stands_still_);
+        complete_read(read, !halted_);
     }
     for (const std::uint64_t read : ready.failed_reads) {
-        end_read(read, false);
+        complete_read(read, false);
     }
-    if (!stands_still_) {
+    if (!halted_) {
         queue(ready.messages_before_sync, work_.before_sync);
         queue(ready.messages_after_sync, work_.after_sync);
     }
@@ -376,15 +374,15 @@
 directory_work directory_core::take_work() {
     consensus::group_write write;
     write.group = configuration_group;
-    if (first_write_.has_value()) {
-        write = std::move(*first_write_);
-        first_write_.reset();
+    if (bootstrap_write_.has_value()) {
+        write = std::move(*bootstrap_write_);
+        bootstrap_write_.reset();
     }
     if (replica_.has_ready()) {
         take_ready(write);
     }
     if (!write.entries.empty()) {
-        writing_ = {write.entries.back().index, write.entries.back().term};
+        pending_write_ = {write.entries.back().index, write.entries.back().term};
     }
     if (write.state || write.base || !write.entries.empty()) {
         work_.write = std::move(write);
@@ -395,14 +393,14 @@
 }
 
 void directory_core::persisted() {
-    if (writing_.has_value()) {
-        replica_.persisted(writing_->first, writing_->second);
-        writing_.reset();
-    }
-    if (writing_snapshot_.has_value()) {
-        replica_.compacted(writing_snapshot_->index);
-        replica_.set_snapshot(std::move(*writing_snapshot_));
-        writing_snapshot_.reset();
+    if (pending_write_.has_value()) {
+        replica_.persisted(pending_write_->first, pending_write_->second);
+        pending_write_.reset();
+    }
+    if (pending_snapshot_.has_value()) {
+        replica_.compacted(pending_snapshot_->index);
+        replica_.set_snapshot(std::move(*pending_snapshot_));
+        pending_snapshot_.reset();
     }
 }
 
--- a/src/tallyfold/plane/directory/directory_state.cpp
+++ b/src/tallyfold/plane/directory/directory_state.cpp
@@ -8,7 +8,7 @@
 
 void directory_state::apply(directory_command command) {
     if (auto* change = std::get_if<replace_configuration>(&command)) {
-        // The highest version prevails; an equal one alters nothing.
+        // The highest version wins; an equal one changes nothing.
         if (change->parsed.version > configuration_->version) {
             configuration_ =
                 std::make_shared<const routing::configuration>(std::move(change->parsed));
@@ -34,14 +34,14 @@
     stores_.epoch = expected;
 }
 
-void directory_state::retire(const retire_store& order) {
+void directory_state::retire(const retire_store& command) {
     for (const turns::store_member& member : stores_.all()) {
-        if (member.node == order.node) {
-            retired_[member.id] = order.node;
+        if (member.node == command.node) {
+            retired_[member.id] = command.node;
         }
     }
-    for (const turns::store_id disk : order.disks) {
-        retired_[disk] = order.node;
+    for (const turns::store_id disk : command.disks) {
+        retired_[disk] = command.node;
     }
 }
 
--- a/src/tallyfold/plane/directory/format_survey.hpp
+++ b/src/tallyfold/plane/directory/format_survey.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Which forms the nodes know that a directory node hears of, so that it writes nothing that one of
-/// them couldn't read. Owns one entry for each node, by its name, or by its address where it is a
-/// directory node. Relies on its owner to tell what the connections say. Pure.
+/// Tracks the formats that other nodes support, so that nothing is written that one of them cannot
+/// read. Owns one entry for each node, keyed by its name, or by the address of a directory node.
+/// Its owner reports the format of each connection. Pure.
 
 #include <map>
 #include <optional>
@@ -16,25 +16,26 @@
 
 class format_survey {
   public:
-    /// A message came from the node over a connection on which it said, or didn't say, what it
-    /// knows. @return true when that is new
-    bool heard(const node_name& node, protocol::format_version format, instant now);
+    /// Records the format of the connection on which a message was received; the oldest format when
+    /// the node did not state one.
+    /// @return true when the node or its format is new
+    bool record(const node_name& node, protocol::format_version format, instant now);
 
-    /// A node heard of lately that doesn't know `format`; nothing when all of them do.
-    [[nodiscard]] std::optional<node_name> lately_below(protocol::format_version format,
-                                                        instant now) const;
-    /// True when each of these nodes was heard to know `format`, if long ago.
-    [[nodiscard]] bool all_know(protocol::format_version format,
-                                const std::vector<node_name>& nodes) const;
-    /// Nodes heard of lately whose newest form is `format`.
+    /// Returns an active node that does not support `format`; empty when there is none.
+    [[nodiscard]] std::optional<node_name> active_node_below(protocol::format_version format,
+                                                             instant now) const;
+    /// True when each of these nodes is known to support `format`, whether or not it is active.
+    [[nodiscard]] bool all_support(protocol::format_version format,
+                                   const std::vector<node_name>& nodes) const;
+    /// Number of active nodes whose newest format is `format`.
     [[nodiscard]] std::size_t count(protocol::format_version format, instant now) const;
 
   private:
-    struct heard_format {
+    struct reported_format {
         protocol::format_version format = protocol::oldest_format;
-        instant heard{};
+        instant last_seen{};
     };
-    std::map<node_name, heard_format> nodes_;
+    std::map<node_name, reported_format> nodes_;
 };
 
 }  // namespace tallyfold::directory
--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -11,12 +11,11 @@
 
 namespace {
 
-/// Times the first gathering after which groups are formed of fewer stores than a group's size.
-/// Chosen, not measured: 6 s, in which a machine that starts late has started.
-constexpr int gatherings_for_a_small_group = 4;
+/// Multiple of the formation wait after which groups are formed even if there are fewer stores than
+/// the group size. Leaves time for nodes that start late.
+constexpr int small_group_wait_factor = 4;
 
-/// The stores in an order in which any run of them, as long as there are zones, lies in different
-/// zones.
+/// Orders the stores so that consecutive ones are in different zones as far as possible.
 store_list interleave_zones(const store_list& stores) {
     std::map<std::string, store_list> by_zone;
     for (const store_member& store : stores) {
@@ -33,8 +32,8 @@
     return ordered;
 }
 
-/// Takes out the candidate whose zone has the fewest of the members; the first of several.
-store_member take_best(store_list& candidates, const store_list& members) {
+/// Removes and returns the first candidate whose zone has the fewest members.
+store_member take_best_for_zone_spread(store_list& candidates, const store_list& members) {
     const auto in_zone = [&](const store_member& candidate) {
         return std::count_if(members.begin(), members.end(), [&](const store_member& member) {
             return member.zone == candidate.zone;
@@ -49,8 +48,8 @@
     return taken;
 }
 
-/// Members whose disks are there and aren't to be emptied.
-store_list staying_members(const store_view& view, const store_map& map) {
+/// Members whose disks are neither replaced nor retired.
+store_list remaining_members(const store_view& view, const store_map& map) {
     store_list members;
     for (const store_member& member : map.current) {
         if (!view.is_retired(member.id) && !view.is_replaced(member)) {
@@ -60,14 +59,14 @@
     return members;
 }
 
-/// Live stores that may join the group, those on machines of present members first: a new disk in
-/// an old one's place keeps the zones as they are.
+/// Live stores that may join the group. Those on nodes of current members come first, since a new
+/// disk on the same node preserves the spread over zones.
 store_list candidates_for(const store_view& view, const store_map& map, const store_list& members) {
     store_list candidates;
     for (const store_member& store : view.live_stores()) {
-        const bool elsewhere = view.is_in_a_group(store.id) && !map.holds(store.id);
-        const bool gone = view.is_retired(store.id) || view.is_replaced(store);
-        if (!elsewhere && !gone && !has_id(members, store.id)) {
+        const bool is_in_other_group = view.is_in_a_group(store.id) && !map.holds(store.id);
+        const bool is_excluded = view.is_retired(store.id) || view.is_replaced(store);
+        if (!is_in_other_group && !is_excluded && !has_id(members, store.id)) {
             candidates.push_back(store);
         }
     }
@@ -79,33 +78,33 @@
     return candidates;
 }
 
-/// Takes silent members out while the group has more than its size.
+/// Removes silent members while the group exceeds its size.
 void drop_surplus(const store_view& view, store_list& members) {
     for (auto member = members.begin(); member != members.end();) {
         const bool is_surplus = members.size() > view.settings().group_size();
-        const bool leaves = is_surplus && view.is_silent(member->id);
-        member = leaves ? members.erase(member) : member + 1;
+        const bool is_dropped = is_surplus && view.is_silent(member->id);
+        member = is_dropped ? members.erase(member) : member + 1;
     }
 }
 
 }  // namespace
 
 store_list choose_members(const store_view& view, const store_map& map) {
-    store_list members = staying_members(view, map);
+    store_list members = remaining_members(view, map);
     store_list candidates = candidates_for(view, map, members);
     while (members.size() < view.settings().group_size() && !candidates.empty()) {
-        members.push_back(take_best(candidates, members));
+        members.push_back(take_best_for_zone_spread(candidates, members));
     }
     for (store_member& member : members) {
         if (view.is_silent(member.id) && !candidates.empty()) {
-            member = take_best(candidates, members);
+            member = take_best_for_zone_spread(candidates, members);
         }
     }
     drop_surplus(view, members);
     return members;
 }
 
-bool has_too_few(const store_view& view, const store_list& members, const store_map& map) {
+bool has_too_few_members(const store_view& view, const store_list& members, const store_map& map) {
     return members.size() < std::min(view.settings().group_size(), map.current.size());
 }
 
@@ -114,41 +113,41 @@
         return std::nullopt;
     }
     store_list members = choose_members(view, map);
-    if (has_too_few(view, members, map) || same_members(members, map.current)) {
+    if (has_too_few_members(view, members, map) || same_members(members, map.current)) {
         return std::nullopt;
     }
     return with_members(map, map.current, std::move(members));
 }
 
-bool copies_suffice(const store_view& view, const store_map& map) {
+bool has_enough_copies(const store_view& view, const store_map& map) {
     const auto has_copied = [&](const store_member& member) {
         return view.has_copied(member, map);
     };
     const auto stays_or_has_copied = [&](const store_member& member) {
         return has_id(map.current, member.id) || has_copied(member);
     };
-    const auto whole = std::count_if(map.next.begin(), map.next.end(), has_copied);
-    // A member that stays and is away doesn't hold the change up: while it is open, the loss of one
-    // more disk stops the group.
+    const auto complete_copies = std::count_if(map.next.begin(), map.next.end(), has_copied);
+    // The change does not wait for an unreachable member that remains: while the change is open,
+    // the loss of one more disk blocks the group.
     const std::size_t majority = map.next.size() / 2 + 1;
     const std::size_t needed = map.next.size() - majority + 1;
     return std::all_of(map.next.begin(), map.next.end(), stays_or_has_copied) &&
-           static_cast<std::size_t>(whole) >= needed;
+           static_cast<std::size_t>(complete_copies) >= needed;
 }
 
 std::optional<store_map> continue_change(const store_view& view, const store_map& map) {
-    if (copies_suffice(view, map)) {
+    if (has_enough_copies(view, map)) {
         return with_members(map, map.next, {});
     }
-    // A joining store that died would hold the change up for ever: plan again without it.
-    const auto will_not_copy = [&](const store_member& member) {
+    // A joining store that has failed would block the change forever, so members are chosen again.
+    const auto cannot_copy = [&](const store_member& member) {
         return !view.has_copied(member, map) && !view.is_live(member.id);
     };
-    if (!view.has_listened() || std::none_of(map.next.begin(), map.next.end(), will_not_copy)) {
+    if (!view.has_listened() || std::none_of(map.next.begin(), map.next.end(), cannot_copy)) {
         return std::nullopt;
     }
     store_list members = choose_members(view, map);
-    if (has_too_few(view, members, map) || same_members(members, map.next)) {
+    if (has_too_few_members(view, members, map) || same_members(members, map.next)) {
         return std::nullopt;
     }
     return with_members(map, map.current, std::move(members));
@@ -157,16 +156,15 @@
 std::optional<change_store_groups> form_groups(const store_view& view) {
     const store_planner_settings& settings = view.settings();
     const store_list found = view.live_stores();
-    const bool enough =
-        found.size() >= settings.group_size() ||
-        view.listened_for() > gatherings_for_a_small_group * settings.first_gathering;
-    if (found.empty() || view.listened_for() < settings.first_gathering || !enough) {
+    const bool enough = found.size() >= settings.group_size() ||
+                        view.leading_for() > small_group_wait_factor * settings.formation_wait;
+    if (found.empty() || view.leading_for() < settings.formation_wait || !enough) {
         return std::nullopt;
     }
     const store_list ordered = interleave_zones(found);
     change_store_groups change;
     auto position = ordered.begin();
-    for (std::size_t number = 0; number < settings.groups_of(ordered.size()); ++number) {
+    for (std::size_t number = 0; number < settings.group_count(ordered.size()); ++number) {
         store_map map;
         map.epoch = view.state().stores().epoch + 1 + number;
         map.group = static_cast<turns::group_number>(number);
--- a/src/tallyfold/plane/directory/group_recovery.cpp
+++ b/src/tallyfold/plane/directory/group_recovery.cpp
@@ -12,20 +12,20 @@
 
 namespace {
 
-/// Members of both lists, and those that the group went on without.
-store_list all_former_members(const store_map& map) {
+/// Current, next and absent members of the group.
+store_list all_known_members(const store_map& map) {
     store_list known = map.all();
     known.insert(known.end(), map.absent.begin(), map.absent.end());
     return known;
 }
 
-/// The group's map with the disks that survive as its members, those given up apart; nothing while
-/// one that isn't given up is out of reach.
+/// The group's map with the surviving disks as members and those given up as absent. Empty while a
+/// member that is not given up is unreachable.
 std::optional<store_map> map_of_survivors(const store_view& view, const store_map& map) {
     store_map survivors;
     survivors.group = map.group;
     survivors.after_loss = true;
-    for (const store_member& member : all_former_members(map)) {
+    for (const store_member& member : all_known_members(map)) {
         if (view.is_lost(member)) {
             continue;
         }
@@ -51,7 +51,7 @@
 
 bool needs_recovery(const store_view& view, const store_map& map) {
     std::set<store_id> may_answer;
-    std::set<store_id> out_of_reach;
+    std::set<store_id> unreachable;
     bool any_lost = false;
     for (const store_member& member : map.current) {
         if (view.is_lost(member)) {
@@ -59,14 +59,14 @@
             continue;
         }
         if (!view.is_live(member.id)) {
-            out_of_reach.insert(member.id);
+            unreachable.insert(member.id);
         }
         if (!is_given_up(view, map, member)) {
             may_answer.insert(member.id);
         }
     }
     return any_lost && !map.suffices_of_current(may_answer) &&
-           !map.suffices_of_current(out_of_reach);
+           !map.suffices_of_current(unreachable);
 }
 
 std::optional<store_map> recover_from_survivors(const store_view& view, const store_map& map) {
@@ -75,11 +75,11 @@
         return std::nullopt;
     }
     store_list members = choose_members(view, *survivors);
-    if (has_too_few(view, members, map)) {
+    if (has_too_few_members(view, members, map)) {
         return std::nullopt;
     }
-    // A new disk that the map doesn't list yet has been written to under its predecessor's address,
-    // and may be the last that holds a turn.
+    // A new disk that is not in the map yet may have been written to under the address of its
+    // predecessor, and may hold the only copy of a turn.
     for (const store_member& member : members) {
         if (!has_id(survivors->current, member.id)) {
             survivors->current.push_back(member);
@@ -90,15 +90,15 @@
 }
 
 std::optional<store_map> readmit_absent(const store_view& view, const store_map& map) {
-    store_map joined = with_members(map, map.current, map.current);
-    joined.absent.clear();
+    store_map readmitted = with_members(map, map.current, map.current);
+    readmitted.absent.clear();
     for (const store_member& member : map.absent) {
-        (view.is_live(member.id) ? joined.current : joined.absent).push_back(member);
+        (view.is_live(member.id) ? readmitted.current : readmitted.absent).push_back(member);
     }
-    if (joined.current.size() == map.current.size()) {
+    if (readmitted.current.size() == map.current.size()) {
         return std::nullopt;
     }
-    return joined;
+    return readmitted;
 }
 
 }  // namespace tallyfold::directory
--- a/src/tallyfold/plane/directory/member_planner.cpp
+++ b/src/tallyfold/plane/directory/member_planner.cpp
@@ -7,12 +7,11 @@
 
 namespace {
 
-/// Age of a join request up to which its sender is taken in. It is repeated every 300 ms; an older
-/// one is from a process that ended.
+/// Age up to which a join request is valid; several request intervals. An older one is from a
+/// process that has ended.
 constexpr duration join_lifetime = std::chrono::milliseconds(1500);
-/// Entries by which a learner may lag and still count as caught up. Chosen, not measured: a few
-/// changes under way.
-constexpr consensus::log_index caught_up_lag = 4;
+/// Maximum number of entries by which a learner may lag when it is promoted to voter.
+constexpr consensus::log_index max_learner_lag = 4;
 
 }  // namespace
 
@@ -27,25 +26,26 @@
 }
 
 void member_planner::start(instant now) {
-    started_ = now;
-    heard_.clear();
-    joining_.clear();
+    leading_since_ = now;
+    last_message_.clear();
+    join_requests_.clear();
 }
 
 void member_planner::on_join(const join_request& request, instant now) {
-    joining_[request.replica] = {request.address, now};
+    join_requests_[request.replica] = {request.address, now};
 }
 
-bool member_planner::silent(replica_id id, duration limit, instant now) const {
-    const auto found = heard_.find(id);
-    const instant last = found == heard_.end() ? started_ : found->second;
+bool member_planner::is_silent(replica_id id, duration limit, instant now) const {
+    const auto found = last_message_.find(id);
+    const instant last = found == last_message_.end() ? leading_since_ : found->second;
     return now - last > limit;
 }
 
 std::optional<replica_id> member_planner::lost_disk(const membership& members, instant now) const {
-    // Another replica asks to join from the same address: the disk of the old one is gone.
-    for (const auto& [id, joining] : joining_) {
-        if (now - joining.asked > join_lifetime) {
+    // A different replica that joins from a member's address means that the member's disk was
+    // replaced.
+    for (const auto& [id, joining] : join_requests_) {
+        if (now - joining.requested_at > join_lifetime) {
             continue;
         }
         for (const auto& [other, member] : members.members) {
@@ -57,13 +57,13 @@
     return std::nullopt;
 }
 
-std::optional<replica_id> member_planner::ready_learner(const replication_view& view,
-                                                        instant now) const {
+std::optional<replica_id> member_planner::promotable_learner(const replication_view& view,
+                                                             instant now) const {
     for (const auto& [id, member] : view.members.members) {
         const auto found = view.matched.find(id);
         const consensus::log_index matched = found == view.matched.end() ? 0 : found->second;
-        const bool caught_up = matched > 0 && matched + caught_up_lag >= view.commit_index;
-        if (member.learner && caught_up && !silent(id, join_lifetime, now)) {
+        const bool caught_up = matched > 0 && matched + max_learner_lag >= view.commit_index;
+        if (member.learner && caught_up && !is_silent(id, join_lifetime, now)) {
             return id;
         }
     }
@@ -77,13 +77,13 @@
         next.members.erase(*lost);
         return next;
     }
-    for (const auto& [id, joining] : joining_) {
-        if (now - joining.asked <= join_lifetime && !next.members.contains(id)) {
+    for (const auto& [id, joining] : join_requests_) {
+        if (now - joining.requested_at <= join_lifetime && !next.members.contains(id)) {
             next.members[id] = {joining.address, true};
             return next;
         }
     }
-    const auto learner = ready_learner(view, now);
+    const auto learner = promotable_learner(view, now);
     if (learner && next.voter_count() < settings_.max_voters) {
         next.members[*learner].learner = false;
         return next;
@@ -100,9 +100,10 @@
                                                            instant now) const {
     const bool may_lose_voter = has_successor || members.voter_count() > settings_.min_voters;
     for (const auto& [id, member] : members.members) {
-        const duration limit = member.learner ? settings_.learner_silence : settings_.silence;
-        const bool may_go = member.learner || may_lose_voter;
-        if (id != self && may_go && silent(id, limit, now)) {
+        const duration limit =
+            member.learner ? settings_.learner_silence_timeout : settings_.silence_timeout;
+        const bool is_removable = member.learner || may_lose_voter;
+        if (id != self && is_removable && is_silent(id, limit, now)) {
             return id;
         }
     }
--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -14,7 +14,7 @@
 
 void store_planner::start(instant now) {
     heartbeats_.start(now);
-    may_lack_turns_since_.clear();
+    incomplete_since_.clear();
 }
 
 void store_planner::watch_losses(const directory_state& state, duration retention, instant now) {
@@ -22,23 +22,23 @@
     std::map<turns::map_epoch, instant> since;
     for (const store_map& map : state.stores().groups) {
         if (map.after_loss && !map.changing()) {
-            const auto known = may_lack_turns_since_.find(map.epoch);
-            since[map.epoch] = known == may_lack_turns_since_.end() ? now : known->second;
+            const auto known = incomplete_since_.find(map.epoch);
+            since[map.epoch] = known == incomplete_since_.end() ? now : known->second;
         }
     }
-    may_lack_turns_since_ = std::move(since);
+    incomplete_since_ = std::move(since);
 }
 
-bool store_planner::is_complete_again(const store_map& map, instant now) const {
-    const auto since = may_lack_turns_since_.find(map.epoch);
-    return since != may_lack_turns_since_.end() && now - since->second > settings_.retention;
+bool store_planner::lost_turns_have_expired(const store_map& map, instant now) const {
+    const auto since = incomplete_since_.find(map.epoch);
+    return since != incomplete_since_.end() && now - since->second > settings_.retention;
 }
 
 std::optional<store_map> store_planner::plan_group(const store_view& view, const store_map& map,
                                                    instant now) const {
-    // Which disks are gone is judged only once this leader has listened for a while.
+    // Losses can be detected only once all live stores have had time to report.
     if (view.has_listened() && needs_recovery(view, map)) {
-        return may_recover_ ? recover_from_survivors(view, map) : std::nullopt;
+        return recovery_allowed_ ? recover_from_survivors(view, map) : std::nullopt;
     }
     if (map.changing()) {
         return continue_change(view, map);
@@ -49,14 +49,14 @@
     if (std::optional<store_map> next = begin_change(view, map)) {
         return next;
     }
-    if (is_complete_again(map, now)) {
-        // The same members, without after_loss and without those out of reach.
+    if (lost_turns_have_expired(map, now)) {
+        // The same members, without after_loss and without the absent ones.
         return store_map{0, map.current, {}, map.group};
     }
     return std::nullopt;
 }
 
-bool store_planner::wants_recovery(const directory_state& state, instant now) const {
+bool store_planner::any_group_needs_recovery(const directory_state& state, instant now) const {
     const store_view view(settings_, heartbeats_, state, now);
     const auto& groups = state.stores().groups;
     return view.has_listened() &&
@@ -70,17 +70,17 @@
     if (state.stores().groups.empty()) {
         return form_groups(view);
     }
-    // One group at a time finds its new members, or two would choose the same store; those that
-    // are complete don't wait for each other.
+    // Only one group at a time may choose new members; otherwise two could choose the same store.
+    // Changes that complete are not limited.
     change_store_groups change;
-    bool searched = false;
+    bool has_membership_change = false;
     for (const store_map& map : state.stores().groups) {
         std::optional<store_map> next = plan_group(view, map, now);
         const bool completes = next.has_value() && !next->changing();
-        if (!next.has_value() || (!completes && searched)) {
+        if (!next.has_value() || (!completes && has_membership_change)) {
             continue;
         }
-        searched = searched || !completes;
+        has_membership_change = has_membership_change || !completes;
         next->epoch = state.stores().epoch + 1 + change.maps.size();
         change.maps.push_back(std::move(*next));
     }
@@ -105,11 +105,11 @@
         const auto is_uncopied = [&](const store_member& member) {
             return !view.has_copied(member, map);
         };
-        const auto is_silent_too = [&](const store_member& member) {
+        const auto is_uncopied_and_silent = [&](const store_member& member) {
             return is_uncopied(member) && !view.is_live(member.id);
         };
         lines.push_back(turns::describe(map) + " uncopied=" + count(map.next, is_uncopied) +
-                        " silent=" + count(map.next, is_silent_too) +
+                        " silent=" + count(map.next, is_uncopied_and_silent) +
                         " lost=" + count(map.current, is_lost));
     }
     return lines;
@@ -124,20 +124,19 @@
 }
 
 bool store_planner::may_retire(const directory_state& state, const node_name& node) const {
-    // Machines are counted: one that lost a disk would count twice by its disks.
-    std::set<node_name> left;
-    std::set<node_name> emptied;
+    // Counts nodes, not disks: a node whose disk was replaced has two.
+    std::set<node_name> remaining;
+    std::set<node_name> retired_nodes;
     for (const store_member& member : known_stores(state)) {
-        (state.retired().contains(member.id) ? emptied : left).insert(member.node);
+        (state.retired().contains(member.id) ? retired_nodes : remaining).insert(member.node);
     }
-    left.erase(node);
-    for (const node_name& gone : emptied) {
-        left.erase(gone);
+    remaining.erase(node);
+    for (const node_name& retired_node : retired_nodes) {
+        remaining.erase(retired_node);
     }
-    // Before the groups are formed, one of them has to be possible: an order taken then would leave
-    // the system without any.
+    // Before the groups are formed, enough stores for one group have to remain.
     const std::size_t groups = std::max<std::size_t>(1, state.stores().groups.size());
-    return left.size() >= settings_.group_size() * groups;
+    return remaining.size() >= settings_.group_size() * groups;
 }
 
 std::vector<store_id> store_planner::disks_of(const directory_state& state,
--- a/src/tallyfold/plane/directory/version_tracker.cpp
+++ b/src/tallyfold/plane/directory/version_tracker.cpp
@@ -6,9 +6,8 @@
 
 namespace {
 
-/// Silence after which a node doesn't count any more: it reports to each of some nine directory
-/// nodes about once a second, so it has missed two or three reports by then.
-constexpr duration silent_after = std::chrono::seconds(3);
+/// Silence after which a node is ignored; longer than two reporting intervals.
+constexpr duration node_timeout = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -18,7 +17,7 @@
     }
     newest_ = version;
     applied_at_ = now;
-    is_taken_ = false;
+    is_reported_ = false;
 }
 
 void version_tracker::on_report(const node_name& node, routing::configuration_version version,
@@ -33,13 +32,13 @@
 
 std::optional<version_tracker::propagation> version_tracker::take_propagated(instant now) {
     const auto is_silent = [&](const auto& entry) {
-        return now - entry.second.heard > silent_after;
+        return now - entry.second.last_seen > node_timeout;
     };
     std::erase_if(nodes_, is_silent);
-    if (is_taken_ || nodes_.empty() || nodes_behind() > 0) {
+    if (is_reported_ || nodes_.empty() || nodes_behind() > 0) {
         return std::nullopt;
     }
-    is_taken_ = true;
+    is_reported_ = true;
     return propagation{newest_, nodes_.size(), now - applied_at_};
 }
 
--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -10,24 +10,25 @@
 
 class configuration_fetch_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_fetch_test);
-    CPPUNIT_TEST(a_node_without_any_fetches_the_whole);
-    CPPUNIT_TEST(a_node_with_an_older_one_fetches_the_difference);
-    CPPUNIT_TEST(one_copy_is_under_way_at_a_time);
-    CPPUNIT_TEST(a_silent_node_is_replaced_and_the_fetch_goes_on);
-    CPPUNIT_TEST(a_lost_connection_ends_the_wait);
-    CPPUNIT_TEST(a_newer_version_meanwhile_doesnt_begin_it_anew);
-    CPPUNIT_TEST(a_difference_that_doesnt_fit_is_followed_by_the_whole);
-    CPPUNIT_TEST(parts_that_make_no_sense_are_refused);
-    CPPUNIT_TEST(any_order_of_answers_ends_with_the_newest);
-    CPPUNIT_TEST(proof_counts_once_the_version_is_held);
-    CPPUNIT_TEST(an_answer_proves_only_what_was_asked);
+    CPPUNIT_TEST(fetches_full_configuration_when_none_is_held);
+    CPPUNIT_TEST(fetches_difference_from_held_version);
+    CPPUNIT_TEST(only_one_fetch_is_pending);
+    CPPUNIT_TEST(fetch_resumes_at_another_node_after_timeout);
+    CPPUNIT_TEST(lost_connection_cancels_pending_request);
+    CPPUNIT_TEST(newer_version_does_not_restart_fetch);
+    CPPUNIT_TEST(full_configuration_follows_mismatched_difference);
+    CPPUNIT_TEST(corrupt_parts_are_rejected);
+    CPPUNIT_TEST(converges_to_newest_version_in_any_order);
+    CPPUNIT_TEST(proof_takes_effect_when_version_is_held);
+    CPPUNIT_TEST(answer_without_pending_question_is_ignored);
     CPPUNIT_TEST_SUITE_END();
 
     instant now_{std::chrono::seconds(1)};
     static constexpr duration part_timeout = std::chrono::milliseconds(400);
 
-    /// Routes whose names don't compress away.
-    static configuration_pointer make(routing::configuration_version version, std::size_t routes) {
+    /// A configuration whose routes do not compress well, so that it is sent in several parts.
+    static configuration_pointer make_configuration(routing::configuration_version version,
+                                                    std::size_t routes) {
         random_source random(5);
         routing::configuration made;
         made.version = version;
@@ -40,9 +41,11 @@
         return std::make_shared<const routing::configuration>(std::move(made));
     }
 
-    /// Has `fetch` take all parts of what `source` gives. @return parts that it took
-    int take_all(configuration_fetch& fetch, const node_name& node, configuration_source& source,
-                 std::optional<configuration_request> request) {
+    /// Fetches all parts of a content from `source`.
+    /// @return number of parts received
+    int fetch_all_parts(configuration_fetch& fetch, const node_name& node,
+                        configuration_source& source,
+                        std::optional<configuration_request> request) {
         int parts = 0;
         while (request) {
             ++parts;
@@ -51,33 +54,33 @@
         return parts;
     }
 
-    void a_node_without_any_fetches_the_whole() {
+    void fetches_full_configuration_when_none_is_held() {
         configuration_source source;
-        source.show(make(3, 3'000));
+        source.show(make_configuration(3, 3'000));
         configuration_fetch fetch;
-        const int parts = take_all(fetch, "a", source, fetch.told("a", 3, now_));
+        const int parts = fetch_all_parts(fetch, "a", source, fetch.told("a", 3, now_));
         CPPUNIT_ASSERT(parts > 1);
-        CPPUNIT_ASSERT(*fetch.held() == *make(3, 3'000));
+        CPPUNIT_ASSERT(*fetch.held() == *make_configuration(3, 3'000));
         CPPUNIT_ASSERT(!fetch.told("b", 3, now_).has_value());
     }
 
-    void a_node_with_an_older_one_fetches_the_difference() {
+    void fetches_difference_from_held_version() {
         configuration_source source;
         configuration_fetch fetch;
-        source.show(make(3, 3'000));
-        take_all(fetch, "a", source, fetch.told("a", 3, now_));
-        source.show(make(5, 3'001));
-        CPPUNIT_ASSERT_EQUAL(1, take_all(fetch, "b", source, fetch.told("b", 5, now_)));
-        CPPUNIT_ASSERT(*fetch.held() == *make(5, 3'001));
-        // A version from before what is kept: the whole.
+        source.show(make_configuration(3, 3'000));
+        fetch_all_parts(fetch, "a", source, fetch.told("a", 3, now_));
+        source.show(make_configuration(5, 3'001));
+        CPPUNIT_ASSERT_EQUAL(1, fetch_all_parts(fetch, "b", source, fetch.told("b", 5, now_)));
+        CPPUNIT_ASSERT(*fetch.held() == *make_configuration(5, 3'001));
+        // The held version is older than those kept, so the full configuration is sent.
         for (routing::configuration_version version = 6; version < 12; ++version) {
-            source.show(make(version, 3'000));
+            source.show(make_configuration(version, 3'000));
         }
-        CPPUNIT_ASSERT(take_all(fetch, "c", source, fetch.told("c", 11, now_)) > 1);
-        CPPUNIT_ASSERT(*fetch.held() == *make(11, 3'000));
+        CPPUNIT_ASSERT(fetch_all_parts(fetch, "c", source, fetch.told("c", 11, now_)) > 1);
+        CPPUNIT_ASSERT(*fetch.held() == *make_configuration(11, 3'000));
     }
 
-    void one_copy_is_under_way_at_a_time() {
+    void only_one_fetch_is_pending() {
         configuration_fetch fetch;
         CPPUNIT_ASSERT(fetch.told("a", 3, now_).has_value());
         now_ += part_timeout / 2;
@@ -85,11 +88,11 @@
         CPPUNIT_ASSERT(!fetch.told("a", 4, now_).has_value());
     }
 
-    void a_silent_node_is_replaced_and_the_fetch_goes_on() {
+    void fetch_resumes_at_another_node_after_timeout() {
         configuration_source one;
         configuration_source other;
-        one.show(make(3, 3'000));
-        other.show(make(3, 3'000));
+        one.show(make_configuration(3, 3'000));
+        other.show(make_configuration(3, 3'000));
         configuration_fetch fetch;
         const auto first = fetch.told("a", 3, now_);
         const auto second = fetch.receive("a", one.answer(*first), now_).next;
@@ -98,13 +101,13 @@
         const auto again = fetch.told("b", 3, now_);
         CPPUNIT_ASSERT(again.has_value());
         CPPUNIT_ASSERT_EQUAL(second->offset, again->offset);
-        // What the first node sends late is of no use any more.
+        // A late part from the first node is ignored.
         CPPUNIT_ASSERT(!fetch.receive("a", one.answer(*second), now_).next.has_value());
-        take_all(fetch, "b", other, again);
-        CPPUNIT_ASSERT(*fetch.held() == *make(3, 3'000));
+        fetch_all_parts(fetch, "b", other, again);
+        CPPUNIT_ASSERT(*fetch.held() == *make_configuration(3, 3'000));
     }
 
-    void a_lost_connection_ends_the_wait() {
+    void lost_connection_cancels_pending_request() {
         configuration_fetch fetch;
         fetch.told("a", 3, now_);
         fetch.lost("b");
@@ -113,45 +116,46 @@
         CPPUNIT_ASSERT(fetch.told("b", 3, now_).has_value());
     }
 
-    void a_newer_version_meanwhile_doesnt_begin_it_anew() {
+    void newer_version_does_not_restart_fetch() {
         configuration_source source;
-        source.show(make(3, 3'000));
+        source.show(make_configuration(3, 3'000));
         configuration_fetch fetch;
         auto request = fetch.told("a", 3, now_);
         routing::configuration_version version = 3;
         while (request) {
-            // A change comes with each part.
-            source.show(make(++version, 3'000));
+            // A newer version is published with each part.
+            source.show(make_configuration(++version, 3'000));
             request = fetch.receive("a", source.answer(*request), now_).next;
         }
         CPPUNIT_ASSERT(fetch.version() >= 3);
-        CPPUNIT_ASSERT_EQUAL(1, take_all(fetch, "a", source, fetch.told("a", version, now_)));
+        CPPUNIT_ASSERT_EQUAL(1,
+                             fetch_all_parts(fetch, "a", source, fetch.told("a", version, now_)));
         CPPUNIT_ASSERT_EQUAL(version, fetch.version());
     }
 
-    void a_difference_that_doesnt_fit_is_followed_by_the_whole() {
+    void full_configuration_follows_mismatched_difference() {
         configuration_source one;
         configuration_fetch fetch;
-        one.show(make(3, 10));
-        take_all(fetch, "a", one, fetch.told("a", 3, now_));
-        // Another content under the version that the node holds.
+        one.show(make_configuration(3, 10));
+        fetch_all_parts(fetch, "a", one, fetch.told("a", 3, now_));
+        // A different configuration with the version number that the node holds.
         configuration_source other;
-        other.show(make(3, 11));
-        other.show(make(4, 12));
+        other.show(make_configuration(3, 11));
+        other.show(make_configuration(4, 12));
         const auto request = fetch.told("b", 4, now_);
         const auto progress = fetch.receive("b", other.answer(*request), now_);
         CPPUNIT_ASSERT(progress.problem.has_value());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{3}, fetch.version());
         const auto whole = fetch.told("b", 4, now_);
         CPPUNIT_ASSERT(whole->whole);
-        take_all(fetch, "b", other, whole);
-        CPPUNIT_ASSERT(*fetch.held() == *make(4, 12));
+        fetch_all_parts(fetch, "b", other, whole);
+        CPPUNIT_ASSERT(*fetch.held() == *make_configuration(4, 12));
     }
 
-    void parts_that_make_no_sense_are_refused() {
-        check_property("no part makes a node hold something else or wait for ever", [this] {
+    void corrupt_parts_are_rejected() {
+        check_property("corrupt parts never change what is held nor block the fetch", [this] {
             configuration_source source;
-            source.show(make(3, 500));
+            source.show(make_configuration(3, 500));
             configuration_fetch fetch;
             auto request = fetch.told("a", 3, now_);
             for (int count = 0; count < 20; ++count) {
@@ -176,22 +180,22 @@
                 if (!request) {
                     request = fetch.told("a", 3, now_);
                 }
-                RC_ASSERT(fetch.version() == 0 || *fetch.held() == *make(3, 500));
+                RC_ASSERT(fetch.version() == 0 || *fetch.held() == *make_configuration(3, 500));
             }
             now_ += part_timeout;
-            take_all(fetch, "b", source, fetch.told("b", 3, now_));
-            take_all(fetch, "b", source, fetch.told("b", 3, now_));
-            RC_ASSERT(*fetch.held() == *make(3, 500));
+            fetch_all_parts(fetch, "b", source, fetch.told("b", 3, now_));
+            fetch_all_parts(fetch, "b", source, fetch.told("b", 3, now_));
+            RC_ASSERT(*fetch.held() == *make_configuration(3, 500));
         });
     }
 
-    void any_order_of_answers_ends_with_the_newest() {
-        check_property("nodes that lag, are silent or lost: the newest is held in the end", [this] {
+    void converges_to_newest_version_in_any_order() {
+        check_property("newest version wins when nodes lag, are silent or disconnect", [this] {
             std::vector<configuration_source> sources(3);
-            std::vector<routing::configuration_version> shown(3, 0);
+            std::vector<routing::configuration_version> published(3, 0);
             configuration_fetch fetch;
             std::optional<configuration_request> request;
-            std::size_t asked = 0;
+            std::size_t requested_node = 0;
             routing::configuration_version newest = 0;
             for (int count = 0; count < 60; ++count) {
                 const auto node = static_cast<std::size_t>(*rc::gen::inRange(0, 3));
@@ -200,13 +204,13 @@
                 const routing::configuration_version before = fetch.version();
                 switch (*rc::gen::inRange(0, 4)) {
                     case 0:
-                        shown[node] = std::max(shown[node], ++newest);
-                        sources[node].show(make(shown[node], 400 + newest % 7));
+                        published[node] = std::max(published[node], ++newest);
+                        sources[node].show(make_configuration(published[node], 400 + newest % 7));
                         break;
                     case 1:
-                        if (auto next = fetch.told(name, shown[node], now_)) {
+                        if (auto next = fetch.told(name, published[node], now_)) {
                             request = next;
-                            asked = node;
+                            requested_node = node;
                         }
                         break;
                     case 2:
@@ -214,24 +218,25 @@
                         break;
                     default:
                         if (request) {
-                            const node_name from(1, static_cast<char>('a' + asked));
+                            const node_name from(1, static_cast<char>('a' + requested_node));
                             request =
-                                fetch.receive(from, sources[asked].answer(*request), now_).next;
+                                fetch.receive(from, sources[requested_node].answer(*request), now_)
+                                    .next;
                         }
                         break;
                 }
                 RC_ASSERT(fetch.version() >= before);
             }
-            sources[0].show(make(++newest, 400));
+            sources[0].show(make_configuration(++newest, 400));
             for (int count = 0; count < 3; ++count) {
                 now_ += part_timeout;
-                take_all(fetch, "a", sources[0], fetch.told("a", newest, now_));
+                fetch_all_parts(fetch, "a", sources[0], fetch.told("a", newest, now_));
             }
             RC_ASSERT(fetch.version() == newest);
         });
     }
 
-    void proof_counts_once_the_version_is_held() {
+    void proof_takes_effect_when_version_is_held() {
         configuration_proofs proofs;
         proofs.holds(3);
         const std::uint64_t first = proofs.ask(now_);
@@ -246,7 +251,7 @@
         CPPUNIT_ASSERT(proofs.newest().asked == now_);
     }
 
-    void an_answer_proves_only_what_was_asked() {
+    void answer_without_pending_question_is_ignored() {
         configuration_proofs proofs;
         proofs.holds(3);
         proofs.answered("a", 1, 3);
--- a/tests/plane/directory/configuration_spread_test.cpp
+++ b/tests/plane/directory/configuration_spread_test.cpp
@@ -1,13 +1,8 @@
 /// @file
-/// A forwarder that had long been at work answered 404 on a route that an operator had added and
-/// that had been acknowledged three seconds before. Two faults met. Every directory node answered
-/// every report of a forwarder that held an older version with the whole configuration, so that a
-/// change with 2,000 further routes made the nodes copy and send for seconds: telling 255 nodes
-/// once took 220 ms of processor time at 4,000 routes and 630 ms at 6,000, on machines with 0.15
-/// cores, and forwarders asked again each 120 ms until the copy had come. Heartbeats waited behind
-/// the copies, so leaders changed without a fault and some directory nodes lagged. And a forwarder
-/// took the answer of any directory node, also of one that lagged, for proof that it held the
-/// newest configuration.
+/// Guards against routes that are missing on a forwarder after the change was acknowledged:
+/// - answers to reports must not grow with the configuration, or they delay heartbeats and cause
+///   elections;
+/// - a lagging directory node must not confirm that a forwarder's version is the newest.
 
 #include "tallyfold/plane/directory/directory_core.hpp"
 #include "tallyfold/plane/messaging/peer_message.hpp"
@@ -20,12 +15,12 @@
 
 class configuration_spread_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_spread_test);
-    CPPUNIT_TEST(a_node_that_lags_proves_nothing);
-    CPPUNIT_TEST(a_report_costs_the_same_however_large_the_configuration_is);
+    CPPUNIT_TEST(lagging_node_gives_no_proof);
+    CPPUNIT_TEST(answer_size_is_independent_of_configuration_size);
     CPPUNIT_TEST_SUITE_END();
 
-    static routing::configuration routes(routing::configuration_version version,
-                                         std::size_t count) {
+    static routing::configuration make_configuration(routing::configuration_version version,
+                                                     std::size_t count) {
         routing::configuration made;
         made.version = version;
         made.services.push_back({"service-a", "/health", 10, false, 0, 0, 1});
@@ -41,8 +36,8 @@
         return made;
     }
 
-    /// What a forwarder asks that holds `version` and wants to know whether it is the newest.
-    static node_report question(routing::configuration_version version) {
+    /// A forwarder's report that holds `version` and asks whether it is the newest.
+    static node_report report_with_question(routing::configuration_version version) {
         node_report report;
         report.node = "forwarder";
         report.configuration = version;
@@ -50,29 +45,31 @@
         return report;
     }
 
-    void a_node_that_lags_proves_nothing() {
+    void lagging_node_gives_no_proof() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(!leader.empty());
-        CPPUNIT_ASSERT(group.change(leader, routes(1, 3)));
+        CPPUNIT_ASSERT(group.change(leader, make_configuration(1, 3)));
         const node_name lagging = group.followers().front();
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1},
                              group.node(lagging).state().configuration().version);
         group.cut(lagging);
-        CPPUNIT_ASSERT(group.change(leader, routes(2, 4)));
-        const node_report_answer answer = group.node(lagging).receive(question(1), group.now());
+        CPPUNIT_ASSERT(group.change(leader, make_configuration(2, 4)));
+        const node_report_answer answer =
+            group.node(lagging).receive(report_with_question(1), group.now());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1}, answer.configuration);
-        // A question that comes back is proof that nothing newer had been acknowledged.
+        // Returning the question would prove that no newer version had been acknowledged.
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, answer.question);
     }
 
-    void a_report_costs_the_same_however_large_the_configuration_is() {
+    void answer_size_is_independent_of_configuration_size() {
         directory_group group(1);
         const node_name leader = group.run_until_led();
-        CPPUNIT_ASSERT(group.change(leader, routes(1, 4'000)));
-        CPPUNIT_ASSERT(group.change(leader, routes(2, 6'000)));
+        CPPUNIT_ASSERT(group.change(leader, make_configuration(1, 4'000)));
+        CPPUNIT_ASSERT(group.change(leader, make_configuration(2, 6'000)));
         constexpr std::size_t max_bytes = 1'000;
-        const node_report_answer answer = group.node(leader).receive(question(1), group.now());
+        const node_report_answer answer =
+            group.node(leader).receive(report_with_question(1), group.now());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{2}, answer.configuration);
         CPPUNIT_ASSERT(messaging::encode_frame(answer).size() <= max_bytes);
     }
--- a/tests/plane/directory/directory_core_test.cpp
+++ b/tests/plane/directory/directory_core_test.cpp
@@ -11,11 +11,11 @@
 class directory_core_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(directory_core_test);
     CPPUNIT_TEST(large_changes_are_compacted_by_their_bytes);
-    CPPUNIT_TEST(what_was_stored_uncompressed_is_read);
+    CPPUNIT_TEST(uncompressed_state_is_readable);
     CPPUNIT_TEST_SUITE_END();
 
     /// A directory of one node, which elects itself.
-    static directory_core alone(instant now) {
+    static directory_core single_node_core(instant now) {
         directory_settings settings;
         settings.address = "10.0.0.1:71";
         settings.seeds = {settings.address};
@@ -24,7 +24,8 @@
         return {settings, first_identity(settings.address), {}, now};
     }
 
-    /// Does the work as the shell would. @return snapshots among it
+    /// Carries out all pending work, as the shell does.
+    /// @return number of snapshots in it
     static int drain(directory_core& core) {
         int snapshots = 0;
         for (directory_work work = core.take_work(); !work.empty(); work = core.take_work()) {
@@ -37,7 +38,7 @@
         return snapshots;
     }
 
-    /// Bytes that stay as many in the log, which compresses them.
+    /// Random bytes, so that the log cannot compress them.
     static std::string incompressible(std::size_t size, int seed) {
         random_source random(static_cast<std::uint64_t>(seed));
         std::string bytes;
@@ -49,7 +50,7 @@
 
     void large_changes_are_compacted_by_their_bytes() {
         instant now{std::chrono::seconds(1)};
-        directory_core core = alone(now);
+        directory_core core = single_node_core(now);
         for (int step = 0; step < 200 && !core.leads(); ++step) {
             now += std::chrono::milliseconds(20);
             core.tick(now);
@@ -67,12 +68,12 @@
         }
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{changes},
                              core.state().configuration().version);
-        // 4 MB of changes: some snapshots, though not one for each change.
+        // The changes total 4 MB: several snapshots, but not one for each change.
         CPPUNIT_ASSERT(snapshots >= 3);
         CPPUNIT_ASSERT(snapshots <= changes / 3);
     }
 
-    void what_was_stored_uncompressed_is_read() {
+    void uncompressed_state_is_readable() {
         replace_configuration change;
         change.parsed.version = 7;
         change.parsed.routes.resize(100);
--- a/tests/plane/directory/member_planner_test.cpp
+++ b/tests/plane/directory/member_planner_test.cpp
@@ -9,11 +9,11 @@
 
 class member_planner_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(member_planner_test);
-    CPPUNIT_TEST(a_dead_voter_goes_when_enough_others_remain);
-    CPPUNIT_TEST(a_dead_voter_stays_when_too_few_would_remain);
-    CPPUNIT_TEST(a_caught_up_learner_takes_a_dead_voters_place);
-    CPPUNIT_TEST(a_lost_disk_is_removed_as_soon_as_its_machine_joins_anew);
-    CPPUNIT_TEST(a_learner_votes_only_once_it_has_caught_up);
+    CPPUNIT_TEST(silent_voter_is_removed_when_enough_remain);
+    CPPUNIT_TEST(silent_voter_is_kept_when_too_few_would_remain);
+    CPPUNIT_TEST(silent_voter_is_removed_for_caught_up_learner);
+    CPPUNIT_TEST(replica_is_removed_when_its_node_joins_with_new_disk);
+    CPPUNIT_TEST(learner_is_promoted_only_when_caught_up);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr replica_id self = 1;
@@ -29,44 +29,47 @@
         return view;
     }
 
-    /// A planner that heard all members but `dead` until shortly before `now`.
-    static member_planner listening(const replication_view& view, replica_id dead, instant now) {
+    /// A planner that last received a message from `silent_member` at 0 ms, and from the others at
+    /// `now`.
+    static member_planner planner_with_silent_member(const replication_view& view,
+                                                     replica_id silent_member, instant now) {
         member_planner planner({});
         planner.start(at(0));
         for (const auto& [id, member] : view.members.members) {
-            planner.heard(id, id == dead ? at(0) : now);
+            planner.on_message(id, id == silent_member ? at(0) : now);
         }
         return planner;
     }
 
-    void a_dead_voter_goes_when_enough_others_remain() {
-        // Found on a day that emptied a machine for good and then wiped another one: two of four
-        // voters were left, and no majority ever again.
+    void silent_voter_is_removed_when_enough_remain() {
+        // Guards against a silent voter that stays: after one further loss, two of four voters
+        // would be left, which is no majority.
         const replication_view view = voters(4);
-        const auto next = listening(view, 3, at(6000)).plan(view, self, at(6000));
+        const auto next = planner_with_silent_member(view, 3, at(6000)).plan(view, self, at(6000));
         CPPUNIT_ASSERT(next.has_value());
         CPPUNIT_ASSERT(!next->members.contains(3));
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, next->voter_count());
     }
 
-    void a_dead_voter_stays_when_too_few_would_remain() {
+    void silent_voter_is_kept_when_too_few_would_remain() {
         const replication_view view = voters(3);
-        CPPUNIT_ASSERT(!listening(view, 3, at(6000)).plan(view, self, at(6000)).has_value());
+        CPPUNIT_ASSERT(
+            !planner_with_silent_member(view, 3, at(6000)).plan(view, self, at(6000)).has_value());
     }
 
-    void a_caught_up_learner_takes_a_dead_voters_place() {
+    void silent_voter_is_removed_for_caught_up_learner() {
         replication_view view = voters(5);
         view.members.members[9] = {"10.0.0.9:7000", true};
         view.matched[9] = 10;
-        const auto next = listening(view, 2, at(6000)).plan(view, self, at(6000));
+        const auto next = planner_with_silent_member(view, 2, at(6000)).plan(view, self, at(6000));
         CPPUNIT_ASSERT(next.has_value());
         CPPUNIT_ASSERT(!next->members.contains(2));
         CPPUNIT_ASSERT(next->members.contains(9));
     }
 
-    void a_lost_disk_is_removed_as_soon_as_its_machine_joins_anew() {
+    void replica_is_removed_when_its_node_joins_with_new_disk() {
         const replication_view view = voters(3);
-        member_planner planner = listening(view, 0, at(1000));
+        member_planner planner = planner_with_silent_member(view, 0, at(1000));
         planner.on_join({77, "10.0.0.2:7000"}, at(1000));
         const auto removed = planner.plan(view, self, at(1000));
         CPPUNIT_ASSERT(removed.has_value() && !removed->members.contains(2));
@@ -76,11 +79,11 @@
         CPPUNIT_ASSERT(added.has_value() && added->members.at(77).learner);
     }
 
-    void a_learner_votes_only_once_it_has_caught_up() {
+    void learner_is_promoted_only_when_caught_up() {
         replication_view view = voters(3);
         view.members.members[9] = {"10.0.0.9:7000", true};
         view.matched[9] = 2;
-        member_planner planner = listening(view, 0, at(1000));
+        member_planner planner = planner_with_silent_member(view, 0, at(1000));
         CPPUNIT_ASSERT(!planner.plan(view, self, at(1000)).has_value());
         view.matched[9] = 9;
         const auto next = planner.plan(view, self, at(1000));
--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -11,39 +11,39 @@
 
 class store_planner_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_planner_test);
-    CPPUNIT_TEST(the_first_map_waits_for_enough_stores);
-    CPPUNIT_TEST(a_new_disk_takes_the_place_of_the_old_one);
-    CPPUNIT_TEST(a_new_disk_is_seen_while_the_old_one_still_counts_as_live);
-    CPPUNIT_TEST(a_change_ends_only_when_each_new_member_has_copied);
-    CPPUNIT_TEST(a_member_that_stays_and_is_away_does_not_hold_a_change_up);
-    CPPUNIT_TEST(a_group_goes_on_from_what_survives_a_lost_majority);
-    CPPUNIT_TEST(recovery_waits_while_a_node_could_not_read_its_map);
-    CPPUNIT_TEST(silence_alone_is_no_lost_majority);
-    CPPUNIT_TEST(a_group_without_any_disk_left_goes_on_with_new_ones);
-    CPPUNIT_TEST(members_that_are_emptied_together_still_give_their_copies);
-    CPPUNIT_TEST(a_group_goes_on_without_a_machine_that_is_gone_for_good);
-    CPPUNIT_TEST(a_member_that_is_only_dark_is_waited_for);
-    CPPUNIT_TEST(a_member_that_comes_back_gives_what_only_it_holds);
-    CPPUNIT_TEST(doubt_ends_once_lost_turns_would_have_expired);
-    CPPUNIT_TEST(a_change_whose_new_member_died_is_planned_again);
-    CPPUNIT_TEST(a_retired_store_leaves_and_does_not_return);
-    CPPUNIT_TEST(a_store_is_not_retired_when_too_few_would_remain);
-    CPPUNIT_TEST(a_lost_disk_is_not_counted_as_a_store_that_would_remain);
-    CPPUNIT_TEST(no_store_is_retired_below_a_group_before_there_are_groups);
-    CPPUNIT_TEST(a_silent_store_is_left_out_while_enough_remain);
-    CPPUNIT_TEST(many_stores_form_groups_spread_over_zones);
-    CPPUNIT_TEST(a_lost_member_is_replaced_by_a_store_that_stands_by);
-    CPPUNIT_TEST(two_groups_never_choose_the_same_store);
-    CPPUNIT_TEST(a_group_does_not_shrink_while_no_store_stands_by);
-    CPPUNIT_TEST(a_store_that_stands_by_can_be_emptied);
+    CPPUNIT_TEST(first_map_waits_for_enough_stores);
+    CPPUNIT_TEST(new_disk_replaces_old_disk_of_same_node);
+    CPPUNIT_TEST(new_disk_replaces_old_disk_that_is_still_live);
+    CPPUNIT_TEST(change_completes_only_when_new_members_have_copied);
+    CPPUNIT_TEST(change_completes_without_copy_at_one_remaining_member);
+    CPPUNIT_TEST(group_recovers_from_survivors_of_lost_majority);
+    CPPUNIT_TEST(recovery_is_deferred_until_allowed);
+    CPPUNIT_TEST(silence_alone_does_not_start_recovery);
+    CPPUNIT_TEST(group_without_surviving_disks_recovers_on_new_ones);
+    CPPUNIT_TEST(retired_members_remain_copy_sources);
+    CPPUNIT_TEST(group_recovers_without_permanently_silent_node);
+    CPPUNIT_TEST(recovery_waits_for_unreachable_member);
+    CPPUNIT_TEST(returning_member_is_readmitted_as_copy_source);
+    CPPUNIT_TEST(after_loss_is_cleared_when_lost_turns_have_expired);
+    CPPUNIT_TEST(change_is_replanned_when_joining_member_is_silent);
+    CPPUNIT_TEST(retired_store_is_removed_and_not_readmitted);
+    CPPUNIT_TEST(retirement_is_refused_when_too_few_would_remain);
+    CPPUNIT_TEST(replaced_disk_does_not_count_as_remaining_store);
+    CPPUNIT_TEST(retirement_before_formation_leaves_one_full_group);
+    CPPUNIT_TEST(silent_store_is_removed_while_enough_remain);
+    CPPUNIT_TEST(groups_are_spread_over_zones);
+    CPPUNIT_TEST(silent_member_is_replaced_by_spare_store);
+    CPPUNIT_TEST(groups_never_choose_the_same_store);
+    CPPUNIT_TEST(group_does_not_shrink_without_spare_store);
+    CPPUNIT_TEST(spare_store_can_be_retired);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
     static store_member member(store_id id, const std::string& node) {
         return {id, node, "10.0.0." + node + ":7000", "zone"};
     }
-    static directory_state with_map(std::vector<store_member> current,
-                                    std::vector<store_member> next = {}) {
+    static directory_state state_with_map(std::vector<store_member> current,
+                                          std::vector<store_member> next = {}) {
         directory_state state;
         state.apply(change_store_groups{{store_map{1, std::move(current), std::move(next)}}});
         return state;
@@ -52,9 +52,9 @@
                        turns::map_epoch copied = 0) {
         planner.on_report({store, copied}, now);
     }
-    /// The map that is planned for the only group.
-    static std::optional<store_map> planned(const store_planner& planner,
-                                            const directory_state& state, instant now) {
+    /// The map planned for the only group.
+    static std::optional<store_map> planned_map(const store_planner& planner,
+                                                const directory_state& state, instant now) {
         const auto change = planner.plan(state, now);
         if (!change.has_value()) {
             return std::nullopt;
@@ -62,54 +62,54 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, change->maps.size());
         return change->maps.front();
     }
-    static const std::vector<store_member>& three() {
+    static const std::vector<store_member>& three_stores() {
         static const std::vector<store_member> members{member(1, "1"), member(2, "2"),
                                                        member(3, "3")};
         return members;
     }
 
-    void the_first_map_waits_for_enough_stores() {
+    void first_map_waits_for_enough_stores() {
         store_planner planner({});
         planner.start(at(0));
-        report(planner, three()[0], at(1600));
-        report(planner, three()[1], at(1600));
+        report(planner, three_stores()[0], at(1600));
+        report(planner, three_stores()[1], at(1600));
         CPPUNIT_ASSERT(!planner.plan({}, at(1600)).has_value());
-        report(planner, three()[2], at(1600));
-        const auto map = planned(planner, {}, at(1600));
+        report(planner, three_stores()[2], at(1600));
+        const auto map = planned_map(planner, {}, at(1600));
         CPPUNIT_ASSERT(map.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->current.size());
         CPPUNIT_ASSERT(!map->changing());
     }
 
-    void a_new_disk_takes_the_place_of_the_old_one() {
+    void new_disk_replaces_old_disk_of_same_node() {
         store_planner planner({});
         planner.start(at(0));
-        report(planner, three()[0], at(3000));
-        report(planner, three()[1], at(3000));
+        report(planner, three_stores()[0], at(3000));
+        report(planner, three_stores()[1], at(3000));
         report(planner, member(30, "3"), at(3000));
-        const auto map = planned(planner, with_map(three()), at(3000));
+        const auto map = planned_map(planner, state_with_map(three_stores()), at(3000));
         CPPUNIT_ASSERT(map.has_value());
         CPPUNIT_ASSERT_EQUAL(turns::map_epoch{2}, map->epoch);
-        CPPUNIT_ASSERT(map->current == three());
-        const std::vector<store_member> next{three()[0], three()[1], member(30, "3")};
+        CPPUNIT_ASSERT(map->current == three_stores());
+        const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
         CPPUNIT_ASSERT(map->next == next);
     }
 
-    void a_new_disk_is_seen_while_the_old_one_still_counts_as_live() {
+    void new_disk_replaces_old_disk_that_is_still_live() {
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(2800));
         }
         report(planner, member(30, "3"), at(3000));
-        const auto map = planned(planner, with_map(three()), at(3000));
-        const std::vector<store_member> next{three()[0], three()[1], member(30, "3")};
+        const auto map = planned_map(planner, state_with_map(three_stores()), at(3000));
+        const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
         CPPUNIT_ASSERT(map.has_value() && map->next == next);
     }
 
-    void a_change_ends_only_when_each_new_member_has_copied() {
-        const std::vector<store_member> next{three()[0], three()[1], member(30, "3")};
-        const directory_state state = with_map(three(), next);
+    void change_completes_only_when_new_members_have_copied() {
+        const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
+        const directory_state state = state_with_map(three_stores(), next);
         store_planner planner({});
         planner.start(at(0));
         report(planner, next[0], at(3000), 1);
@@ -117,14 +117,14 @@
         report(planner, next[2], at(3000), 0);
         CPPUNIT_ASSERT(!planner.plan(state, at(3000)).has_value());
         report(planner, next[2], at(3000), 1);
-        const auto done = planned(planner, state, at(3000));
+        const auto done = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(done.has_value() && !done->changing());
         CPPUNIT_ASSERT(done->current == next);
     }
 
-    void a_member_that_stays_and_is_away_does_not_hold_a_change_up() {
-        const std::vector<store_member> next{three()[0], three()[1], member(30, "3")};
-        const directory_state state = with_map(three(), next);
+    void change_completes_without_copy_at_one_remaining_member() {
+        const std::vector<store_member> next{three_stores()[0], three_stores()[1], member(30, "3")};
+        const directory_state state = state_with_map(three_stores(), next);
         store_planner planner({});
         planner.start(at(0));
         report(planner, next[0], at(3000), 0);
@@ -132,28 +132,30 @@
         report(planner, next[2], at(3000), 0);
         CPPUNIT_ASSERT(!planner.plan(state, at(3000)).has_value());
         report(planner, next[2], at(3000), 1);
-        const auto done = planned(planner, state, at(3000));
+        const auto done = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(done.has_value() && !done->changing());
         CPPUNIT_ASSERT(done->current == next);
     }
 
-    /// Two of the three disks of before are gone; the first one's successor has joined the change.
-    static std::optional<store_map> after_two_lost_disks(store_planner& planner,
-                                                         const directory_state& state) {
+    /// The map planned when two of three disks are lost and the first one's successor has joined
+    /// the open change.
+    static std::optional<store_map> map_after_two_lost_disks(store_planner& planner,
+                                                             const directory_state& state) {
         planner.start(at(0));
         report(planner, member(10, "1"), at(3000));
-        report(planner, three()[1], at(3000));
+        report(planner, three_stores()[1], at(3000));
         report(planner, member(30, "3"), at(3000));
-        return planned(planner, state, at(3000));
+        return planned_map(planner, state, at(3000));
     }
 
-    void a_group_goes_on_from_what_survives_a_lost_majority() {
-        const std::vector<store_member> next{member(10, "1"), three()[1], three()[2]};
+    void group_recovers_from_survivors_of_lost_majority() {
+        const std::vector<store_member> next{member(10, "1"), three_stores()[1], three_stores()[2]};
         store_planner planner({});
-        const auto map = after_two_lost_disks(planner, with_map(three(), next));
+        const auto map = map_after_two_lost_disks(planner, state_with_map(three_stores(), next));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
-        // The successor may hold what only the second lost disk held.
-        const std::vector<store_member> survivors{three()[1], member(10, "1"), member(30, "3")};
+        // The successor may hold turns that are otherwise only on the second lost disk.
+        const std::vector<store_member> survivors{three_stores()[1], member(10, "1"),
+                                                  member(30, "3")};
         CPPUNIT_ASSERT(map->current == survivors);
         CPPUNIT_ASSERT(map->next == survivors);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->copies_needed());
@@ -161,71 +163,71 @@
         CPPUNIT_ASSERT(map->suffices_of_current({2, 10, 30}));
     }
 
-    /// A store or forwarder of the build before would count a majority of what survives.
-    void recovery_waits_while_a_node_could_not_read_its_map() {
-        const std::vector<store_member> next{member(10, "1"), three()[1], three()[2]};
-        const directory_state state = with_map(three(), next);
+    /// Guards against nodes of an older build that would count a majority of the survivors as
+    /// sufficient.
+    void recovery_is_deferred_until_allowed() {
+        const std::vector<store_member> next{member(10, "1"), three_stores()[1], three_stores()[2]};
+        const directory_state state = state_with_map(three_stores(), next);
         store_planner planner({});
         planner.allow_recovery(false);
-        CPPUNIT_ASSERT(!after_two_lost_disks(planner, state).has_value());
-        CPPUNIT_ASSERT(planner.wants_recovery(state, at(3000)));
+        CPPUNIT_ASSERT(!map_after_two_lost_disks(planner, state).has_value());
+        CPPUNIT_ASSERT(planner.any_group_needs_recovery(state, at(3000)));
         planner.allow_recovery(true);
-        const auto map = planned(planner, state, at(3000));
+        const auto map = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
     }
 
-    void silence_alone_is_no_lost_majority() {
+    void silence_alone_does_not_start_recovery() {
         store_planner planner({});
         planner.start(at(0));
-        report(planner, three()[0], at(60'000));
-        CPPUNIT_ASSERT(!planner.plan(with_map(three()), at(60'000)).has_value());
+        report(planner, three_stores()[0], at(60'000));
+        CPPUNIT_ASSERT(!planner.plan(state_with_map(three_stores()), at(60'000)).has_value());
     }
 
-    void a_group_without_any_disk_left_goes_on_with_new_ones() {
+    void group_without_surviving_disks_recovers_on_new_ones() {
         store_planner planner({});
         planner.start(at(0));
         for (const char* node : {"1", "2", "3"}) {
             report(planner, member(10 + static_cast<store_id>(node[0]), node), at(3000));
         }
-        const auto map = planned(planner, with_map(three()), at(3000));
+        const auto map = planned_map(planner, state_with_map(three_stores()), at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->current.size());
         CPPUNIT_ASSERT(map->current == map->next);
     }
 
-    /// Of a group that goes on without silent members, the directory's state.
-    static directory_state with_open_change() {
-        return with_map(three(), {member(40, "4"), three()[1], three()[2]});
+    /// A group with an open change that replaces member 1 by a store on another node.
+    static directory_state state_with_open_change() {
+        return state_with_map(three_stores(),
+                              {member(40, "4"), three_stores()[1], three_stores()[2]});
     }
 
-    void members_that_are_emptied_together_still_give_their_copies() {
-        directory_state state = with_map(three());
+    void retired_members_remain_copy_sources() {
+        directory_state state = state_with_map(three_stores());
         state.apply(retire_store{"1", {1}});
         state.apply(retire_store{"2", {2}});
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(3000));
         }
         for (const char* node : {"4", "5"}) {
             report(planner, member(40 + static_cast<store_id>(node[0]), node), at(3000));
         }
-        const auto map = planned(planner, state, at(3000));
+        const auto map = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value() && !map->after_loss);
-        CPPUNIT_ASSERT(map->current == three());
+        CPPUNIT_ASSERT(map->current == three_stores());
     }
 
-    // Symptom: turns were refused for good, though three of four stores answered and wrote.
-    // Sequence: a machine was gone for good and another came at another address; while the change
-    // to it was open, another member lost its disk. Cause: the machine that was gone was only
-    // silent, so its disk didn't count as lost, and the change waited for a majority that needed
-    // it. Settled by: reading; a machine's successor at another name tells nothing of the machine.
-    void a_group_goes_on_without_a_machine_that_is_gone_for_good() {
-        directory_state state = with_open_change();
+    // Guards against a group that is blocked for good: a node fails permanently, and another member
+    // loses its disk while the change to replace the node is open. The failed node is silent, not
+    // known to be lost, so the change must not wait for a majority that needs it.
+    void group_recovers_without_permanently_silent_node() {
+        directory_state state = state_with_open_change();
         store_planner planner({});
         planner.start(at(0));
-        const std::vector<store_member> alive{three()[1], member(40, "4"), member(30, "3")};
-        const auto play_until = [&](int& now, int end) {
+        const std::vector<store_member> alive{three_stores()[1], member(40, "4"), member(30, "3")};
+        const auto run_until = [&](int& now, int end) {
             for (; now < end; now += 100) {
                 for (const store_member& store : alive) {
                     report(planner, store, at(now));
@@ -236,23 +238,23 @@
             }
         };
         int now = 0;
-        play_until(now, 6'000);
-        // It may be back within a moment, and hold what nobody else does.
+        run_until(now, 6'000);
+        // The member may return and may hold the only copy of a turn.
         CPPUNIT_ASSERT(!state.stores().groups.front().after_loss);
-        play_until(now, 7'000);
+        run_until(now, 7'000);
         const store_map& map = state.stores().groups.front();
         CPPUNIT_ASSERT(map.after_loss && map.changing());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map.current.size());
-        CPPUNIT_ASSERT(map.absent == std::vector<store_member>{three()[0]});
+        CPPUNIT_ASSERT(map.absent == std::vector<store_member>{three_stores()[0]});
         CPPUNIT_ASSERT(!map.holds(1));
     }
 
-    void a_member_that_is_only_dark_is_waited_for() {
-        directory_state state = with_map(three());
+    void recovery_waits_for_unreachable_member() {
+        directory_state state = state_with_map(three_stores());
         store_planner planner({});
         planner.start(at(0));
         for (int now = 0; now < 60'000; now += 100) {
-            report(planner, three()[1], at(now));
+            report(planner, three_stores()[1], at(now));
             report(planner, member(30, "3"), at(now));
             if (const auto change = planner.plan(state, at(now))) {
                 state.apply(*change);
@@ -262,20 +264,21 @@
         CPPUNIT_ASSERT(state.stores().groups.front().holds(1));
     }
 
-    void a_member_that_comes_back_gives_what_only_it_holds() {
-        const std::vector<store_member> members{three()[1], member(40, "4"), member(30, "3")};
+    void returning_member_is_readmitted_as_copy_source() {
+        const std::vector<store_member> members{three_stores()[1], member(40, "4"),
+                                                member(30, "3")};
         directory_state state;
-        store_map going_on{1, members, {}, 0, true};
-        going_on.absent = {three()[0]};
-        state.apply(change_store_groups{{going_on}});
+        store_map map_after_loss{1, members, {}, 0, true};
+        map_after_loss.absent = {three_stores()[0]};
+        state.apply(change_store_groups{{map_after_loss}});
         store_planner planner({});
         planner.start(at(0));
         for (const store_member& store : members) {
             report(planner, store, at(3000));
         }
         CPPUNIT_ASSERT(!planner.plan(state, at(3000)).has_value());
-        report(planner, three()[0], at(3000));
-        const auto map = planned(planner, state, at(3000));
+        report(planner, three_stores()[0], at(3000));
+        const auto map = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss && map->changing());
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, map->copies_needed());
         CPPUNIT_ASSERT(map->holds(1));
@@ -283,89 +286,88 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->next.size());
     }
 
-    void doubt_ends_once_lost_turns_would_have_expired() {
+    void after_loss_is_cleared_when_lost_turns_have_expired() {
         directory_state state;
-        state.apply(change_store_groups{{store_map{1, three(), {}, 0, true}}});
+        state.apply(change_store_groups{{store_map{1, three_stores(), {}, 0, true}}});
         store_planner planner({});
         planner.start(at(0));
         const auto planned_at = [&](int now) {
             planner.watch_losses(state, std::chrono::seconds(60), at(now));
-            for (const store_member& store : three()) {
+            for (const store_member& store : three_stores()) {
                 report(planner, store, at(now));
             }
-            return planned(planner, state, at(now));
+            return planned_map(planner, state, at(now));
         };
         CPPUNIT_ASSERT(!planned_at(3'000).has_value());
         CPPUNIT_ASSERT(!planned_at(63'000).has_value());
-        const auto certain = planned_at(63'100);
-        CPPUNIT_ASSERT(certain.has_value() && !certain->after_loss);
-        CPPUNIT_ASSERT(certain->current == three() && !certain->changing());
+        const auto cleared = planned_at(63'100);
+        CPPUNIT_ASSERT(cleared.has_value() && !cleared->after_loss);
+        CPPUNIT_ASSERT(cleared->current == three_stores() && !cleared->changing());
     }
 
-    void a_change_whose_new_member_died_is_planned_again() {
-        const std::vector<store_member> next{three()[0], three()[1], three()[2], member(40, "4")};
-        const directory_state state = with_map(three(), next);
+    void change_is_replanned_when_joining_member_is_silent() {
+        const std::vector<store_member> next{three_stores()[0], three_stores()[1],
+                                             three_stores()[2], member(40, "4")};
+        const directory_state state = state_with_map(three_stores(), next);
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(3000), 1);
         }
-        const auto again = planned(planner, state, at(3000));
+        const auto again = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(again.has_value());
-        CPPUNIT_ASSERT(again->current == three());
-        CPPUNIT_ASSERT(again->next == three());
+        CPPUNIT_ASSERT(again->current == three_stores());
+        CPPUNIT_ASSERT(again->next == three_stores());
     }
 
-    void a_retired_store_leaves_and_does_not_return() {
-        std::vector<store_member> four = three();
+    void retired_store_is_removed_and_not_readmitted() {
+        std::vector<store_member> four = three_stores();
         four.push_back(member(4, "4"));
-        directory_state state = with_map(four);
+        directory_state state = state_with_map(four);
         state.apply(retire_store{"4", {}});
         store_planner planner({});
         planner.start(at(0));
         for (const store_member& store : four) {
             report(planner, store, at(3000));
         }
-        const auto map = planned(planner, state, at(3000));
+        const auto map = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value());
-        CPPUNIT_ASSERT(map->next == three());
-        directory_state after = with_map(four, three());
+        CPPUNIT_ASSERT(map->next == three_stores());
+        directory_state after = state_with_map(four, three_stores());
         after.apply(retire_store{"4", {}});
-        after.apply(change_store_groups{{store_map{2, three(), {}}}});
+        after.apply(change_store_groups{{store_map{2, three_stores(), {}}}});
         CPPUNIT_ASSERT(!planner.plan(after, at(3000)).has_value());
     }
 
-    void a_store_is_not_retired_when_too_few_would_remain() {
+    void retirement_is_refused_when_too_few_would_remain() {
         const store_planner planner({});
-        CPPUNIT_ASSERT(!planner.may_retire(with_map(three()), "1"));
-        std::vector<store_member> four = three();
+        CPPUNIT_ASSERT(!planner.may_retire(state_with_map(three_stores()), "1"));
+        std::vector<store_member> four = three_stores();
         four.push_back(member(4, "4"));
-        directory_state state = with_map(four);
+        directory_state state = state_with_map(four);
         CPPUNIT_ASSERT(planner.may_retire(state, "1"));
         state.apply(retire_store{"4", {}});
         CPPUNIT_ASSERT(!planner.may_retire(state, "1"));
     }
 
-    // Symptom: with three stores, an order to empty one was taken, and the group went on with two.
-    // Sequence: a store lost its disk and came back with a new one while the same leader led.
-    // Cause: the leader counted the disk that was gone beside the new one, so four seemed to be
-    // there. Settled by: the simulation, which emptied one of three machines as soon as a disk was
-    // lost.
-    void a_lost_disk_is_not_counted_as_a_store_that_would_remain() {
+    // Guards against a group that shrinks below its size: a replaced disk must not count as a store
+    // beside its successor when a retirement is checked.
+    void replaced_disk_does_not_count_as_remaining_store() {
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(100));
         }
         report(planner, member(30, "3"), at(3000));
-        const std::vector<store_member> now_current{three()[0], three()[1], member(30, "3")};
-        CPPUNIT_ASSERT(!planner.may_retire(with_map(now_current), "1"));
+        const std::vector<store_member> current_members{three_stores()[0], three_stores()[1],
+                                                        member(30, "3")};
+        CPPUNIT_ASSERT(!planner.may_retire(state_with_map(current_members), "1"));
     }
 
-    void no_store_is_retired_below_a_group_before_there_are_groups() {
+    void retirement_before_formation_leaves_one_full_group() {
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(100));
         }
         CPPUNIT_ASSERT(!planner.may_retire({}, "1"));
@@ -373,25 +375,25 @@
         CPPUNIT_ASSERT(planner.may_retire({}, "1"));
     }
 
-    void a_silent_store_is_left_out_while_enough_remain() {
-        std::vector<store_member> four = three();
+    void silent_store_is_removed_while_enough_remain() {
+        std::vector<store_member> four = three_stores();
         four.push_back(member(4, "4"));
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(8000));
         }
-        const auto map = planned(planner, with_map(four), at(8000));
-        CPPUNIT_ASSERT(map.has_value() && map->next == three());
-        store_planner fewer({});
-        fewer.start(at(0));
-        report(fewer, three()[0], at(8000));
-        report(fewer, three()[1], at(8000));
-        CPPUNIT_ASSERT(!fewer.plan(with_map(three()), at(8000)).has_value());
+        const auto map = planned_map(planner, state_with_map(four), at(8000));
+        CPPUNIT_ASSERT(map.has_value() && map->next == three_stores());
+        store_planner smaller_planner({});
+        smaller_planner.start(at(0));
+        report(smaller_planner, three_stores()[0], at(8000));
+        report(smaller_planner, three_stores()[1], at(8000));
+        CPPUNIT_ASSERT(!smaller_planner.plan(state_with_map(three_stores()), at(8000)).has_value());
     }
 
-    /// `count` stores in six zones, as the large deployments have them.
-    static std::vector<store_member> in_six_zones(std::size_t count) {
+    /// Creates `count` stores, distributed over six zones.
+    static std::vector<store_member> stores_in_six_zones(std::size_t count) {
         std::vector<store_member> members;
         for (std::size_t number = 0; number < count; ++number) {
             const std::string name = std::to_string(number + 1);
@@ -399,7 +401,8 @@
         }
         return members;
     }
-    static store_planner with_two_losses(const std::vector<store_member>& stores, instant now) {
+    static store_planner planner_for_two_losses(const std::vector<store_member>& stores,
+                                                instant now) {
         store_planner_settings settings;
         settings.losses = 2;
         store_planner planner(settings);
@@ -409,7 +412,7 @@
         }
         return planner;
     }
-    static directory_state formed(const store_planner& planner, instant now) {
+    static directory_state state_with_formed_groups(const store_planner& planner, instant now) {
         directory_state state;
         const auto change = planner.plan(state, now);
         CPPUNIT_ASSERT(change.has_value());
@@ -417,8 +420,9 @@
         return state;
     }
 
-    void many_stores_form_groups_spread_over_zones() {
-        const directory_state state = formed(with_two_losses(in_six_zones(36), at(1600)), at(1600));
+    void groups_are_spread_over_zones() {
+        const directory_state state = state_with_formed_groups(
+            planner_for_two_losses(stores_in_six_zones(36), at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, state.stores().groups.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{30}, state.stores().all().size());
         for (const store_map& map : state.stores().groups) {
@@ -428,18 +432,20 @@
             }
             CPPUNIT_ASSERT_EQUAL(std::size_t{5}, zones.size());
         }
-        // Too few for two groups with one that stands by each.
-        const directory_state few = formed(with_two_losses(in_six_zones(8), at(1600)), at(1600));
+        // Too few stores for two groups with a spare each.
+        const directory_state few = state_with_formed_groups(
+            planner_for_two_losses(stores_in_six_zones(8), at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, few.stores().groups.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, few.stores().all().size());
     }
 
-    void a_lost_member_is_replaced_by_a_store_that_stands_by() {
-        std::vector<store_member> stores = in_six_zones(36);
-        const directory_state state = formed(with_two_losses(stores, at(1600)), at(1600));
+    void silent_member_is_replaced_by_spare_store() {
+        std::vector<store_member> stores = stores_in_six_zones(36);
+        const directory_state state =
+            state_with_formed_groups(planner_for_two_losses(stores, at(1600)), at(1600));
         const store_member lost = state.stores().groups[2].current[1];
         std::erase(stores, lost);
-        const store_planner planner = with_two_losses(stores, at(8000));
+        const store_planner planner = planner_for_two_losses(stores, at(8000));
         const auto change = planner.plan(state, at(8000));
         CPPUNIT_ASSERT(change.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, change->maps.size());
@@ -453,13 +459,14 @@
         }
     }
 
-    void two_groups_never_choose_the_same_store() {
-        std::vector<store_member> stores = in_six_zones(13);
-        directory_state state = formed(with_two_losses(stores, at(1600)), at(1600));
+    void groups_never_choose_the_same_store() {
+        std::vector<store_member> stores = stores_in_six_zones(13);
+        directory_state state =
+            state_with_formed_groups(planner_for_two_losses(stores, at(1600)), at(1600));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, state.stores().groups.size());
         std::erase(stores, state.stores().groups[0].current[0]);
         std::erase(stores, state.stores().groups[1].current[0]);
-        const store_planner planner = with_two_losses(stores, at(8000));
+        const store_planner planner = planner_for_two_losses(stores, at(8000));
         for (int round = 0; round < 2; ++round) {
             const auto change = planner.plan(state, at(8000));
             CPPUNIT_ASSERT(change.has_value());
@@ -475,12 +482,12 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{10}, members.size());
     }
 
-    void a_group_does_not_shrink_while_no_store_stands_by() {
-        directory_state state = with_map(three());
+    void group_does_not_shrink_without_spare_store() {
+        directory_state state = state_with_map(three_stores());
         state.apply(retire_store{"1", {}});
         store_planner planner({});
         planner.start(at(0));
-        for (const store_member& store : three()) {
+        for (const store_member& store : three_stores()) {
             report(planner, store, at(3000));
         }
         CPPUNIT_ASSERT(!planner.plan(state, at(3000)).has_value());
@@ -488,28 +495,28 @@
         CPPUNIT_ASSERT(planner.plan(state, at(3000)).has_value());
     }
 
-    void a_store_that_stands_by_can_be_emptied() {
-        const std::vector<store_member> stores = in_six_zones(36);
-        const store_planner planner = with_two_losses(stores, at(1600));
-        directory_state state = formed(planner, at(1600));
-        const auto standing_by = std::find_if(
+    void spare_store_can_be_retired() {
+        const std::vector<store_member> stores = stores_in_six_zones(36);
+        const store_planner planner = planner_for_two_losses(stores, at(1600));
+        directory_state state = state_with_formed_groups(planner, at(1600));
+        const auto spare = std::find_if(
             stores.begin(), stores.end(),
             [&](const store_member& store) { return !state.stores().holds(store.id); });
-        CPPUNIT_ASSERT(planner.may_retire(state, standing_by->node));
-        const auto disks = planner.disks_of(state, standing_by->node);
+        CPPUNIT_ASSERT(planner.may_retire(state, spare->node));
+        const auto disks = planner.disks_of(state, spare->node);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, disks.size());
         CPPUNIT_ASSERT(planner.disks_of(state, "unknown").empty());
-        state.apply(retire_store{standing_by->node, disks});
-        CPPUNIT_ASSERT(state.retired().contains(standing_by->id));
-        // Six may go; the seventh would leave a group too small.
-        int emptied = 1;
+        state.apply(retire_store{spare->node, disks});
+        CPPUNIT_ASSERT(state.retired().contains(spare->id));
+        // There are six spares; retiring a seventh store would leave a group too small.
+        int retired_count = 1;
         for (const store_member& store : stores) {
             if (!state.retired().contains(store.id) && planner.may_retire(state, store.node)) {
                 state.apply(retire_store{store.node, planner.disks_of(state, store.node)});
-                ++emptied;
+                ++retired_count;
             }
         }
-        CPPUNIT_ASSERT_EQUAL(6, emptied);
+        CPPUNIT_ASSERT_EQUAL(6, retired_count);
     }
 };
 
