--- a/src/tallyfold/plane/turns/begin_rules.cpp
+++ b/src/tallyfold/plane/turns/begin_rules.cpp
@@ -2,7 +2,7 @@
 
 namespace tallyfold::turns {
 
-begin_outcome decide_begin(const begin_evidence& evidence) {
+begin_outcome decide_begin(const begin_inputs& evidence) {
     if (!evidence.reserved) {
         return begin_outcome::pending;
     }
--- a/src/tallyfold/plane/turns/begin_rules.hpp
+++ b/src/tallyfold/plane/turns/begin_rules.hpp
@@ -30,7 +30,7 @@
 };
 
 /// What a begin is decided from.
-struct begin_evidence {
+struct begin_inputs {
     /// The reservation is durable at a write quorum.
     bool reserved = false;
     previous_turn previous = previous_turn::none;
@@ -50,7 +50,7 @@
 ///
 /// An unknown previous turn goes before the budget, and the budget before missing texts: a refusal
 /// doesn't wait for texts that it has no use for.
-[[nodiscard]] begin_outcome decide_begin(const begin_evidence& evidence);
+[[nodiscard]] begin_outcome decide_begin(const begin_inputs& evidence);
 
 /// What is known about a turn that the program's own group doesn't hold.
 struct absence_evidence {
--- a/src/tallyfold/plane/turns/quorum_operations.cpp
+++ b/src/tallyfold/plane/turns/quorum_operations.cpp
@@ -64,7 +64,7 @@
 }
 
 begin_outcome begin_operation::outcome() const {
-    begin_evidence evidence;
+    begin_inputs evidence;
     evidence.reserved = reserved();
     if (!previous_.empty()) {
         evidence.previous = previous_held_ ? previous_turn::held : previous_turn::not_held;
--- a/tests/plane/turns/begin_rules_test.cpp
+++ b/tests/plane/turns/begin_rules_test.cpp
@@ -15,8 +15,8 @@
     CPPUNIT_TEST(a_turn_is_absent_only_when_no_group_can_hold_it);
     CPPUNIT_TEST_SUITE_END();
 
-    static begin_evidence reserved_turn() {
-        begin_evidence evidence;
+    static begin_inputs reserved_turn() {
+        begin_inputs evidence;
         evidence.reserved = true;
         evidence.history_complete = true;
         evidence.max_tokens = 100;
@@ -24,7 +24,7 @@
     }
 
     void nothing_is_decided_before_the_reservation_is_durable() {
-        begin_evidence evidence = reserved_turn();
+        begin_inputs evidence = reserved_turn();
         evidence.reserved = false;
         CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::pending);
         evidence.previous = previous_turn::not_held;
@@ -34,7 +34,7 @@
     }
 
     void an_unknown_previous_turn_goes_before_the_budget() {
-        begin_evidence evidence = reserved_turn();
+        begin_inputs evidence = reserved_turn();
         evidence.previous = previous_turn::not_held;
         evidence.budget = 1;
         CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::unknown_previous);
@@ -43,7 +43,7 @@
     }
 
     void a_budget_may_be_used_up_and_not_exceeded() {
-        begin_evidence evidence = reserved_turn();
+        begin_inputs evidence = reserved_turn();
         evidence.used_tokens = 150;
         CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::admitted);
         evidence.budget = 250;
@@ -53,7 +53,7 @@
     }
 
     void an_admission_waits_for_the_history_and_a_refusal_does_not() {
-        begin_evidence evidence = reserved_turn();
+        begin_inputs evidence = reserved_turn();
         evidence.previous = previous_turn::held;
         evidence.history_complete = false;
         CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::pending);
