--- a/src/tallyfold/plane/turns/begin_rules.cpp
+++ b/src/tallyfold/plane/turns/begin_rules.cpp
@@ -16,7 +16,7 @@
     return evidence.history_complete ? begin_outcome::admitted : begin_outcome::pending;
 }
 
-bool is_known_absent(const absence_evidence& evidence) {
+bool is_known_absent(const absence_inputs& evidence) {
     if (evidence.own_group_after_loss) {
         return false;
     }
--- a/src/tallyfold/plane/turns/begin_rules.hpp
+++ b/src/tallyfold/plane/turns/begin_rules.hpp
@@ -53,7 +53,7 @@
 [[nodiscard]] begin_outcome decide_begin(const begin_inputs& evidence);
 
 /// What is known about a turn that the program's own group doesn't hold.
-struct absence_evidence {
+struct absence_inputs {
     /// The own group may have lost turns together with a majority of its disks.
     bool own_group_after_loss = false;
     bool is_only_group = false;
@@ -63,6 +63,6 @@
 
 /// True when a turn that the own group doesn't hold may be refused as unknown (404). False after a
 /// loss of disks, since it may have existed, and while another group may hold it.
-[[nodiscard]] bool is_known_absent(const absence_evidence& evidence);
+[[nodiscard]] bool is_known_absent(const absence_inputs& evidence);
 
 }  // namespace tallyfold::turns
