--- a/src/tallyfold/plane/turns/begin_rules.cpp
+++ b/src/tallyfold/plane/turns/begin_rules.cpp
@@ -2,25 +2,25 @@
 
 namespace tallyfold::turns {
 
-begin_outcome decide_begin(const begin_inputs& evidence) {
-    if (!evidence.reserved) {
+begin_outcome decide_begin(const begin_inputs& inputs) {
+    if (!inputs.reserved) {
         return begin_outcome::pending;
     }
-    if (evidence.previous == previous_turn::not_held) {
+    if (inputs.previous == previous_turn::not_held) {
         return begin_outcome::unknown_previous;
     }
-    const bool bounded = evidence.budget > 0;
-    if (bounded && evidence.used_tokens + evidence.max_tokens > evidence.budget) {
+    const bool bounded = inputs.budget > 0;
+    if (bounded && inputs.used_tokens + inputs.max_tokens > inputs.budget) {
         return begin_outcome::over_budget;
     }
-    return evidence.history_complete ? begin_outcome::admitted : begin_outcome::pending;
+    return inputs.history_complete ? begin_outcome::admitted : begin_outcome::pending;
 }
 
-bool is_known_absent(const absence_inputs& evidence) {
-    if (evidence.own_group_after_loss) {
+bool is_known_absent(const absence_inputs& inputs) {
+    if (inputs.own_group_after_loss) {
         return false;
     }
-    return evidence.is_only_group || evidence.denied_by_other_groups;
+    return inputs.is_only_group || inputs.denied_by_other_groups;
 }
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/begin_rules.hpp
+++ b/src/tallyfold/plane/turns/begin_rules.hpp
@@ -50,7 +50,7 @@
 ///
 /// An unknown previous turn goes before the budget, and the budget before missing texts: a refusal
 /// doesn't wait for texts that it has no use for.
-[[nodiscard]] begin_outcome decide_begin(const begin_inputs& evidence);
+[[nodiscard]] begin_outcome decide_begin(const begin_inputs& inputs);
 
 /// What is known about a turn that the program's own group doesn't hold.
 struct absence_inputs {
@@ -63,6 +63,6 @@
 
 /// True when a turn that the own group doesn't hold may be refused as unknown (404). False after a
 /// loss of disks, since it may have existed, and while another group may hold it.
-[[nodiscard]] bool is_known_absent(const absence_inputs& evidence);
+[[nodiscard]] bool is_known_absent(const absence_inputs& inputs);
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/quorum_operations.cpp
+++ b/src/tallyfold/plane/turns/quorum_operations.cpp
@@ -64,16 +64,16 @@
 }
 
 begin_outcome begin_operation::outcome() const {
-    begin_inputs evidence;
-    evidence.reserved = reserved();
+    begin_inputs inputs;
+    inputs.reserved = reserved();
     if (!previous_.empty()) {
-        evidence.previous = previous_held_ ? previous_turn::held : previous_turn::not_held;
+        inputs.previous = previous_held_ ? previous_turn::held : previous_turn::not_held;
     }
-    evidence.history_complete = missing_turn().empty();
-    evidence.used_tokens = used_tokens();
-    evidence.max_tokens = reservation_.max_tokens;
-    evidence.budget = budget_;
-    return decide_begin(evidence);
+    inputs.history_complete = missing_turn().empty();
+    inputs.used_tokens = used_tokens();
+    inputs.max_tokens = reservation_.max_tokens;
+    inputs.budget = budget_;
+    return decide_begin(inputs);
 }
 
 std::vector<const turn_record*> begin_operation::history() const {
--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -64,11 +64,11 @@
         case begin_outcome::pending:
             return true;
         case begin_outcome::unknown_previous: {
-            absence_inputs evidence;
-            evidence.own_group_after_loss = operation_.map().after_loss;
-            evidence.is_only_group = only_group_;
-            evidence.denied_by_other_groups = search_.has_value() && search_->held_by_no_group();
-            return !is_known_absent(evidence);
+            absence_inputs inputs;
+            inputs.own_group_after_loss = operation_.map().after_loss;
+            inputs.is_only_group = only_group_;
+            inputs.denied_by_other_groups = search_.has_value() && search_->held_by_no_group();
+            return !is_known_absent(inputs);
         }
         case begin_outcome::admitted:
         case begin_outcome::over_budget:
--- a/tests/plane/turns/begin_rules_test.cpp
+++ b/tests/plane/turns/begin_rules_test.cpp
@@ -16,49 +16,49 @@
     CPPUNIT_TEST_SUITE_END();
 
     static begin_inputs reserved_turn() {
-        begin_inputs evidence;
-        evidence.reserved = true;
-        evidence.history_complete = true;
-        evidence.max_tokens = 100;
-        return evidence;
+        begin_inputs inputs;
+        inputs.reserved = true;
+        inputs.history_complete = true;
+        inputs.max_tokens = 100;
+        return inputs;
     }
 
     void nothing_is_decided_before_the_reservation_is_durable() {
-        begin_inputs evidence = reserved_turn();
-        evidence.reserved = false;
-        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::pending);
-        evidence.previous = previous_turn::not_held;
-        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::pending);
-        evidence.budget = 1;
-        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::pending);
+        begin_inputs inputs = reserved_turn();
+        inputs.reserved = false;
+        CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::pending);
+        inputs.previous = previous_turn::not_held;
+        CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::pending);
+        inputs.budget = 1;
+        CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::pending);
     }
 
     void an_unknown_previous_turn_goes_before_the_budget() {
-        begin_inputs evidence = reserved_turn();
-        evidence.previous = previous_turn::not_held;
-        evidence.budget = 1;
-        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::unknown_previous);
-        evidence.previous = previous_turn::held;
-        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::over_budget);
+        begin_inputs inputs = reserved_turn();
+        inputs.previous = previous_turn::not_held;
+        inputs.budget = 1;
+        CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::unknown_previous);
+        inputs.previous = previous_turn::held;
+        CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::over_budget);
     }
 
     void a_budget_may_be_used_up_and_not_exceeded() {
-        begin_inputs evidence = reserved_turn();
-        evidence.used_tokens = 150;
-        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::admitted);
-        evidence.budget = 250;
-        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::admitted);
-        evidence.budget = 249;
-        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::over_budget);
+        begin_inputs inputs = reserved_turn();
+        inputs.used_tokens = 150;
+        CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::admitted);
+        inputs.budget = 250;
+        CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::admitted);
+        inputs.budget = 249;
+        CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::over_budget);
     }
 
     void an_admission_waits_for_the_history_and_a_refusal_does_not() {
-        begin_inputs evidence = reserved_turn();
-        evidence.previous = previous_turn::held;
-        evidence.history_complete = false;
-        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::pending);
-        evidence.budget = 99;
-        CPPUNIT_ASSERT(decide_begin(evidence) == begin_outcome::over_budget);
+        begin_inputs inputs = reserved_turn();
+        inputs.previous = previous_turn::held;
+        inputs.history_complete = false;
+        CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::pending);
+        inputs.budget = 99;
+        CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::over_budget);
     }
 
     void a_turn_is_absent_only_when_no_group_can_hold_it() {
