--- a/src/tallyfold/plane/turns/quorum_operations.hpp
+++ b/src/tallyfold/plane/turns/quorum_operations.hpp
@@ -29,7 +29,7 @@
     void on_reply(const begin_reply& reply);
     void on_history(const history_reply& reply);
     /// Another group holds the turn that this one continues.
-    void previous_found() { previous_held_ = true; }
+    void mark_previous_held() { previous_held_ = true; }
 
     [[nodiscard]] begin_outcome outcome() const;
     /// True once the reservation is durable at a write quorum.
--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -110,7 +110,7 @@
         history_request_due_ = now;
     }
     if (search_->found() && wanted == question_.previous) {
-        operation_.previous_found();
+        operation_.mark_previous_held();
     }
 }
 
