--- a/src/tallyfold/plane/turns/answer_tally.cpp
+++ b/src/tallyfold/plane/turns/answer_tally.cpp
@@ -31,13 +31,13 @@
 }
 
 std::vector<store_member> answer_tally::unanswered() const {
-    std::vector<store_member> left;
+    std::vector<store_member> remaining;
     for (const store_member& member : map_.all()) {
         if (!durable_.contains(member.id)) {
-            left.push_back(member);
+            remaining.push_back(member);
         }
     }
-    return left;
+    return remaining;
 }
 
 answer_count answer_tally::count() const {
--- a/src/tallyfold/plane/turns/copy_progress.cpp
+++ b/src/tallyfold/plane/turns/copy_progress.cpp
@@ -23,13 +23,13 @@
 }
 
 std::vector<store_member> copy_progress::sources() const {
-    std::vector<store_member> left;
+    std::vector<store_member> remaining;
     for (const store_member& member : map_.current) {
         if (!done_.contains(member.id)) {
-            left.push_back(member);
+            remaining.push_back(member);
         }
     }
-    return left;
+    return remaining;
 }
 
 bool copy_progress::whole() const {
