--- a/src/tallyfold/plane/turns/copy_progress.cpp
+++ b/src/tallyfold/plane/turns/copy_progress.cpp
@@ -17,7 +17,7 @@
     }
 }
 
-bool copy_progress::wanted() const {
+bool copy_progress::required() const {
     return std::any_of(map_.next.begin(), map_.next.end(),
                        [this](const store_member& member) { return member.id == self_; });
 }
--- a/src/tallyfold/plane/turns/copy_progress.hpp
+++ b/src/tallyfold/plane/turns/copy_progress.hpp
@@ -20,7 +20,7 @@
     [[nodiscard]] map_epoch epoch() const { return map_.epoch; }
     [[nodiscard]] const store_map& map() const { return map_; }
     /// True when this store has to copy at all.
-    [[nodiscard]] bool wanted() const;
+    [[nodiscard]] bool required() const;
     /// Stores that may be copied from and were not yet.
     [[nodiscard]] std::vector<store_member> sources() const;
     /// The store that answered has given all it holds. One that is not among the current stores,
--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -85,7 +85,7 @@
     copy_positions_.clear();
     if (map.changing()) {
         copying_.emplace(map, self_);
-        if (!copying_->wanted()) {
+        if (!copying_->required()) {
             copying_.reset();
         }
     }
--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -163,7 +163,7 @@
                 current.push_back(id);
             }
             copy_progress copy(map_of(current, {100}), 100);
-            CPPUNIT_ASSERT(copy.wanted());
+            CPPUNIT_ASSERT(copy.required());
             std::size_t copied = 0;
             while (!copy.whole()) {
                 copy.finished(copy.sources().front().id);
