--- a/src/tallyfold/plane/turns/copy_progress.cpp
+++ b/src/tallyfold/plane/turns/copy_progress.cpp
@@ -32,7 +32,7 @@
     return remaining;
 }
 
-bool copy_progress::whole() const {
+bool copy_progress::complete() const {
     return done_.size() >= map_.copies_needed();
 }
 
--- a/src/tallyfold/plane/turns/copy_progress.hpp
+++ b/src/tallyfold/plane/turns/copy_progress.hpp
@@ -26,7 +26,7 @@
     /// The store that answered has given all it holds. One that is not among the current stores,
     /// such as a new disk at an old one's address, doesn't count.
     void finished(store_id source);
-    [[nodiscard]] bool whole() const;
+    [[nodiscard]] bool complete() const;
 
   private:
     store_map map_;
--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -175,7 +175,7 @@
         return;
     }
     copying_->finished(reply.store);
-    if (copying_->whole()) {
+    if (copying_->complete()) {
         copied_epoch_ = copying_->epoch();
         copying_.reset();
     }
--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -165,7 +165,7 @@
             copy_progress copy(map_of(current, {100}), 100);
             CPPUNIT_ASSERT(copy.required());
             std::size_t copied = 0;
-            while (!copy.whole()) {
+            while (!copy.complete()) {
                 copy.finished(copy.sources().front().id);
                 ++copied;
             }
@@ -179,9 +179,9 @@
         copy_progress copy(map_of({1, 2, 3}, {1, 2, 30}), 30);
         copy.finished(30);
         copy.finished(1);
-        CPPUNIT_ASSERT(!copy.whole());
+        CPPUNIT_ASSERT(!copy.complete());
         copy.finished(2);
-        CPPUNIT_ASSERT(copy.whole());
+        CPPUNIT_ASSERT(copy.complete());
     }
 };
 
