--- a/src/tallyfold/plane/turns/copy_progress.cpp
+++ b/src/tallyfold/plane/turns/copy_progress.cpp
@@ -5,10 +5,10 @@
 namespace tallyfold::turns {
 
 copy_progress::copy_progress(store_map map, store_id self) : map_(std::move(map)), self_(self) {
-    finished(self_);
+    mark_complete(self_);
 }
 
-void copy_progress::finished(store_id source) {
+void copy_progress::mark_complete(store_id source) {
     const bool current =
         std::any_of(map_.current.begin(), map_.current.end(),
                     [source](const store_member& member) { return member.id == source; });
--- a/src/tallyfold/plane/turns/copy_progress.hpp
+++ b/src/tallyfold/plane/turns/copy_progress.hpp
@@ -25,7 +25,7 @@
     [[nodiscard]] std::vector<store_member> sources() const;
     /// The store that answered has given all it holds. One that is not among the current stores,
     /// such as a new disk at an old one's address, doesn't count.
-    void finished(store_id source);
+    void mark_complete(store_id source);
     [[nodiscard]] bool complete() const;
 
   private:
--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -174,7 +174,7 @@
         copy_positions_[reply.store] = reply.next;
         return;
     }
-    copying_->finished(reply.store);
+    copying_->mark_complete(reply.store);
     if (copying_->complete()) {
         copied_epoch_ = copying_->epoch();
         copying_.reset();
--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -166,7 +166,7 @@
             CPPUNIT_ASSERT(copy.required());
             std::size_t copied = 0;
             while (!copy.complete()) {
-                copy.finished(copy.sources().front().id);
+                copy.mark_complete(copy.sources().front().id);
                 ++copied;
             }
             const std::size_t majority = stores / 2 + 1;
@@ -177,10 +177,10 @@
     void a_new_disk_at_an_old_address_is_no_source() {
         // Store 3 was wiped and is store 30 now, at the same address; it answers as itself.
         copy_progress copy(map_of({1, 2, 3}, {1, 2, 30}), 30);
-        copy.finished(30);
-        copy.finished(1);
+        copy.mark_complete(30);
+        copy.mark_complete(1);
         CPPUNIT_ASSERT(!copy.complete());
-        copy.finished(2);
+        copy.mark_complete(2);
         CPPUNIT_ASSERT(copy.complete());
     }
 };
