--- a/src/tallyfold/plane/turns/copy_progress.cpp
+++ b/src/tallyfold/plane/turns/copy_progress.cpp
@@ -22,7 +22,7 @@
                        [this](const store_member& member) { return member.id == self_; });
 }
 
-std::vector<store_member> copy_progress::sources() const {
+std::vector<store_member> copy_progress::remaining_sources() const {
     std::vector<store_member> remaining;
     for (const store_member& member : map_.current) {
         if (!done_.contains(member.id)) {
--- a/src/tallyfold/plane/turns/copy_progress.hpp
+++ b/src/tallyfold/plane/turns/copy_progress.hpp
@@ -22,7 +22,7 @@
     /// True when this store has to copy at all.
     [[nodiscard]] bool required() const;
     /// Stores that may be copied from and were not yet.
-    [[nodiscard]] std::vector<store_member> sources() const;
+    [[nodiscard]] std::vector<store_member> remaining_sources() const;
     /// The store that answered has given all it holds. One that is not among the current stores,
     /// such as a new disk at an old one's address, doesn't count.
     void mark_complete(store_id source);
--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -221,7 +221,7 @@
     if (!copying_.has_value()) {
         return std::nullopt;
     }
-    const std::vector<store_member> sources = copying_->sources();
+    const std::vector<store_member> sources = copying_->remaining_sources();
     if (sources.empty()) {
         return std::nullopt;
     }
--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -166,7 +166,7 @@
             CPPUNIT_ASSERT(copy.required());
             std::size_t copied = 0;
             while (!copy.complete()) {
-                copy.mark_complete(copy.sources().front().id);
+                copy.mark_complete(copy.remaining_sources().front().id);
                 ++copied;
             }
             const std::size_t majority = stores / 2 + 1;
