--- a/src/tallyfold/plane/turns/copy_progress.cpp
+++ b/src/tallyfold/plane/turns/copy_progress.cpp
@@ -13,7 +13,7 @@
         std::any_of(map_.current.begin(), map_.current.end(),
                     [source](const store_member& member) { return member.id == source; });
     if (current) {
-        done_.insert(source);
+        completed_sources_.insert(source);
     }
 }
 
@@ -25,7 +25,7 @@
 std::vector<store_member> copy_progress::remaining_sources() const {
     std::vector<store_member> remaining;
     for (const store_member& member : map_.current) {
-        if (!done_.contains(member.id)) {
+        if (!completed_sources_.contains(member.id)) {
             remaining.push_back(member);
         }
     }
@@ -33,7 +33,7 @@
 }
 
 bool copy_progress::complete() const {
-    return done_.size() >= map_.copies_needed();
+    return completed_sources_.size() >= map_.copies_needed();
 }
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/copy_progress.hpp
+++ b/src/tallyfold/plane/turns/copy_progress.hpp
@@ -31,7 +31,7 @@
   private:
     store_map map_;
     store_id self_;
-    std::set<store_id> done_;
+    std::set<store_id> completed_sources_;
 };
 
 }  // namespace tallyfold::turns
