--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -81,12 +81,12 @@
     }
     map_ = map;
     map_unwritten_ = true;
-    copying_.reset();
+    copy_progress_.reset();
     copy_positions_.clear();
     if (map.changing()) {
-        copying_.emplace(map, self_);
-        if (!copying_->required()) {
-            copying_.reset();
+        copy_progress_.emplace(map, self_);
+        if (!copy_progress_->required()) {
+            copy_progress_.reset();
         }
     }
     return true;
@@ -167,17 +167,17 @@
 }
 
 void store_fsm::on_copy_page(const copy_reply& reply) {
-    if (!copying_.has_value() || reply.epoch != copying_->epoch()) {
+    if (!copy_progress_.has_value() || reply.epoch != copy_progress_->epoch()) {
         return;
     }
     if (!reply.next.empty()) {
         copy_positions_[reply.store] = reply.next;
         return;
     }
-    copying_->mark_complete(reply.store);
-    if (copying_->complete()) {
-        copied_epoch_ = copying_->epoch();
-        copying_.reset();
+    copy_progress_->mark_complete(reply.store);
+    if (copy_progress_->complete()) {
+        copied_epoch_ = copy_progress_->epoch();
+        copy_progress_.reset();
     }
 }
 
@@ -218,10 +218,10 @@
 }
 
 std::optional<copy_order> store_fsm::next_copy() {
-    if (!copying_.has_value()) {
+    if (!copy_progress_.has_value()) {
         return std::nullopt;
     }
-    const std::vector<store_member> sources = copying_->remaining_sources();
+    const std::vector<store_member> sources = copy_progress_->remaining_sources();
     if (sources.empty()) {
         return std::nullopt;
     }
@@ -231,7 +231,7 @@
         held_requests_ = turns_.settled_requests();
     }
     copy_request request;
-    request.map = copying_->map();
+    request.map = copy_progress_->map();
     request.held = held_requests_;
     request.after = from == copy_positions_.end() ? std::string{} : from->second;
     return copy_order{source, std::move(request)};
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -121,7 +121,7 @@
     map_epoch writing_epoch_ = 0;
     std::vector<waiting_work> waiting_;
     std::vector<waiting_work> writing_;
-    std::optional<copy_progress> copying_;
+    std::optional<copy_progress> copy_progress_;
     /// Requests that this store held when it asked the current source first: they aren't sent.
     std::set<std::string> held_requests_;
     /// The last request of the page before, at each source that has sent one.
