--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -110,7 +110,8 @@
     return newer;
 }
 
-void store_fsm::append_changes(const waiting_work& work, std::vector<turn_change>& changes) const {
+void store_fsm::append_changes(const queued_message& work,
+                               std::vector<turn_change>& changes) const {
     if (const auto* begin = std::get_if<begin_request>(&work.body)) {
         changes.emplace_back(begin->reservation);
     } else if (const auto* settle = std::get_if<settle_request>(&work.body)) {
@@ -129,7 +130,7 @@
     }
     writing_ = std::move(waiting_);
     waiting_.clear();
-    for (const waiting_work& work : writing_) {
+    for (const queued_message& work : writing_) {
         append_changes(work, write.changes);
     }
     return write;
@@ -181,10 +182,10 @@
     }
 }
 
-void store_fsm::take_over(const std::vector<waiting_work>& batch, instant now) {
+void store_fsm::take_over(const std::vector<queued_message>& batch, instant now) {
     durable_epoch_ = std::max(durable_epoch_, writing_epoch_);
     std::vector<turn_change> changes;
-    for (const waiting_work& work : batch) {
+    for (const queued_message& work : batch) {
         append_changes(work, changes);
     }
     for (const turn_change& change : changes) {
@@ -193,7 +194,7 @@
 }
 
 std::vector<addressed_reply> store_fsm::written(bool durable, instant now) {
-    const std::vector<waiting_work> batch = std::move(writing_);
+    const std::vector<queued_message> batch = std::move(writing_);
     writing_.clear();
     if (durable) {
         take_over(batch, now);
@@ -201,7 +202,7 @@
         map_unwritten_ = true;
     }
     std::vector<addressed_reply> replies;
-    for (const waiting_work& work : batch) {
+    for (const queued_message& work : batch) {
         if (const auto* begin = std::get_if<begin_request>(&work.body)) {
             replies.push_back({work.from, answer(*begin, durable)});
         } else if (const auto* settle = std::get_if<settle_request>(&work.body)) {
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -89,7 +89,7 @@
 
   private:
     /// One request, or one page of a copy, in the order of arrival.
-    struct waiting_work {
+    struct queued_message {
         peer_token from = 0;
         std::variant<begin_request, settle_request, copy_request, copy_reply> body;
     };
@@ -104,9 +104,9 @@
     [[nodiscard]] std::vector<store_map> newer_than(map_epoch epoch) const;
     [[nodiscard]] std::vector<scheduling::cached_prefix> holders_of(
         const std::vector<scheduling::prefix_point>& prompt) const;
-    void append_changes(const waiting_work& work, std::vector<turn_change>& changes) const;
+    void append_changes(const queued_message& work, std::vector<turn_change>& changes) const;
     /// What is durable now takes effect.
-    void take_over(const std::vector<waiting_work>& batch, instant now);
+    void take_over(const std::vector<queued_message>& batch, instant now);
     [[nodiscard]] begin_reply answer(const begin_request& request, bool durable) const;
     [[nodiscard]] copy_reply answer(const copy_request& request) const;
     void on_copy_page(const copy_reply& reply);
@@ -119,8 +119,8 @@
     /// Epochs of the map that is durable here, and of the one being written.
     map_epoch durable_epoch_ = 0;
     map_epoch writing_epoch_ = 0;
-    std::vector<waiting_work> waiting_;
-    std::vector<waiting_work> writing_;
+    std::vector<queued_message> waiting_;
+    std::vector<queued_message> writing_;
     std::optional<copy_progress> copy_progress_;
     /// Requests that this store held when it asked the current source first: they aren't sent.
     std::set<std::string> held_requests_;
