--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -28,7 +28,7 @@
 std::vector<addressed_reply> store_fsm::receive(peer_token from, const begin_request& request) {
     std::vector<store_map> newer = newer_than(request.epoch);
     if (newer.empty()) {
-        waiting_.push_back({from, request});
+        queue_.push_back({from, request});
         return {};
     }
     begin_reply reply;
@@ -46,7 +46,7 @@
     }
     std::vector<store_map> newer = newer_than(request.epoch);
     if (newer.empty()) {
-        waiting_.push_back({from, request});
+        queue_.push_back({from, request});
         return {};
     }
     return {{from, settle_reply{request.operation, self_, false, std::move(newer)}}};
@@ -67,12 +67,12 @@
     // From here on no write under an older map is taken. What was taken before is ahead in the
     // queue, so that the copy holds it too.
     learn_map(request.map);
-    waiting_.push_back({from, request});
+    queue_.push_back({from, request});
     return {};
 }
 
 void store_fsm::receive(const copy_reply& reply) {
-    waiting_.push_back({0, reply});
+    queue_.push_back({0, reply});
 }
 
 bool store_fsm::learn_map(const store_map& map) {
@@ -128,8 +128,8 @@
         map_unwritten_ = false;
         writing_epoch_ = map_.epoch;
     }
-    writing_ = std::move(waiting_);
-    waiting_.clear();
+    writing_ = std::move(queue_);
+    queue_.clear();
     for (const queued_message& work : writing_) {
         append_changes(work, write.changes);
     }
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -67,7 +67,7 @@
     bool learn_table(const store_table& table);
 
     /// True when take_write() has something to do.
-    [[nodiscard]] bool has_work() const { return !waiting_.empty() || map_unwritten_; }
+    [[nodiscard]] bool has_work() const { return !queue_.empty() || map_unwritten_; }
     /// Takes the work that has gathered; written() has to follow.
     store_write take_write();
     /// The write taken last has ended. @param durable false when the disk refused it: nothing of it
@@ -119,7 +119,7 @@
     /// Epochs of the map that is durable here, and of the one being written.
     map_epoch durable_epoch_ = 0;
     map_epoch writing_epoch_ = 0;
-    std::vector<queued_message> waiting_;
+    std::vector<queued_message> queue_;
     std::vector<queued_message> writing_;
     std::optional<copy_progress> copy_progress_;
     /// Requests that this store held when it asked the current source first: they aren't sent.
