--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -128,9 +128,9 @@
         map_unwritten_ = false;
         writing_epoch_ = map_.epoch;
     }
-    writing_ = std::move(queue_);
+    write_batch_ = std::move(queue_);
     queue_.clear();
-    for (const queued_message& work : writing_) {
+    for (const queued_message& work : write_batch_) {
         append_changes(work, write.changes);
     }
     return write;
@@ -194,8 +194,8 @@
 }
 
 std::vector<addressed_reply> store_fsm::written(bool durable, instant now) {
-    const std::vector<queued_message> batch = std::move(writing_);
-    writing_.clear();
+    const std::vector<queued_message> batch = std::move(write_batch_);
+    write_batch_.clear();
     if (durable) {
         take_over(batch, now);
     } else if (writing_epoch_ > durable_epoch_) {
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -120,7 +120,7 @@
     map_epoch durable_epoch_ = 0;
     map_epoch writing_epoch_ = 0;
     std::vector<queued_message> queue_;
-    std::vector<queued_message> writing_;
+    std::vector<queued_message> write_batch_;
     std::optional<copy_progress> copy_progress_;
     /// Requests that this store held when it asked the current source first: they aren't sent.
     std::set<std::string> held_requests_;
