--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -182,7 +182,7 @@
     }
 }
 
-void store_fsm::take_over(const std::vector<queued_message>& batch, instant now) {
+void store_fsm::apply_batch(const std::vector<queued_message>& batch, instant now) {
     durable_epoch_ = std::max(durable_epoch_, writing_epoch_);
     std::vector<turn_change> changes;
     for (const queued_message& work : batch) {
@@ -197,7 +197,7 @@
     const std::vector<queued_message> batch = std::move(write_batch_);
     write_batch_.clear();
     if (durable) {
-        take_over(batch, now);
+        apply_batch(batch, now);
     } else if (writing_epoch_ > durable_epoch_) {
         map_unwritten_ = true;
     }
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -106,7 +106,7 @@
         const std::vector<scheduling::prefix_point>& prompt) const;
     void append_changes(const queued_message& work, std::vector<turn_change>& changes) const;
     /// What is durable now takes effect.
-    void take_over(const std::vector<queued_message>& batch, instant now);
+    void apply_batch(const std::vector<queued_message>& batch, instant now);
     [[nodiscard]] begin_reply answer(const begin_request& request, bool durable) const;
     [[nodiscard]] copy_reply answer(const copy_request& request) const;
     void on_copy_page(const copy_reply& reply);
