--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -20,13 +20,13 @@
     map_unwritten_ = false;
 }
 
-std::vector<store_map> store_fsm::newer_than(map_epoch epoch) const {
+std::vector<store_map> store_fsm::newer_map_than(map_epoch epoch) const {
     return accepts_epoch(map_.epoch, epoch) ? std::vector<store_map>{}
                                             : std::vector<store_map>{map_};
 }
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from, const begin_request& request) {
-    std::vector<store_map> newer = newer_than(request.epoch);
+    std::vector<store_map> newer = newer_map_than(request.epoch);
     if (newer.empty()) {
         queue_.push_back({from, request});
         return {};
@@ -44,7 +44,7 @@
     for (const scheduling::prefix_point& point : request.held.points) {
         prompt_holders_.stored(request.held.engine, point);
     }
-    std::vector<store_map> newer = newer_than(request.epoch);
+    std::vector<store_map> newer = newer_map_than(request.epoch);
     if (newer.empty()) {
         queue_.push_back({from, request});
         return {};
@@ -59,7 +59,7 @@
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from,
                                                 const find_request& request) const {
-    return {{from, find_reply{request.operation, self_, newer_than(request.epoch),
+    return {{from, find_reply{request.operation, self_, newer_map_than(request.epoch),
                               turns_.holds_turn(request.request)}}};
 }
 
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -101,7 +101,7 @@
     /// before, and the one before it in case the first is full.
     static constexpr std::size_t max_reported_holders = 2;
 
-    [[nodiscard]] std::vector<store_map> newer_than(map_epoch epoch) const;
+    [[nodiscard]] std::vector<store_map> newer_map_than(map_epoch epoch) const;
     [[nodiscard]] std::vector<scheduling::cached_prefix> holders_of(
         const std::vector<scheduling::prefix_point>& prompt) const;
     void append_changes(const queued_message& work, std::vector<turn_change>& changes) const;
