--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -17,7 +17,7 @@
 store_fsm::store_fsm(store_id self, const store_map& kept, turn_table recovered)
     : self_(self), turns_(std::move(recovered)), durable_epoch_(kept.epoch) {
     learn_map(kept);
-    map_unwritten_ = false;
+    map_write_pending_ = false;
 }
 
 std::vector<store_map> store_fsm::newer_map_than(map_epoch epoch) const {
@@ -80,7 +80,7 @@
         return false;
     }
     map_ = map;
-    map_unwritten_ = true;
+    map_write_pending_ = true;
     copy_progress_.reset();
     copy_positions_.clear();
     if (map.changing()) {
@@ -123,9 +123,9 @@
 
 store_write store_fsm::take_write() {
     store_write write;
-    if (map_unwritten_) {
+    if (map_write_pending_) {
         write.map = map_;
-        map_unwritten_ = false;
+        map_write_pending_ = false;
         writing_epoch_ = map_.epoch;
     }
     write_batch_ = std::move(queue_);
@@ -199,7 +199,7 @@
     if (durable) {
         apply_batch(batch, now);
     } else if (writing_epoch_ > durable_epoch_) {
-        map_unwritten_ = true;
+        map_write_pending_ = true;
     }
     std::vector<addressed_reply> replies;
     for (const queued_message& work : batch) {
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -67,7 +67,7 @@
     bool learn_table(const store_table& table);
 
     /// True when take_write() has something to do.
-    [[nodiscard]] bool has_work() const { return !queue_.empty() || map_unwritten_; }
+    [[nodiscard]] bool has_work() const { return !queue_.empty() || map_write_pending_; }
     /// Takes the work that has gathered; written() has to follow.
     store_write take_write();
     /// The write taken last has ended. @param durable false when the disk refused it: nothing of it
@@ -115,7 +115,7 @@
     store_map map_;
     turn_table turns_;
     /// The map in force is newer than the one handed out for writing.
-    bool map_unwritten_ = false;
+    bool map_write_pending_ = false;
     /// Epochs of the map that is durable here, and of the one being written.
     map_epoch durable_epoch_ = 0;
     map_epoch writing_epoch_ = 0;
