--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-store_fsm::store_fsm(store_id self, const store_map& kept, turn_table recovered)
-    : self_(self), turns_(std::move(recovered)), durable_epoch_(kept.epoch) {
-    learn_map(kept);
+store_fsm::store_fsm(store_id self, const store_map& stored_map, turn_table recovered)
+    : self_(self), turns_(std::move(recovered)), durable_epoch_(stored_map.epoch) {
+    learn_map(stored_map);
     map_write_pending_ = false;
 }
 
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -47,9 +47,9 @@
 
 class store_fsm {
   public:
-    /// @param kept the map that was durable at the last stop; epoch 0 for none
+    /// @param stored_map the map that was durable at the last stop; epoch 0 for none
     /// @param recovered what the disk held
-    store_fsm(store_id self, const store_map& kept, turn_table recovered);
+    store_fsm(store_id self, const store_map& stored_map, turn_table recovered);
 
     /// Takes a request. @return replies that need no write; the others come from written()
     std::vector<addressed_reply> receive(peer_token from, const begin_request& request);
