--- a/src/tallyfold/plane/turns/store_folder_shell.cpp
+++ b/src/tallyfold/plane/turns/store_folder_shell.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// A random identity other than 0, which stands for none. Two of 64 bits don't collide in practice.
-store_id draw_identity() {
+store_id random_identity() {
     std::random_device source;
     const std::uint64_t high = source();
     return std::max<std::uint64_t>(1, (high << 32U) ^ source());
@@ -21,7 +21,7 @@
                                                            turn_table& recovered) {
     // The age of what is read back isn't known. Its retention starts anew, which keeps it longer.
     const instant now = steady_now();
-    return turn_log::open(folder, draw_identity(), [&recovered, now](const turn_change& change) {
+    return turn_log::open(folder, random_identity(), [&recovered, now](const turn_change& change) {
         recovered.apply(change, now);
     });
 }
