--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -105,7 +105,7 @@
     return *map;
 }
 
-tl::expected<void, storage_error> turn_log::rotate(const change_pages& contents) {
+tl::expected<void, storage_error> turn_log::rotate(const page_reader& contents) {
     std::string after;
     return log_.rewrite([&](std::string& bytes) {
         const change_page page = contents(after);
--- a/src/tallyfold/plane/turns/turn_log.hpp
+++ b/src/tallyfold/plane/turns/turn_log.hpp
@@ -17,7 +17,7 @@
 namespace tallyfold::turns {
 
 /// Gives the page that begins after the request `after`; empty for the first one.
-using change_pages = std::function<change_page(const std::string& after)>;
+using page_reader = std::function<change_page(const std::string& after)>;
 
 class turn_log {
   public:
@@ -35,7 +35,7 @@
     /// Returns once the changes are synced. After an error, only rotate() makes it usable again.
     tl::expected<void, storage::storage_error> append(const std::vector<turn_change>& changes);
     /// Begins a new segment with `contents`, page by page, and removes the older ones.
-    tl::expected<void, storage::storage_error> rotate(const change_pages& contents);
+    tl::expected<void, storage::storage_error> rotate(const page_reader& contents);
     /// Keeps the map that this store serves under: once it is synced, older ones stay refused
     /// after a restart too.
     tl::expected<void, storage::storage_error> keep_map(const store_map& map);
