--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -105,10 +105,10 @@
     return *map;
 }
 
-tl::expected<void, storage_error> turn_log::rotate(const page_reader& contents) {
+tl::expected<void, storage_error> turn_log::rotate(const page_reader& read_page) {
     std::string after;
     return log_.rewrite([&](std::string& bytes) {
-        const change_page page = contents(after);
+        const change_page page = read_page(after);
         if (!page.changes.empty()) {
             storage::append_record(bytes, protocol::encode(page.changes));
         }
--- a/src/tallyfold/plane/turns/turn_log.hpp
+++ b/src/tallyfold/plane/turns/turn_log.hpp
@@ -34,8 +34,8 @@
 
     /// Returns once the changes are synced. After an error, only rotate() makes it usable again.
     tl::expected<void, storage::storage_error> append(const std::vector<turn_change>& changes);
-    /// Begins a new segment with `contents`, page by page, and removes the older ones.
-    tl::expected<void, storage::storage_error> rotate(const page_reader& contents);
+    /// Begins a new segment with `read_page`, page by page, and removes the older ones.
+    tl::expected<void, storage::storage_error> rotate(const page_reader& read_page);
     /// Keeps the map that this store serves under: once it is synced, older ones stay refused
     /// after a restart too.
     tl::expected<void, storage::storage_error> keep_map(const store_map& map);
