--- a/src/tallyfold/plane/turns/store_writer_shell.cpp
+++ b/src/tallyfold/plane/turns/store_writer_shell.cpp
@@ -66,7 +66,7 @@
 }
 
 void store_writer::rotate_if_grown(const turn_table& turns) {
-    if (log_.wants_rotation()) {
+    if (log_.needs_rotation()) {
         // When the disk refuses, either the next write tries again, or repair() does.
         begin_segment(turns);
     }
--- a/src/tallyfold/plane/turns/turn_log.hpp
+++ b/src/tallyfold/plane/turns/turn_log.hpp
@@ -42,7 +42,7 @@
     /// The map that was kept last; one of epoch 0 when there is none.
     [[nodiscard]] tl::expected<store_map, storage::storage_error> kept_map() const;
     /// True when the segment has grown well beyond what it started with.
-    [[nodiscard]] bool wants_rotation() const { return log_.wants_rewrite(); }
+    [[nodiscard]] bool needs_rotation() const { return log_.wants_rewrite(); }
     [[nodiscard]] bool failed() const { return log_.failed(); }
 
     [[nodiscard]] store_id identity() const { return identity_; }
