--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -25,7 +25,7 @@
     : folder_(std::move(folder)), log_(folder_, std::string(segment_prefix), segment_bytes) {}
 
 tl::expected<turn_log, storage_error> turn_log::open(
-    const std::string& folder, store_id fresh_identity,
+    const std::string& folder, store_id new_identity,
     const std::function<void(const turn_change&)>& on_change, std::uint64_t segment_bytes) {
     std::error_code failure;
     fs::create_directories(folder, failure);
@@ -34,7 +34,7 @@
             storage_error{storage_failure::input_output, folder + ": " + failure.message()});
     }
     turn_log log(folder, segment_bytes);
-    if (auto loaded = log.load_identity(fresh_identity); !loaded) {
+    if (auto loaded = log.load_identity(new_identity); !loaded) {
         return tl::unexpected(loaded.error());
     }
     if (auto loaded = log.load_changes(on_change); !loaded) {
@@ -43,12 +43,11 @@
     return log;
 }
 
-tl::expected<void, storage_error> turn_log::load_identity(store_id fresh_identity) {
+tl::expected<void, storage_error> turn_log::load_identity(store_id new_identity) {
     const std::string path = folder_ + "/" + std::string(identity_name);
     if (!fs::exists(path)) {
-        identity_ = fresh_identity;
-        return storage::replace_file(path,
-                                     storage::single_record(protocol::encode(fresh_identity)));
+        identity_ = new_identity;
+        return storage::replace_file(path, storage::single_record(protocol::encode(new_identity)));
     }
     const auto payload = storage::read_single_record(path);
     if (!payload) {
--- a/src/tallyfold/plane/turns/turn_log.hpp
+++ b/src/tallyfold/plane/turns/turn_log.hpp
@@ -25,10 +25,10 @@
     /// within a start, and rewritten rarely enough.
     static constexpr std::uint64_t default_segment_bytes = 8U << 20U;
 
-    /// Opens the folder and reads it back; draws `fresh_identity` when it is empty.
+    /// Opens the folder and reads it back; draws `new_identity` when it is empty.
     /// @param on_change gets each change that the folder holds, in order
     static tl::expected<turn_log, storage::storage_error> open(
-        const std::string& folder, store_id fresh_identity,
+        const std::string& folder, store_id new_identity,
         const std::function<void(const turn_change&)>& on_change,
         std::uint64_t segment_bytes = default_segment_bytes);
 
@@ -51,7 +51,7 @@
 
   private:
     turn_log(std::string folder, std::uint64_t segment_bytes);
-    tl::expected<void, storage::storage_error> load_identity(store_id fresh_identity);
+    tl::expected<void, storage::storage_error> load_identity(store_id new_identity);
     tl::expected<void, storage::storage_error> load_changes(
         const std::function<void(const turn_change&)>& on_change);
 
