--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -16,7 +16,7 @@
 using storage::storage_failure;
 
 constexpr std::string_view segment_prefix = "turns-";
-constexpr std::string_view map_name = "store-map";
+constexpr std::string_view map_file_name = "store-map";
 constexpr std::string_view identity_name = "store-identity";
 
 }  // namespace
@@ -83,12 +83,12 @@
 }
 
 tl::expected<void, storage_error> turn_log::keep_map(const store_map& map) {
-    return storage::replace_file(folder_ + "/" + std::string(map_name),
+    return storage::replace_file(folder_ + "/" + std::string(map_file_name),
                                  storage::single_record(protocol::encode_stored(map)));
 }
 
 tl::expected<store_map, storage_error> turn_log::kept_map() const {
-    const std::string path = folder_ + "/" + std::string(map_name);
+    const std::string path = folder_ + "/" + std::string(map_file_name);
     if (!fs::exists(path)) {
         return store_map{};
     }
