--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::string_view segment_prefix = "turns-";
 constexpr std::string_view map_file_name = "store-map";
-constexpr std::string_view identity_name = "store-identity";
+constexpr std::string_view identity_file_name = "store-identity";
 
 }  // namespace
 
@@ -44,7 +44,7 @@
 }
 
 tl::expected<void, storage_error> turn_log::load_identity(store_id new_identity) {
-    const std::string path = folder_ + "/" + std::string(identity_name);
+    const std::string path = folder_ + "/" + std::string(identity_file_name);
     if (!fs::exists(path)) {
         identity_ = new_identity;
         return storage::replace_file(path, storage::single_record(protocol::encode(new_identity)));
