--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -63,7 +63,7 @@
 
 tl::expected<void, storage_error> turn_log::load_changes(
     const std::function<void(const turn_change&)>& on_change) {
-    const auto take = [&](std::string_view payload) -> tl::expected<void, storage_error> {
+    const auto decode_record = [&](std::string_view payload) -> tl::expected<void, storage_error> {
         const auto changes = protocol::decode_stored<std::vector<turn_change>>(payload);
         if (!changes) {
             // The record's checksum holds: it is as it was written.
@@ -75,7 +75,7 @@
         }
         return {};
     };
-    return log_.open(storage::tail_policy::cut_unsynced, take);
+    return log_.open(storage::tail_policy::cut_unsynced, decode_record);
 }
 
 tl::expected<void, storage_error> turn_log::append(const std::vector<turn_change>& changes) {
