--- a/src/tallyfold/plane/turns/store_writer_shell.cpp
+++ b/src/tallyfold/plane/turns/store_writer_shell.cpp
@@ -40,12 +40,12 @@
         written = log_.append(write.changes);
     }
     if (!written) {
-        note_failure(written.error());
+        report_failure(written.error());
     }
     return written.has_value();
 }
 
-void store_writer::note_failure(const storage::storage_error& error) {
+void store_writer::report_failure(const storage::storage_error& error) {
     failures_.Increment();
     const instant now = steady_now();
     if (now - failure_logged_ < failure_log_interval) {
@@ -60,7 +60,7 @@
         return turns.page_after(after, {}, segment_page_bytes);
     });
     if (!rotated) {
-        note_failure(rotated.error());
+        report_failure(rotated.error());
     }
     return rotated.has_value();
 }
--- a/src/tallyfold/plane/turns/store_writer_shell.hpp
+++ b/src/tallyfold/plane/turns/store_writer_shell.hpp
@@ -31,7 +31,7 @@
   private:
     /// @return false when the disk refused, which is counted and logged
     bool begin_segment(const turn_table& turns);
-    void note_failure(const storage::storage_error& error);
+    void report_failure(const storage::storage_error& error);
 
     turn_log log_;
     instant failure_logged_{};
