--- a/src/tallyfold/plane/turns/resend_backoff.hpp
+++ b/src/tallyfold/plane/turns/resend_backoff.hpp
@@ -24,7 +24,7 @@
     /// A store has come back or has sent a newer map: the next send is due at once.
     void resend_now() { resend_now_ = true; }
     /// When the next send is due.
-    [[nodiscard]] instant next() const { return next_; }
+    [[nodiscard]] instant next_send_at() const { return next_; }
     /// True when the request is to be sent now; then the next interval begins.
     bool take_due(instant now) {
         if (!resend_now_ && now < next_) {
--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -194,8 +194,9 @@
 }
 
 instant turn_beginning::next_due() const {
-    return history_request_due_.has_value() ? std::min(*history_request_due_, backoff_.next())
-                                            : backoff_.next();
+    return history_request_due_.has_value()
+               ? std::min(*history_request_due_, backoff_.next_send_at())
+               : backoff_.next_send_at();
 }
 
 begun_turn turn_beginning::outcome() const {
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -202,7 +202,7 @@
                 send(member, request, started);
             }
         }
-        co_await wait(waiting, std::min(deadline, waiting->schedule.next()));
+        co_await wait(waiting, std::min(deadline, waiting->schedule.next_send_at()));
     }
     operations_.erase(number);
     if (!operation.done()) {
