--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -48,7 +48,7 @@
     search_->on_reply(reply);
 }
 
-void turn_beginning::reachable(store_id store) {
+void turn_beginning::on_store_connected(store_id store) {
     const bool searching = search_.has_value() && !search_->found();
     if (operation_.map().holds(store) || searching) {
         backoff_.resend_now();
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -89,7 +89,7 @@
     void on_reply(const history_reply& reply);
     void on_reply(const find_reply& reply);
     /// The store can be reached again: what it may have missed is sent again at once.
-    void reachable(store_id store);
+    void on_store_connected(store_id store);
 
     /// True until the outcome is certain.
     [[nodiscard]] bool undecided() const;
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -54,7 +54,7 @@
     // What was asked over a lost connection didn't arrive.
     for (const auto& [number, waiting] : operations_) {
         if (waiting->begin != nullptr) {
-            waiting->begin->reachable(store);
+            waiting->begin->on_store_connected(store);
             waiting->timer.cancel();
         } else if (waiting->settle != nullptr && waiting->settle->map().holds(store)) {
             waiting->schedule.resend_now();
