--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -96,7 +96,7 @@
     return own_group_asked_ ? operation_.missing_turn() : std::string{};
 }
 
-void turn_beginning::search_elsewhere(instant now, const store_table& table) {
+void turn_beginning::search_other_groups(instant now, const store_table& table) {
     const std::string wanted = wanted_elsewhere();
     if (wanted.empty()) {
         return;
@@ -185,7 +185,7 @@
 std::vector<store_question> turn_beginning::due(instant now, const store_table& table,
                                                 const store_choice& nearest) {
     std::vector<store_question> questions;
-    search_elsewhere(now, table);
+    search_other_groups(now, table);
     if (backoff_.take_due(now)) {
         ask_stores(table, nearest, questions);
     }
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -111,7 +111,7 @@
     [[nodiscard]] bool previous_unknown() const;
     /// The turn that other groups are to be asked for; empty when the own group has all.
     [[nodiscard]] std::string wanted_elsewhere() const;
-    void search_elsewhere(instant now, const store_table& table);
+    void search_other_groups(instant now, const store_table& table);
     void ask_stores(const store_table& table, const store_choice& nearest,
                     std::vector<store_question>& questions);
     void request_history(instant now, std::vector<store_question>& questions);
