--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -84,7 +84,7 @@
     return previous_unknown() && others_deny && own_group_answered;
 }
 
-std::string turn_beginning::wanted_elsewhere() const {
+std::string turn_beginning::turn_to_search_for() const {
     if (only_group_ || !operation_.reserved()) {
         return {};
     }
@@ -97,7 +97,7 @@
 }
 
 void turn_beginning::search_other_groups(instant now, const store_table& table) {
-    const std::string wanted = wanted_elsewhere();
+    const std::string wanted = turn_to_search_for();
     if (wanted.empty()) {
         return;
     }
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -110,7 +110,7 @@
     /// The own group doesn't hold the turn to continue.
     [[nodiscard]] bool previous_unknown() const;
     /// The turn that other groups are to be asked for; empty when the own group has all.
-    [[nodiscard]] std::string wanted_elsewhere() const;
+    [[nodiscard]] std::string turn_to_search_for() const;
     void search_other_groups(instant now, const store_table& table);
     void ask_stores(const store_table& table, const store_choice& nearest,
                     std::vector<store_question>& questions);
