--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -97,19 +97,19 @@
 }
 
 void turn_beginning::search_other_groups(instant now, const store_table& table) {
-    const std::string wanted = turn_to_search_for();
-    if (wanted.empty()) {
+    const std::string searched_turn = turn_to_search_for();
+    if (searched_turn.empty()) {
         return;
     }
-    if (!search_.has_value() || search_->turn() != wanted) {
-        search_.emplace(table, wanted, group_);
+    if (!search_.has_value() || search_->turn() != searched_turn) {
+        search_.emplace(table, searched_turn, group_);
         backoff_.resend_now();
     }
     if (search_->found() && !adopts_) {
         adopts_ = true;
         history_request_due_ = now;
     }
-    if (search_->found() && wanted == question_.previous) {
+    if (search_->found() && searched_turn == question_.previous) {
         operation_.mark_previous_held();
     }
 }
