--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -105,8 +105,8 @@
         search_.emplace(table, searched_turn, group_);
         backoff_.resend_now();
     }
-    if (search_->found() && !adopts_) {
-        adopts_ = true;
+    if (search_->found() && !adopts_history_) {
+        adopts_history_ = true;
         history_request_due_ = now;
     }
     if (search_->found() && searched_turn == question_.previous) {
@@ -216,7 +216,7 @@
             for (const turn_record* record : operation_.history()) {
                 begun.history.push_back(*record);
             }
-            begun.adopted = adopts_;
+            begun.adopted = adopts_history_;
             break;
         case begin_outcome::over_budget:
             begun.result = begin_result::over_budget;
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -126,7 +126,7 @@
     /// For a turn that the program's own group doesn't hold.
     std::optional<turn_search> search_;
     /// Some of the history was found in another group.
-    bool adopts_ = false;
+    bool adopts_history_ = false;
     resend_backoff backoff_;
     /// When another store is asked for missing texts; nothing while none is missing.
     std::optional<instant> history_request_due_;
