--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -55,7 +55,7 @@
     }
 }
 
-bool turn_beginning::previous_unknown() const {
+bool turn_beginning::previous_not_held() const {
     return operation_.outcome() == begin_outcome::unknown_previous;
 }
 
@@ -81,14 +81,14 @@
     const bool others_deny =
         only_group_ || (search_.has_value() && search_->denied_by_all_stores());
     const bool own_group_answered = !operation_.map().changing() && operation_.unanswered().empty();
-    return previous_unknown() && others_deny && own_group_answered;
+    return previous_not_held() && others_deny && own_group_answered;
 }
 
 std::string turn_beginning::turn_to_search_for() const {
     if (only_group_ || !operation_.reserved()) {
         return {};
     }
-    if (previous_unknown()) {
+    if (previous_not_held()) {
         return question_.previous;
     }
     // A store that came from another group may hold a turn of that group without all the turns
@@ -150,7 +150,7 @@
 
 void turn_beginning::request_history(instant now, std::vector<store_question>& questions) {
     const std::string missing = operation_.missing_turn();
-    if (!operation_.reserved() || previous_unknown() || missing.empty()) {
+    if (!operation_.reserved() || previous_not_held() || missing.empty()) {
         history_request_due_.reset();
         return;
     }
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -108,7 +108,7 @@
     /// @param used the map under which the group was asked; null when it wasn't
     void resend_under_newer_map(const std::vector<store_map>& maps, const store_map* used);
     /// The own group doesn't hold the turn to continue.
-    [[nodiscard]] bool previous_unknown() const;
+    [[nodiscard]] bool previous_not_held() const;
     /// The turn that other groups are to be asked for; empty when the own group has all.
     [[nodiscard]] std::string turn_to_search_for() const;
     void search_other_groups(instant now, const store_table& table);
