--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -93,7 +93,7 @@
     }
     // A store that came from another group may hold a turn of that group without all the turns
     // before it.
-    return own_group_asked_ ? operation_.missing_turn() : std::string{};
+    return all_own_stores_asked_ ? operation_.missing_turn() : std::string{};
 }
 
 void turn_beginning::search_other_groups(instant now, const store_table& table) {
@@ -163,7 +163,7 @@
     if (missing != requested_turn_) {
         requested_turn_ = missing;
         asked_for_history_.clear();
-        own_group_asked_ = false;
+        all_own_stores_asked_ = false;
     }
     const std::vector<store_member> sources = history_sources();
     const auto not_asked = [this](const store_member& member) {
@@ -173,7 +173,7 @@
     if (next == sources.end()) {
         // All have been asked, and again from the first: a reply may have been lost, or a store
         // was down.
-        own_group_asked_ = true;
+        all_own_stores_asked_ = true;
         asked_for_history_.clear();
         next = sources.begin();
     }
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -134,7 +134,7 @@
     std::string requested_turn_;
     std::set<store_id> asked_for_history_;
     /// Each store of the own group was asked for that turn.
-    bool own_group_asked_ = false;
+    bool all_own_stores_asked_ = false;
 };
 
 }  // namespace tallyfold::turns
