--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -162,22 +162,22 @@
     }
     if (missing != requested_turn_) {
         requested_turn_ = missing;
-        asked_for_history_.clear();
+        history_stores_asked_.clear();
         all_own_stores_asked_ = false;
     }
     const std::vector<store_member> sources = history_sources();
     const auto not_asked = [this](const store_member& member) {
-        return !asked_for_history_.contains(member.id);
+        return !history_stores_asked_.contains(member.id);
     };
     auto next = std::find_if(sources.begin(), sources.end(), not_asked);
     if (next == sources.end()) {
         // All have been asked, and again from the first: a reply may have been lost, or a store
         // was down.
         all_own_stores_asked_ = true;
-        asked_for_history_.clear();
+        history_stores_asked_.clear();
         next = sources.begin();
     }
-    asked_for_history_.insert(next->id);
+    history_stores_asked_.insert(next->id);
     questions.push_back({*next, history_request{number_, missing}});
     history_request_due_ = now + history_resend_interval;
 }
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -132,7 +132,7 @@
     std::optional<instant> history_request_due_;
     /// The turn whose texts were requested last, and the stores that were asked for them.
     std::string requested_turn_;
-    std::set<store_id> asked_for_history_;
+    std::set<store_id> history_stores_asked_;
     /// Each store of the own group was asked for that turn.
     bool all_own_stores_asked_ = false;
 };
