--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -114,8 +114,8 @@
     }
 }
 
-void turn_beginning::ask_stores(const store_table& table, const store_choice& nearest,
-                                std::vector<store_question>& questions) {
+void turn_beginning::collect_store_requests(const store_table& table, const store_choice& nearest,
+                                            std::vector<store_question>& questions) {
     operation_.use_map(table.groups[group_]);
     const store_id source = nearest(operation_.map());
     for (const store_member& member : operation_.unanswered()) {
@@ -187,7 +187,7 @@
     std::vector<store_question> questions;
     search_other_groups(now, table);
     if (backoff_.take_due(now)) {
-        ask_stores(table, nearest, questions);
+        collect_store_requests(table, nearest, questions);
     }
     request_history(now, questions);
     return questions;
