--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -155,7 +155,7 @@
         return;
     }
     if (!history_request_due_.has_value()) {
-        history_request_due_ = now + history_grace;
+        history_request_due_ = now + history_grace_period;
     }
     if (now < *history_request_due_) {
         return;
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -76,7 +76,7 @@
     /// How much later than the quorum the nearest store's texts may come before another store is
     /// asked for them too. Chosen, not measured: three times the 5 ms that an undisturbed begin
     /// takes at the median, and short against the 1.5 s that a begin may take.
-    static constexpr duration history_grace = std::chrono::milliseconds(15);
+    static constexpr duration history_grace_period = std::chrono::milliseconds(15);
 
     /// Chooses the store that sends the history and the prompt's holders; 0 for none.
     using store_choice = std::function<store_id(const store_map&)>;
