--- a/src/tallyfold/plane/turns/turn_search.cpp
+++ b/src/tallyfold/plane/turns/turn_search.cpp
@@ -71,8 +71,8 @@
     });
 }
 
-std::vector<turn_search::question> turn_search::unanswered(operation_number operation) const {
-    std::vector<question> questions;
+std::vector<turn_search::store_request> turn_search::unanswered(operation_number operation) const {
+    std::vector<store_request> questions;
     for (const auto& [number, asked] : groups_) {
         for (const store_member& member : asked.map.all()) {
             if (!asked.denials.contains(member.id)) {
--- a/src/tallyfold/plane/turns/turn_search.hpp
+++ b/src/tallyfold/plane/turns/turn_search.hpp
@@ -40,11 +40,11 @@
     /// further answer can come.
     [[nodiscard]] bool denied_by_all_stores() const;
     /// Requests to the stores that haven't answered under their group's map.
-    struct question {
+    struct store_request {
         store_member store;
         find_request request;
     };
-    [[nodiscard]] std::vector<question> unanswered(operation_number operation) const;
+    [[nodiscard]] std::vector<store_request> unanswered(operation_number operation) const;
     /// The map under which a group is asked; null for one that isn't asked.
     [[nodiscard]] const store_map* map_of(group_number group) const;
 
