--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -132,7 +132,7 @@
     }
     if (search_.has_value() && !search_->found()) {
         search_->use_table(table);
-        for (const turn_search::question& asked : search_->unanswered(number_)) {
+        for (const turn_search::store_request& asked : search_->unanswered(number_)) {
             questions.push_back({asked.store, asked.request});
         }
     }
