--- a/src/tallyfold/plane/turns/turn_search.cpp
+++ b/src/tallyfold/plane/turns/turn_search.cpp
@@ -54,7 +54,7 @@
 
 bool turn_search::held_by_no_group() const {
     const auto denied_by_quorum = [](const auto& entry) {
-        const asked_group& asked = entry.second;
+        const searched_group& asked = entry.second;
         return !asked.map.after_loss && asked.map.suffices_of_current(asked.denials);
     };
     return !found() && std::all_of(groups_.begin(), groups_.end(), denied_by_quorum);
@@ -62,7 +62,7 @@
 
 bool turn_search::denied_by_all_stores() const {
     return !found() && std::all_of(groups_.begin(), groups_.end(), [](const auto& entry) {
-        const asked_group& asked = entry.second;
+        const searched_group& asked = entry.second;
         const std::vector<store_member> members = asked.map.all();
         return !asked.map.changing() &&
                std::all_of(members.begin(), members.end(), [&](const store_member& member) {
--- a/src/tallyfold/plane/turns/turn_search.hpp
+++ b/src/tallyfold/plane/turns/turn_search.hpp
@@ -49,7 +49,7 @@
     [[nodiscard]] const store_map* map_of(group_number group) const;
 
   private:
-    struct asked_group {
+    struct searched_group {
         store_map map;
         /// Stores that don't hold the turn.
         std::set<store_id> denials;
@@ -58,7 +58,7 @@
     };
 
     std::string request_;
-    std::map<group_number, asked_group> groups_;
+    std::map<group_number, searched_group> groups_;
     std::vector<store_member> holders_;
 };
 
