--- a/src/tallyfold/plane/turns/turn_search.cpp
+++ b/src/tallyfold/plane/turns/turn_search.cpp
@@ -5,10 +5,10 @@
 
 namespace tallyfold::turns {
 
-turn_search::turn_search(const store_table& table, std::string request, group_number own)
+turn_search::turn_search(const store_table& table, std::string request, group_number own_group)
     : request_(std::move(request)) {
     for (const store_map& map : table.groups) {
-        if (map.group != own) {
+        if (map.group != own_group) {
             groups_[map.group].map = map;
         }
     }
--- a/src/tallyfold/plane/turns/turn_search.hpp
+++ b/src/tallyfold/plane/turns/turn_search.hpp
@@ -20,8 +20,8 @@
 
 class turn_search {
   public:
-    /// @param own the group that has been asked already, and doesn't hold the turn
-    turn_search(const store_table& table, std::string request, group_number own);
+    /// @param own_group the group that has been asked already, and doesn't hold the turn
+    turn_search(const store_table& table, std::string request, group_number own_group);
 
     /// Asks the groups again whose map is newer in `table`.
     void use_table(const store_table& table);
