--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -63,7 +63,7 @@
     }
 }
 
-std::shared_ptr<turn_client::waiting_operation> turn_client::find(operation_number number) const {
+std::shared_ptr<turn_client::pending_operation> turn_client::find(operation_number number) const {
     const auto found = operations_.find(number);
     return found == operations_.end() ? nullptr : found->second;
 }
@@ -145,13 +145,13 @@
     known->second.link->send(message);
 }
 
-asio::awaitable<void> turn_client::wait(std::shared_ptr<waiting_operation> waiting, instant until) {
+asio::awaitable<void> turn_client::wait(std::shared_ptr<pending_operation> waiting, instant until) {
     waiting->timer.expires_at(std::chrono::steady_clock::time_point(until.time_since_epoch()));
     co_await waiting->timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
 }
 
-std::shared_ptr<turn_client::waiting_operation> turn_client::enlist(operation_number number) {
-    auto waiting = std::make_shared<waiting_operation>(process_.loop());
+std::shared_ptr<turn_client::pending_operation> turn_client::enlist(operation_number number) {
+    auto waiting = std::make_shared<pending_operation>(process_.loop());
     operations_[number] = waiting;
     return waiting;
 }
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -41,8 +41,8 @@
 
   private:
     /// One operation under way, of either kind.
-    struct waiting_operation {
-        explicit waiting_operation(asio::io_context& loop) : timer(loop) {}
+    struct pending_operation {
+        explicit pending_operation(asio::io_context& loop) : timer(loop) {}
         asio::steady_timer timer;
         turn_beginning* begin = nullptr;
         settle_operation* settle = nullptr;
@@ -54,8 +54,8 @@
         instant last_heard{};
     };
 
-    std::shared_ptr<waiting_operation> enlist(operation_number number);
-    [[nodiscard]] std::shared_ptr<waiting_operation> find(operation_number number) const;
+    std::shared_ptr<pending_operation> enlist(operation_number number);
+    [[nodiscard]] std::shared_ptr<pending_operation> find(operation_number number) const;
     void on_message(store_id store, const messaging::peer_message& message);
     /// A reply to the beginning of a turn.
     template <class Reply>
@@ -67,13 +67,13 @@
     void send(const store_member& member, const messaging::peer_message& message,
               instant first_sent);
     [[nodiscard]] store_id nearest(const store_map& map) const;
-    asio::awaitable<void> wait(std::shared_ptr<waiting_operation> waiting, instant until);
+    asio::awaitable<void> wait(std::shared_ptr<pending_operation> waiting, instant until);
 
     net::node_process& process_;
     std::function<void(const store_map&)> newer_map_handler_;
     store_table table_;
     std::map<store_id, store_connection> stores_;
-    std::map<operation_number, std::shared_ptr<waiting_operation>> operations_;
+    std::map<operation_number, std::shared_ptr<pending_operation>> operations_;
     operation_number next_operation_ = 1;
     std::size_t settling_ = 0;
 };
