--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -52,13 +52,13 @@
 
 void turn_client::resend_to(store_id store) {
     // What was asked over a lost connection didn't arrive.
-    for (const auto& [number, waiting] : operations_) {
-        if (waiting->begin != nullptr) {
-            waiting->begin->on_store_connected(store);
-            waiting->timer.cancel();
-        } else if (waiting->settle != nullptr && waiting->settle->map().holds(store)) {
-            waiting->schedule.resend_now();
-            waiting->timer.cancel();
+    for (const auto& [number, pending] : operations_) {
+        if (pending->begin != nullptr) {
+            pending->begin->on_store_connected(store);
+            pending->timer.cancel();
+        } else if (pending->settle != nullptr && pending->settle->map().holds(store)) {
+            pending->schedule.resend_now();
+            pending->timer.cancel();
         }
     }
 }
@@ -76,26 +76,26 @@
 
 template <class Reply>
 void turn_client::on_beginning(const Reply& reply) {
-    const auto waiting = find(reply.operation);
-    if (waiting && waiting->begin != nullptr) {
-        waiting->begin->on_reply(reply);
-        waiting->timer.cancel();
+    const auto pending = find(reply.operation);
+    if (pending && pending->begin != nullptr) {
+        pending->begin->on_reply(reply);
+        pending->timer.cancel();
     }
 }
 
 void turn_client::on_settled(const settle_reply& reply) {
-    const auto waiting = find(reply.operation);
-    if (!waiting || waiting->settle == nullptr) {
+    const auto pending = find(reply.operation);
+    if (!pending || pending->settle == nullptr) {
         return;
     }
-    const store_map& known = waiting->settle->map();
+    const store_map& known = pending->settle->map();
     for (const store_map& newer : reply.newer_map) {
         if (newer.group == known.group && newer.epoch > known.epoch) {
-            waiting->schedule.resend_now();
+            pending->schedule.resend_now();
         }
     }
-    waiting->settle->on_reply(reply);
-    waiting->timer.cancel();
+    pending->settle->on_reply(reply);
+    pending->timer.cancel();
 }
 
 void turn_client::on_message(store_id store, const messaging::peer_message& message) {
@@ -145,22 +145,22 @@
     known->second.link->send(message);
 }
 
-asio::awaitable<void> turn_client::wait(std::shared_ptr<pending_operation> waiting, instant until) {
-    waiting->timer.expires_at(std::chrono::steady_clock::time_point(until.time_since_epoch()));
-    co_await waiting->timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
+asio::awaitable<void> turn_client::wait(std::shared_ptr<pending_operation> pending, instant until) {
+    pending->timer.expires_at(std::chrono::steady_clock::time_point(until.time_since_epoch()));
+    co_await pending->timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
 }
 
 std::shared_ptr<turn_client::pending_operation> turn_client::enlist(operation_number number) {
-    auto waiting = std::make_shared<pending_operation>(process_.loop());
-    operations_[number] = waiting;
-    return waiting;
+    auto pending = std::make_shared<pending_operation>(process_.loop());
+    operations_[number] = pending;
+    return pending;
 }
 
 asio::awaitable<begun_turn> turn_client::begin(turn_question question, instant deadline) {
     const operation_number number = next_operation_++;
     turn_beginning beginning(number, std::move(question), table_);
-    const auto waiting = enlist(number);
-    waiting->begin = &beginning;
+    const auto pending = enlist(number);
+    pending->begin = &beginning;
     const instant started = steady_now();
     const auto choose = [this](const store_map& map) { return nearest(map); };
     while (beginning.undecided() && !beginning.cannot_be_decided()) {
@@ -172,7 +172,7 @@
             std::visit([&](const auto& body) { send(question_due.store, body, started); },
                        question_due.body);
         }
-        co_await wait(waiting, std::min(deadline, beginning.next_due()));
+        co_await wait(pending, std::min(deadline, beginning.next_due()));
     }
     operations_.erase(number);
     co_return beginning.outcome();
@@ -183,15 +183,15 @@
     const operation_number number = next_operation_++;
     const group_number group = table_.group_of(settlement.program);
     settle_operation operation(table_.groups[group]);
-    const auto waiting = enlist(number);
-    waiting->settle = &operation;
+    const auto pending = enlist(number);
+    pending->settle = &operation;
     const instant started = steady_now();
     while (!operation.done()) {
         const instant now = steady_now();
         if (now >= deadline) {
             break;
         }
-        if (waiting->schedule.take_due(now)) {
+        if (pending->schedule.take_due(now)) {
             operation.use_map(table_.groups[group]);
             for (const store_member& member : operation.unanswered()) {
                 settle_request request;
@@ -202,7 +202,7 @@
                 send(member, request, started);
             }
         }
-        co_await wait(waiting, std::min(deadline, waiting->schedule.next_send_at()));
+        co_await wait(pending, std::min(deadline, pending->schedule.next_send_at()));
     }
     operations_.erase(number);
     if (!operation.done()) {
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -67,7 +67,7 @@
     void send(const store_member& member, const messaging::peer_message& message,
               instant first_sent);
     [[nodiscard]] store_id nearest(const store_map& map) const;
-    asio::awaitable<void> wait(std::shared_ptr<pending_operation> waiting, instant until);
+    asio::awaitable<void> wait(std::shared_ptr<pending_operation> pending, instant until);
 
     net::node_process& process_;
     std::function<void(const store_map&)> newer_map_handler_;
