--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -150,7 +150,8 @@
     co_await pending->timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
 }
 
-std::shared_ptr<turn_client::pending_operation> turn_client::enlist(operation_number number) {
+std::shared_ptr<turn_client::pending_operation> turn_client::register_operation(
+    operation_number number) {
     auto pending = std::make_shared<pending_operation>(process_.loop());
     operations_[number] = pending;
     return pending;
@@ -159,7 +160,7 @@
 asio::awaitable<begun_turn> turn_client::begin(turn_question question, instant deadline) {
     const operation_number number = next_operation_++;
     turn_beginning beginning(number, std::move(question), table_);
-    const auto pending = enlist(number);
+    const auto pending = register_operation(number);
     pending->begin = &beginning;
     const instant started = steady_now();
     const auto choose = [this](const store_map& map) { return nearest(map); };
@@ -183,7 +184,7 @@
     const operation_number number = next_operation_++;
     const group_number group = table_.group_of(settlement.program);
     settle_operation operation(table_.groups[group]);
-    const auto pending = enlist(number);
+    const auto pending = register_operation(number);
     pending->settle = &operation;
     const instant started = steady_now();
     while (!operation.done()) {
