--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -63,7 +63,8 @@
     }
 }
 
-std::shared_ptr<turn_client::pending_operation> turn_client::find(operation_number number) const {
+std::shared_ptr<turn_client::pending_operation> turn_client::find_operation(
+    operation_number number) const {
     const auto found = operations_.find(number);
     return found == operations_.end() ? nullptr : found->second;
 }
@@ -76,7 +77,7 @@
 
 template <class Reply>
 void turn_client::on_beginning(const Reply& reply) {
-    const auto pending = find(reply.operation);
+    const auto pending = find_operation(reply.operation);
     if (pending && pending->begin != nullptr) {
         pending->begin->on_reply(reply);
         pending->timer.cancel();
@@ -84,7 +85,7 @@
 }
 
 void turn_client::on_settled(const settle_reply& reply) {
-    const auto pending = find(reply.operation);
+    const auto pending = find_operation(reply.operation);
     if (!pending || pending->settle == nullptr) {
         return;
     }
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -55,7 +55,7 @@
     };
 
     std::shared_ptr<pending_operation> register_operation(operation_number number);
-    [[nodiscard]] std::shared_ptr<pending_operation> find(operation_number number) const;
+    [[nodiscard]] std::shared_ptr<pending_operation> find_operation(operation_number number) const;
     void on_message(store_id store, const messaging::peer_message& message);
     /// A reply to the beginning of a turn.
     template <class Reply>
