--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -69,7 +69,7 @@
     return found == operations_.end() ? nullptr : found->second;
 }
 
-void turn_client::learn(const std::vector<store_map>& newer) {
+void turn_client::report_newer_maps(const std::vector<store_map>& newer) {
     for (const store_map& map : newer) {
         newer_map_handler_(map);
     }
@@ -105,15 +105,15 @@
         known->second.last_heard = steady_now();
     }
     if (const auto* begun = std::get_if<begin_reply>(&message)) {
-        learn(begun->newer_map);
+        report_newer_maps(begun->newer_map);
         on_beginning(*begun);
     } else if (const auto* history = std::get_if<history_reply>(&message)) {
         on_beginning(*history);
     } else if (const auto* found = std::get_if<find_reply>(&message)) {
-        learn(found->newer_map);
+        report_newer_maps(found->newer_map);
         on_beginning(*found);
     } else if (const auto* settled = std::get_if<settle_reply>(&message)) {
-        learn(settled->newer_map);
+        report_newer_maps(settled->newer_map);
         on_settled(*settled);
     }
 }
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -61,7 +61,7 @@
     template <class Reply>
     void on_beginning(const Reply& reply);
     void on_settled(const settle_reply& reply);
-    void learn(const std::vector<store_map>& newer);
+    void report_newer_maps(const std::vector<store_map>& newer);
     /// The store can be reached again: what was sent over the lost connection is sent again.
     void resend_to(store_id store);
     void send(const store_member& member, const messaging::peer_message& message,
