--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -76,7 +76,7 @@
 }
 
 template <class Reply>
-void turn_client::on_beginning(const Reply& reply) {
+void turn_client::on_begin_reply(const Reply& reply) {
     const auto pending = find_operation(reply.operation);
     if (pending && pending->begin != nullptr) {
         pending->begin->on_reply(reply);
@@ -106,12 +106,12 @@
     }
     if (const auto* begun = std::get_if<begin_reply>(&message)) {
         report_newer_maps(begun->newer_map);
-        on_beginning(*begun);
+        on_begin_reply(*begun);
     } else if (const auto* history = std::get_if<history_reply>(&message)) {
-        on_beginning(*history);
+        on_begin_reply(*history);
     } else if (const auto* found = std::get_if<find_reply>(&message)) {
         report_newer_maps(found->newer_map);
-        on_beginning(*found);
+        on_begin_reply(*found);
     } else if (const auto* settled = std::get_if<settle_reply>(&message)) {
         report_newer_maps(settled->newer_map);
         on_settled(*settled);
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -59,7 +59,7 @@
     void on_message(store_id store, const messaging::peer_message& message);
     /// A reply to the beginning of a turn.
     template <class Reply>
-    void on_beginning(const Reply& reply);
+    void on_begin_reply(const Reply& reply);
     void on_settled(const settle_reply& reply);
     void report_newer_maps(const std::vector<store_map>& newer);
     /// The store can be reached again: what was sent over the lost connection is sent again.
