--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -84,7 +84,7 @@
     }
 }
 
-void turn_client::on_settled(const settle_reply& reply) {
+void turn_client::on_settle_reply(const settle_reply& reply) {
     const auto pending = find_operation(reply.operation);
     if (!pending || pending->settle == nullptr) {
         return;
@@ -114,7 +114,7 @@
         on_begin_reply(*found);
     } else if (const auto* settled = std::get_if<settle_reply>(&message)) {
         report_newer_maps(settled->newer_map);
-        on_settled(*settled);
+        on_settle_reply(*settled);
     }
 }
 
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -60,7 +60,7 @@
     /// A reply to the beginning of a turn.
     template <class Reply>
     void on_begin_reply(const Reply& reply);
-    void on_settled(const settle_reply& reply);
+    void on_settle_reply(const settle_reply& reply);
     void report_newer_maps(const std::vector<store_map>& newer);
     /// The store can be reached again: what was sent over the lost connection is sent again.
     void resend_to(store_id store);
