--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -37,7 +37,7 @@
             continue;
         }
         store.link = std::make_shared<messaging::peer_link>(process_.loop(), member.address);
-        store.last_heard = steady_now();
+        store.last_received = steady_now();
         const store_id id = member.id;
         store.link->start(
             [this, id](const messaging::peer_message& message) { on_message(id, message); },
@@ -102,7 +102,7 @@
 void turn_client::on_message(store_id store, const messaging::peer_message& message) {
     const auto known = stores_.find(store);
     if (known != stores_.end()) {
-        known->second.last_heard = steady_now();
+        known->second.last_received = steady_now();
     }
     if (const auto* begun = std::get_if<begin_reply>(&message)) {
         report_newer_maps(begun->newer_map);
@@ -137,9 +137,9 @@
         return;
     }
     const instant now = steady_now();
-    const bool silent = now - std::max(first_sent, known->second.last_heard) > silence_limit;
+    const bool silent = now - std::max(first_sent, known->second.last_received) > silence_limit;
     if (silent) {
-        known->second.last_heard = now;
+        known->second.last_received = now;
         known->second.link->reconnect("silent");
         return;
     }
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -51,7 +51,7 @@
     };
     struct store_connection {
         messaging::link_pointer link;
-        instant last_heard{};
+        instant last_received{};
     };
 
     std::shared_ptr<pending_operation> register_operation(operation_number number);
