--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -57,7 +57,7 @@
             pending->begin->on_store_connected(store);
             pending->timer.cancel();
         } else if (pending->settle != nullptr && pending->settle->map().holds(store)) {
-            pending->schedule.resend_now();
+            pending->backoff.resend_now();
             pending->timer.cancel();
         }
     }
@@ -92,7 +92,7 @@
     const store_map& known = pending->settle->map();
     for (const store_map& newer : reply.newer_map) {
         if (newer.group == known.group && newer.epoch > known.epoch) {
-            pending->schedule.resend_now();
+            pending->backoff.resend_now();
         }
     }
     pending->settle->on_reply(reply);
@@ -193,7 +193,7 @@
         if (now >= deadline) {
             break;
         }
-        if (pending->schedule.take_due(now)) {
+        if (pending->backoff.take_due(now)) {
             operation.use_map(table_.groups[group]);
             for (const store_member& member : operation.unanswered()) {
                 settle_request request;
@@ -204,7 +204,7 @@
                 send(member, request, started);
             }
         }
-        co_await wait(pending, std::min(deadline, pending->schedule.next_send_at()));
+        co_await wait(pending, std::min(deadline, pending->backoff.next_send_at()));
     }
     operations_.erase(number);
     if (!operation.done()) {
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -47,7 +47,7 @@
         turn_beginning* begin = nullptr;
         settle_operation* settle = nullptr;
         /// Of a settlement; a beginning has its own.
-        resend_backoff schedule;
+        resend_backoff backoff;
     };
     struct store_connection {
         messaging::link_pointer link;
--- a/tests/plane/turns/resend_backoff_test.cpp
+++ b/tests/plane/turns/resend_backoff_test.cpp
@@ -15,10 +15,10 @@
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
     void slow_stores_are_asked_ever_less_often() {
-        resend_backoff schedule;
+        resend_backoff backoff;
         int asked = 0;
         for (int now = 1'000; now < 2'500; ++now) {
-            asked += schedule.take_due(at(now)) ? 1 : 0;
+            asked += backoff.take_due(at(now)) ? 1 : 0;
         }
         // At 0, 250 and 750 ms of the 1,500 that a begin may take; with a fixed interval it were
         // six.
@@ -26,12 +26,12 @@
     }
 
     void a_store_that_came_back_is_asked_at_once() {
-        resend_backoff schedule;
-        CPPUNIT_ASSERT(schedule.take_due(at(1'000)));
-        CPPUNIT_ASSERT(!schedule.take_due(at(1'001)));
-        schedule.resend_now();
-        CPPUNIT_ASSERT(schedule.take_due(at(1'002)));
-        CPPUNIT_ASSERT(!schedule.take_due(at(1'003)));
+        resend_backoff backoff;
+        CPPUNIT_ASSERT(backoff.take_due(at(1'000)));
+        CPPUNIT_ASSERT(!backoff.take_due(at(1'001)));
+        backoff.resend_now();
+        CPPUNIT_ASSERT(backoff.take_due(at(1'002)));
+        CPPUNIT_ASSERT(!backoff.take_due(at(1'003)));
     }
 };
 
