--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -15,7 +15,7 @@
 
 /// A store that is silent for this long while it is asked gets a new connection. Chosen, not
 /// measured: leaves half a second of the 1.5 s that a begin may take for a further try.
-constexpr duration silence_limit = std::chrono::milliseconds(900);
+constexpr duration silence_timeout = std::chrono::milliseconds(900);
 /// A settlement whose caller doesn't wait is tried for this long. Chosen, not measured: as long as
 /// a store has to be silent before the directory replaces it.
 constexpr duration background_limit = std::chrono::seconds(6);
@@ -137,7 +137,7 @@
         return;
     }
     const instant now = steady_now();
-    const bool silent = now - std::max(first_sent, known->second.last_received) > silence_limit;
+    const bool silent = now - std::max(first_sent, known->second.last_received) > silence_timeout;
     if (silent) {
         known->second.last_received = now;
         known->second.link->reconnect("silent");
