--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -18,7 +18,7 @@
 constexpr duration silence_timeout = std::chrono::milliseconds(900);
 /// A settlement whose caller doesn't wait is tried for this long. Chosen, not measured: as long as
 /// a store has to be silent before the directory replaces it.
-constexpr duration background_limit = std::chrono::seconds(6);
+constexpr duration background_settle_timeout = std::chrono::seconds(6);
 
 }  // namespace
 
@@ -223,7 +223,7 @@
         process_.loop(),
         [this, settlement = std::move(settlement)]() mutable -> asio::awaitable<void> {
             // A settlement that fails is logged by settle(); no caller waits for it.
-            const instant deadline = steady_now() + background_limit;
+            const instant deadline = steady_now() + background_settle_timeout;
             cached_prompt held_nowhere;
             co_await settle(std::move(settlement), std::move(held_nowhere), deadline);
             --settling_;
