--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -224,8 +224,8 @@
         [this, settlement = std::move(settlement)]() mutable -> asio::awaitable<void> {
             // A settlement that fails is logged by settle(); no caller waits for it.
             const instant deadline = steady_now() + background_settle_timeout;
-            cached_prompt held_nowhere;
-            co_await settle(std::move(settlement), std::move(held_nowhere), deadline);
+            cached_prompt no_cached_prompt;
+            co_await settle(std::move(settlement), std::move(no_cached_prompt), deadline);
             --settling_;
         },
         asio::detached);
