--- a/src/tallyfold/plane/turns/turn_table.cpp
+++ b/src/tallyfold/plane/turns/turn_table.cpp
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-turn_table::program_entry& turn_table::renew(const std::string& program, std::uint32_t retention_ms,
-                                             instant now) {
+turn_table::program_entry& turn_table::renew_retention(const std::string& program,
+                                                       std::uint32_t retention_ms, instant now) {
     program_entry& entry = programs_[program];
     entry.last_changed = now;
     entry.retention = std::max<duration>(entry.retention, std::chrono::milliseconds(retention_ms));
@@ -36,13 +36,13 @@
 }
 
 void turn_table::reserve(const turn_reservation& reservation, instant now) {
-    program_entry& entry = renew(reservation.program, reservation.retention_ms, now);
+    program_entry& entry = renew_retention(reservation.program, reservation.retention_ms, now);
     requests_[reservation.request] = reservation.program;
     merge(entry.requests, {{reservation.request, {reservation.max_tokens, false}}});
 }
 
 void turn_table::settle(const turn_settlement& settlement, instant now) {
-    program_entry& entry = renew(settlement.program, settlement.retention_ms, now);
+    program_entry& entry = renew_retention(settlement.program, settlement.retention_ms, now);
     requests_[settlement.request] = settlement.program;
     merge(entry.requests, {{settlement.request, {settlement.tokens, true}}});
     if (settlement.record.has_value()) {
--- a/src/tallyfold/plane/turns/turn_table.hpp
+++ b/src/tallyfold/plane/turns/turn_table.hpp
@@ -84,7 +84,8 @@
     };
 
     /// The program's entry, with its retention begun anew; created when it isn't held.
-    program_entry& renew(const std::string& program, std::uint32_t retention_ms, instant now);
+    program_entry& renew_retention(const std::string& program, std::uint32_t retention_ms,
+                                   instant now);
     void reserve(const turn_reservation& reservation, instant now);
     void settle(const turn_settlement& settlement, instant now);
     void store_record(const turn_settlement& settlement, const turn_record& record, instant now);
