--- a/src/tallyfold/plane/turns/turn_table.cpp
+++ b/src/tallyfold/plane/turns/turn_table.cpp
@@ -90,7 +90,7 @@
 void turn_table::expire(instant now, duration margin) {
     std::set<std::string> kept;
     for (const auto& [request, entry] : turns_) {
-        if (now - entry.stored <= entry.retention + margin) {
+        if (now - entry.stored_at <= entry.retention + margin) {
             std::string next = request;
             while (!next.empty() && kept.insert(next).second) {
                 const auto found = turns_.find(next);
--- a/src/tallyfold/plane/turns/turn_table.hpp
+++ b/src/tallyfold/plane/turns/turn_table.hpp
@@ -80,7 +80,7 @@
         turn_record record;
         std::string program;
         duration retention{};
-        instant stored{};
+        instant stored_at{};
     };
 
     /// The program's entry, with its retention begun anew; created when it isn't held.
