--- a/src/tallyfold/plane/turns/turn_table.cpp
+++ b/src/tallyfold/plane/turns/turn_table.cpp
@@ -88,18 +88,18 @@
 }
 
 void turn_table::expire(instant now, duration margin) {
-    std::set<std::string> kept;
+    std::set<std::string> retained;
     for (const auto& [request, entry] : turns_) {
         if (now - entry.stored_at <= entry.retention + margin) {
             std::string next = request;
-            while (!next.empty() && kept.insert(next).second) {
+            while (!next.empty() && retained.insert(next).second) {
                 const auto found = turns_.find(next);
                 next = found == turns_.end() ? std::string{} : found->second.record.previous;
             }
         }
     }
     std::erase_if(turns_, [&](const auto& entry) {
-        const bool expired = !kept.contains(entry.first);
+        const bool expired = !retained.contains(entry.first);
         bytes_ -= expired ? size_of(entry.second.record) : 0;
         return expired;
     });
