--- a/src/tallyfold/plane/turns/turn_table.cpp
+++ b/src/tallyfold/plane/turns/turn_table.cpp
@@ -8,10 +8,10 @@
 
 /// Bytes that one turn takes beside its texts, about: keys, strings' and map nodes' overhead.
 /// Estimated, not measured.
-constexpr std::size_t turn_overhead = 256;
+constexpr std::size_t turn_overhead_bytes = 256;
 
 std::size_t size_of(const turn_record& record) {
-    return record.input.size() + record.output.size() + turn_overhead;
+    return record.input.size() + record.output.size() + turn_overhead_bytes;
 }
 
 }  // namespace
@@ -159,7 +159,7 @@
             return page;
         }
         const auto turn = turns_.find(request);
-        bytes += turn != turns_.end() ? size_of(turn->second.record) : turn_overhead;
+        bytes += turn != turns_.end() ? size_of(turn->second.record) : turn_overhead_bytes;
         page.changes.push_back(change_of(request, program));
         last = request;
     }
