--- a/src/tallyfold/plane/turns/turn_table.cpp
+++ b/src/tallyfold/plane/turns/turn_table.cpp
@@ -106,7 +106,7 @@
     std::erase_if(programs_, [&](const auto& entry) {
         return now - entry.second.last_changed > entry.second.retention + margin;
     });
-    index_requests();
+    rebuild_request_index();
 }
 
 turn_change turn_table::change_of(const std::string& request, const std::string& program) const {
@@ -166,7 +166,7 @@
     return page;
 }
 
-void turn_table::index_requests() {
+void turn_table::rebuild_request_index() {
     requests_.clear();
     for (const auto& [request, entry] : turns_) {
         requests_[request] = entry.program;
--- a/src/tallyfold/plane/turns/turn_table.hpp
+++ b/src/tallyfold/plane/turns/turn_table.hpp
@@ -91,7 +91,7 @@
     void store_record(const turn_settlement& settlement, const turn_record& record, instant now);
     [[nodiscard]] turn_change change_of(const std::string& request,
                                         const std::string& program) const;
-    void index_requests();
+    void rebuild_request_index();
 
     std::map<std::string, program_entry> programs_;
     std::map<std::string, turn_entry> turns_;
