--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -37,7 +37,7 @@
 constexpr duration stop_delay = std::chrono::milliseconds(300);
 /// Rounds of the event loop that a write waits for further requests to join its sync. Chosen, not
 /// measured: what other connections have already delivered is read within two rounds.
-constexpr int gathering_rounds = 2;
+constexpr int batching_rounds = 2;
 
 class store_node {
   public:
@@ -143,7 +143,7 @@
 void store_node::write_soon() {
     if (!write_due_ && store_.has_work()) {
         write_due_ = true;
-        write_after(gathering_rounds);
+        write_after(batching_rounds);
     }
 }
 
