--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -50,7 +50,7 @@
     std::vector<addressed_reply> dispatch(peer_token from, const messaging::peer_message& message);
     void send(const std::vector<addressed_reply>& replies);
     /// Writes what waits, after a few rounds of the loop.
-    void write_soon();
+    void schedule_write();
     void write_after(int rounds);
     void write_waiting();
     void log_whole_copy();
@@ -79,7 +79,7 @@
       peers_(process_.loop(), process_.settings().store_listener()),
       store_(std::move(opened.state)),
       writer_(std::move(opened.log), process_.metrics()),
-      copy_(process_.loop(), store_, [this] { write_soon(); }),
+      copy_(process_.loop(), store_, [this] { schedule_write(); }),
       changes_(net::add_counter(process_.metrics(), "tallyfold_store_changes_total",
                                 "Reservations and settlements taken")),
       bytes_(net::add_gauge(process_.metrics(), "tallyfold_store_turn_bytes",
@@ -125,7 +125,7 @@
         directory_.learn_map(store_.map());
     }
     send(replies);
-    write_soon();
+    schedule_write();
 }
 
 void store_node::send(const std::vector<addressed_reply>& replies) {
@@ -140,7 +140,7 @@
     }
 }
 
-void store_node::write_soon() {
+void store_node::schedule_write() {
     if (!write_due_ && store_.has_work()) {
         write_due_ = true;
         write_after(batching_rounds);
@@ -189,7 +189,7 @@
     if (store_.learn_table(stores)) {
         logging::write_event(logging::event_id::store_map_changed, turns::describe(store_.map()));
     }
-    write_soon();
+    schedule_write();
     copy_.request_page();
 }
 
