--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -51,7 +51,7 @@
     void send(const std::vector<addressed_reply>& replies);
     /// Writes what waits, after a few rounds of the loop.
     void schedule_write();
-    void write_after(int rounds);
+    void write_after_rounds(int rounds);
     void write_waiting();
     void log_whole_copy();
     void use_stores(const store_table& stores);
@@ -143,14 +143,14 @@
 void store_node::schedule_write() {
     if (!write_due_ && store_.has_work()) {
         write_due_ = true;
-        write_after(batching_rounds);
+        write_after_rounds(batching_rounds);
     }
 }
 
-void store_node::write_after(int rounds) {
+void store_node::write_after_rounds(int rounds) {
     asio::post(process_.loop(), [this, rounds] {
         if (rounds > 0) {
-            write_after(rounds - 1);
+            write_after_rounds(rounds - 1);
             return;
         }
         write_due_ = false;
