--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -52,7 +52,7 @@
     /// Writes what waits, after a few rounds of the loop.
     void schedule_write();
     void write_after_rounds(int rounds);
-    void write_waiting();
+    void write_queued();
     void log_whole_copy();
     void use_stores(const store_table& stores);
     [[nodiscard]] directory::store_report describe() const;
@@ -154,11 +154,11 @@
             return;
         }
         write_due_ = false;
-        write_waiting();
+        write_queued();
     });
 }
 
-void store_node::write_waiting() {
+void store_node::write_queued() {
     const store_write write = store_.take_write();
     const bool durable = writer_.make_durable(write);
     send(store_.written(durable, steady_now()));
