--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -53,7 +53,7 @@
     void schedule_write();
     void write_after_rounds(int rounds);
     void write_queued();
-    void log_whole_copy();
+    void log_completed_copy();
     void use_stores(const store_table& stores);
     [[nodiscard]] directory::store_report describe() const;
 
@@ -171,10 +171,10 @@
         callers_.clear();
     }
     copy_.on_page_written();
-    log_whole_copy();
+    log_completed_copy();
 }
 
-void store_node::log_whole_copy() {
+void store_node::log_completed_copy() {
     if (store_.copied_epoch() <= logged_copy_) {
         return;
     }
