--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -68,7 +68,7 @@
     /// Connections that wait for a reply.
     std::map<peer_token, messaging::channel_pointer> callers_;
     peer_token next_caller_ = 1;
-    map_epoch logged_copy_ = 0;
+    map_epoch logged_copy_epoch_ = 0;
     prometheus::Counter& changes_;
     prometheus::Gauge& bytes_;
 };
@@ -175,12 +175,12 @@
 }
 
 void store_node::log_completed_copy() {
-    if (store_.copied_epoch() <= logged_copy_) {
+    if (store_.copied_epoch() <= logged_copy_epoch_) {
         return;
     }
-    logged_copy_ = store_.copied_epoch();
+    logged_copy_epoch_ = store_.copied_epoch();
     logging::write_event(logging::event_id::store_copied,
-                         "epoch=" + std::to_string(logged_copy_) +
+                         "epoch=" + std::to_string(logged_copy_epoch_) +
                              " turns=" + std::to_string(store_.turns().turn_count()) +
                              " programs=" + std::to_string(store_.turns().program_count()));
 }
