--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -66,7 +66,7 @@
     /// A write is due in a few rounds of the loop.
     bool write_due_ = false;
     /// Connections that wait for a reply.
-    std::map<peer_token, messaging::channel_pointer> callers_;
+    std::map<peer_token, messaging::channel_pointer> reply_channels_;
     peer_token next_caller_ = 1;
     map_epoch logged_copy_epoch_ = 0;
     prometheus::Counter& changes_;
@@ -111,7 +111,7 @@
         return store_.receive(from, *copy);
     }
     // No message for a store: nobody waits for a reply.
-    callers_.erase(from);
+    reply_channels_.erase(from);
     return {};
 }
 
@@ -119,7 +119,7 @@
                          const messaging::peer_message& message) {
     const peer_token from = next_caller_++;
     const map_epoch epoch = store_.map().epoch;
-    callers_[from] = channel;
+    reply_channels_[from] = channel;
     const std::vector<addressed_reply> replies = dispatch(from, message);
     if (store_.map().epoch > epoch) {
         directory_.learn_map(store_.map());
@@ -130,12 +130,12 @@
 
 void store_node::send(const std::vector<addressed_reply>& replies) {
     for (const addressed_reply& reply : replies) {
-        const auto caller = callers_.find(reply.to);
-        if (caller == callers_.end()) {
+        const auto caller = reply_channels_.find(reply.to);
+        if (caller == reply_channels_.end()) {
             continue;
         }
         const messaging::channel_pointer channel = caller->second;
-        callers_.erase(caller);
+        reply_channels_.erase(caller);
         std::visit([&channel](const auto& body) { channel->send(body); }, reply.body);
     }
 }
@@ -168,7 +168,7 @@
     }
     if (!store_.has_work()) {
         // Requests that have no reply by now get none.
-        callers_.clear();
+        reply_channels_.clear();
     }
     copy_.on_page_written();
     log_completed_copy();
