--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -67,7 +67,7 @@
     bool write_due_ = false;
     /// Connections that wait for a reply.
     std::map<peer_token, messaging::channel_pointer> reply_channels_;
-    peer_token next_caller_ = 1;
+    peer_token next_token_ = 1;
     map_epoch logged_copy_epoch_ = 0;
     prometheus::Counter& changes_;
     prometheus::Gauge& bytes_;
@@ -117,7 +117,7 @@
 
 void store_node::receive(const messaging::channel_pointer& channel,
                          const messaging::peer_message& message) {
-    const peer_token from = next_caller_++;
+    const peer_token from = next_token_++;
     const map_epoch epoch = store_.map().epoch;
     reply_channels_[from] = channel;
     const std::vector<addressed_reply> replies = dispatch(from, message);
