--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -64,7 +64,7 @@
     store_writer writer_;
     copy_client copy_;
     /// A write is due in a few rounds of the loop.
-    bool write_due_ = false;
+    bool write_scheduled_ = false;
     /// Connections that wait for a reply.
     std::map<peer_token, messaging::channel_pointer> reply_channels_;
     peer_token next_token_ = 1;
@@ -141,8 +141,8 @@
 }
 
 void store_node::schedule_write() {
-    if (!write_due_ && store_.has_work()) {
-        write_due_ = true;
+    if (!write_scheduled_ && store_.has_work()) {
+        write_scheduled_ = true;
         write_after_rounds(batching_rounds);
     }
 }
@@ -153,7 +153,7 @@
             write_after_rounds(rounds - 1);
             return;
         }
-        write_due_ = false;
+        write_scheduled_ = false;
         write_queued();
     });
 }
