--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -54,7 +54,7 @@
     void write_after_rounds(int rounds);
     void write_queued();
     void log_completed_copy();
-    void use_stores(const store_table& stores);
+    void on_store_table(const store_table& stores);
     [[nodiscard]] directory::store_report describe() const;
 
     net::node_process& process_;
@@ -185,7 +185,7 @@
                              " programs=" + std::to_string(store_.turns().program_count()));
 }
 
-void store_node::use_stores(const store_table& stores) {
+void store_node::on_store_table(const store_table& stores) {
     if (store_.learn_table(stores)) {
         logging::write_event(logging::event_id::store_map_changed, turns::describe(store_.map()));
     }
@@ -202,7 +202,7 @@
         return 1;
     }
     directory_.start([](const directory::configuration_pointer&) {},
-                     [this](const store_table& stores) { use_stores(stores); },
+                     [this](const store_table& stores) { on_store_table(stores); },
                      [this] { return std::vector<directory::store_report>{describe()}; });
     if (store_.map().epoch > 0) {
         directory_.learn_map(store_.map());
