--- a/src/tallyfold/plane/turns/types.cpp
+++ b/src/tallyfold/plane/turns/types.cpp
@@ -25,7 +25,7 @@
 
 namespace {
 
-bool lists(const std::vector<store_member>& members, store_id id) {
+bool contains_member(const std::vector<store_member>& members, store_id id) {
     return std::any_of(members.begin(), members.end(),
                        [id](const store_member& member) { return member.id == id; });
 }
@@ -33,13 +33,13 @@
 }  // namespace
 
 bool store_map::holds(store_id id) const {
-    return lists(current, id) || lists(next, id);
+    return contains_member(current, id) || contains_member(next, id);
 }
 
 std::vector<store_member> store_map::all() const {
     std::vector<store_member> members = current;
     for (const store_member& member : next) {
-        if (!lists(members, member.id)) {
+        if (!contains_member(members, member.id)) {
             members.push_back(member);
         }
     }
@@ -74,7 +74,7 @@
     std::vector<store_member> members;
     for (const store_map& map : groups) {
         for (const store_member& member : map.all()) {
-            if (!lists(members, member.id)) {
+            if (!contains_member(members, member.id)) {
                 members.push_back(member);
             }
         }
