--- a/tests/plane/turns/begin_rules_test.cpp
+++ b/tests/plane/turns/begin_rules_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(begin_rules_test);
     CPPUNIT_TEST(nothing_is_decided_before_the_reservation_is_durable);
     CPPUNIT_TEST(an_unknown_previous_turn_is_refused_before_the_budget_is_checked);
-    CPPUNIT_TEST(a_budget_may_be_used_up_and_not_exceeded);
+    CPPUNIT_TEST(a_turn_may_use_up_the_budget_but_not_exceed_it);
     CPPUNIT_TEST(an_admission_waits_for_the_history_and_a_refusal_does_not);
     CPPUNIT_TEST(a_turn_is_absent_only_when_no_group_can_hold_it);
     CPPUNIT_TEST_SUITE_END();
@@ -42,7 +42,7 @@
         CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::over_budget);
     }
 
-    void a_budget_may_be_used_up_and_not_exceeded() {
+    void a_turn_may_use_up_the_budget_but_not_exceed_it() {
         begin_inputs inputs = reserved_turn();
         inputs.used_tokens = 150;
         CPPUNIT_ASSERT(decide_begin(inputs) == begin_outcome::admitted);
