--- a/tests/plane/turns/copy_timeout_test.cpp
+++ b/tests/plane/turns/copy_timeout_test.cpp
@@ -8,7 +8,7 @@
 
 class copy_timeout_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(copy_timeout_test);
-    CPPUNIT_TEST(loaded_sources_get_the_time_that_a_page_takes);
+    CPPUNIT_TEST(the_timeout_adapts_to_slow_sources);
     CPPUNIT_TEST(a_dead_source_is_left_soon);
     CPPUNIT_TEST(any_page_time_up_to_the_most_gets_through);
     CPPUNIT_TEST_SUITE_END();
@@ -34,7 +34,7 @@
         return 0;
     }
 
-    void loaded_sources_get_the_time_that_a_page_takes() {
+    void the_timeout_adapts_to_slow_sources() {
         copy_timeout timeout;
         // 500 ms a page: with a timeout of 300 ms no page would ever come.
         CPPUNIT_ASSERT_EQUAL(800, time_to_page(timeout, 500));
