--- a/tests/plane/turns/copy_timeout_test.cpp
+++ b/tests/plane/turns/copy_timeout_test.cpp
@@ -9,7 +9,7 @@
 class copy_timeout_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(copy_timeout_test);
     CPPUNIT_TEST(the_timeout_adapts_to_slow_sources);
-    CPPUNIT_TEST(a_dead_source_is_left_soon);
+    CPPUNIT_TEST(an_unresponsive_source_times_out_after_the_minimum);
     CPPUNIT_TEST(any_page_time_up_to_the_most_gets_through);
     CPPUNIT_TEST_SUITE_END();
 
@@ -41,7 +41,7 @@
         CPPUNIT_ASSERT_EQUAL(500, time_to_page(timeout, 500));
     }
 
-    void a_dead_source_is_left_soon() {
+    void an_unresponsive_source_times_out_after_the_minimum() {
         copy_timeout timeout;
         timeout.page_requested(at(1'000));
         CPPUNIT_ASSERT(!timeout.expired(at(1'299)));
