--- a/tests/plane/turns/disk_loss_simulation_test.cpp
+++ b/tests/plane/turns/disk_loss_simulation_test.cpp
@@ -6,7 +6,7 @@
 /// Machines lose their disks at any time, and all power is lost at times as well.
 class disk_loss_simulation_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(disk_loss_simulation_test);
-    CPPUNIT_TEST(turns_are_served_after_a_second_disk_was_lost_while_a_change_was_open);
+    CPPUNIT_TEST(turns_are_served_after_a_second_disk_loss_during_a_membership_change);
     CPPUNIT_TEST(nothing_is_lost_by_disks_lost_in_series);
     CPPUNIT_TEST_SUITE_END();
 
@@ -20,7 +20,7 @@
     // Settled by: store_map_changed epoch=8 stores=3 next=3 as the last line of its kind at all
     // nodes for five minutes, and storage_opened with turns=310 programs=217 at all three stores;
     // the lists named two disks that had been lost.
-    void turns_are_served_after_a_second_disk_was_lost_while_a_change_was_open() {
+    void turns_are_served_after_a_second_disk_loss_during_a_membership_change() {
         store_world world(1, 3);
         world.run(1500);
         CPPUNIT_ASSERT(world.forwarder().settled().size() > 10);
