--- a/tests/plane/turns/disk_loss_simulation_test.cpp
+++ b/tests/plane/turns/disk_loss_simulation_test.cpp
@@ -7,7 +7,7 @@
 class disk_loss_simulation_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(disk_loss_simulation_test);
     CPPUNIT_TEST(turns_are_served_after_a_second_disk_loss_during_a_membership_change);
-    CPPUNIT_TEST(nothing_is_lost_by_disks_lost_in_series);
+    CPPUNIT_TEST(successive_disk_losses_lose_no_settled_turn);
     CPPUNIT_TEST_SUITE_END();
 
     // Symptom: after all machines had lost power, turns were refused for good, though each store
@@ -29,7 +29,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.lost_turns().size());
     }
 
-    void nothing_is_lost_by_disks_lost_in_series() {
+    void successive_disk_losses_lose_no_settled_turn() {
         const run_totals one_group = run_worlds(3, 60, put_back::nothing, disk_losses::in_series);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(one_group.first_broken, 0, one_group.broken);
         CPPUNIT_ASSERT(one_group.wipes_in_change > 100);
