--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -13,7 +13,7 @@
 class quorum_operations_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(quorum_operations_test);
     CPPUNIT_TEST(a_minority_decides_nothing);
-    CPPUNIT_TEST(a_disk_that_refuses_writes_does_not_count);
+    CPPUNIT_TEST(a_failed_write_does_not_count_towards_the_quorum);
     CPPUNIT_TEST(an_unknown_turn_is_known_by_a_majority_only);
     CPPUNIT_TEST(the_budget_counts_open_turns_at_their_most);
     CPPUNIT_TEST(a_change_of_the_map_asks_both_majorities);
@@ -60,7 +60,7 @@
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::admitted);
     }
 
-    void a_disk_that_refuses_writes_does_not_count() {
+    void a_failed_write_does_not_count_towards_the_quorum() {
         begin_operation begin = operation(map_of({1, 2, 3}));
         begin_reply full = durable(1);
         full.durable = false;
