--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST_SUITE(quorum_operations_test);
     CPPUNIT_TEST(a_minority_decides_nothing);
     CPPUNIT_TEST(a_failed_write_does_not_count_towards_the_quorum);
-    CPPUNIT_TEST(an_unknown_turn_is_known_by_a_majority_only);
+    CPPUNIT_TEST(a_previous_turn_is_unknown_only_after_a_majority_denies_it);
     CPPUNIT_TEST(the_budget_counts_open_turns_at_their_most);
     CPPUNIT_TEST(a_change_of_the_map_asks_both_majorities);
     CPPUNIT_TEST(a_history_is_put_together_from_several_stores);
@@ -71,7 +71,7 @@
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::admitted);
     }
 
-    void an_unknown_turn_is_known_by_a_majority_only() {
+    void a_previous_turn_is_unknown_only_after_a_majority_denies_it() {
         begin_operation begin = operation(map_of({1, 2, 3}), "before");
         begin.on_reply(durable(1));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
