--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(a_minority_decides_nothing);
     CPPUNIT_TEST(a_failed_write_does_not_count_towards_the_quorum);
     CPPUNIT_TEST(a_previous_turn_is_unknown_only_after_a_majority_denies_it);
-    CPPUNIT_TEST(the_budget_counts_open_turns_at_their_most);
+    CPPUNIT_TEST(open_turns_count_with_their_upper_bound);
     CPPUNIT_TEST(a_change_of_the_map_asks_both_majorities);
     CPPUNIT_TEST(a_history_is_put_together_from_several_stores);
     CPPUNIT_TEST(two_turns_that_begin_at_once_never_both_overlook_each_other);
@@ -79,7 +79,7 @@
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::unknown_previous);
     }
 
-    void the_budget_counts_open_turns_at_their_most() {
+    void open_turns_count_with_their_upper_bound() {
         begin_operation fits = operation(map_of({1, 2, 3}), {}, 250);
         fits.on_reply(durable(1, {{"x", {100, false}}}));
         fits.on_reply(durable(2, {{"x", {40, true}}, {"y", {100, false}}}));
