--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(a_failed_write_does_not_count_towards_the_quorum);
     CPPUNIT_TEST(a_previous_turn_is_unknown_only_after_a_majority_denies_it);
     CPPUNIT_TEST(open_turns_count_with_their_upper_bound);
-    CPPUNIT_TEST(a_change_of_the_map_asks_both_majorities);
+    CPPUNIT_TEST(a_membership_change_requires_both_majorities);
     CPPUNIT_TEST(a_history_is_put_together_from_several_stores);
     CPPUNIT_TEST(two_turns_that_begin_at_once_never_both_overlook_each_other);
     CPPUNIT_TEST(a_copy_meets_every_majority);
@@ -92,7 +92,7 @@
         CPPUNIT_ASSERT(exceeds.outcome() == begin_outcome::over_budget);
     }
 
-    void a_change_of_the_map_asks_both_majorities() {
+    void a_membership_change_requires_both_majorities() {
         begin_operation begin = operation(map_of({1, 2, 3}, {2, 3, 4, 5, 6}));
         begin.on_reply(durable(1));
         begin.on_reply(durable(2));
