--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(a_previous_turn_is_unknown_only_after_a_majority_denies_it);
     CPPUNIT_TEST(open_turns_count_with_their_upper_bound);
     CPPUNIT_TEST(a_membership_change_requires_both_majorities);
-    CPPUNIT_TEST(a_history_is_put_together_from_several_stores);
+    CPPUNIT_TEST(a_history_is_assembled_from_several_stores);
     CPPUNIT_TEST(two_turns_that_begin_at_once_never_both_overlook_each_other);
     CPPUNIT_TEST(a_copy_meets_every_majority);
     CPPUNIT_TEST(a_new_disk_at_an_old_address_is_no_source);
@@ -103,7 +103,7 @@
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::admitted);
     }
 
-    void a_history_is_put_together_from_several_stores() {
+    void a_history_is_assembled_from_several_stores() {
         begin_operation begin = operation(map_of({1, 2, 3}), "b");
         begin_reply first = durable(1);
         first.holds_previous = true;
