--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -122,7 +122,7 @@
     }
 
     /// Runs two begins against stores that take their messages in an order drawn by a seed.
-    static bool one_sees_the_other(std::uint64_t seed) {
+    static bool at_most_one_is_admitted(std::uint64_t seed) {
         random_source random(seed);
         std::map<store_id, program_ledger> stores{{1, {}}, {2, {}}, {3, {}}};
         // A budget that holds one of the two turns only.
@@ -152,7 +152,7 @@
     void two_turns_that_begin_at_once_never_both_overlook_each_other() {
         const bool holds =
             rc::check("of two begins at least one sees the other",
-                      [](std::uint64_t seed) { RC_ASSERT(one_sees_the_other(seed)); });
+                      [](std::uint64_t seed) { RC_ASSERT(at_most_one_is_admitted(seed)); });
         CPPUNIT_ASSERT(holds);
     }
 
