--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(open_turns_count_with_their_upper_bound);
     CPPUNIT_TEST(a_membership_change_requires_both_majorities);
     CPPUNIT_TEST(a_history_is_assembled_from_several_stores);
-    CPPUNIT_TEST(two_turns_that_begin_at_once_never_both_overlook_each_other);
+    CPPUNIT_TEST(concurrent_begins_are_never_both_admitted_over_budget);
     CPPUNIT_TEST(a_copy_meets_every_majority);
     CPPUNIT_TEST(a_new_disk_at_an_old_address_is_no_source);
     CPPUNIT_TEST_SUITE_END();
@@ -149,7 +149,7 @@
                  right.outcome() == begin_outcome::admitted);
     }
 
-    void two_turns_that_begin_at_once_never_both_overlook_each_other() {
+    void concurrent_begins_are_never_both_admitted_over_budget() {
         const bool holds =
             rc::check("of two begins at least one sees the other",
                       [](std::uint64_t seed) { RC_ASSERT(at_most_one_is_admitted(seed)); });
