--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -19,7 +19,7 @@
     CPPUNIT_TEST(a_membership_change_requires_both_majorities);
     CPPUNIT_TEST(a_history_is_assembled_from_several_stores);
     CPPUNIT_TEST(concurrent_begins_are_never_both_admitted_over_budget);
-    CPPUNIT_TEST(a_copy_meets_every_majority);
+    CPPUNIT_TEST(copy_sources_intersect_every_majority);
     CPPUNIT_TEST(a_new_disk_at_an_old_address_is_no_source);
     CPPUNIT_TEST_SUITE_END();
 
@@ -156,7 +156,7 @@
         CPPUNIT_ASSERT(holds);
     }
 
-    void a_copy_meets_every_majority() {
+    void copy_sources_intersect_every_majority() {
         for (std::size_t stores = 1; stores <= 9; ++stores) {
             std::vector<store_id> current;
             for (store_id id = 1; id <= stores; ++id) {
