--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST(a_history_is_assembled_from_several_stores);
     CPPUNIT_TEST(concurrent_begins_are_never_both_admitted_over_budget);
     CPPUNIT_TEST(copy_sources_intersect_every_majority);
-    CPPUNIT_TEST(a_new_disk_at_an_old_address_is_no_source);
+    CPPUNIT_TEST(a_replaced_disk_at_the_same_address_is_not_a_source);
     CPPUNIT_TEST_SUITE_END();
 
     static store_member member(store_id id) {
@@ -174,7 +174,7 @@
         }
     }
 
-    void a_new_disk_at_an_old_address_is_no_source() {
+    void a_replaced_disk_at_the_same_address_is_not_a_source() {
         // Store 3 was wiped and is store 30 now, at the same address; it answers as itself.
         copy_progress copy(map_of({1, 2, 3}, {1, 2, 30}), 30);
         copy.mark_complete(30);
