--- a/tests/plane/turns/resend_backoff_test.cpp
+++ b/tests/plane/turns/resend_backoff_test.cpp
@@ -8,13 +8,13 @@
 
 class resend_backoff_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(resend_backoff_test);
-    CPPUNIT_TEST(slow_stores_are_asked_ever_less_often);
+    CPPUNIT_TEST(resend_intervals_double);
     CPPUNIT_TEST(a_store_that_came_back_is_asked_at_once);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
-    void slow_stores_are_asked_ever_less_often() {
+    void resend_intervals_double() {
         resend_backoff backoff;
         int asked = 0;
         for (int now = 1'000; now < 2'500; ++now) {
