--- a/tests/plane/turns/resend_backoff_test.cpp
+++ b/tests/plane/turns/resend_backoff_test.cpp
@@ -9,7 +9,7 @@
 class resend_backoff_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(resend_backoff_test);
     CPPUNIT_TEST(resend_intervals_double);
-    CPPUNIT_TEST(a_store_that_came_back_is_asked_at_once);
+    CPPUNIT_TEST(a_reconnect_triggers_a_resend_at_once);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
@@ -25,7 +25,7 @@
         CPPUNIT_ASSERT_EQUAL(3, asked);
     }
 
-    void a_store_that_came_back_is_asked_at_once() {
+    void a_reconnect_triggers_a_resend_at_once() {
         resend_backoff backoff;
         CPPUNIT_ASSERT(backoff.take_due(at(1'000)));
         CPPUNIT_ASSERT(!backoff.take_due(at(1'001)));
