--- a/tests/plane/turns/resend_backoff_test.cpp
+++ b/tests/plane/turns/resend_backoff_test.cpp
@@ -16,13 +16,13 @@
 
     void resend_intervals_double() {
         resend_backoff backoff;
-        int asked = 0;
+        int sends = 0;
         for (int now = 1'000; now < 2'500; ++now) {
-            asked += backoff.take_due(at(now)) ? 1 : 0;
+            sends += backoff.take_due(at(now)) ? 1 : 0;
         }
         // At 0, 250 and 750 ms of the 1,500 that a begin may take; with a fixed interval it were
         // six.
-        CPPUNIT_ASSERT_EQUAL(3, asked);
+        CPPUNIT_ASSERT_EQUAL(3, sends);
     }
 
     void a_reconnect_triggers_a_resend_at_once() {
