--- a/tests/plane/turns/store_folder_test.cpp
+++ b/tests/plane/turns/store_folder_test.cpp
@@ -18,7 +18,7 @@
 
 class store_folder_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_folder_test);
-    CPPUNIT_TEST(a_map_of_a_later_build_is_left_alone);
+    CPPUNIT_TEST(a_map_in_a_newer_format_is_refused_and_left_unchanged);
     CPPUNIT_TEST(turns_of_a_later_build_are_left_alone);
     CPPUNIT_TEST(a_damaged_log_begins_another_store);
     CPPUNIT_TEST(a_map_is_written_in_the_oldest_form_that_holds_it);
@@ -55,7 +55,7 @@
         return opened->log.identity();
     }
 
-    void a_map_of_a_later_build_is_left_alone() {
+    void a_map_in_a_newer_format_is_refused_and_left_unchanged() {
         const temporary_path folder("store-folder");
         use(folder);
         const std::string later = storage::single_record(later_form());
