--- a/tests/plane/turns/store_folder_test.cpp
+++ b/tests/plane/turns/store_folder_test.cpp
@@ -19,7 +19,7 @@
 class store_folder_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_folder_test);
     CPPUNIT_TEST(a_map_in_a_newer_format_is_refused_and_left_unchanged);
-    CPPUNIT_TEST(turns_of_a_later_build_are_left_alone);
+    CPPUNIT_TEST(turns_in_a_newer_format_are_refused_and_left_unchanged);
     CPPUNIT_TEST(a_damaged_log_begins_another_store);
     CPPUNIT_TEST(a_map_is_written_in_the_oldest_form_that_holds_it);
     CPPUNIT_TEST_SUITE_END();
@@ -65,7 +65,7 @@
         CPPUNIT_ASSERT(std::filesystem::exists(folder.path() / "turns-1"));
     }
 
-    void turns_of_a_later_build_are_left_alone() {
+    void turns_in_a_newer_format_are_refused_and_left_unchanged() {
         const temporary_path folder("store-folder");
         const store_id identity = use(folder);
         const std::string before = read(folder.path() / "turns-1");
