--- a/tests/plane/turns/store_folder_test.cpp
+++ b/tests/plane/turns/store_folder_test.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST_SUITE(store_folder_test);
     CPPUNIT_TEST(a_map_in_a_newer_format_is_refused_and_left_unchanged);
     CPPUNIT_TEST(turns_in_a_newer_format_are_refused_and_left_unchanged);
-    CPPUNIT_TEST(a_damaged_log_begins_another_store);
+    CPPUNIT_TEST(a_store_with_a_damaged_log_gets_a_new_identity);
     CPPUNIT_TEST(a_map_is_written_in_the_oldest_form_that_holds_it);
     CPPUNIT_TEST_SUITE_END();
 
@@ -81,7 +81,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, opened->state.turns().program_count());
     }
 
-    void a_damaged_log_begins_another_store() {
+    void a_store_with_a_damaged_log_gets_a_new_identity() {
         const temporary_path folder("store-folder");
         const store_id identity = use(folder);
         std::string bytes = read(folder.path() / "turns-1");
