--- a/tests/plane/turns/store_folder_test.cpp
+++ b/tests/plane/turns/store_folder_test.cpp
@@ -21,7 +21,7 @@
     CPPUNIT_TEST(a_map_in_a_newer_format_is_refused_and_left_unchanged);
     CPPUNIT_TEST(turns_in_a_newer_format_are_refused_and_left_unchanged);
     CPPUNIT_TEST(a_store_with_a_damaged_log_gets_a_new_identity);
-    CPPUNIT_TEST(a_map_is_written_in_the_oldest_form_that_holds_it);
+    CPPUNIT_TEST(a_map_is_written_in_the_oldest_sufficient_format);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string later_form() {
@@ -93,7 +93,7 @@
         CPPUNIT_ASSERT(identity != opened->log.identity());
     }
 
-    void a_map_is_written_in_the_oldest_form_that_holds_it() {
+    void a_map_is_written_in_the_oldest_sufficient_format() {
         using protocol::format_version;
         store_map map = map_of_one();
         CPPUNIT_ASSERT(protocol::encode_stored(map) ==
