--- a/tests/plane/turns/store_folder_test.cpp
+++ b/tests/plane/turns/store_folder_test.cpp
@@ -24,7 +24,7 @@
     CPPUNIT_TEST(a_map_is_written_in_the_oldest_sufficient_format);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::string later_form() {
+    static std::string newer_format() {
         const std::uint64_t mark = protocol::numbered_form_mark | 3U;
         return std::string(reinterpret_cast<const char*>(&mark), sizeof(mark)) + "whatever";
     }
@@ -58,7 +58,7 @@
     void a_map_in_a_newer_format_is_refused_and_left_unchanged() {
         const temporary_path folder("store-folder");
         use(folder);
-        const std::string later = storage::single_record(later_form());
+        const std::string later = storage::single_record(newer_format());
         write(folder.path() / "store-map", later);
         CPPUNIT_ASSERT(!open_store(folder.text()).has_value());
         CPPUNIT_ASSERT_EQUAL(later, read(folder.path() / "store-map"));
@@ -69,7 +69,7 @@
         const temporary_path folder("store-folder");
         const store_id identity = use(folder);
         const std::string before = read(folder.path() / "turns-1");
-        const std::string after = before + storage::single_record(later_form());
+        const std::string after = before + storage::single_record(newer_format());
         write(folder.path() / "turns-1", after);
         CPPUNIT_ASSERT(!open_store(folder.text()).has_value());
         CPPUNIT_ASSERT_EQUAL(after, read(folder.path() / "turns-1"));
