--- a/tests/plane/turns/store_folder_test.cpp
+++ b/tests/plane/turns/store_folder_test.cpp
@@ -46,7 +46,7 @@
     }
 
     /// A folder that a store has used. @return its identity
-    static store_id use(const temporary_path& folder) {
+    static store_id create_used_folder(const temporary_path& folder) {
         auto opened = open_store(folder.text());
         CPPUNIT_ASSERT(opened.has_value());
         CPPUNIT_ASSERT(opened->log.keep_map(map_of_one()).has_value());
@@ -57,7 +57,7 @@
 
     void a_map_in_a_newer_format_is_refused_and_left_unchanged() {
         const temporary_path folder("store-folder");
-        use(folder);
+        create_used_folder(folder);
         const std::string later = storage::single_record(newer_format());
         write(folder.path() / "store-map", later);
         CPPUNIT_ASSERT(!open_store(folder.text()).has_value());
@@ -67,7 +67,7 @@
 
     void turns_in_a_newer_format_are_refused_and_left_unchanged() {
         const temporary_path folder("store-folder");
-        const store_id identity = use(folder);
+        const store_id identity = create_used_folder(folder);
         const std::string before = read(folder.path() / "turns-1");
         const std::string after = before + storage::single_record(newer_format());
         write(folder.path() / "turns-1", after);
@@ -83,7 +83,7 @@
 
     void a_store_with_a_damaged_log_gets_a_new_identity() {
         const temporary_path folder("store-folder");
-        const store_id identity = use(folder);
+        const store_id identity = create_used_folder(folder);
         std::string bytes = read(folder.path() / "turns-1");
         const std::string whole = bytes;
         bytes[bytes.size() / 2] ^= 0x40;
