--- a/tests/plane/turns/store_fsm_test.cpp
+++ b/tests/plane/turns/store_fsm_test.cpp
@@ -8,7 +8,7 @@
 
 class store_fsm_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_fsm_test);
-    CPPUNIT_TEST(a_begin_is_answered_with_the_engine_that_holds_its_prompt);
+    CPPUNIT_TEST(a_begin_returns_the_engine_that_caches_its_prompt);
     CPPUNIT_TEST(the_engine_that_a_history_moved_to_is_named_first);
     CPPUNIT_TEST(a_store_that_isnt_asked_names_no_engine);
     CPPUNIT_TEST(a_store_that_changes_its_group_refuses_the_old_one);
@@ -42,7 +42,7 @@
         return std::get<begin_reply>(replies.front().body).holders;
     }
 
-    void a_begin_is_answered_with_the_engine_that_holds_its_prompt() {
+    void a_begin_returns_the_engine_that_caches_its_prompt() {
         store_fsm asked = store();
         settle(asked, "engine-1", 1500);
         const auto holders = begin(asked, {{7, 1000}, {8, 1900}});
