--- a/tests/plane/turns/store_fsm_test.cpp
+++ b/tests/plane/turns/store_fsm_test.cpp
@@ -9,7 +9,7 @@
 class store_fsm_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_fsm_test);
     CPPUNIT_TEST(a_begin_returns_the_engine_that_caches_its_prompt);
-    CPPUNIT_TEST(the_engine_that_a_history_moved_to_is_named_first);
+    CPPUNIT_TEST(the_engine_with_the_longest_cached_prefix_comes_first);
     CPPUNIT_TEST(a_store_that_isnt_asked_names_no_engine);
     CPPUNIT_TEST(a_store_that_changes_its_group_refuses_the_old_one);
     CPPUNIT_TEST(a_spare_store_takes_no_part);
@@ -55,7 +55,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{1500}, opening.front().tokens);
     }
 
-    void the_engine_that_a_history_moved_to_is_named_first() {
+    void the_engine_with_the_longest_cached_prefix_comes_first() {
         store_fsm asked = store();
         settle(asked, "engine-1", 1500);
         settle(asked, "engine-2", 2400);
