--- a/tests/plane/turns/store_fsm_test.cpp
+++ b/tests/plane/turns/store_fsm_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(store_fsm_test);
     CPPUNIT_TEST(a_begin_returns_the_engine_that_caches_its_prompt);
     CPPUNIT_TEST(the_engine_with_the_longest_cached_prefix_comes_first);
-    CPPUNIT_TEST(a_store_that_isnt_asked_names_no_engine);
+    CPPUNIT_TEST(a_begin_without_a_prompt_returns_no_engine);
     CPPUNIT_TEST(a_store_that_changes_its_group_refuses_the_old_one);
     CPPUNIT_TEST(a_spare_store_takes_no_part);
     CPPUNIT_TEST(a_store_answers_whether_it_holds_a_turn);
@@ -65,7 +65,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{1500}, holders.back().tokens);
     }
 
-    void a_store_that_isnt_asked_names_no_engine() {
+    void a_begin_without_a_prompt_returns_no_engine() {
         store_fsm asked = store();
         settle(asked, "engine-1", 1500);
         CPPUNIT_ASSERT(begin(asked, {}).empty());
