--- a/tests/plane/turns/store_fsm_test.cpp
+++ b/tests/plane/turns/store_fsm_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST(a_begin_returns_the_engine_that_caches_its_prompt);
     CPPUNIT_TEST(the_engine_with_the_longest_cached_prefix_comes_first);
     CPPUNIT_TEST(a_begin_without_a_prompt_returns_no_engine);
-    CPPUNIT_TEST(a_store_that_changes_its_group_refuses_the_old_one);
+    CPPUNIT_TEST(a_store_that_moved_to_another_group_refuses_requests_of_the_old_one);
     CPPUNIT_TEST(a_spare_store_takes_no_part);
     CPPUNIT_TEST(a_store_answers_whether_it_holds_a_turn);
     CPPUNIT_TEST_SUITE_END();
@@ -81,7 +81,7 @@
         return map;
     }
 
-    void a_store_that_changes_its_group_refuses_the_old_one() {
+    void a_store_that_moved_to_another_group_refuses_requests_of_the_old_one() {
         store_fsm moved = store();
         CPPUNIT_ASSERT(moved.learn_table({2, {map_of(0, 1, {1, 2, 3}), map_of(1, 2, {4, 5, 6})}}));
         CPPUNIT_ASSERT_EQUAL(map_epoch{1}, moved.map().epoch);
