--- a/tests/plane/turns/store_fsm_test.cpp
+++ b/tests/plane/turns/store_fsm_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(the_engine_with_the_longest_cached_prefix_comes_first);
     CPPUNIT_TEST(a_begin_without_a_prompt_returns_no_engine);
     CPPUNIT_TEST(a_store_that_moved_to_another_group_refuses_requests_of_the_old_one);
-    CPPUNIT_TEST(a_spare_store_takes_no_part);
+    CPPUNIT_TEST(a_spare_store_ignores_maps_that_do_not_list_it);
     CPPUNIT_TEST(a_store_answers_whether_it_holds_a_turn);
     CPPUNIT_TEST_SUITE_END();
 
@@ -97,7 +97,7 @@
         CPPUNIT_ASSERT(!moved.learn_table({4, {map_of(0, 3, {2, 3, 7}), map_of(1, 4, {1, 5, 6})}}));
     }
 
-    void a_spare_store_takes_no_part() {
+    void a_spare_store_ignores_maps_that_do_not_list_it() {
         store_fsm spare = store();
         CPPUNIT_ASSERT(!spare.learn_table({2, {map_of(0, 1, {7, 2, 3}), map_of(1, 2, {4, 5, 6})}}));
         CPPUNIT_ASSERT_EQUAL(map_epoch{0}, spare.map().epoch);
