--- a/tests/plane/turns/store_simulation_test.cpp
+++ b/tests/plane/turns/store_simulation_test.cpp
@@ -6,14 +6,14 @@
 /// Machines crash and lose their disks one at a time.
 class store_simulation_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_simulation_test);
-    CPPUNIT_TEST(nothing_is_lost_by_wipes_in_one_group);
+    CPPUNIT_TEST(disk_wipes_in_one_group_lose_no_settled_turn);
     CPPUNIT_TEST(nothing_is_lost_by_wipes_and_moves_over_several_groups);
     CPPUNIT_TEST(the_checks_notice_a_doubled_budget);
     CPPUNIT_TEST(the_checks_notice_a_turn_told_as_unknown);
     CPPUNIT_TEST(the_checks_notice_a_store_that_joins_without_copying);
     CPPUNIT_TEST_SUITE_END();
 
-    void nothing_is_lost_by_wipes_in_one_group() {
+    void disk_wipes_in_one_group_lose_no_settled_turn() {
         const run_totals sum = run_worlds(3, 60, put_back::nothing);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(sum.first_broken, 0, sum.broken);
         // A run in which the faults never came would prove nothing.
