--- a/tests/plane/turns/store_simulation_test.cpp
+++ b/tests/plane/turns/store_simulation_test.cpp
@@ -7,7 +7,7 @@
 class store_simulation_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_simulation_test);
     CPPUNIT_TEST(disk_wipes_in_one_group_lose_no_settled_turn);
-    CPPUNIT_TEST(nothing_is_lost_by_wipes_and_moves_over_several_groups);
+    CPPUNIT_TEST(disk_wipes_and_moves_between_groups_lose_no_settled_turn);
     CPPUNIT_TEST(the_checks_notice_a_doubled_budget);
     CPPUNIT_TEST(the_checks_notice_a_turn_told_as_unknown);
     CPPUNIT_TEST(the_checks_notice_a_store_that_joins_without_copying);
@@ -22,7 +22,7 @@
         CPPUNIT_ASSERT(sum.settled > 5'000);
     }
 
-    void nothing_is_lost_by_wipes_and_moves_over_several_groups() {
+    void disk_wipes_and_moves_between_groups_lose_no_settled_turn() {
         const run_totals sum = run_worlds(13, 60, put_back::nothing);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(sum.first_broken, 0, sum.broken);
         CPPUNIT_ASSERT(sum.wipes > 60);
