--- a/tests/plane/turns/store_simulation_test.cpp
+++ b/tests/plane/turns/store_simulation_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST(disk_wipes_and_moves_between_groups_lose_no_settled_turn);
     CPPUNIT_TEST(the_checks_detect_an_exceeded_budget);
     CPPUNIT_TEST(the_checks_detect_a_settled_turn_reported_as_unknown);
-    CPPUNIT_TEST(the_checks_notice_a_store_that_joins_without_copying);
+    CPPUNIT_TEST(the_checks_detect_a_store_that_joins_without_copying);
     CPPUNIT_TEST_SUITE_END();
 
     void disk_wipes_in_one_group_lose_no_settled_turn() {
@@ -41,7 +41,7 @@
         CPPUNIT_ASSERT(run_worlds(13, 5, put_back::denied_turn).broken > 0);
     }
 
-    void the_checks_notice_a_store_that_joins_without_copying() {
+    void the_checks_detect_a_store_that_joins_without_copying() {
         CPPUNIT_ASSERT(run_worlds(13, 20, put_back::no_copy).broken > 0);
     }
 };
