--- a/tests/plane/turns/store_table_test.cpp
+++ b/tests/plane/turns/store_table_test.cpp
@@ -10,7 +10,7 @@
 class store_table_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_table_test);
     CPPUNIT_TEST(an_older_map_changes_nothing);
-    CPPUNIT_TEST(a_map_from_a_store_leaves_the_rest_to_be_asked_for);
+    CPPUNIT_TEST(a_single_newer_map_does_not_advance_the_table_epoch);
     CPPUNIT_TEST(an_absurd_number_of_a_group_is_refused);
     CPPUNIT_TEST(a_program_stays_in_its_group_whatever_the_members);
     CPPUNIT_TEST(tables_that_come_in_any_order_end_equal);
@@ -36,7 +36,7 @@
         CPPUNIT_ASSERT(table == two_groups());
     }
 
-    void a_map_from_a_store_leaves_the_rest_to_be_asked_for() {
+    void a_single_newer_map_does_not_advance_the_table_epoch() {
         store_table table = two_groups();
         CPPUNIT_ASSERT(table.take(map_of(1, 5, {4, 5, 7})));
         // Epoch 4 may have changed the other group: the directory is still asked from 3 on.
