--- a/tests/plane/turns/store_table_test.cpp
+++ b/tests/plane/turns/store_table_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST_SUITE(store_table_test);
     CPPUNIT_TEST(an_older_map_changes_nothing);
     CPPUNIT_TEST(a_single_newer_map_does_not_advance_the_table_epoch);
-    CPPUNIT_TEST(an_absurd_number_of_a_group_is_refused);
+    CPPUNIT_TEST(a_group_number_out_of_range_is_refused);
     CPPUNIT_TEST(a_program_stays_in_its_group_whatever_the_members);
     CPPUNIT_TEST(tables_that_come_in_any_order_end_equal);
     CPPUNIT_TEST_SUITE_END();
@@ -50,7 +50,7 @@
         CPPUNIT_ASSERT(table.holds(8) && table.holds(7));
     }
 
-    void an_absurd_number_of_a_group_is_refused() {
+    void a_group_number_out_of_range_is_refused() {
         store_table table = two_groups();
         CPPUNIT_ASSERT(!table.take(map_of(max_groups, 9, {1})));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.groups.size());
