--- a/tests/plane/turns/store_table_test.cpp
+++ b/tests/plane/turns/store_table_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(an_older_map_changes_nothing);
     CPPUNIT_TEST(a_single_newer_map_does_not_advance_the_table_epoch);
     CPPUNIT_TEST(a_group_number_out_of_range_is_refused);
-    CPPUNIT_TEST(a_program_stays_in_its_group_whatever_the_members);
+    CPPUNIT_TEST(a_program_keeps_its_group_when_members_change);
     CPPUNIT_TEST(tables_that_come_in_any_order_end_equal);
     CPPUNIT_TEST_SUITE_END();
 
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.groups.size());
     }
 
-    void a_program_stays_in_its_group_whatever_the_members() {
+    void a_program_keeps_its_group_when_members_change() {
         store_table table = two_groups();
         std::set<group_number> used;
         for (int number = 0; number < 50; ++number) {
