--- a/tests/plane/turns/store_table_test.cpp
+++ b/tests/plane/turns/store_table_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(a_single_newer_map_does_not_advance_the_table_epoch);
     CPPUNIT_TEST(a_group_number_out_of_range_is_refused);
     CPPUNIT_TEST(a_program_keeps_its_group_when_members_change);
-    CPPUNIT_TEST(tables_that_come_in_any_order_end_equal);
+    CPPUNIT_TEST(maps_merge_to_the_same_table_in_any_order);
     CPPUNIT_TEST_SUITE_END();
 
     static store_map map_of(group_number group, map_epoch epoch, std::vector<store_id> ids) {
@@ -70,7 +70,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, used.size());
     }
 
-    void tables_that_come_in_any_order_end_equal() {
+    void maps_merge_to_the_same_table_in_any_order() {
         const bool holds = rc::check("the newest of each group prevails", [] {
             const auto epochs =
                 *rc::gen::container<std::vector<map_epoch>>(5, rc::gen::inRange<map_epoch>(1, 9));
