--- a/tests/plane/turns/turn_log_test.cpp
+++ b/tests/plane/turns/turn_log_test.cpp
@@ -12,7 +12,7 @@
 
 class turn_log_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(turn_log_test);
-    CPPUNIT_TEST(a_new_segment_is_written_while_its_pages_are_made);
+    CPPUNIT_TEST(rotation_writes_each_page_before_it_reads_the_next);
     CPPUNIT_TEST(a_new_segment_holds_what_the_book_holds);
     CPPUNIT_TEST_SUITE_END();
 
@@ -38,7 +38,7 @@
 
     /// A store has no memory for a second copy of its table: each page has to be in the file
     /// before the next one is made.
-    void a_new_segment_is_written_while_its_pages_are_made() {
+    void rotation_writes_each_page_before_it_reads_the_next() {
         turn_table empty;
         turn_log log = open(empty);
         constexpr std::size_t page_bytes = 10'000;
