--- a/tests/plane/turns/turn_log_test.cpp
+++ b/tests/plane/turns/turn_log_test.cpp
@@ -13,7 +13,7 @@
 class turn_log_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(turn_log_test);
     CPPUNIT_TEST(rotation_writes_each_page_before_it_reads_the_next);
-    CPPUNIT_TEST(a_new_segment_holds_what_the_book_holds);
+    CPPUNIT_TEST(rotation_preserves_the_contents_of_the_table);
     CPPUNIT_TEST_SUITE_END();
 
     static turn_settlement turn(const std::string& request, std::size_t bytes) {
@@ -57,7 +57,7 @@
         CPPUNIT_ASSERT_EQUAL(pages, made);
     }
 
-    void a_new_segment_holds_what_the_book_holds() {
+    void rotation_preserves_the_contents_of_the_table() {
         turn_table table;
         for (int number = 0; number < 300; ++number) {
             table.apply(turn("t" + std::to_string(number), 50), {});
