--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -9,7 +9,7 @@
 
 class turn_search_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(turn_search_test);
-    CPPUNIT_TEST(no_group_holds_it_only_when_a_majority_of_each_denies_it);
+    CPPUNIT_TEST(a_turn_is_absent_only_when_a_majority_of_each_group_denies_it);
     CPPUNIT_TEST(one_store_that_holds_it_suffices);
     CPPUNIT_TEST(a_reply_with_a_newer_map_does_not_count);
     CPPUNIT_TEST(a_newer_map_asks_its_group_again);
@@ -40,7 +40,7 @@
     static store_id no_store(const store_map& /*map*/) { return 0; }
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
-    void no_group_holds_it_only_when_a_majority_of_each_denies_it() {
+    void a_turn_is_absent_only_when_a_majority_of_each_group_denies_it() {
         turn_search search(three_groups(), "t", 0);
         search.on_reply(answer(10, false));
         search.on_reply(answer(11, false));
