--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -10,7 +10,7 @@
 class turn_search_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(turn_search_test);
     CPPUNIT_TEST(a_turn_is_absent_only_when_a_majority_of_each_group_denies_it);
-    CPPUNIT_TEST(one_store_that_holds_it_suffices);
+    CPPUNIT_TEST(one_store_that_holds_the_turn_ends_the_search);
     CPPUNIT_TEST(a_reply_with_a_newer_map_does_not_count);
     CPPUNIT_TEST(a_newer_map_asks_its_group_again);
     CPPUNIT_TEST(a_group_without_majority_leaves_a_turn_undecided);
@@ -53,7 +53,7 @@
         CPPUNIT_ASSERT(!search.found());
     }
 
-    void one_store_that_holds_it_suffices() {
+    void one_store_that_holds_the_turn_ends_the_search() {
         turn_search search(three_groups(), "t", 0);
         search.on_reply(answer(10, false));
         search.on_reply(answer(21, true));
