--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(a_turn_is_absent_only_when_a_majority_of_each_group_denies_it);
     CPPUNIT_TEST(one_store_that_holds_the_turn_ends_the_search);
     CPPUNIT_TEST(a_reply_with_a_newer_map_does_not_count);
-    CPPUNIT_TEST(a_newer_map_asks_its_group_again);
+    CPPUNIT_TEST(a_newer_map_restarts_the_search_in_its_group);
     CPPUNIT_TEST(a_group_without_majority_leaves_a_turn_undecided);
     CPPUNIT_TEST(what_may_have_been_lost_is_undecided_and_not_waited_for);
     CPPUNIT_TEST(a_history_of_another_group_is_adopted);
@@ -76,7 +76,7 @@
         CPPUNIT_ASSERT(!search.held_by_no_group());
     }
 
-    void a_newer_map_asks_its_group_again() {
+    void a_newer_map_restarts_the_search_in_its_group() {
         turn_search search(three_groups(), "t", 0);
         for (const store_id id : {10, 11, 20}) {
             search.on_reply(answer(id, false));
