--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(a_reply_with_a_newer_map_does_not_count);
     CPPUNIT_TEST(a_newer_map_restarts_the_search_in_its_group);
     CPPUNIT_TEST(a_group_without_majority_leaves_a_turn_undecided);
-    CPPUNIT_TEST(what_may_have_been_lost_is_undecided_and_not_waited_for);
+    CPPUNIT_TEST(a_turn_that_may_be_lost_is_undecided_without_further_waiting);
     CPPUNIT_TEST(a_history_of_another_group_is_adopted);
     CPPUNIT_TEST(a_store_that_changed_its_group_is_not_asked_again_at_once);
     CPPUNIT_TEST_SUITE_END();
@@ -132,7 +132,7 @@
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unknown_previous);
     }
 
-    void what_may_have_been_lost_is_undecided_and_not_waited_for() {
+    void a_turn_that_may_be_lost_is_undecided_without_further_waiting() {
         store_table table;
         table.epoch = 1;
         store_map map = three_groups().groups.front();
