--- a/tests/plane/turns/turn_table_test.cpp
+++ b/tests/plane/turns/turn_table_test.cpp
@@ -9,7 +9,7 @@
 class turn_table_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(turn_table_test);
     CPPUNIT_TEST(a_late_reservation_does_not_reopen_a_settled_turn);
-    CPPUNIT_TEST(a_history_is_walked_back_to_its_first_turn);
+    CPPUNIT_TEST(a_history_reaches_back_to_its_first_turn);
     CPPUNIT_TEST(a_history_names_the_turn_that_is_missing);
     CPPUNIT_TEST(a_kept_turn_keeps_the_history_before_it);
     CPPUNIT_TEST(contents_rebuild_the_same_book);
@@ -34,7 +34,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{18}, entry.tokens);
     }
 
-    void a_history_is_walked_back_to_its_first_turn() {
+    void a_history_reaches_back_to_its_first_turn() {
         turn_table table;
         table.apply(whole("a", ""), at(0));
         table.apply(whole("b", "a"), at(0));
