--- a/tests/plane/turns/turn_table_test.cpp
+++ b/tests/plane/turns/turn_table_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(a_history_reaches_back_to_its_first_turn);
     CPPUNIT_TEST(a_history_names_the_turn_that_is_missing);
     CPPUNIT_TEST(a_kept_turn_keeps_the_history_before_it);
-    CPPUNIT_TEST(contents_rebuild_the_same_book);
+    CPPUNIT_TEST(pages_rebuild_an_equal_table);
     CPPUNIT_TEST(a_copy_comes_in_pages_and_leaves_out_what_is_known);
     CPPUNIT_TEST(an_adopted_history_is_held_whole_and_copied);
     CPPUNIT_TEST(an_adopted_turn_keeps_what_its_own_program_paid);
@@ -63,7 +63,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, table.bytes());
     }
 
-    void contents_rebuild_the_same_book() {
+    void pages_rebuild_an_equal_table() {
         turn_table table;
         table.apply(turn_reservation{"other", "r", 288, 60'000}, at(0));
         table.apply(whole("a", ""), at(0));
