--- a/tests/plane/turns/turn_table_test.cpp
+++ b/tests/plane/turns/turn_table_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(a_history_names_the_turn_that_is_missing);
     CPPUNIT_TEST(a_kept_turn_keeps_the_history_before_it);
     CPPUNIT_TEST(pages_rebuild_an_equal_table);
-    CPPUNIT_TEST(a_copy_comes_in_pages_and_leaves_out_what_is_known);
+    CPPUNIT_TEST(a_copy_is_paged_and_omits_held_requests);
     CPPUNIT_TEST(an_adopted_history_is_held_whole_and_copied);
     CPPUNIT_TEST(an_adopted_turn_keeps_what_its_own_program_paid);
     CPPUNIT_TEST_SUITE_END();
@@ -78,7 +78,7 @@
         CPPUNIT_ASSERT(table.history_up_to("b").records == rebuilt.history_up_to("b").records);
     }
 
-    void a_copy_comes_in_pages_and_leaves_out_what_is_known() {
+    void a_copy_is_paged_and_omits_held_requests() {
         turn_table table;
         for (const char* request : {"a", "b", "c", "d"}) {
             table.apply(whole(request, ""), at(0));
