--- a/tests/plane/turns/turn_table_test.cpp
+++ b/tests/plane/turns/turn_table_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(a_kept_turn_keeps_the_history_before_it);
     CPPUNIT_TEST(pages_rebuild_an_equal_table);
     CPPUNIT_TEST(a_copy_is_paged_and_omits_held_requests);
-    CPPUNIT_TEST(an_adopted_history_is_held_whole_and_copied);
+    CPPUNIT_TEST(an_adopted_history_is_complete_and_copied);
     CPPUNIT_TEST(an_adopted_turn_keeps_what_its_own_program_paid);
     CPPUNIT_TEST_SUITE_END();
 
@@ -99,7 +99,7 @@
         CPPUNIT_ASSERT(pages >= 3);
     }
 
-    void an_adopted_history_is_held_whole_and_copied() {
+    void an_adopted_history_is_complete_and_copied() {
         turn_table table;
         turn_settlement own = whole("c", "b");
         own.adopted = {{"a", "", "in-a", "out-a"}, {"b", "a", "in-b", "out-b"}};
