--- a/tests/plane/turns/turn_table_test.cpp
+++ b/tests/plane/turns/turn_table_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(pages_rebuild_an_equal_table);
     CPPUNIT_TEST(a_copy_is_paged_and_omits_held_requests);
     CPPUNIT_TEST(an_adopted_history_is_complete_and_copied);
-    CPPUNIT_TEST(an_adopted_turn_keeps_what_its_own_program_paid);
+    CPPUNIT_TEST(adopting_a_held_turn_keeps_its_ledger_entry);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int seconds) { return instant(std::chrono::seconds(seconds)); }
@@ -113,7 +113,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, copy.turn_count());
     }
 
-    void an_adopted_turn_keeps_what_its_own_program_paid() {
+    void adopting_a_held_turn_keeps_its_ledger_entry() {
         turn_table table;
         table.apply(
             turn_settlement{"other", "a", 40, 60'000, turn_record{"a", "", "in-a", "out-a"}},
