--- a/tests/plane/turns/turn_table_test.cpp
+++ b/tests/plane/turns/turn_table_test.cpp
@@ -19,8 +19,8 @@
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int seconds) { return instant(std::chrono::seconds(seconds)); }
-    static turn_settlement whole(const std::string& request, const std::string& previous,
-                                 std::uint32_t retention_ms = 60'000) {
+    static turn_settlement answered_turn(const std::string& request, const std::string& previous,
+                                         std::uint32_t retention_ms = 60'000) {
         return {"program", request, 9, retention_ms,
                 turn_record{request, previous, "in-" + request, "out-" + request}};
     }
@@ -36,9 +36,9 @@
 
     void a_history_reaches_back_to_its_first_turn() {
         turn_table table;
-        table.apply(whole("a", ""), at(0));
-        table.apply(whole("b", "a"), at(0));
-        table.apply(whole("c", "b"), at(0));
+        table.apply(answered_turn("a", ""), at(0));
+        table.apply(answered_turn("b", "a"), at(0));
+        table.apply(answered_turn("c", "b"), at(0));
         const history_part part = table.history_up_to("c");
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, part.records.size());
         CPPUNIT_ASSERT_EQUAL(std::string("a"), part.records.back().request);
@@ -47,14 +47,14 @@
 
     void a_history_names_the_turn_that_is_missing() {
         turn_table table;
-        table.apply(whole("b", "a"), at(0));
+        table.apply(answered_turn("b", "a"), at(0));
         CPPUNIT_ASSERT_EQUAL(std::string("a"), table.history_up_to("b").missing);
     }
 
     void a_kept_turn_keeps_the_history_before_it() {
         turn_table table;
-        table.apply(whole("a", ""), at(0));
-        table.apply(whole("b", "a"), at(50));
+        table.apply(answered_turn("a", ""), at(0));
+        table.apply(answered_turn("b", "a"), at(50));
         table.expire(at(100), duration::zero());
         CPPUNIT_ASSERT(table.holds_turn("a"));
         table.expire(at(111), duration::zero());
@@ -66,8 +66,8 @@
     void pages_rebuild_an_equal_table() {
         turn_table table;
         table.apply(turn_reservation{"other", "r", 288, 60'000}, at(0));
-        table.apply(whole("a", ""), at(0));
-        table.apply(whole("b", "a"), at(0));
+        table.apply(answered_turn("a", ""), at(0));
+        table.apply(answered_turn("b", "a"), at(0));
         turn_table rebuilt;
         constexpr std::size_t one_page = 1U << 20U;
         for (const turn_change& change : table.page_after("", {}, one_page).changes) {
@@ -81,7 +81,7 @@
     void a_copy_is_paged_and_omits_held_requests() {
         turn_table table;
         for (const char* request : {"a", "b", "c", "d"}) {
-            table.apply(whole(request, ""), at(0));
+            table.apply(answered_turn(request, ""), at(0));
         }
         std::string next;
         std::set<std::string> copied;
@@ -101,7 +101,7 @@
 
     void an_adopted_history_is_complete_and_copied() {
         turn_table table;
-        turn_settlement own = whole("c", "b");
+        turn_settlement own = answered_turn("c", "b");
         own.adopted = {{"a", "", "in-a", "out-a"}, {"b", "a", "in-b", "out-b"}};
         table.apply(own, at(0));
         CPPUNIT_ASSERT(table.history_up_to("c").missing.empty());
@@ -118,7 +118,7 @@
         table.apply(
             turn_settlement{"other", "a", 40, 60'000, turn_record{"a", "", "in-a", "out-a"}},
             at(0));
-        turn_settlement own = whole("b", "a");
+        turn_settlement own = answered_turn("b", "a");
         own.adopted = {{"a", "", "in-a", "out-a"}};
         table.apply(own, at(0));
         turn_table copy;
