--- a/src/tallyfold/plane/turns/store_rules.hpp
+++ b/src/tallyfold/plane/turns/store_rules.hpp
@@ -11,8 +11,8 @@
 
 /// True when a store that serves under `own` takes a request that was made under `asked`. A request
 /// under an older map may count towards a majority of members that are no longer in force.
-[[nodiscard]] constexpr bool accepts_epoch(map_epoch own, map_epoch asked) {
-    return own <= asked;
+[[nodiscard]] constexpr bool accepts_epoch(map_epoch store_epoch, map_epoch asked) {
+    return store_epoch <= asked;
 }
 
 /// True when a store may send a copy under the map `asked`.
