--- a/src/tallyfold/plane/turns/store_rules.hpp
+++ b/src/tallyfold/plane/turns/store_rules.hpp
@@ -9,17 +9,17 @@
 
 namespace tallyfold::turns {
 
-/// True when a store that serves under `own` takes a request that was made under `asked`. A request
-/// under an older map may count towards a majority of members that are no longer in force.
-[[nodiscard]] constexpr bool accepts_epoch(map_epoch store_epoch, map_epoch asked) {
-    return store_epoch <= asked;
+/// True when a store that serves under `own` takes a request that was made under `request_epoch`. A
+/// request under an older map may count towards a majority of members that are no longer in force.
+[[nodiscard]] constexpr bool accepts_epoch(map_epoch store_epoch, map_epoch request_epoch) {
+    return store_epoch <= request_epoch;
 }
 
-/// True when a store may send a copy under the map `asked`.
+/// True when a store may send a copy under the map `request_epoch`.
 /// @param durable epoch of the newest map on the store's disk: while it is older, a restart would
 /// let a write under an older map follow the copy
-[[nodiscard]] constexpr bool may_send_copy(map_epoch durable, map_epoch asked) {
-    return durable >= asked;
+[[nodiscard]] constexpr bool may_send_copy(map_epoch durable, map_epoch request_epoch) {
+    return durable >= request_epoch;
 }
 
 /// True when the map of a group concerns a store: it lists the store, or is of the group that the
