--- a/src/tallyfold/plane/turns/store_rules.hpp
+++ b/src/tallyfold/plane/turns/store_rules.hpp
@@ -18,8 +18,8 @@
 /// True when a store may send a copy under the map `request_epoch`.
 /// @param durable epoch of the newest map on the store's disk: while it is older, a restart would
 /// let a write under an older map follow the copy
-[[nodiscard]] constexpr bool may_send_copy(map_epoch durable, map_epoch request_epoch) {
-    return durable >= request_epoch;
+[[nodiscard]] constexpr bool may_send_copy(map_epoch durable_epoch, map_epoch request_epoch) {
+    return durable_epoch >= request_epoch;
 }
 
 /// True when the map of a group concerns a store: it lists the store, or is of the group that the
