--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -115,7 +115,7 @@
 }
 
 void turn_beginning::collect_store_requests(const store_table& table, const store_choice& nearest,
-                                            std::vector<store_question>& questions) {
+                                            std::vector<store_question>& requests) {
     operation_.use_map(table.groups[group_]);
     const store_id source = nearest(operation_.map());
     for (const store_member& member : operation_.unanswered()) {
@@ -128,12 +128,12 @@
         if (request.wants_history) {
             request.prompt = question_.prompt;
         }
-        questions.push_back({member, std::move(request)});
+        requests.push_back({member, std::move(request)});
     }
     if (search_.has_value() && !search_->found()) {
         search_->use_table(table);
         for (const turn_search::store_request& asked : search_->unanswered(number_)) {
-            questions.push_back({asked.store, asked.request});
+            requests.push_back({asked.store, asked.request});
         }
     }
 }
@@ -148,7 +148,7 @@
     return sources;
 }
 
-void turn_beginning::request_history(instant now, std::vector<store_question>& questions) {
+void turn_beginning::request_history(instant now, std::vector<store_question>& requests) {
     const std::string missing = operation_.missing_turn();
     if (!operation_.reserved() || previous_not_held() || missing.empty()) {
         history_request_due_.reset();
@@ -178,19 +178,19 @@
         next = sources.begin();
     }
     history_stores_asked_.insert(next->id);
-    questions.push_back({*next, history_request{number_, missing}});
+    requests.push_back({*next, history_request{number_, missing}});
     history_request_due_ = now + history_resend_interval;
 }
 
 std::vector<store_question> turn_beginning::due(instant now, const store_table& table,
                                                 const store_choice& nearest) {
-    std::vector<store_question> questions;
+    std::vector<store_question> requests;
     search_other_groups(now, table);
     if (backoff_.take_due(now)) {
-        collect_store_requests(table, nearest, questions);
+        collect_store_requests(table, nearest, requests);
     }
-    request_history(now, questions);
-    return questions;
+    request_history(now, requests);
+    return requests;
 }
 
 instant turn_beginning::next_due() const {
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -113,8 +113,8 @@
     [[nodiscard]] std::string turn_to_search_for() const;
     void search_other_groups(instant now, const store_table& table);
     void collect_store_requests(const store_table& table, const store_choice& nearest,
-                                std::vector<store_question>& questions);
-    void request_history(instant now, std::vector<store_question>& questions);
+                                std::vector<store_question>& requests);
+    void request_history(instant now, std::vector<store_question>& requests);
     /// Stores that may hold texts of the history, the likeliest first.
     [[nodiscard]] std::vector<store_member> history_sources() const;
 
--- a/src/tallyfold/plane/turns/turn_search.cpp
+++ b/src/tallyfold/plane/turns/turn_search.cpp
@@ -72,15 +72,15 @@
 }
 
 std::vector<turn_search::store_request> turn_search::unanswered(operation_number operation) const {
-    std::vector<store_request> questions;
+    std::vector<store_request> requests;
     for (const auto& [number, asked] : groups_) {
         for (const store_member& member : asked.map.all()) {
             if (!asked.denials.contains(member.id)) {
-                questions.push_back({member, {operation, asked.map.epoch, request_}});
+                requests.push_back({member, {operation, asked.map.epoch, request_}});
             }
         }
     }
-    return questions;
+    return requests;
 }
 
 const store_map* turn_search::map_of(group_number group) const {
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -118,9 +118,9 @@
         group_number group = 0;
         turn_beginning begun = beginning(table, group);
         CPPUNIT_ASSERT(begun.undecided());
-        const auto questions = begun.due(at(1), table, no_store);
+        const auto requests = begun.due(at(1), table, no_store);
         // The third store of its own group, and all of the other two.
-        CPPUNIT_ASSERT_EQUAL(std::size_t{7}, questions.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{7}, requests.size());
         const group_number other = (group + 1) % 3;
         const group_number silent = (group + 2) % 3;
         begun.on_reply(answer(10 * other, false));
@@ -160,11 +160,11 @@
         begun.due(at(1), table, no_store);
         const store_id holder = 10 * ((group + 1) % 3) + 2;
         begun.on_reply(answer(holder, true));
-        const auto questions = begun.due(at(2), table, no_store);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.size());
-        CPPUNIT_ASSERT_EQUAL(holder, questions.front().store.id);
+        const auto requests = begun.due(at(2), table, no_store);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, requests.size());
+        CPPUNIT_ASSERT_EQUAL(holder, requests.front().store.id);
         CPPUNIT_ASSERT_EQUAL(std::string("t"),
-                             std::get<history_request>(questions.front().body).request);
+                             std::get<history_request>(requests.front().body).request);
         history_reply reply{1, holder, {}};
         reply.history.records = {{"t", "s", "in-t", "out-t"}, {"s", "", "in-s", "out-s"}};
         begun.on_reply(reply);
