--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -170,9 +170,9 @@
         if (now >= deadline) {
             break;
         }
-        for (const store_question& question_due : beginning.due(now, table_, choose)) {
-            std::visit([&](const auto& body) { send(question_due.store, body, started); },
-                       question_due.body);
+        for (const store_question& due_request : beginning.due(now, table_, choose)) {
+            std::visit([&](const auto& body) { send(due_request.store, body, started); },
+                       due_request.body);
         }
         co_await wait(pending, std::min(deadline, beginning.next_due()));
     }
