--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -37,7 +37,7 @@
         }
         return map;
     }
-    static begin_reply durable(store_id store, program_ledger ledger = {}) {
+    static begin_reply durable_reply(store_id store, program_ledger ledger = {}) {
         begin_reply reply;
         reply.store = store;
         reply.durable = true;
@@ -52,64 +52,64 @@
 
     void a_minority_decides_nothing() {
         begin_operation begin = operation(map_of({1, 2, 3}));
-        begin.on_reply(durable(1));
+        begin.on_reply(durable_reply(1));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(1));
+        begin.on_reply(durable_reply(1));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(3));
+        begin.on_reply(durable_reply(3));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::admitted);
     }
 
     void a_failed_write_does_not_count_towards_the_quorum() {
         begin_operation begin = operation(map_of({1, 2, 3}));
-        begin_reply full = durable(1);
+        begin_reply full = durable_reply(1);
         full.durable = false;
         begin.on_reply(full);
-        begin.on_reply(durable(2));
+        begin.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(3));
+        begin.on_reply(durable_reply(3));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::admitted);
     }
 
     void a_previous_turn_is_unknown_only_after_a_majority_denies_it() {
         begin_operation begin = operation(map_of({1, 2, 3}), "before");
-        begin.on_reply(durable(1));
+        begin.on_reply(durable_reply(1));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(2));
+        begin.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::unknown_previous);
     }
 
     void open_turns_count_with_their_upper_bound() {
         begin_operation fits = operation(map_of({1, 2, 3}), {}, 250);
-        fits.on_reply(durable(1, {{"x", {100, false}}}));
-        fits.on_reply(durable(2, {{"x", {40, true}}, {"y", {100, false}}}));
+        fits.on_reply(durable_reply(1, {{"x", {100, false}}}));
+        fits.on_reply(durable_reply(2, {{"x", {40, true}}, {"y", {100, false}}}));
         CPPUNIT_ASSERT_EQUAL(token_count{140}, fits.used_tokens());
         CPPUNIT_ASSERT_EQUAL(token_count{100}, fits.reserved_tokens());
         CPPUNIT_ASSERT(fits.outcome() == begin_outcome::admitted);
         begin_operation exceeds = operation(map_of({1, 2, 3}), {}, 239);
-        exceeds.on_reply(durable(1, {{"x", {40, true}}}));
-        exceeds.on_reply(durable(2, {{"y", {100, false}}}));
+        exceeds.on_reply(durable_reply(1, {{"x", {40, true}}}));
+        exceeds.on_reply(durable_reply(2, {{"y", {100, false}}}));
         CPPUNIT_ASSERT(exceeds.outcome() == begin_outcome::over_budget);
     }
 
     void a_membership_change_requires_both_majorities() {
         begin_operation begin = operation(map_of({1, 2, 3}, {2, 3, 4, 5, 6}));
-        begin.on_reply(durable(1));
-        begin.on_reply(durable(2));
+        begin.on_reply(durable_reply(1));
+        begin.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(4));
+        begin.on_reply(durable_reply(4));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(5));
+        begin.on_reply(durable_reply(5));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::admitted);
     }
 
     void a_history_is_assembled_from_several_stores() {
         begin_operation begin = operation(map_of({1, 2, 3}), "b");
-        begin_reply first = durable(1);
+        begin_reply first = durable_reply(1);
         first.holds_previous = true;
         first.history.records = {{"b", "a", "in-b", "out-b"}};
         begin.on_reply(first);
-        begin.on_reply(durable(2));
+        begin.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begin.reserved());
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
         CPPUNIT_ASSERT_EQUAL(std::string("a"), begin.missing_turn());
@@ -143,7 +143,7 @@
                 continue;
             }
             stores[id][is_left ? "own" : "other"] = {100, false};
-            begin.on_reply(durable(id, stores[id]));
+            begin.on_reply(durable_reply(id, stores[id]));
         }
         return !(left.outcome() == begin_outcome::admitted &&
                  right.outcome() == begin_outcome::admitted);
