--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -62,9 +62,9 @@
 
     void a_failed_write_does_not_count_towards_the_quorum() {
         begin_operation begin = operation(map_of({1, 2, 3}));
-        begin_reply full = durable_reply(1);
-        full.durable = false;
-        begin.on_reply(full);
+        begin_reply failed_write = durable_reply(1);
+        failed_write.durable = false;
+        begin.on_reply(failed_write);
         begin.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
         begin.on_reply(durable_reply(3));
