--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -92,7 +92,7 @@
         CPPUNIT_ASSERT(search.held_by_no_group());
     }
 
-    static begin_reply reserved(store_id store) {
+    static begin_reply durable_reply(store_id store) {
         begin_reply reply;
         reply.operation = 1;
         reply.store = store;
@@ -108,8 +108,8 @@
         group = table.group_of("program");
         turn_beginning begun(1, question, table);
         begun.due(at(0), table, no_store);
-        begun.on_reply(reserved(10 * group));
-        begun.on_reply(reserved(10 * group + 1));
+        begun.on_reply(durable_reply(10 * group));
+        begun.on_reply(durable_reply(10 * group + 1));
         return begun;
     }
 
@@ -142,12 +142,12 @@
         question.reservation = {"program", "t", 1, 60'000};
         question.previous = "lost";
         turn_beginning begun(1, question, table);
-        begun.on_reply(reserved(0));
-        begun.on_reply(reserved(1));
+        begun.on_reply(durable_reply(0));
+        begun.on_reply(durable_reply(1));
         CPPUNIT_ASSERT(begun.undecided());
         // The third store may hold it.
         CPPUNIT_ASSERT(!begun.cannot_be_decided());
-        begun.on_reply(reserved(2));
+        begun.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begun.undecided());
         CPPUNIT_ASSERT(begun.cannot_be_decided());
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unavailable);
