--- a/tests/plane/turns/disk_loss_simulation_test.cpp
+++ b/tests/plane/turns/disk_loss_simulation_test.cpp
@@ -40,10 +40,11 @@
         CPPUNIT_ASSERT_EQUAL_MESSAGE(several_groups.first_broken, 0, several_groups.broken);
         CPPUNIT_ASSERT(several_groups.wipes_in_change > 100);
         CPPUNIT_ASSERT(several_groups.settled > 1'000);
-        const run_totals of_five = run_worlds(7, 40, put_back::nothing, disk_losses::in_series, 2);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(of_five.first_broken, 0, of_five.broken);
-        CPPUNIT_ASSERT(of_five.wipes_in_change > 100);
-        CPPUNIT_ASSERT(of_five.settled > 300);
+        const run_totals group_of_five =
+            run_worlds(7, 40, put_back::nothing, disk_losses::in_series, 2);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(group_of_five.first_broken, 0, group_of_five.broken);
+        CPPUNIT_ASSERT(group_of_five.wipes_in_change > 100);
+        CPPUNIT_ASSERT(group_of_five.settled > 300);
     }
 };
 
