--- a/src/tallyfold/plane/turns/answer_tally.hpp
+++ b/src/tallyfold/plane/turns/answer_tally.hpp
@@ -1,10 +1,9 @@
 #pragma once
 /// @file
-/// Counts what the stores of one group have answered to one operation, and decides when their
-/// answers suffice. Pure.
+/// Counts the replies of one group's stores to one operation, and decides when they form a quorum.
+/// Pure.
 ///
-/// Owns the map under which the group is asked. Relies on the caller to hand in only answers to its
-/// own operation.
+/// Owns the map that the operation runs under. The caller passes in replies to this operation only.
 
 #include <cstddef>
 #include <set>
@@ -15,43 +14,44 @@
 
 namespace tallyfold::turns {
 
-/// What the stores of a map have answered to one operation, for a log line.
+/// Summary of the replies to one operation, for a log line.
 struct answer_count {
-    /// Stores that have answered.
+    /// Number of stores that have replied.
     std::size_t answers = 0;
-    /// Of these, members of the map that have made the change durable.
+    /// Number of these that are members of the map and have made the change durable.
     std::size_t durable = 0;
-    /// Of these, disks that the map doesn't list: they don't count towards a majority.
+    /// Number of these that the map does not list, such as a replaced disk; they do not count
+    /// towards a quorum.
     std::size_t unlisted = 0;
-    /// A change of the group's members is under way, which needs two majorities.
+    /// True while the group's members change, which requires two majorities.
     bool changing = false;
-    /// Turns may have been lost with a majority of the group's disks: a turn that isn't found is
-    /// undecided.
+    /// True when turns may have been lost with a majority of the group's disks: a turn that is not
+    /// found is then undecided.
     bool after_loss = false;
 };
 
-/// Fields of a log line.
+/// Formats the counts as fields of a log line.
 std::string describe(const answer_count& count);
 
-/// True when a change that is durable at the stores `durable` can't be lost under `map`.
+/// True when a change that is durable at the stores `durable` cannot be lost under `map`.
 ///
-/// While the members change, it takes a quorum of the old members and a majority of the new ones:
-/// whichever list is in force afterwards, each later quorum has a store that holds the change.
+/// While the members change, this requires a quorum of the current members and a majority of the
+/// next ones: whichever list is in force afterwards, each later quorum includes a store that holds
+/// the change.
 [[nodiscard]] bool is_write_quorum(const store_map& map, const std::set<store_id>& durable);
 
 class answer_tally {
   public:
     explicit answer_tally(store_map map) : map_(std::move(map)) {}
 
-    /// Asks under a newer map from now on; what was answered before doesn't count any more. An
-    /// older or equal map is ignored.
+    /// Switches to a newer map and discards earlier replies. An older or equal map is ignored.
     void use_map(const store_map& map);
-    /// @param durable the store has synced the change
+    /// Records a reply. @param durable true when the store has synced the change
     void add(store_id store, bool durable);
 
     /// True once the change is durable at a write quorum.
     [[nodiscard]] bool reached_quorum() const { return is_write_quorum(map_, durable_); }
-    /// Members that have not made the change durable: they are to be asked, again if need be.
+    /// Members that have not made the change durable; requests are sent to these.
     [[nodiscard]] std::vector<store_member> unanswered() const;
     [[nodiscard]] answer_count count() const;
     [[nodiscard]] const store_map& map() const { return map_; }
--- a/src/tallyfold/plane/turns/begin_rules.hpp
+++ b/src/tallyfold/plane/turns/begin_rules.hpp
@@ -1,7 +1,6 @@
 #pragma once
 /// @file
-/// The rules by which a turn that begins is admitted or refused. Pure functions of what the stores
-/// have answered so far.
+/// Rules that admit or refuse a new turn. Pure functions of the replies received so far.
 
 #include <cstdint>
 
@@ -9,19 +8,19 @@
 
 namespace tallyfold::turns {
 
-/// What the stores of the program's own group allow to say about a turn that begins.
+/// Decision on a new turn by the replies of the program's own group.
 enum class begin_outcome : std::uint8_t {
-    /// Not enough is known yet.
+    /// The replies do not allow a decision yet.
     pending,
-    /// Reserved, and the conversation history before it is at hand.
+    /// The reservation is durable and the conversation history is complete.
     admitted,
-    /// The program's budget cannot hold the turn.
+    /// The turn would exceed the program's budget.
     over_budget,
-    /// The group doesn't hold the turn that this one continues.
+    /// The group does not hold the turn that this one continues.
     unknown_previous,
 };
 
-/// The turn that a new one continues, as far as a quorum of the group's stores can tell.
+/// Whether a quorum of the group's stores holds the turn that a new one continues.
 enum class previous_turn : std::uint8_t {
     /// The new turn is the first of its history.
     none,
@@ -29,40 +28,41 @@
     not_held,
 };
 
-/// What a begin is decided from.
+/// Inputs of decide_begin().
 struct begin_inputs {
     /// The reservation is durable at a write quorum.
     bool reserved = false;
     previous_turn previous = previous_turn::none;
-    /// The texts of all turns before this one are at hand.
+    /// True when the texts of all earlier turns of the history have been received.
     bool history_complete = false;
-    /// Tokens that the program's other turns have used, or may use while they are under way.
+    /// Tokens that the program's other turns have used, with the upper bound of those still open.
     token_count used_tokens = 0;
-    /// Upper bound of what this turn may use, in tokens.
+    /// Upper bound of this turn's tokens.
     token_count max_tokens = 0;
-    /// Tokens that the program may use; 0 sets no bound.
+    /// Token budget of the program; 0 means unlimited.
     token_count budget = 0;
 };
 
-/// Decides nothing before the reservation is durable at a quorum: two turns of a program that begin
-/// at once reserve at overlapping quorums, so that at least one of them counts the other's tokens,
-/// and a settled turn lies at a quorum, so that one of the answering stores holds it.
-///
-/// An unknown previous turn goes before the budget, and the budget before missing texts: a refusal
-/// doesn't wait for texts that it has no use for.
+/// Decides whether a turn begins:
+/// - Nothing is decided before the reservation is durable at a quorum. Concurrent turns of a
+///   program reserve at overlapping quorums, so at least one of them counts the other's tokens. A
+///   settled turn is stored at a quorum, so at least one of the replying stores holds it.
+/// - An unknown previous turn is refused before the budget is checked.
+/// - An exceeded budget is refused without waiting for missing texts.
 [[nodiscard]] begin_outcome decide_begin(const begin_inputs& inputs);
 
-/// What is known about a turn that the program's own group doesn't hold.
+/// Inputs of is_known_absent().
 struct absence_inputs {
-    /// The own group may have lost turns together with a majority of its disks.
+    /// The program's own group may have lost turns with a majority of its disks.
     bool own_group_after_loss = false;
     bool is_only_group = false;
-    /// A quorum of each other group has said that it doesn't hold the turn.
+    /// A quorum of each other group has replied that it does not hold the turn.
     bool denied_by_other_groups = false;
 };
 
-/// True when a turn that the own group doesn't hold may be refused as unknown (404). False after a
-/// loss of disks, since it may have existed, and while another group may hold it.
+/// True when a turn that the program's own group does not hold may be refused as unknown (404).
+/// False after a loss of disks, since the turn may have existed, and while another group may hold
+/// it.
 [[nodiscard]] bool is_known_absent(const absence_inputs& inputs);
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/copy_client_shell.cpp
+++ b/src/tallyfold/plane/turns/copy_client_shell.cpp
@@ -24,7 +24,7 @@
             }
         },
         [this](bool up, const std::string&) {
-            // A lost link isn't logged: the timeout leads to the next source.
+            // A lost connection is not logged: the timeout switches to the next source.
             if (up) {
                 asio::post(loop_, [this] { request_page(); });
             }
@@ -34,7 +34,7 @@
 
 void copy_client::on_reply(const copy_reply& reply) {
     store_.receive(reply);
-    // A reply of another disk at the source's address doesn't end the wait for the source.
+    // A replaced disk may reply at the source's address; its reply does not end the wait.
     if (reply.store == source_) {
         timeout_.page_received(steady_now());
         page_received_ = true;
--- a/src/tallyfold/plane/turns/copy_client_shell.hpp
+++ b/src/tallyfold/plane/turns/copy_client_shell.hpp
@@ -1,10 +1,11 @@
 #pragma once
 /// @file
-/// Fetches a joining store's copy from other stores, one page at a time. Belongs to the loop
-/// thread.
+/// Fetches the data that a joining store lacks from other stores, one page at a time. Runs on the
+/// loop thread.
 ///
-/// Owns the connections to the sources, which stay open only while a copy is under way, and the
-/// timeout of the page under way. Relies on store_fsm for what to ask of which source.
+/// Owns the connections to the sources, which are open only while a copy is under way, and the
+/// timeout of the outstanding page request. store_fsm decides which page is requested from which
+/// source.
 
 #include <asio/io_context.hpp>
 #include <functional>
@@ -19,15 +20,15 @@
 
 class copy_client {
   public:
-    /// @param store takes the pages; has to outlive this object
-    /// @param on_page the store has a page to write
+    /// @param store receives the pages; must outlive this object
+    /// @param on_page called when the store has a page to write
     copy_client(asio::io_context& loop, store_fsm& store, std::function<void()> on_page);
 
-    /// Asks for the next page, or closes all connections when no copy is under way.
+    /// Requests the next page, or closes all connections when no copy is under way.
     void request_page();
-    /// Asks for the page after the one that has been written; does nothing when none has come.
+    /// Requests the next page once the last one is durable; does nothing when no page was received.
     void on_page_written();
-    /// Asks the next source when the page under way is overdue.
+    /// Switches to the next source when the outstanding page request has timed out.
     void check_timeout();
 
   private:
@@ -37,13 +38,13 @@
     asio::io_context& loop_;
     store_fsm& store_;
     std::function<void()> on_page_;
-    /// By address.
+    /// Connections to sources, by address.
     std::map<std::string, messaging::link_pointer> links_;
-    /// The source that was asked last.
+    /// Source of the latest page request.
     store_id source_ = 0;
     bool copying_ = false;
     copy_timeout timeout_;
-    /// A page has come, and is to be written before the next one is asked for.
+    /// A page was received; it is written before the next one is requested.
     bool page_received_ = false;
 };
 
--- a/src/tallyfold/plane/turns/copy_progress.hpp
+++ b/src/tallyfold/plane/turns/copy_progress.hpp
@@ -1,9 +1,8 @@
 #pragma once
 /// @file
-/// How far a store has copied what it needs to serve under a new map. Pure.
+/// Tracks which sources a joining store has copied, and whether its copy is complete. Pure.
 ///
-/// Owns the sources that have sent all they hold. Relies on store_map::copies_needed for how many
-/// that takes.
+/// store_map::copies_needed gives the number of sources that are required.
 
 #include <set>
 
@@ -11,20 +10,21 @@
 
 namespace tallyfold::turns {
 
-/// A copy is whole once its sources meet every majority of the current stores: each write under
-/// the older map then lies at one of them, since they take the new map before they answer.
+/// A copy is complete once its sources intersect every majority of the current stores: each write
+/// under the older map is then held by one of the sources, since a source adopts the new map before
+/// it replies.
 class copy_progress {
   public:
     copy_progress(store_map map, store_id self);
 
     [[nodiscard]] map_epoch epoch() const { return map_.epoch; }
     [[nodiscard]] const store_map& map() const { return map_; }
-    /// True when this store has to copy at all.
+    /// True when this store is joining and has to copy.
     [[nodiscard]] bool required() const;
-    /// Stores that may be copied from and were not yet.
+    /// Current members that have not been copied completely yet.
     [[nodiscard]] std::vector<store_member> remaining_sources() const;
-    /// The store that answered has given all it holds. One that is not among the current stores,
-    /// such as a new disk at an old one's address, doesn't count.
+    /// Records that `source` has sent all it holds. A store that is not a current member, such as a
+    /// replaced disk at the same address, is ignored.
     void mark_complete(store_id source);
     [[nodiscard]] bool complete() const;
 
--- a/src/tallyfold/plane/turns/copy_timeout.hpp
+++ b/src/tallyfold/plane/turns/copy_timeout.hpp
@@ -1,13 +1,10 @@
 #pragma once
 /// @file
-/// When a source that was asked for a page of a copy has timed out, so that the next one is asked.
-/// Pure.
+/// Timeout of a page request, after which the next source is asked. Pure.
 ///
-/// Making a page costs its source the same whether the page is still wanted or not. With a fixed
-/// timeout of 300 ms that loaded sources couldn't keep, joining stores went from one source to the
-/// next, and five sources made pages that nobody used
-/// (docs/incidents/2026-12-02-stores-saturated-by-a-copy.md). So the timeout doubles each time it
-/// expires, and follows the time that pages took.
+/// A page costs its source the same work whether it arrives in time or not. With a timeout that is
+/// too short for loaded sources, every source builds pages that are discarded. The timeout
+/// therefore doubles each time it expires, and otherwise follows the time that the last page took.
 
 #include <algorithm>
 
@@ -17,18 +14,18 @@
 
 class copy_timeout {
   public:
-    /// Chosen, not measured: a dead source delays a copy by no more than this.
+    /// Initial and shortest timeout.
     static constexpr duration min_timeout = std::chrono::milliseconds(300);
-    /// Three doublings of the minimum; begins at saturated stores took up to 0.69 s at the median.
+    /// Three doublings of the minimum.
     static constexpr duration max_timeout = std::chrono::milliseconds(2'400);
 
-    /// A source was asked for a page.
+    /// Records that a page was requested.
     void page_requested(instant now) { requested_at_ = now; }
-    /// The page has come: the next one may take twice as long.
+    /// Records that the page was received. The next timeout is twice the time that it took.
     void page_received(instant now) {
         timeout_ = std::clamp((now - requested_at_) * 2, min_timeout, max_timeout);
     }
-    /// True when the page is overdue; the next request is given twice the time.
+    /// Returns true when the page is overdue, and doubles the timeout of the next request.
     bool expired(instant now) {
         if (now - requested_at_ < timeout_) {
             return false;
--- a/src/tallyfold/plane/turns/messages.hpp
+++ b/src/tallyfold/plane/turns/messages.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Messages between the nodes that forward turns and the stores that keep them, and between stores.
+/// Messages between the nodes that forward turns and the stores, and between stores.
 ///
-/// The order of the fields in serialize() is their form on the wire; names may change.
+/// The order of the fields in serialize() is the wire format; field names may change.
 
 #include <cstdint>
 #include <set>
@@ -15,15 +15,15 @@
 
 namespace tallyfold::turns {
 
-/// Matches a reply to its request, unique within one life of the asking process.
+/// Matches a reply to its request; unique within the lifetime of the requesting process.
 using operation_number = std::uint64_t;
 
-/// An engine that holds a prompt in its cache, with what it generated after it. A hint: stores keep
-/// it in memory only.
+/// An engine that has a prompt, and the output that it generated for it, in its prefix cache. A
+/// hint that stores keep in memory only.
 struct cached_prompt {
-    /// Empty when no engine is known to hold it.
+    /// Empty when no engine is known to cache the prompt.
     backend_name engine;
-    /// Ends of the prompt's parts, shortest first.
+    /// End points of the prompt's prefixes, shortest first.
     std::vector<scheduling::prefix_point> points;
 
     template <class Archive>
@@ -32,17 +32,18 @@
     }
 };
 
-/// Asks a store to reserve a turn, and for the program's ledger and the turn's history.
+/// Asks a store to reserve a turn, and to return the program's ledger and the turn's history.
 struct begin_request {
     operation_number operation = 0;
     map_epoch epoch = 0;
     turn_reservation reservation;
-    /// Request of the turn that this one continues; empty for the first of a history.
+    /// Request identifier of the turn that this one continues; empty for the first turn of a
+    /// history.
     std::string previous;
-    /// True at the store that is to send the texts of the history too.
+    /// True for the store that also returns the texts of the history.
     bool wants_history = false;
-    /// Ends of the prompt's parts, shortest first, at the store that is to name the engines that
-    /// hold them.
+    /// End points of the prompt's prefixes, shortest first. Set only for the store that returns the
+    /// engines that cache them.
     std::vector<scheduling::prefix_point> prompt;
 
     template <class Archive>
@@ -54,14 +55,15 @@
 struct begin_reply {
     operation_number operation = 0;
     store_id store = 0;
-    /// The reservation is synced.
+    /// True when the reservation is synced to disk.
     bool durable = false;
-    /// The map was older than the store's: nothing was done; the newer map is here.
+    /// The store's map when the request was made under an older one and had no effect; otherwise
+    /// empty.
     std::vector<store_map> newer_map;
     program_ledger ledger;
     bool holds_previous = false;
     history_part history;
-    /// Engines that hold most of the prompt, the longest part first.
+    /// Engines that cache a prefix of the prompt, longest prefix first.
     std::vector<scheduling::cached_prefix> holders;
 
     template <class Archive>
@@ -70,7 +72,7 @@
     }
 };
 
-/// Asks a store for a turn and those before it.
+/// Asks a store for a turn and the earlier turns of its history.
 struct history_request {
     operation_number operation = 0;
     std::string request;
@@ -92,10 +94,10 @@
     }
 };
 
-/// Asks a store of another group whether it holds a turn whose program isn't known.
+/// Asks a store of another group whether it holds a turn whose program is not known.
 struct find_request {
     operation_number operation = 0;
-    /// Of the asked store's group.
+    /// Epoch of the map of the store's group.
     map_epoch epoch = 0;
     std::string request;
 
@@ -108,7 +110,8 @@
 struct find_reply {
     operation_number operation = 0;
     store_id store = 0;
-    /// The map was older than the store's: the answer doesn't count; the newer map is here.
+    /// The store's map when the request was made under an older one and the reply does not count;
+    /// otherwise empty.
     std::vector<store_map> newer_map;
     bool held = false;
 
@@ -118,7 +121,7 @@
     }
 };
 
-/// Asks a store to make a turn's end durable.
+/// Asks a store to make the settlement of a turn durable.
 struct settle_request {
     operation_number operation = 0;
     map_epoch epoch = 0;
@@ -143,11 +146,11 @@
     }
 };
 
-/// A store that joins asks another for a page of what it lacks. The source takes the map over
-/// first, so that no write under an older map follows the copy.
+/// Request of a joining store for a page of the data that it lacks. The source adopts the map
+/// first, so that it accepts no write under an older map after the copy.
 struct copy_request {
     store_map map;
-    /// Settled requests that the joining store holds already.
+    /// Settled requests that the joining store already holds.
     std::set<std::string> held;
     /// The page begins after this request's identifier.
     std::string after;
@@ -162,7 +165,8 @@
     store_id store = 0;
     map_epoch epoch = 0;
     std::vector<turn_change> changes;
-    /// The last request of the page; empty when the copy is complete.
+    /// Last request of the page, after which the next page begins; empty when the source has sent
+    /// all it holds.
     std::string next;
 
     template <class Archive>
--- a/src/tallyfold/plane/turns/quorum_operations.hpp
+++ b/src/tallyfold/plane/turns/quorum_operations.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Beginning and settling one turn at the stores of its program's group: gathers their answers and
-/// says when they suffice. Pure; turn_beginning and turn_client ask the stores.
+/// Begin and settlement of one turn at the stores of its program's group: merges their replies and
+/// decides when they suffice. Pure; turn_beginning and turn_client send the requests.
 ///
-/// The rules stand in begin_rules (admission) and answer_tally (quorums).
+/// begin_rules has the rules of admission, answer_tally those of quorums.
 
 #include <map>
 #include <string>
@@ -15,20 +15,20 @@
 
 namespace tallyfold::turns {
 
-/// Begins one turn: reserved at a quorum of the stores, and judged by their merged answers.
+/// Reserves one turn at a quorum of the stores, and decides on it by their merged replies.
 class begin_operation {
   public:
-    /// @param previous the turn to continue; empty for the first of a history
-    /// @param budget tokens that the program may use; 0 sets no bound
+    /// @param previous the turn to continue; empty for the first turn of a history
+    /// @param budget token budget of the program; 0 means unlimited
     begin_operation(store_map map, turn_reservation reservation, std::string previous,
                     token_count budget);
 
-    /// Starts again under a newer map; older answers no longer count.
+    /// Restarts under a newer map; earlier replies no longer count towards the quorum.
     void use_map(const store_map& map) { tally_.use_map(map); }
-    /// A reply that brings a newer map has done nothing, and doesn't count.
+    /// Handles a reply. A reply with a newer map is ignored, since its request had no effect.
     void on_reply(const begin_reply& reply);
     void on_history(const history_reply& reply);
-    /// Another group holds the turn that this one continues.
+    /// Records that another group holds the turn that this one continues.
     void mark_previous_held() { previous_held_ = true; }
 
     [[nodiscard]] begin_outcome outcome() const;
@@ -36,16 +36,16 @@
     [[nodiscard]] bool reserved() const { return tally_.reached_quorum(); }
     /// Stores that have not made the reservation durable yet.
     [[nodiscard]] std::vector<store_member> unanswered() const { return tally_.unanswered(); }
-    /// The turn whose texts are still wanted, of stores that may hold them; empty when none is.
+    /// Latest turn of the history whose texts have not been received; empty when none are missing.
     [[nodiscard]] std::string missing_turn() const;
     /// The history before the turn, oldest first. Valid once admitted.
     [[nodiscard]] std::vector<const turn_record*> history() const;
-    /// Tokens that the program's other turns have used or may use.
+    /// Tokens that the program's other turns have used, with the upper bound of those still open.
     [[nodiscard]] token_count used_tokens() const;
-    /// What of these is reserved by turns that have not ended, refused ones too: they count in full
-    /// until the stores have settled them, so the sum may be above the budget for a moment.
+    /// Part of used_tokens() that open turns reserve. Refused turns count in full until they are
+    /// settled, so the sum may exceed the budget for a short time.
     [[nodiscard]] token_count reserved_tokens() const;
-    /// Engines that hold most of the turn's prompt, from the store that was asked for them.
+    /// Engines that cache a prefix of the turn's prompt, longest prefix first.
     [[nodiscard]] const std::vector<scheduling::cached_prefix>& holders() const { return holders_; }
     [[nodiscard]] const store_map& map() const { return tally_.map(); }
     [[nodiscard]] answer_count answers() const { return tally_.count(); }
@@ -63,17 +63,17 @@
     std::vector<scheduling::cached_prefix> holders_;
 };
 
-/// Ends one turn: durable at a quorum of the stores.
+/// Makes the settlement of one turn durable at a quorum of the stores.
 class settle_operation {
   public:
     explicit settle_operation(store_map map) : tally_(std::move(map)) {}
 
-    /// Starts again under a newer map; older answers no longer count.
+    /// Restarts under a newer map; earlier replies no longer count towards the quorum.
     void use_map(const store_map& map) { tally_.use_map(map); }
-    /// A reply that brings a newer map has done nothing, and doesn't count.
+    /// Handles a reply. A reply with a newer map is ignored, since its request had no effect.
     void on_reply(const settle_reply& reply);
     [[nodiscard]] bool done() const { return tally_.reached_quorum(); }
-    /// Stores that have not made the end durable yet.
+    /// Stores that have not made the settlement durable yet.
     [[nodiscard]] std::vector<store_member> unanswered() const { return tally_.unanswered(); }
     [[nodiscard]] const store_map& map() const { return tally_.map(); }
     [[nodiscard]] answer_count answers() const { return tally_.count(); }
--- a/src/tallyfold/plane/turns/resend_backoff.hpp
+++ b/src/tallyfold/plane/turns/resend_backoff.hpp
@@ -1,11 +1,10 @@
 #pragma once
 /// @file
-/// When a request is sent again to stores that haven't answered: exponential back-off. Pure.
+/// Exponential back-off of resends to stores that have not replied. Pure.
 ///
-/// What was sent over a connection arrives unless the connection is lost, and a lost connection
-/// leads to a resend at once. A resend by time alone is for stores that dropped a request. Each
-/// doubles the interval: with a fixed one, stores that were slow under load got every request
-/// several times (docs/incidents/2026-12-02-stores-saturated-by-a-copy.md).
+/// A message arrives unless its connection is lost, and a reconnect triggers a resend at once.
+/// Resends by time are for requests that a store dropped. The interval doubles so that stores that
+/// are slow under load do not receive a request many times.
 
 #include <algorithm>
 
@@ -15,17 +14,17 @@
 
 class resend_backoff {
   public:
-    /// Chosen, not measured: well above the 3 to 5 ms that a begin takes at the median, so that
-    /// only dropped requests are sent again, and a sixth of the 1.5 s that a begin may take.
+    /// Well above the usual latency of a begin, so that only dropped requests are sent again, and
+    /// well below its time limit.
     static constexpr duration first_interval = std::chrono::milliseconds(250);
-    /// Chosen, not measured: keeps a settlement that takes 6 s from resting for longer than 2 s.
+    /// Limits the pauses of an operation with a long time limit, such as a settlement.
     static constexpr duration max_interval = std::chrono::milliseconds(2'000);
 
-    /// A store has come back or has sent a newer map: the next send is due at once.
+    /// Makes a send due at once, after a reconnect or when a store has sent a newer map.
     void resend_now() { resend_now_ = true; }
-    /// When the next send is due.
+    /// Time at which the next send is due.
     [[nodiscard]] instant next_send_at() const { return next_; }
-    /// True when the request is to be sent now; then the next interval begins.
+    /// Returns true when a send is due, and then starts the next interval.
     bool take_due(instant now) {
         if (!resend_now_ && now < next_) {
             return false;
--- a/src/tallyfold/plane/turns/store_folder_shell.cpp
+++ b/src/tallyfold/plane/turns/store_folder_shell.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A random identity other than 0, which stands for none. Two of 64 bits don't collide in practice.
+/// A random 64-bit identity; 0 means that there is none.
 store_id random_identity() {
     std::random_device source;
     const std::uint64_t high = source();
@@ -19,7 +19,7 @@
 
 tl::expected<turn_log, storage::storage_error> read_folder(const std::string& folder,
                                                            turn_table& recovered) {
-    // The age of what is read back isn't known. Its retention starts anew, which keeps it longer.
+    // The age of the recovered turns is not known, so their retention starts again.
     const instant now = steady_now();
     return turn_log::open(folder, random_identity(), [&recovered, now](const turn_change& change) {
         recovered.apply(change, now);
@@ -30,8 +30,8 @@
     logging::write_event(logging::event_id::storage_failed, "reason=\"" + error.detail + "\"");
 }
 
-/// The map that was durable at the last stop. A damaged one counts as none: the store then learns
-/// the one in force from the directory. @return nothing when another build wrote it
+/// Reads the stored map. A damaged one counts as none, since the directory sends the map in force.
+/// @return nothing when this build cannot read the map's format
 std::optional<store_map> read_map(const turn_log& log) {
     const auto kept = log.kept_map();
     if (kept) {
@@ -48,9 +48,10 @@
 std::optional<opened_store> open_store(const std::string& folder) {
     turn_table recovered;
     auto opened = read_folder(folder, recovered);
-    // What another build wrote is whole: the folder is left alone for the build that can read it.
+    // A folder in an unknown format is not damaged: it is left unchanged for a build that can read
+    // it.
     if (!opened && opened.error().failure == storage::storage_failure::damaged) {
-        // The other stores hold what this folder lost: start as another store.
+        // The other stores hold the lost data, which this store copies under a new identity.
         logging::write_event(logging::event_id::identity_renewed,
                              "reason=\"" + opened.error().detail + "\"");
         storage::empty_folder(folder);
--- a/src/tallyfold/plane/turns/store_folder_shell.hpp
+++ b/src/tallyfold/plane/turns/store_folder_shell.hpp
@@ -1,12 +1,11 @@
 #pragma once
 /// @file
-/// Opens a store's data folder at the start of its process: log, identity and map, read back into
-/// the state machine.
+/// Opens a store's data folder when its process starts: reads the log, the identity and the map,
+/// and restores the state machine.
 ///
-/// A folder that another build wrote, in a form that this one doesn't know, is refused and left
-/// alone. One whose contents are damaged is emptied and gets a new identity: to the other stores it
-/// is then a new disk, which copies before it serves, rather than one that has forgotten what it
-/// acknowledged.
+/// - A folder in a format that this build cannot read is refused and left unchanged.
+/// - A damaged folder is emptied and gets a new identity: the other stores then treat it as a new
+///   disk that copies before it serves, rather than as a member that lacks acknowledged writes.
 
 #include <optional>
 #include <string>
@@ -21,10 +20,10 @@
     store_fsm state;
 };
 
-/// Logs what was read back, or why the folder can't be used. @return nothing in the latter case
+/// Opens the folder and logs the result. @return nothing when the folder cannot be used
 std::optional<opened_store> open_store(const std::string& folder);
 
-/// Logs that a folder is in use. @param detail appended to the line's fields
+/// Logs that a folder is open. @param detail further fields of the log line
 void log_opened(const turn_log& log, const turn_table& turns, const std::string& detail);
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Texts that one page of a copy holds, about, in bytes. Chosen, not measured: small enough that a
-/// page doesn't hold up the turns that are served beside it for long.
+/// Approximate size of the texts in one page of a copy, in bytes. Small, so that a page does not
+/// delay other requests for long.
 constexpr std::size_t copy_page_bytes = 128U << 10U;
 
 }  // namespace
@@ -64,8 +64,8 @@
 }
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from, const copy_request& request) {
-    // From here on no write under an older map is taken. What was taken before is ahead in the
-    // queue, so that the copy holds it too.
+    // No write under an older map is accepted after this. Writes accepted before are ahead in the
+    // queue, so that the copy includes them.
     learn_map(request.map);
     queue_.push_back({from, request});
     return {};
@@ -99,7 +99,7 @@
             concerning.push_back(&map);
         }
     }
-    // A store that has changed its group learns of its leaving first.
+    // In ascending order, so that a store that moved to another group leaves the old one first.
     std::sort(
         concerning.begin(), concerning.end(),
         [](const store_map* left, const store_map* right) { return left->epoch < right->epoch; });
--- a/src/tallyfold/plane/turns/store_writer_shell.cpp
+++ b/src/tallyfold/plane/turns/store_writer_shell.cpp
@@ -9,11 +9,10 @@
 
 namespace {
 
-/// A disk that goes on refusing is logged this often. Chosen, not measured: often enough to be seen
-/// at once, and 43,200 lines a day at most.
+/// Minimum interval between log lines about failed writes.
 constexpr duration failure_log_interval = std::chrono::seconds(2);
-/// Texts that one record of a fresh segment holds, about, in bytes. Chosen, not measured: a store's
-/// memory needs room for one page beside the turns, not for all of them twice.
+/// Approximate size of the texts in one record of a new segment, in bytes. Bounds the memory that a
+/// rotation needs beside the table.
 constexpr std::size_t segment_page_bytes = 64U << 10U;
 
 }  // namespace
@@ -67,7 +66,7 @@
 
 void store_writer::rotate_if_grown(const turn_table& turns) {
     if (log_.needs_rotation()) {
-        // When the disk refuses, either the next write tries again, or repair() does.
+        // After a failure, the rotation is attempted again after the next write or by repair().
         begin_segment(turns);
     }
 }
--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -17,8 +17,8 @@
 void turn_beginning::resend_under_newer_map(const std::vector<store_map>& maps,
                                             const store_map* used) {
     for (const store_map& newer : maps) {
-        // A store that has moved to another group answers with that group's map. Asking it again at
-        // once would get the same answer until the directory says who took its place.
+        // A store that has moved to another group replies with that group's map. It would reply the
+        // same to a resend until the directory sends the map that replaces it.
         if (used != nullptr && newer.group == used->group && newer.epoch > used->epoch) {
             backoff_.resend_now();
         }
@@ -33,7 +33,7 @@
 void turn_beginning::on_reply(const history_reply& reply) {
     operation_.on_history(reply);
     if (history_request_due_.has_value()) {
-        // The next store is asked at once for what is still missing.
+        // The next store is asked at once for texts that are still missing.
         history_request_due_ = instant{};
     }
 }
@@ -91,8 +91,8 @@
     if (previous_not_held()) {
         return question_.previous;
     }
-    // A store that came from another group may hold a turn of that group without all the turns
-    // before it.
+    // A store that came from another group may hold a turn of that group without all earlier turns
+    // of its history.
     return all_own_stores_asked_ ? operation_.missing_turn() : std::string{};
 }
 
@@ -171,8 +171,8 @@
     };
     auto next = std::find_if(sources.begin(), sources.end(), not_asked);
     if (next == sources.end()) {
-        // All have been asked, and again from the first: a reply may have been lost, or a store
-        // was down.
+        // All stores have been asked. Starts again with the first, since a reply may have been lost
+        // or a store may have been down.
         all_own_stores_asked_ = true;
         history_stores_asked_.clear();
         next = sources.begin();
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -13,11 +13,10 @@
 
 namespace {
 
-/// A store that is silent for this long while it is asked gets a new connection. Chosen, not
-/// measured: leaves half a second of the 1.5 s that a begin may take for a further try.
+/// Time without a message from a store with open requests after which its connection is replaced.
+/// Leaves time for another attempt within the time limit of a begin.
 constexpr duration silence_timeout = std::chrono::milliseconds(900);
-/// A settlement whose caller doesn't wait is tried for this long. Chosen, not measured: as long as
-/// a store has to be silent before the directory replaces it.
+/// Time limit of a settlement in the background.
 constexpr duration background_settle_timeout = std::chrono::seconds(6);
 
 }  // namespace
@@ -51,7 +50,7 @@
 }
 
 void turn_client::resend_to(store_id store) {
-    // What was asked over a lost connection didn't arrive.
+    // Requests sent over the lost connection may not have arrived.
     for (const auto& [number, pending] : operations_) {
         if (pending->begin != nullptr) {
             pending->begin->on_store_connected(store);
@@ -222,7 +221,7 @@
     asio::co_spawn(
         process_.loop(),
         [this, settlement = std::move(settlement)]() mutable -> asio::awaitable<void> {
-            // A settlement that fails is logged by settle(); no caller waits for it.
+            // settle() logs a failure; no caller waits for the result.
             const instant deadline = steady_now() + background_settle_timeout;
             cached_prompt no_cached_prompt;
             co_await settle(std::move(settlement), std::move(no_cached_prompt), deadline);
--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -66,7 +66,7 @@
     const auto decode_record = [&](std::string_view payload) -> tl::expected<void, storage_error> {
         const auto changes = protocol::decode_stored<std::vector<turn_change>>(payload);
         if (!changes) {
-            // The record's checksum holds: it is as it was written.
+            // The checksum matches, so the format is unknown rather than the record damaged.
             return tl::unexpected(storage_error{storage_failure::foreign,
                                                 log_.path() + ": " + changes.error().reason});
         }
--- a/src/tallyfold/plane/turns/turn_search.hpp
+++ b/src/tallyfold/plane/turns/turn_search.hpp
@@ -1,13 +1,13 @@
 #pragma once
 /// @file
-/// The search for a turn of which only its identifier is known, not its program. Pure.
+/// Search for a turn of which only the identifier is known, not the program. Pure.
 ///
-/// A program's identifier gives the group that keeps its turns. A program that continues another
-/// program's turn, as some do after a loss of all state, names a turn that any group may keep. One
-/// store that holds it suffices to find it. That no store holds it is certain only once a quorum of
-/// every group has denied it, since a turn that was answered whole lies at a quorum of its group.
+/// A program's identifier determines the group that stores its turns. A program that continues a
+/// turn of another program, as some do after a loss of all state, names a turn that any group may
+/// hold. One store that holds it ends the search. The turn is certainly absent only once a quorum
+/// of every group has denied it, since an answered turn is stored at a quorum of its group.
 ///
-/// Owns the stores' denials, each under the map that the store was asked under.
+/// Owns the denials of the stores, each of which is valid under the map of its request.
 
 #include <map>
 #include <set>
@@ -20,40 +20,41 @@
 
 class turn_search {
   public:
-    /// @param own_group the group that has been asked already, and doesn't hold the turn
+    /// @param own_group the group that was already asked and does not hold the turn
     turn_search(const store_table& table, std::string request, group_number own_group);
 
-    /// Asks the groups again whose map is newer in `table`.
+    /// Restarts the search in the groups whose map in `table` is newer.
     void use_table(const store_table& table);
     void on_reply(const find_reply& reply);
 
     [[nodiscard]] const std::string& turn() const { return request_; }
-    /// True once a store is known that holds the turn.
+    /// True once a store has replied that it holds the turn.
     [[nodiscard]] bool found() const { return !holders_.empty(); }
-    /// Stores that hold the turn, then those of their groups, which may hold earlier turns of the
-    /// history that the holders lack.
+    /// Stores that hold the turn, then the members of their groups, which may hold earlier turns of
+    /// the history that the former lack.
     [[nodiscard]] std::vector<store_member> sources() const;
-    /// True once it is certain that no group holds the turn: a quorum of each has denied it, and
-    /// none may have lost turns with its disks.
+    /// True once the turn is certainly absent: a quorum of each group has denied it, and no group
+    /// may have lost turns with its disks.
     [[nodiscard]] bool held_by_no_group() const;
-    /// True once every store of every group, none of which changes, has denied the turn: no
-    /// further answer can come.
+    /// True once every store has denied the turn and no group is changing its members: no further
+    /// reply can change the result.
     [[nodiscard]] bool denied_by_all_stores() const;
-    /// Requests to the stores that haven't answered under their group's map.
+    /// A request and the store that it goes to.
     struct store_request {
         store_member store;
         find_request request;
     };
+    /// Requests to the stores that have not denied the turn under their group's current map.
     [[nodiscard]] std::vector<store_request> unanswered(operation_number operation) const;
-    /// The map under which a group is asked; null for one that isn't asked.
+    /// Map that requests to a group are made under; null when the group is not searched.
     [[nodiscard]] const store_map* map_of(group_number group) const;
 
   private:
     struct searched_group {
         store_map map;
-        /// Stores that don't hold the turn.
+        /// Stores that have replied that they do not hold the turn.
         std::set<store_id> denials;
-        /// A store of the group holds the turn.
+        /// True when a store of the group holds the turn.
         bool holds = false;
     };
 
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -20,23 +20,21 @@
 
 namespace {
 
-/// Chosen, not measured: a walk over all turns, and retentions are counted in minutes.
+/// Interval of the removal of expired turns, which visits every turn.
 constexpr duration expiry_interval = std::chrono::seconds(2);
-/// Turns are kept this much longer than their retention, for clocks that run apart and turns under
-/// way. Chosen, not measured: ten times the 1.5 s that a begin may take.
+/// Time that turns are kept beyond their retention, for clock skew and turns under way.
 constexpr duration expiry_margin = std::chrono::seconds(15);
-/// A log that failed is tried again this often. Chosen, not measured: a fresh segment costs a sync.
+/// Interval between attempts to restore a failed log; each attempt costs a sync.
 constexpr duration repair_interval = std::chrono::milliseconds(500);
-/// Chosen, not measured: a third of copy_timeout::min_timeout.
+/// Interval of timeout checks; well below copy_timeout::min_timeout.
 constexpr duration copy_check_interval = std::chrono::milliseconds(100);
-/// Interval of the reports to the directory. Chosen, not measured: a store counts as silent only
-/// after six seconds.
+/// Interval of reports to the directory; well below the time after which a store counts as silent.
 constexpr duration report_interval = std::chrono::milliseconds(300);
-/// Requests are served for this long after a stop was asked for. Chosen, not measured: lets writes
-/// under way end and be answered.
+/// Time that requests are still served after a stop was requested, so that pending writes end and
+/// are answered.
 constexpr duration stop_delay = std::chrono::milliseconds(300);
-/// Rounds of the event loop that a write waits for further requests to join its sync. Chosen, not
-/// measured: what other connections have already delivered is read within two rounds.
+/// Rounds of the event loop that a write waits so that further requests join its sync; enough to
+/// read what other connections have already received.
 constexpr int batching_rounds = 2;
 
 class store_node {
@@ -46,10 +44,10 @@
 
   private:
     void receive(const messaging::channel_pointer& channel, const messaging::peer_message& message);
-    /// Hands a request to the state machine. @return replies that need no write
+    /// Passes a request to the state machine. @return replies that depend on no write
     std::vector<addressed_reply> dispatch(peer_token from, const messaging::peer_message& message);
     void send(const std::vector<addressed_reply>& replies);
-    /// Writes what waits, after a few rounds of the loop.
+    /// Schedules a write of the queued messages after `batching_rounds` rounds of the event loop.
     void schedule_write();
     void write_after_rounds(int rounds);
     void write_queued();
@@ -63,9 +61,9 @@
     store_fsm store_;
     store_writer writer_;
     copy_client copy_;
-    /// A write is due in a few rounds of the loop.
+    /// True while a write is scheduled.
     bool write_scheduled_ = false;
-    /// Connections that wait for a reply.
+    /// Channels of the requests that have no reply yet.
     std::map<peer_token, messaging::channel_pointer> reply_channels_;
     peer_token next_token_ = 1;
     map_epoch logged_copy_epoch_ = 0;
@@ -110,7 +108,7 @@
     if (const auto* copy = std::get_if<copy_request>(&message)) {
         return store_.receive(from, *copy);
     }
-    // No message for a store: nobody waits for a reply.
+    // Not a request to a store, so there is no reply.
     reply_channels_.erase(from);
     return {};
 }
@@ -167,7 +165,7 @@
         writer_.rotate_if_grown(store_.turns());
     }
     if (!store_.has_work()) {
-        // Requests that have no reply by now get none.
+        // All replies have been sent; the remaining requests get none.
         reply_channels_.clear();
     }
     copy_.on_page_written();
--- a/src/tallyfold/plane/turns/turn_table.cpp
+++ b/src/tallyfold/plane/turns/turn_table.cpp
@@ -6,8 +6,7 @@
 
 namespace {
 
-/// Bytes that one turn takes beside its texts, about: keys, strings' and map nodes' overhead.
-/// Estimated, not measured.
+/// Estimated size of one turn beside its texts: keys, and the overhead of strings and map nodes.
 constexpr std::size_t turn_overhead_bytes = 256;
 
 std::size_t size_of(const turn_record& record) {
@@ -50,7 +49,7 @@
     }
     for (const turn_record& record : settlement.adopted) {
         store_record(settlement, record, now);
-        // One that is held already keeps its own program, and what it cost there.
+        // A turn that is already held keeps its own program and its cost there.
         requests_.try_emplace(record.request, settlement.program);
     }
 }
@@ -113,7 +112,7 @@
     const auto turn = turns_.find(request);
     const auto entry = programs_.find(program);
     const bool in_ledger = entry != programs_.end() && entry->second.requests.contains(request);
-    // A turn may outlive its program's ledger when another program continues from it.
+    // A turn may outlive its program's ledger when another program continues it.
     const ledger_entry cost =
         in_ledger ? entry->second.requests.at(request) : ledger_entry{0, true};
     const duration retention = in_ledger ? entry->second.retention : turn->second.retention;
@@ -145,7 +144,7 @@
 
 change_page turn_table::page_after(const std::string& after, const std::set<std::string>& held,
                                    std::size_t limit_bytes) const {
-    // Only what goes into the page is copied: the table holds many times as much.
+    // Copies only what goes into the page, since the table may be many times as large.
     change_page page;
     std::size_t bytes = 0;
     std::string last;
--- a/src/tallyfold/plane/turns/turn_table.hpp
+++ b/src/tallyfold/plane/turns/turn_table.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Everything that one store holds in memory: ledgers of programs, and turns. Pure; store_fsm
-/// applies what the disk has synced.
+/// Contents of one store in memory: ledgers of programs, and turns. Pure; store_fsm applies changes
+/// once they are synced.
 ///
-/// Owns records, retentions and the order in which a copy goes through them. Relies on nothing.
+/// Owns the records, their retention, and the order of requests in a copy.
 
 #include <map>
 #include <optional>
@@ -17,14 +17,13 @@
 
 namespace tallyfold::turns {
 
-/// One change of the table, as the log on disk and copies hold it.
+/// A change of the table, as stored in the log and sent in copies.
 using turn_change = std::variant<turn_reservation, turn_settlement>;
 
-/// A conversation history, newest turn first, as far as one store holds it.
+/// Part of a conversation history that one store holds, newest turn first.
 struct history_part {
     std::vector<turn_record> records;
-    /// The turn at which the walk back ended because it is not held here; empty for a whole
-    /// history.
+    /// The most recent turn of the history that is not held; empty when the history is complete.
     std::string missing;
 
     template <class Archive>
@@ -33,39 +32,39 @@
     }
 };
 
-/// Part of a table, for a copy or a fresh segment of the log.
+/// Part of a table, for a copy or a new segment of the log.
 struct change_page {
     std::vector<turn_change> changes;
-    /// The last request of the page, after which the next page begins; empty at the end.
+    /// Last request of the page, after which the next page begins; empty at the end.
     std::string next;
 };
 
 class turn_table {
   public:
-    /// Takes a change over. Ledgers and records depend neither on the order of changes nor on how
-    /// often one is applied.
+    /// Applies a change. The resulting ledgers and records do not depend on the order of changes,
+    /// nor on how often a change is applied.
     void apply(const turn_change& change, instant now);
 
-    /// Empty for a program that isn't held.
+    /// Ledger of a program; empty when none is held.
     [[nodiscard]] program_ledger ledger_of(const std::string& program) const;
     [[nodiscard]] bool holds_turn(const std::string& request) const;
-    /// The turn `request` and those before it.
+    /// The turn `request` and the earlier turns of its history.
     [[nodiscard]] history_part history_up_to(const std::string& request) const;
 
-    /// Removes what has outlived its retention by more than `margin`. A turn that is kept keeps the
-    /// whole history before it.
+    /// Removes turns and ledgers whose retention ended more than `margin` ago. A retained turn
+    /// retains its whole history.
     void expire(instant now, duration margin);
 
-    /// Identifiers of the settled requests held here; a copy leaves these out.
+    /// Identifiers of the settled requests in this table; a copy to this store omits them.
     [[nodiscard]] std::set<std::string> settled_requests() const;
-    /// Changes that make another table hold what this one holds.
+    /// Changes that reproduce the contents of this table in another one.
     /// @param after the page begins with the request after this one; empty for the first page
-    /// @param held requests that the other table holds already
-    /// @param limit_bytes size at which the page ends, about; one change goes in however large
+    /// @param held requests that the other table already holds
+    /// @param limit_bytes approximate size at which the page ends; a single change may be larger
     [[nodiscard]] change_page page_after(const std::string& after,
                                          const std::set<std::string>& held,
                                          std::size_t limit_bytes) const;
-    /// Bytes of the turns' texts, with an estimate of what each takes beside them.
+    /// Size of the turns' texts in bytes, with an estimated overhead for each turn.
     [[nodiscard]] std::size_t bytes() const { return bytes_; }
     [[nodiscard]] std::size_t turn_count() const { return turns_.size(); }
     [[nodiscard]] std::size_t program_count() const { return programs_.size(); }
@@ -83,7 +82,7 @@
         instant stored_at{};
     };
 
-    /// The program's entry, with its retention begun anew; created when it isn't held.
+    /// Returns the program's entry, created if missing, and restarts its retention.
     program_entry& renew_retention(const std::string& program, std::uint32_t retention_ms,
                                    instant now);
     void reserve(const turn_reservation& reservation, instant now);
@@ -95,7 +94,7 @@
 
     std::map<std::string, program_entry> programs_;
     std::map<std::string, turn_entry> turns_;
-    /// Program of every request that is held; a copy goes through them in this order.
+    /// Program of every request in the table; copies follow the order of this index.
     std::map<std::string, std::string> requests_;
     std::size_t bytes_ = 0;
 };
--- a/src/tallyfold/plane/turns/types.hpp
+++ b/src/tallyfold/plane/turns/types.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Turns of programs as the stores keep them, and which group of stores keeps which program.
+/// Turns of programs as stores keep them, and the assignment of programs to groups of stores.
 ///
-/// Values that go over the wire and to disk: the order of the fields in serialize() is their form.
-/// Owns the rules of merging ledgers and of majorities under a map; decides nothing else.
+/// The values are sent over the network and stored on disk; the order of the fields in serialize()
+/// is their format. Includes the rules for merging ledgers and for majorities under a map.
 
 #include <cstdint>
 #include <map>
@@ -17,19 +17,19 @@
 
 namespace tallyfold::turns {
 
-/// Identity of a store's disk, drawn when its folder is made.
+/// Identity of a store's disk, generated when its folder is created.
 using store_id = std::uint64_t;
-/// Number of a version of the table of groups, rising with each change of any of them; a group's
-/// map has the number at which it changed last. 0 means that none is known.
+/// Version of the table of groups, increased by each change of any group. A group's map has the
+/// epoch of its latest change. 0 means that no map is known.
 using map_epoch = std::uint64_t;
-/// Number of a group of stores, from 0 on.
+/// Number of a group of stores, starting at 0.
 using group_number = std::uint32_t;
-/// Groups that a table may have, at most: far more than any deployment has stores for, so that a
-/// damaged number is told apart.
+/// Maximum number of groups in a table; far above any deployment, so that a damaged number is
+/// detected.
 constexpr group_number max_groups = 4'096;
 
-/// What one request of a program may cost, or has cost. It only ever goes from its upper bound to
-/// its actual cost, so merging two copies needs no order.
+/// Cost of one request of a program. It changes only from its upper bound to its actual cost, so
+/// that two copies merge in any order.
 struct ledger_entry {
     /// The upper bound while the request is open, the actual cost once it is settled.
     token_count tokens = 0;
@@ -42,19 +42,19 @@
     }
 };
 
-/// Requests of one program, by their identifier.
+/// Ledger entries of one program, by request identifier.
 using program_ledger = std::map<std::string, ledger_entry>;
 
-/// Takes into `target` what `other` has newer: a settled entry goes before an open one; of two
-/// alike, the larger one counts, so that a budget is never exceeded.
+/// Merges `other` into `target`. A settled entry replaces an open one; of two entries in the same
+/// state the larger cost counts, so that a budget is never exceeded.
 void merge(ledger_entry& target, const ledger_entry& other);
 void merge(program_ledger& target, const program_ledger& other);
 
-/// A turn that was answered whole. It never changes.
+/// A completely answered turn. Immutable.
 struct turn_record {
     /// Identifier of the turn's request.
     std::string request;
-    /// Request of the turn that it continues; empty for the first of its history.
+    /// Request identifier of the turn that it continues; empty for the first turn of a history.
     std::string previous;
     std::string input;
     /// Data of each event of the answer, each followed by a line feed.
@@ -67,13 +67,13 @@
     }
 };
 
-/// Announces a turn before it runs.
+/// Reserves tokens for a turn before it runs.
 struct turn_reservation {
     std::string program;
     std::string request;
-    /// Upper bound of what the turn may use.
+    /// Upper bound of the turn's tokens.
     token_count max_tokens = 0;
-    /// How long the program's ledger and the turn are kept after the program's last change.
+    /// Time that the program's ledger and the turn are kept after the program's last change.
     std::uint32_t retention_ms = 0;
 
     template <class Archive>
@@ -82,15 +82,16 @@
     }
 };
 
-/// Ends a turn: what it cost, and its record when it was answered whole and is to be kept.
+/// Settles a turn: its cost, and its record when it was answered completely and is to be kept.
 struct turn_settlement {
     std::string program;
     std::string request;
     token_count tokens = 0;
     std::uint32_t retention_ms = 0;
     std::optional<turn_record> record;
-    /// The history before the turn when another group keeps it: a program that continues another
-    /// program's turn copies that history into its own group, which so holds histories whole.
+    /// The history before the turn when another group holds it. A program that continues a turn of
+    /// another program copies that history into its own group, which therefore holds complete
+    /// histories.
     std::vector<turn_record> adopted = {};
 
     template <class Archive>
@@ -99,10 +100,10 @@
     }
 };
 
-/// One store, as a map lists it.
+/// A store that a map lists.
 struct store_member {
     store_id id = 0;
-    /// Name and address ("ip:port" between the system's own processes) of its machine.
+    /// Name of its machine, and its address ("ip:port" between the system's own processes).
     node_name node;
     std::string address;
     std::string zone;
@@ -114,35 +115,35 @@
     }
 };
 
-/// Which stores form one group. While `next` is not empty a change is under way: writes need a
-/// majority of both lists, reads one of `current`.
+/// Members of one group. While `next` is not empty, the members are changing: writes require a
+/// majority of both lists, reads a majority of `current`.
 ///
-/// After a majority of the disks of `current` was lost, one after the other, `current` lists the
-/// disks that survive (`after_loss`). Each of them may be the only one that holds a turn, so until
-/// the change ends all of them count in place of a majority, and copies come from all of them.
+/// After a majority of the disks of `current` was lost one after the other, `current` lists the
+/// surviving disks (`after_loss`). Each of them may be the only one that holds a turn, so until the
+/// change ends all of them are required instead of a majority, and copies come from all of them.
 struct store_map {
     map_epoch epoch = 0;
     std::vector<store_member> current;
     std::vector<store_member> next;
     group_number group = 0;
-    /// Turns may have been lost with the disks: while this is set, one that no store holds isn't
-    /// known not to exist.
+    /// Turns may have been lost with the disks: while this is set, a turn that no store holds may
+    /// have existed.
     bool after_loss = false;
-    /// Members that were silent when the others went on without them. They may hold what no other
-    /// store holds: when one is back, the group copies from it.
+    /// Members that were unreachable when the group continued without them. They may hold turns
+    /// that no other store holds, so the group copies from a member that returns.
     std::vector<store_member> absent = {};
 
     /// True while members are being replaced.
     [[nodiscard]] bool changing() const { return !next.empty(); }
-    /// True when either list has the store.
+    /// True when either list contains the store.
     [[nodiscard]] bool holds(store_id id) const;
     /// Members of both lists, each once.
     [[nodiscard]] std::vector<store_member> all() const;
-    /// True when `answered` has a quorum of `current`: a majority, or all of them while a change
-    /// after a loss of disks is under way.
+    /// True when `answered` contains a quorum of `current`: a majority, or all of them while a
+    /// change after a loss of disks is under way.
     [[nodiscard]] bool suffices_of_current(const std::set<store_id>& answered) const;
-    /// Members of `current` from which a store has to copy to hold all that may have been
-    /// acknowledged: every set that suffices has one of them.
+    /// Number of members of `current` from which a store has to copy to hold every acknowledged
+    /// write: every quorum of `current` includes one of them.
     [[nodiscard]] std::size_t copies_needed() const;
 
     bool operator==(const store_map&) const = default;
@@ -152,29 +153,29 @@
         if (archive.format() >= protocol::format_version::v2) {
             archive(after_loss, absent);
         } else if (after_loss || !absent.empty()) {
-            // A reader of the first form would count majorities that may lack turns.
+            // A reader of the first format would count majorities that may lack turns.
             protocol::note_lacking(archive, "a group that lost a majority of its disks");
         }
     }
 };
 
-/// All groups of stores. A program belongs to the group that its identifier gives, for good: the
-/// number of groups never changes once they are formed, only their members do.
+/// All groups of stores. A program's identifier determines its group permanently: once the groups
+/// are formed, their number never changes, only their members do.
 struct store_table {
     map_epoch epoch = 0;
-    /// By number.
+    /// Maps of the groups, by group number.
     std::vector<store_map> groups;
 
     [[nodiscard]] bool known() const { return epoch > 0 && !groups.empty(); }
-    /// The group that keeps the program's turns and its ledger. Needs a known table.
+    /// Group that stores the program's turns and its ledger. Requires known().
     [[nodiscard]] group_number group_of(const std::string& program) const;
     [[nodiscard]] bool holds(store_id id) const;
     /// Members of all groups, each once.
     [[nodiscard]] std::vector<store_member> all() const;
-    /// Takes over one group's map when it is newer; `epoch` stays, since others may have changed
-    /// too. @return true when it was newer, and its group number within max_groups
+    /// Adopts one group's map when it is newer. `epoch` stays, since other groups may have changed
+    /// too. @return true when the map was newer and its group number is below max_groups
     bool take(const store_map& map);
-    /// Takes over what is newer in another table. @return true when anything was
+    /// Adopts the newer maps of another table. @return true when anything was newer
     bool take(const store_table& other);
 
     bool operator==(const store_table&) const = default;
@@ -184,7 +185,7 @@
     }
 };
 
-/// Fields of a log line about a group's map.
+/// Formats a group's map as fields of a log line.
 std::string describe(const store_map& map);
 
 /// True when more than half of `members` are in `answered`.
