--- a/tests/plane/turns/begin_rules_test.cpp
+++ b/tests/plane/turns/begin_rules_test.cpp
@@ -65,7 +65,7 @@
         CPPUNIT_ASSERT(!is_known_absent({false, false, false}));
         CPPUNIT_ASSERT(is_known_absent({false, true, false}));
         CPPUNIT_ASSERT(is_known_absent({false, false, true}));
-        // After a loss of disks it may have existed, whatever the others say.
+        // After a loss of disks the turn may have existed, whatever the other groups reply.
         CPPUNIT_ASSERT(!is_known_absent({true, true, false}));
         CPPUNIT_ASSERT(!is_known_absent({true, false, true}));
     }
--- a/tests/plane/turns/copy_timeout_test.cpp
+++ b/tests/plane/turns/copy_timeout_test.cpp
@@ -16,7 +16,8 @@
     static constexpr int check_interval = 100;
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
-    /// Milliseconds until a source that needs `page_time` has given a page; 0 when none ever comes.
+    /// Milliseconds until a page arrives from sources that need `page_time` for it; 0 when none
+    /// arrives.
     static int time_to_page(copy_timeout& timeout, int page_time) {
         int asked = 0;
         timeout.page_requested(at(0));
@@ -26,7 +27,7 @@
                 return now;
             }
             if (timeout.expired(at(now))) {
-                // The next source is as loaded as this one.
+                // The next source is as slow as this one.
                 timeout.page_requested(at(now));
                 asked = now;
             }
@@ -36,7 +37,7 @@
 
     void the_timeout_adapts_to_slow_sources() {
         copy_timeout timeout;
-        // 500 ms a page: with a timeout of 300 ms no page would ever come.
+        // With a fixed timeout of 300 ms, no page that takes 500 ms would arrive.
         CPPUNIT_ASSERT_EQUAL(800, time_to_page(timeout, 500));
         CPPUNIT_ASSERT_EQUAL(500, time_to_page(timeout, 500));
     }
@@ -49,7 +50,7 @@
     }
 
     void any_page_time_below_the_maximum_succeeds() {
-        check_property("no load that a source can bear keeps a copy from its pages", [] {
+        check_property("pages that take less than 2.3 s always arrive", [] {
             copy_timeout timeout;
             for (int page = 0; page < 5; ++page) {
                 const int page_time = *rc::gen::inRange(1, 2'300);
--- a/tests/plane/turns/disk_loss_simulation_test.cpp
+++ b/tests/plane/turns/disk_loss_simulation_test.cpp
@@ -3,23 +3,16 @@
 
 namespace tallyfold::tests {
 
-/// Machines lose their disks at any time, and all power is lost at times as well.
+/// Simulates disk losses at any time, and power losses of all machines.
 class disk_loss_simulation_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(disk_loss_simulation_test);
     CPPUNIT_TEST(turns_are_served_after_a_second_disk_loss_during_a_membership_change);
     CPPUNIT_TEST(successive_disk_losses_lose_no_settled_turn);
     CPPUNIT_TEST_SUITE_END();
 
-    // Symptom: after all machines had lost power, turns were refused for good, though each store
-    // answered and wrote: turn_refused with store_answers=3 and durable=3 or less, turn_unsettled.
-    // Sequence: a disk was lost; the change of the group to its successor stayed open over restarts
-    // that came in a row; all power was lost, and a second disk with it.
-    // Cause: a change ends only after copies from a majority of the members of before, and turns
-    // need a majority of them while it is open. Two of three were gone for good, so neither could
-    // ever happen, although the stores that were left held everything.
-    // Settled by: store_map_changed epoch=8 stores=3 next=3 as the last line of its kind at all
-    // nodes for five minutes, and storage_opened with turns=310 programs=217 at all three stores;
-    // the lists named two disks that had been lost.
+    // Guards against refusing turns permanently after a second disk loss during a membership
+    // change: two of the three former members are gone, so a majority of them can never reply,
+    // although the remaining stores hold all turns.
     void turns_are_served_after_a_second_disk_loss_during_a_membership_change() {
         store_world world(1, 3);
         world.run(1500);
--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -121,11 +121,11 @@
         CPPUNIT_ASSERT_EQUAL(std::string("b"), begin.history().back()->request);
     }
 
-    /// Runs two begins against stores that take their messages in an order drawn by a seed.
+    /// Runs two concurrent begins against stores that receive the messages in a random order.
     static bool at_most_one_is_admitted(std::uint64_t seed) {
         random_source random(seed);
         std::map<store_id, program_ledger> stores{{1, {}}, {2, {}}, {3, {}}};
-        // A budget that holds one of the two turns only.
+        // The budget suffices for only one of the two turns.
         begin_operation left = operation(map_of({1, 2, 3}), {}, 150);
         begin_operation right{
             map_of({1, 2, 3}), turn_reservation{"program", "other", 100, 60'000}, {}, 150};
@@ -151,7 +151,7 @@
 
     void concurrent_begins_are_never_both_admitted_over_budget() {
         const bool holds =
-            rc::check("of two begins at least one sees the other",
+            rc::check("of two concurrent begins at most one is admitted",
                       [](std::uint64_t seed) { RC_ASSERT(at_most_one_is_admitted(seed)); });
         CPPUNIT_ASSERT(holds);
     }
@@ -175,7 +175,7 @@
     }
 
     void a_replaced_disk_at_the_same_address_is_not_a_source() {
-        // Store 3 was wiped and is store 30 now, at the same address; it answers as itself.
+        // Store 3 was wiped and became store 30 at the same address.
         copy_progress copy(map_of({1, 2, 3}, {1, 2, 30}), 30);
         copy.mark_complete(30);
         copy.mark_complete(1);
--- a/tests/plane/turns/resend_backoff_test.cpp
+++ b/tests/plane/turns/resend_backoff_test.cpp
@@ -20,8 +20,7 @@
         for (int now = 1'000; now < 2'500; ++now) {
             sends += backoff.take_due(at(now)) ? 1 : 0;
         }
-        // At 0, 250 and 750 ms of the 1,500 that a begin may take; with a fixed interval it were
-        // six.
+        // Sends at 0, 250 and 750 ms; a fixed interval would send six times.
         CPPUNIT_ASSERT_EQUAL(3, sends);
     }
 
--- a/tests/plane/turns/store_folder_test.cpp
+++ b/tests/plane/turns/store_folder_test.cpp
@@ -1,7 +1,6 @@
 /// @file
-/// What a store makes of its folder at a start. A store took a record that it couldn't decode for
-/// damage and emptied the folder: right for one disk, and the end of a group's turns when all of
-/// its machines met a form of another build one after the other.
+/// Opening a store's folder. Guards against treating a record in an unknown format as damage:
+/// emptying the folders of all machines for it would lose a group's turns.
 
 #include <fstream>
 #include <iterator>
@@ -45,7 +44,7 @@
         return map;
     }
 
-    /// A folder that a store has used. @return its identity
+    /// Creates a folder with a map and a reservation. @return the store's identity
     static store_id create_used_folder(const temporary_path& folder) {
         auto opened = open_store(folder.text());
         CPPUNIT_ASSERT(opened.has_value());
@@ -73,7 +72,7 @@
         write(folder.path() / "turns-1", after);
         CPPUNIT_ASSERT(!open_store(folder.text()).has_value());
         CPPUNIT_ASSERT_EQUAL(after, read(folder.path() / "turns-1"));
-        // The build that wrote it, or one without that record, finds all as it was.
+        // Without the unreadable record, the folder opens with its identity and contents.
         write(folder.path() / "turns-1", before);
         const auto opened = open_store(folder.text());
         CPPUNIT_ASSERT(opened.has_value());
--- a/tests/plane/turns/store_fsm_test.cpp
+++ b/tests/plane/turns/store_fsm_test.cpp
@@ -28,7 +28,7 @@
         store.written(true, instant{});
     }
 
-    /// The engines that a begin with this prompt is answered with.
+    /// Engines in the reply to a begin with this prompt.
     static std::vector<scheduling::cached_prefix> begin(
         store_fsm& store, const std::vector<scheduling::prefix_point>& prompt) {
         begin_request request;
@@ -50,7 +50,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("engine-1"), holders.front().engine);
         CPPUNIT_ASSERT_EQUAL(scheduling::prefix_hash{8}, holders.front().hash);
         CPPUNIT_ASSERT_EQUAL(token_count{1500}, holders.front().tokens);
-        // A sub-agent's prompt opens with its parent's.
+        // A sub-agent's prompt begins with its parent's prompt.
         const auto opening = begin(asked, {{7, 1000}, {8, 1700}, {9, 2000}});
         CPPUNIT_ASSERT_EQUAL(token_count{1500}, opening.front().tokens);
     }
@@ -85,7 +85,7 @@
         store_fsm moved = store();
         CPPUNIT_ASSERT(moved.learn_table({2, {map_of(0, 1, {1, 2, 3}), map_of(1, 2, {4, 5, 6})}}));
         CPPUNIT_ASSERT_EQUAL(map_epoch{1}, moved.map().epoch);
-        // It has left group 0 with epoch 3, and joined group 1 with epoch 4.
+        // The store leaves group 0 in epoch 3 and joins group 1 in epoch 4.
         CPPUNIT_ASSERT(moved.learn_table({4, {map_of(0, 3, {2, 3, 7}), map_of(1, 4, {1, 5, 6})}}));
         CPPUNIT_ASSERT_EQUAL(group_number{1}, moved.map().group);
         begin_request late;
@@ -113,7 +113,7 @@
             return std::get<find_reply>(asked.receive(2, find_request{1, 0, turn}).front().body)
                 .held;
         };
-        // What isn't durable yet doesn't count.
+        // A turn that is not durable yet does not count as held.
         CPPUNIT_ASSERT(!held("t"));
         asked.take_write();
         asked.written(true, instant{});
--- a/tests/plane/turns/store_simulation_test.cpp
+++ b/tests/plane/turns/store_simulation_test.cpp
@@ -3,7 +3,7 @@
 
 namespace tallyfold::tests {
 
-/// Machines crash and lose their disks one at a time.
+/// Simulates machines that crash and lose their disks one at a time.
 class store_simulation_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_simulation_test);
     CPPUNIT_TEST(disk_wipes_in_one_group_lose_no_settled_turn);
@@ -16,7 +16,7 @@
     void disk_wipes_in_one_group_lose_no_settled_turn() {
         const run_totals sum = run_worlds(3, 60, put_back::nothing);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(sum.first_broken, 0, sum.broken);
-        // A run in which the faults never came would prove nothing.
+        // Guards against runs in which too few faults occur.
         CPPUNIT_ASSERT(sum.wipes > 100);
         CPPUNIT_ASSERT(sum.crashes > 60);
         CPPUNIT_ASSERT(sum.settled > 5'000);
--- a/tests/plane/turns/store_table_test.cpp
+++ b/tests/plane/turns/store_table_test.cpp
@@ -39,7 +39,7 @@
     void a_single_newer_map_does_not_advance_the_table_epoch() {
         store_table table = two_groups();
         CPPUNIT_ASSERT(table.take(map_of(1, 5, {4, 5, 7})));
-        // Epoch 4 may have changed the other group: the directory is still asked from 3 on.
+        // Epoch 4 may have changed the other group, so updates are still requested from epoch 3 on.
         CPPUNIT_ASSERT_EQUAL(map_epoch{3}, table.epoch);
         CPPUNIT_ASSERT(table.holds(7) && !table.holds(6));
         store_table newer = two_groups();
@@ -71,7 +71,7 @@
     }
 
     void maps_merge_to_the_same_table_in_any_order() {
-        const bool holds = rc::check("the newest of each group prevails", [] {
+        const bool holds = rc::check("the newest map of each group is kept", [] {
             const auto epochs =
                 *rc::gen::container<std::vector<map_epoch>>(5, rc::gen::inRange<map_epoch>(1, 9));
             std::vector<store_map> maps;
--- a/tests/plane/turns/turn_log_test.cpp
+++ b/tests/plane/turns/turn_log_test.cpp
@@ -36,8 +36,8 @@
         return bytes;
     }
 
-    /// A store has no memory for a second copy of its table: each page has to be in the file
-    /// before the next one is made.
+    /// Guards against a second copy of the table in memory: each page is written to the file before
+    /// the next one is read.
     void rotation_writes_each_page_before_it_reads_the_next() {
         turn_table empty;
         turn_log log = open(empty);
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -100,7 +100,8 @@
         return reply;
     }
 
-    /// A turn of a program of group `group` that goes on with a turn that the group doesn't hold.
+    /// Begin of a turn that continues a turn which its own group does not hold. Sets `group` to the
+    /// own group.
     static turn_beginning beginning(const store_table& table, group_number& group) {
         turn_question question;
         question.reservation = {"program", "own", 10, 60'000};
@@ -119,7 +120,7 @@
         turn_beginning begun = beginning(table, group);
         CPPUNIT_ASSERT(begun.undecided());
         const auto requests = begun.due(at(1), table, no_store);
-        // The third store of its own group, and all of the other two.
+        // The third store of its own group, and all stores of the other two groups.
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, requests.size());
         const group_number other = (group + 1) % 3;
         const group_number silent = (group + 2) % 3;
@@ -145,7 +146,7 @@
         begun.on_reply(durable_reply(0));
         begun.on_reply(durable_reply(1));
         CPPUNIT_ASSERT(begun.undecided());
-        // The third store may hold it.
+        // The third store may hold the turn.
         CPPUNIT_ASSERT(!begun.cannot_be_decided());
         begun.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begun.undecided());
@@ -190,7 +191,7 @@
         moved.newer_map = {elsewhere};
         begun.on_reply(moved);
         CPPUNIT_ASSERT(begun.due(at(1), table, no_store).empty());
-        // A newer map of the turn's own group is worth asking under at once.
+        // A newer map of the turn's own group makes a resend due at once.
         store_table newer = table;
         newer.groups[group].epoch = 10;
         moved.newer_map = {newer.groups[group]};
