--- a/src/tallyfold/plane/turns/store_rules.hpp
+++ b/src/tallyfold/plane/turns/store_rules.hpp
@@ -26,8 +26,8 @@
 /// True when a group's map concerns a store: it lists the store, or the store was a member of the
 /// group so far and may have left it.
 [[nodiscard]] inline bool concerns_store(const store_map& map, store_id self,
-                                         const store_map& known) {
-    const bool was_member = known.epoch > 0 && map.group == known.group;
+                                         const store_map& known_map) {
+    const bool was_member = known_map.epoch > 0 && map.group == known_map.group;
     return map.holds(self) || was_member;
 }
 
