--- a/src/tallyfold/plane/turns/store_writer_shell.cpp
+++ b/src/tallyfold/plane/turns/store_writer_shell.cpp
@@ -47,10 +47,10 @@
 void store_writer::report_failure(const storage::storage_error& error) {
     failures_.Increment();
     const instant now = steady_now();
-    if (now - failure_logged_ < failure_log_interval) {
+    if (now - failure_logged_at_ < failure_log_interval) {
         return;
     }
-    failure_logged_ = now;
+    failure_logged_at_ = now;
     logging::write_event(logging::event_id::storage_failed, "reason=\"" + error.detail + "\"");
 }
 
--- a/src/tallyfold/plane/turns/store_writer_shell.hpp
+++ b/src/tallyfold/plane/turns/store_writer_shell.hpp
@@ -34,7 +34,7 @@
     void report_failure(const storage::storage_error& error);
 
     turn_log log_;
-    instant failure_logged_{};
+    instant failure_logged_at_{};
     prometheus::Counter& syncs_;
     prometheus::Counter& failures_;
 };
