--- a/src/tallyfold/plane/turns/turn_search.cpp
+++ b/src/tallyfold/plane/turns/turn_search.cpp
@@ -16,16 +16,16 @@
 
 void turn_search::use_table(const store_table& table) {
     for (const store_map& map : table.groups) {
-        const auto asked = groups_.find(map.group);
-        if (asked != groups_.end() && map.epoch > asked->second.map.epoch) {
-            asked->second = {map, {}, asked->second.holds};
+        const auto searched = groups_.find(map.group);
+        if (searched != groups_.end() && map.epoch > searched->second.map.epoch) {
+            searched->second = {map, {}, searched->second.holds};
         }
     }
 }
 
 void turn_search::on_reply(const find_reply& reply) {
-    for (auto& [number, asked] : groups_) {
-        const std::vector<store_member> members = asked.map.all();
+    for (auto& [number, searched] : groups_) {
+        const std::vector<store_member> members = searched.map.all();
         const auto member = std::find_if(
             members.begin(), members.end(),
             [&](const store_member& candidate) { return candidate.id == reply.store; });
@@ -33,19 +33,19 @@
             continue;
         }
         if (reply.held) {
-            asked.holds = true;
+            searched.holds = true;
             holders_.push_back(*member);
         } else if (reply.newer_map.empty()) {
-            asked.denials.insert(reply.store);
+            searched.denials.insert(reply.store);
         }
     }
 }
 
 std::vector<store_member> turn_search::sources() const {
     std::vector<store_member> stores = holders_;
-    for (const auto& [number, asked] : groups_) {
-        if (asked.holds) {
-            const std::vector<store_member> members = asked.map.all();
+    for (const auto& [number, searched] : groups_) {
+        if (searched.holds) {
+            const std::vector<store_member> members = searched.map.all();
             stores.insert(stores.end(), members.begin(), members.end());
         }
     }
@@ -54,29 +54,29 @@
 
 bool turn_search::held_by_no_group() const {
     const auto denied_by_quorum = [](const auto& entry) {
-        const searched_group& asked = entry.second;
-        return !asked.map.after_loss && asked.map.suffices_of_current(asked.denials);
+        const searched_group& searched = entry.second;
+        return !searched.map.after_loss && searched.map.suffices_of_current(searched.denials);
     };
     return !found() && std::all_of(groups_.begin(), groups_.end(), denied_by_quorum);
 }
 
 bool turn_search::denied_by_all_stores() const {
     return !found() && std::all_of(groups_.begin(), groups_.end(), [](const auto& entry) {
-        const searched_group& asked = entry.second;
-        const std::vector<store_member> members = asked.map.all();
-        return !asked.map.changing() &&
+        const searched_group& searched = entry.second;
+        const std::vector<store_member> members = searched.map.all();
+        return !searched.map.changing() &&
                std::all_of(members.begin(), members.end(), [&](const store_member& member) {
-                   return asked.denials.contains(member.id);
+                   return searched.denials.contains(member.id);
                });
     });
 }
 
 std::vector<turn_search::store_request> turn_search::unanswered(operation_number operation) const {
     std::vector<store_request> requests;
-    for (const auto& [number, asked] : groups_) {
-        for (const store_member& member : asked.map.all()) {
-            if (!asked.denials.contains(member.id)) {
-                requests.push_back({member, {operation, asked.map.epoch, request_}});
+    for (const auto& [number, searched] : groups_) {
+        for (const store_member& member : searched.map.all()) {
+            if (!searched.denials.contains(member.id)) {
+                requests.push_back({member, {operation, searched.map.epoch, request_}});
             }
         }
     }
@@ -84,8 +84,8 @@
 }
 
 const store_map* turn_search::map_of(group_number group) const {
-    const auto asked = groups_.find(group);
-    return asked == groups_.end() ? nullptr : &asked->second.map;
+    const auto searched = groups_.find(group);
+    return searched == groups_.end() ? nullptr : &searched->second.map;
 }
 
 }  // namespace tallyfold::turns
