--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -132,8 +132,8 @@
     }
     if (search_.has_value() && !search_->found()) {
         search_->use_table(table);
-        for (const turn_search::store_request& asked : search_->unanswered(number_)) {
-            requests.push_back({asked.store, asked.request});
+        for (const turn_search::store_request& search_request : search_->unanswered(number_)) {
+            requests.push_back({search_request.store, search_request.request});
         }
     }
 }
