--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -99,9 +99,9 @@
 }
 
 void turn_client::on_message(store_id store, const messaging::peer_message& message) {
-    const auto known = stores_.find(store);
-    if (known != stores_.end()) {
-        known->second.last_received = steady_now();
+    const auto connection = stores_.find(store);
+    if (connection != stores_.end()) {
+        connection->second.last_received = steady_now();
     }
     if (const auto* begun = std::get_if<begin_reply>(&message)) {
         report_newer_maps(begun->newer_map);
@@ -120,8 +120,8 @@
 store_id turn_client::nearest(const store_map& map) const {
     store_id chosen = 0;
     for (const store_member& member : map.current) {
-        const auto known = stores_.find(member.id);
-        const bool connected = known != stores_.end() && known->second.link->connected();
+        const auto connection = stores_.find(member.id);
+        const bool connected = connection != stores_.end() && connection->second.link->connected();
         if (connected && (chosen == 0 || member.zone == process_.settings().zone)) {
             chosen = member.id;
         }
@@ -131,18 +131,19 @@
 
 void turn_client::send(const store_member& member, const messaging::peer_message& message,
                        instant first_sent) {
-    const auto known = stores_.find(member.id);
-    if (known == stores_.end()) {
+    const auto connection = stores_.find(member.id);
+    if (connection == stores_.end()) {
         return;
     }
     const instant now = steady_now();
-    const bool silent = now - std::max(first_sent, known->second.last_received) > silence_timeout;
+    const bool silent =
+        now - std::max(first_sent, connection->second.last_received) > silence_timeout;
     if (silent) {
-        known->second.last_received = now;
-        known->second.link->reconnect("silent");
+        connection->second.last_received = now;
+        connection->second.link->reconnect("silent");
         return;
     }
-    known->second.link->send(message);
+    connection->second.link->send(message);
 }
 
 asio::awaitable<void> turn_client::wait(std::shared_ptr<pending_operation> pending, instant until) {
