--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -18,7 +18,7 @@
                                             const store_map* used) {
     for (const store_map& newer : maps) {
         // A store that has moved to another group replies with that group's map. It would reply the
-        // same to a resend until the directory sends the map that replaces it.
+        // same to a resend until the directory sends a map in which another store replaces it.
         if (used != nullptr && newer.group == used->group && newer.epoch > used->epoch) {
             backoff_.resend_now();
         }
