--- a/src/tallyfold/plane/turns/copy_progress.cpp
+++ b/src/tallyfold/plane/turns/copy_progress.cpp
@@ -5,35 +5,35 @@
 namespace tallyfold::turns {
 
 copy_progress::copy_progress(store_map map, store_id self) : map_(std::move(map)), self_(self) {
-    finished(self_);
+    mark_complete(self_);
 }
 
-void copy_progress::finished(store_id source) {
+void copy_progress::mark_complete(store_id source) {
     const bool current =
         std::any_of(map_.current.begin(), map_.current.end(),
                     [source](const store_member& member) { return member.id == source; });
     if (current) {
-        done_.insert(source);
+        completed_sources_.insert(source);
     }
 }
 
-bool copy_progress::wanted() const {
+bool copy_progress::required() const {
     return std::any_of(map_.next.begin(), map_.next.end(),
                        [this](const store_member& member) { return member.id == self_; });
 }
 
-std::vector<store_member> copy_progress::sources() const {
-    std::vector<store_member> left;
+std::vector<store_member> copy_progress::remaining_sources() const {
+    std::vector<store_member> remaining;
     for (const store_member& member : map_.current) {
-        if (!done_.contains(member.id)) {
-            left.push_back(member);
+        if (!completed_sources_.contains(member.id)) {
+            remaining.push_back(member);
         }
     }
-    return left;
+    return remaining;
 }
 
-bool copy_progress::whole() const {
-    return done_.size() >= map_.copies_needed();
+bool copy_progress::complete() const {
+    return completed_sources_.size() >= map_.copies_needed();
 }
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -8,27 +8,27 @@
 
 namespace {
 
-/// Texts that one page of a copy holds, about, in bytes. Chosen, not measured: small enough that a
-/// page doesn't hold up the turns that are served beside it for long.
+/// Approximate size of the texts in one page of a copy, in bytes. Small, so that a page does not
+/// delay other requests for long.
 constexpr std::size_t copy_page_bytes = 128U << 10U;
 
 }  // namespace
 
-store_fsm::store_fsm(store_id self, const store_map& kept, turn_table recovered)
-    : self_(self), turns_(std::move(recovered)), durable_epoch_(kept.epoch) {
-    learn_map(kept);
-    map_unwritten_ = false;
+store_fsm::store_fsm(store_id self, const store_map& stored_map, turn_table recovered)
+    : self_(self), turns_(std::move(recovered)), durable_epoch_(stored_map.epoch) {
+    learn_map(stored_map);
+    map_write_pending_ = false;
 }
 
-std::vector<store_map> store_fsm::newer_than(map_epoch epoch) const {
+std::vector<store_map> store_fsm::newer_map_than(map_epoch epoch) const {
     return accepts_epoch(map_.epoch, epoch) ? std::vector<store_map>{}
                                             : std::vector<store_map>{map_};
 }
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from, const begin_request& request) {
-    std::vector<store_map> newer = newer_than(request.epoch);
+    std::vector<store_map> newer = newer_map_than(request.epoch);
     if (newer.empty()) {
-        waiting_.push_back({from, request});
+        queue_.push_back({from, request});
         return {};
     }
     begin_reply reply;
@@ -44,9 +44,9 @@
     for (const scheduling::prefix_point& point : request.held.points) {
         prompt_holders_.stored(request.held.engine, point);
     }
-    std::vector<store_map> newer = newer_than(request.epoch);
+    std::vector<store_map> newer = newer_map_than(request.epoch);
     if (newer.empty()) {
-        waiting_.push_back({from, request});
+        queue_.push_back({from, request});
         return {};
     }
     return {{from, settle_reply{request.operation, self_, false, std::move(newer)}}};
@@ -59,20 +59,20 @@
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from,
                                                 const find_request& request) const {
-    return {{from, find_reply{request.operation, self_, newer_than(request.epoch),
+    return {{from, find_reply{request.operation, self_, newer_map_than(request.epoch),
                               turns_.holds_turn(request.request)}}};
 }
 
 std::vector<addressed_reply> store_fsm::receive(peer_token from, const copy_request& request) {
-    // From here on no write under an older map is taken. What was taken before is ahead in the
-    // queue, so that the copy holds it too.
+    // No write under an older map is accepted after this. Writes accepted before are ahead in the
+    // queue, so that the copy includes them.
     learn_map(request.map);
-    waiting_.push_back({from, request});
+    queue_.push_back({from, request});
     return {};
 }
 
 void store_fsm::receive(const copy_reply& reply) {
-    waiting_.push_back({0, reply});
+    queue_.push_back({0, reply});
 }
 
 bool store_fsm::learn_map(const store_map& map) {
@@ -80,13 +80,13 @@
         return false;
     }
     map_ = map;
-    map_unwritten_ = true;
-    copying_.reset();
+    map_write_pending_ = true;
+    copy_progress_.reset();
     copy_positions_.clear();
     if (map.changing()) {
-        copying_.emplace(map, self_);
-        if (!copying_->wanted()) {
-            copying_.reset();
+        copy_progress_.emplace(map, self_);
+        if (!copy_progress_->required()) {
+            copy_progress_.reset();
         }
     }
     return true;
@@ -99,7 +99,7 @@
             concerning.push_back(&map);
         }
     }
-    // A store that has changed its group learns of its leaving first.
+    // In ascending order, so that a store that moved to another group leaves the old one first.
     std::sort(
         concerning.begin(), concerning.end(),
         [](const store_map* left, const store_map* right) { return left->epoch < right->epoch; });
@@ -110,7 +110,8 @@
     return newer;
 }
 
-void store_fsm::append_changes(const waiting_work& work, std::vector<turn_change>& changes) const {
+void store_fsm::append_changes(const queued_message& work,
+                               std::vector<turn_change>& changes) const {
     if (const auto* begin = std::get_if<begin_request>(&work.body)) {
         changes.emplace_back(begin->reservation);
     } else if (const auto* settle = std::get_if<settle_request>(&work.body)) {
@@ -122,14 +123,14 @@
 
 store_write store_fsm::take_write() {
     store_write write;
-    if (map_unwritten_) {
+    if (map_write_pending_) {
         write.map = map_;
-        map_unwritten_ = false;
+        map_write_pending_ = false;
         writing_epoch_ = map_.epoch;
     }
-    writing_ = std::move(waiting_);
-    waiting_.clear();
-    for (const waiting_work& work : writing_) {
+    write_batch_ = std::move(queue_);
+    queue_.clear();
+    for (const queued_message& work : write_batch_) {
         append_changes(work, write.changes);
     }
     return write;
@@ -167,24 +168,24 @@
 }
 
 void store_fsm::on_copy_page(const copy_reply& reply) {
-    if (!copying_.has_value() || reply.epoch != copying_->epoch()) {
+    if (!copy_progress_.has_value() || reply.epoch != copy_progress_->epoch()) {
         return;
     }
     if (!reply.next.empty()) {
         copy_positions_[reply.store] = reply.next;
         return;
     }
-    copying_->finished(reply.store);
-    if (copying_->whole()) {
-        copied_epoch_ = copying_->epoch();
-        copying_.reset();
+    copy_progress_->mark_complete(reply.store);
+    if (copy_progress_->complete()) {
+        copied_epoch_ = copy_progress_->epoch();
+        copy_progress_.reset();
     }
 }
 
-void store_fsm::take_over(const std::vector<waiting_work>& batch, instant now) {
+void store_fsm::apply_batch(const std::vector<queued_message>& batch, instant now) {
     durable_epoch_ = std::max(durable_epoch_, writing_epoch_);
     std::vector<turn_change> changes;
-    for (const waiting_work& work : batch) {
+    for (const queued_message& work : batch) {
         append_changes(work, changes);
     }
     for (const turn_change& change : changes) {
@@ -193,15 +194,15 @@
 }
 
 std::vector<addressed_reply> store_fsm::written(bool durable, instant now) {
-    const std::vector<waiting_work> batch = std::move(writing_);
-    writing_.clear();
+    const std::vector<queued_message> batch = std::move(write_batch_);
+    write_batch_.clear();
     if (durable) {
-        take_over(batch, now);
+        apply_batch(batch, now);
     } else if (writing_epoch_ > durable_epoch_) {
-        map_unwritten_ = true;
+        map_write_pending_ = true;
     }
     std::vector<addressed_reply> replies;
-    for (const waiting_work& work : batch) {
+    for (const queued_message& work : batch) {
         if (const auto* begin = std::get_if<begin_request>(&work.body)) {
             replies.push_back({work.from, answer(*begin, durable)});
         } else if (const auto* settle = std::get_if<settle_request>(&work.body)) {
@@ -218,10 +219,10 @@
 }
 
 std::optional<copy_order> store_fsm::next_copy() {
-    if (!copying_.has_value()) {
+    if (!copy_progress_.has_value()) {
         return std::nullopt;
     }
-    const std::vector<store_member> sources = copying_->sources();
+    const std::vector<store_member> sources = copy_progress_->remaining_sources();
     if (sources.empty()) {
         return std::nullopt;
     }
@@ -231,7 +232,7 @@
         held_requests_ = turns_.settled_requests();
     }
     copy_request request;
-    request.map = copying_->map();
+    request.map = copy_progress_->map();
     request.held = held_requests_;
     request.after = from == copy_positions_.end() ? std::string{} : from->second;
     return copy_order{source, std::move(request)};
--- a/src/tallyfold/plane/turns/store_writer_shell.cpp
+++ b/src/tallyfold/plane/turns/store_writer_shell.cpp
@@ -9,11 +9,10 @@
 
 namespace {
 
-/// A disk that goes on refusing is logged this often. Chosen, not measured: often enough to be seen
-/// at once, and 43,200 lines a day at most.
+/// Minimum interval between log lines about failed writes.
 constexpr duration failure_log_interval = std::chrono::seconds(2);
-/// Texts that one record of a fresh segment holds, about, in bytes. Chosen, not measured: a store's
-/// memory needs room for one page beside the turns, not for all of them twice.
+/// Approximate size of the texts in one record of a new segment, in bytes. Bounds the memory that a
+/// rotation needs beside the table.
 constexpr std::size_t segment_page_bytes = 64U << 10U;
 
 }  // namespace
@@ -40,18 +39,18 @@
         written = log_.append(write.changes);
     }
     if (!written) {
-        note_failure(written.error());
+        report_failure(written.error());
     }
     return written.has_value();
 }
 
-void store_writer::note_failure(const storage::storage_error& error) {
+void store_writer::report_failure(const storage::storage_error& error) {
     failures_.Increment();
     const instant now = steady_now();
-    if (now - failure_logged_ < failure_log_interval) {
+    if (now - failure_logged_at_ < failure_log_interval) {
         return;
     }
-    failure_logged_ = now;
+    failure_logged_at_ = now;
     logging::write_event(logging::event_id::storage_failed, "reason=\"" + error.detail + "\"");
 }
 
@@ -60,14 +59,14 @@
         return turns.page_after(after, {}, segment_page_bytes);
     });
     if (!rotated) {
-        note_failure(rotated.error());
+        report_failure(rotated.error());
     }
     return rotated.has_value();
 }
 
 void store_writer::rotate_if_grown(const turn_table& turns) {
-    if (log_.wants_rotation()) {
-        // When the disk refuses, either the next write tries again, or repair() does.
+    if (log_.needs_rotation()) {
+        // After a failure, the rotation is attempted again after the next write or by repair().
         begin_segment(turns);
     }
 }
--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -17,8 +17,8 @@
 void turn_beginning::resend_under_newer_map(const std::vector<store_map>& maps,
                                             const store_map* used) {
     for (const store_map& newer : maps) {
-        // A store that has moved to another group answers with that group's map. Asking it again at
-        // once would get the same answer until the directory says who took its place.
+        // A store that has moved to another group replies with that group's map. It would reply the
+        // same to a resend until the directory sends a map in which another store replaces it.
         if (used != nullptr && newer.group == used->group && newer.epoch > used->epoch) {
             backoff_.resend_now();
         }
@@ -33,7 +33,7 @@
 void turn_beginning::on_reply(const history_reply& reply) {
     operation_.on_history(reply);
     if (history_request_due_.has_value()) {
-        // The next store is asked at once for what is still missing.
+        // The next store is asked at once for texts that are still missing.
         history_request_due_ = instant{};
     }
 }
@@ -48,14 +48,14 @@
     search_->on_reply(reply);
 }
 
-void turn_beginning::reachable(store_id store) {
+void turn_beginning::on_store_connected(store_id store) {
     const bool searching = search_.has_value() && !search_->found();
     if (operation_.map().holds(store) || searching) {
         backoff_.resend_now();
     }
 }
 
-bool turn_beginning::previous_unknown() const {
+bool turn_beginning::previous_not_held() const {
     return operation_.outcome() == begin_outcome::unknown_previous;
 }
 
@@ -64,11 +64,11 @@
         case begin_outcome::pending:
             return true;
         case begin_outcome::unknown_previous: {
-            absence_evidence evidence;
-            evidence.own_group_after_loss = operation_.map().after_loss;
-            evidence.is_only_group = only_group_;
-            evidence.denied_by_other_groups = search_.has_value() && search_->held_by_no_group();
-            return !is_known_absent(evidence);
+            absence_inputs inputs;
+            inputs.own_group_after_loss = operation_.map().after_loss;
+            inputs.is_only_group = only_group_;
+            inputs.denied_by_other_groups = search_.has_value() && search_->held_by_no_group();
+            return !is_known_absent(inputs);
         }
         case begin_outcome::admitted:
         case begin_outcome::over_budget:
@@ -81,41 +81,41 @@
     const bool others_deny =
         only_group_ || (search_.has_value() && search_->denied_by_all_stores());
     const bool own_group_answered = !operation_.map().changing() && operation_.unanswered().empty();
-    return previous_unknown() && others_deny && own_group_answered;
+    return previous_not_held() && others_deny && own_group_answered;
 }
 
-std::string turn_beginning::wanted_elsewhere() const {
+std::string turn_beginning::turn_to_search_for() const {
     if (only_group_ || !operation_.reserved()) {
         return {};
     }
-    if (previous_unknown()) {
+    if (previous_not_held()) {
         return question_.previous;
     }
-    // A store that came from another group may hold a turn of that group without all the turns
-    // before it.
-    return own_group_asked_ ? operation_.missing_turn() : std::string{};
+    // A store that came from another group may hold a turn of that group without all earlier turns
+    // of its history.
+    return all_own_stores_asked_ ? operation_.missing_turn() : std::string{};
 }
 
-void turn_beginning::search_elsewhere(instant now, const store_table& table) {
-    const std::string wanted = wanted_elsewhere();
-    if (wanted.empty()) {
+void turn_beginning::search_other_groups(instant now, const store_table& table) {
+    const std::string searched_turn = turn_to_search_for();
+    if (searched_turn.empty()) {
         return;
     }
-    if (!search_.has_value() || search_->turn() != wanted) {
-        search_.emplace(table, wanted, group_);
+    if (!search_.has_value() || search_->turn() != searched_turn) {
+        search_.emplace(table, searched_turn, group_);
         backoff_.resend_now();
     }
-    if (search_->found() && !adopts_) {
-        adopts_ = true;
+    if (search_->found() && !adopts_history_) {
+        adopts_history_ = true;
         history_request_due_ = now;
     }
-    if (search_->found() && wanted == question_.previous) {
-        operation_.previous_found();
+    if (search_->found() && searched_turn == question_.previous) {
+        operation_.mark_previous_held();
     }
 }
 
-void turn_beginning::ask_stores(const store_table& table, const store_choice& nearest,
-                                std::vector<store_question>& questions) {
+void turn_beginning::collect_store_requests(const store_table& table, const store_choice& nearest,
+                                            std::vector<store_question>& requests) {
     operation_.use_map(table.groups[group_]);
     const store_id source = nearest(operation_.map());
     for (const store_member& member : operation_.unanswered()) {
@@ -128,12 +128,12 @@
         if (request.wants_history) {
             request.prompt = question_.prompt;
         }
-        questions.push_back({member, std::move(request)});
+        requests.push_back({member, std::move(request)});
     }
     if (search_.has_value() && !search_->found()) {
         search_->use_table(table);
-        for (const turn_search::question& asked : search_->unanswered(number_)) {
-            questions.push_back({asked.store, asked.request});
+        for (const turn_search::store_request& search_request : search_->unanswered(number_)) {
+            requests.push_back({search_request.store, search_request.request});
         }
     }
 }
@@ -148,54 +148,55 @@
     return sources;
 }
 
-void turn_beginning::request_history(instant now, std::vector<store_question>& questions) {
+void turn_beginning::request_history(instant now, std::vector<store_question>& requests) {
     const std::string missing = operation_.missing_turn();
-    if (!operation_.reserved() || previous_unknown() || missing.empty()) {
+    if (!operation_.reserved() || previous_not_held() || missing.empty()) {
         history_request_due_.reset();
         return;
     }
     if (!history_request_due_.has_value()) {
-        history_request_due_ = now + history_grace;
+        history_request_due_ = now + history_grace_period;
     }
     if (now < *history_request_due_) {
         return;
     }
     if (missing != requested_turn_) {
         requested_turn_ = missing;
-        asked_for_history_.clear();
-        own_group_asked_ = false;
+        history_stores_asked_.clear();
+        all_own_stores_asked_ = false;
     }
     const std::vector<store_member> sources = history_sources();
     const auto not_asked = [this](const store_member& member) {
-        return !asked_for_history_.contains(member.id);
+        return !history_stores_asked_.contains(member.id);
     };
     auto next = std::find_if(sources.begin(), sources.end(), not_asked);
     if (next == sources.end()) {
-        // All have been asked, and again from the first: a reply may have been lost, or a store
-        // was down.
-        own_group_asked_ = true;
-        asked_for_history_.clear();
+        // All stores have been asked. Starts again with the first, since a reply may have been lost
+        // or a store may have been down.
+        all_own_stores_asked_ = true;
+        history_stores_asked_.clear();
         next = sources.begin();
     }
-    asked_for_history_.insert(next->id);
-    questions.push_back({*next, history_request{number_, missing}});
+    history_stores_asked_.insert(next->id);
+    requests.push_back({*next, history_request{number_, missing}});
     history_request_due_ = now + history_resend_interval;
 }
 
 std::vector<store_question> turn_beginning::due(instant now, const store_table& table,
                                                 const store_choice& nearest) {
-    std::vector<store_question> questions;
-    search_elsewhere(now, table);
+    std::vector<store_question> requests;
+    search_other_groups(now, table);
     if (backoff_.take_due(now)) {
-        ask_stores(table, nearest, questions);
+        collect_store_requests(table, nearest, requests);
     }
-    request_history(now, questions);
-    return questions;
+    request_history(now, requests);
+    return requests;
 }
 
 instant turn_beginning::next_due() const {
-    return history_request_due_.has_value() ? std::min(*history_request_due_, backoff_.next())
-                                            : backoff_.next();
+    return history_request_due_.has_value()
+               ? std::min(*history_request_due_, backoff_.next_send_at())
+               : backoff_.next_send_at();
 }
 
 begun_turn turn_beginning::outcome() const {
@@ -215,7 +216,7 @@
             for (const turn_record* record : operation_.history()) {
                 begun.history.push_back(*record);
             }
-            begun.adopted = adopts_;
+            begun.adopted = adopts_history_;
             break;
         case begin_outcome::over_budget:
             begun.result = begin_result::over_budget;
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -13,12 +13,11 @@
 
 namespace {
 
-/// A store that is silent for this long while it is asked gets a new connection. Chosen, not
-/// measured: leaves half a second of the 1.5 s that a begin may take for a further try.
-constexpr duration silence_limit = std::chrono::milliseconds(900);
-/// A settlement whose caller doesn't wait is tried for this long. Chosen, not measured: as long as
-/// a store has to be silent before the directory replaces it.
-constexpr duration background_limit = std::chrono::seconds(6);
+/// Time without a message from a store with open requests after which its connection is replaced.
+/// Leaves time for another attempt within the time limit of a begin.
+constexpr duration silence_timeout = std::chrono::milliseconds(900);
+/// Time limit of a settlement in the background.
+constexpr duration background_settle_timeout = std::chrono::seconds(6);
 
 }  // namespace
 
@@ -37,7 +36,7 @@
             continue;
         }
         store.link = std::make_shared<messaging::peer_link>(process_.loop(), member.address);
-        store.last_heard = steady_now();
+        store.last_received = steady_now();
         const store_id id = member.id;
         store.link->start(
             [this, id](const messaging::peer_message& message) { on_message(id, message); },
@@ -51,77 +50,78 @@
 }
 
 void turn_client::resend_to(store_id store) {
-    // What was asked over a lost connection didn't arrive.
-    for (const auto& [number, waiting] : operations_) {
-        if (waiting->begin != nullptr) {
-            waiting->begin->reachable(store);
-            waiting->timer.cancel();
-        } else if (waiting->settle != nullptr && waiting->settle->map().holds(store)) {
-            waiting->schedule.resend_now();
-            waiting->timer.cancel();
+    // Requests sent over the lost connection may not have arrived.
+    for (const auto& [number, pending] : operations_) {
+        if (pending->begin != nullptr) {
+            pending->begin->on_store_connected(store);
+            pending->timer.cancel();
+        } else if (pending->settle != nullptr && pending->settle->map().holds(store)) {
+            pending->backoff.resend_now();
+            pending->timer.cancel();
         }
     }
 }
 
-std::shared_ptr<turn_client::waiting_operation> turn_client::find(operation_number number) const {
+std::shared_ptr<turn_client::pending_operation> turn_client::find_operation(
+    operation_number number) const {
     const auto found = operations_.find(number);
     return found == operations_.end() ? nullptr : found->second;
 }
 
-void turn_client::learn(const std::vector<store_map>& newer) {
+void turn_client::report_newer_maps(const std::vector<store_map>& newer) {
     for (const store_map& map : newer) {
         newer_map_handler_(map);
     }
 }
 
 template <class Reply>
-void turn_client::on_beginning(const Reply& reply) {
-    const auto waiting = find(reply.operation);
-    if (waiting && waiting->begin != nullptr) {
-        waiting->begin->on_reply(reply);
-        waiting->timer.cancel();
+void turn_client::on_begin_reply(const Reply& reply) {
+    const auto pending = find_operation(reply.operation);
+    if (pending && pending->begin != nullptr) {
+        pending->begin->on_reply(reply);
+        pending->timer.cancel();
     }
 }
 
-void turn_client::on_settled(const settle_reply& reply) {
-    const auto waiting = find(reply.operation);
-    if (!waiting || waiting->settle == nullptr) {
+void turn_client::on_settle_reply(const settle_reply& reply) {
+    const auto pending = find_operation(reply.operation);
+    if (!pending || pending->settle == nullptr) {
         return;
     }
-    const store_map& known = waiting->settle->map();
+    const store_map& known = pending->settle->map();
     for (const store_map& newer : reply.newer_map) {
         if (newer.group == known.group && newer.epoch > known.epoch) {
-            waiting->schedule.resend_now();
+            pending->backoff.resend_now();
         }
     }
-    waiting->settle->on_reply(reply);
-    waiting->timer.cancel();
+    pending->settle->on_reply(reply);
+    pending->timer.cancel();
 }
 
 void turn_client::on_message(store_id store, const messaging::peer_message& message) {
-    const auto known = stores_.find(store);
-    if (known != stores_.end()) {
-        known->second.last_heard = steady_now();
+    const auto connection = stores_.find(store);
+    if (connection != stores_.end()) {
+        connection->second.last_received = steady_now();
     }
     if (const auto* begun = std::get_if<begin_reply>(&message)) {
-        learn(begun->newer_map);
-        on_beginning(*begun);
+        report_newer_maps(begun->newer_map);
+        on_begin_reply(*begun);
     } else if (const auto* history = std::get_if<history_reply>(&message)) {
-        on_beginning(*history);
+        on_begin_reply(*history);
     } else if (const auto* found = std::get_if<find_reply>(&message)) {
-        learn(found->newer_map);
-        on_beginning(*found);
+        report_newer_maps(found->newer_map);
+        on_begin_reply(*found);
     } else if (const auto* settled = std::get_if<settle_reply>(&message)) {
-        learn(settled->newer_map);
-        on_settled(*settled);
+        report_newer_maps(settled->newer_map);
+        on_settle_reply(*settled);
     }
 }
 
 store_id turn_client::nearest(const store_map& map) const {
     store_id chosen = 0;
     for (const store_member& member : map.current) {
-        const auto known = stores_.find(member.id);
-        const bool connected = known != stores_.end() && known->second.link->connected();
+        const auto connection = stores_.find(member.id);
+        const bool connected = connection != stores_.end() && connection->second.link->connected();
         if (connected && (chosen == 0 || member.zone == process_.settings().zone)) {
             chosen = member.id;
         }
@@ -131,36 +131,38 @@
 
 void turn_client::send(const store_member& member, const messaging::peer_message& message,
                        instant first_sent) {
-    const auto known = stores_.find(member.id);
-    if (known == stores_.end()) {
+    const auto connection = stores_.find(member.id);
+    if (connection == stores_.end()) {
         return;
     }
     const instant now = steady_now();
-    const bool silent = now - std::max(first_sent, known->second.last_heard) > silence_limit;
+    const bool silent =
+        now - std::max(first_sent, connection->second.last_received) > silence_timeout;
     if (silent) {
-        known->second.last_heard = now;
-        known->second.link->reconnect("silent");
+        connection->second.last_received = now;
+        connection->second.link->reconnect("silent");
         return;
     }
-    known->second.link->send(message);
+    connection->second.link->send(message);
 }
 
-asio::awaitable<void> turn_client::wait(std::shared_ptr<waiting_operation> waiting, instant until) {
-    waiting->timer.expires_at(std::chrono::steady_clock::time_point(until.time_since_epoch()));
-    co_await waiting->timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
+asio::awaitable<void> turn_client::wait(std::shared_ptr<pending_operation> pending, instant until) {
+    pending->timer.expires_at(std::chrono::steady_clock::time_point(until.time_since_epoch()));
+    co_await pending->timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
 }
 
-std::shared_ptr<turn_client::waiting_operation> turn_client::enlist(operation_number number) {
-    auto waiting = std::make_shared<waiting_operation>(process_.loop());
-    operations_[number] = waiting;
-    return waiting;
+std::shared_ptr<turn_client::pending_operation> turn_client::register_operation(
+    operation_number number) {
+    auto pending = std::make_shared<pending_operation>(process_.loop());
+    operations_[number] = pending;
+    return pending;
 }
 
 asio::awaitable<begun_turn> turn_client::begin(turn_question question, instant deadline) {
     const operation_number number = next_operation_++;
     turn_beginning beginning(number, std::move(question), table_);
-    const auto waiting = enlist(number);
-    waiting->begin = &beginning;
+    const auto pending = register_operation(number);
+    pending->begin = &beginning;
     const instant started = steady_now();
     const auto choose = [this](const store_map& map) { return nearest(map); };
     while (beginning.undecided() && !beginning.cannot_be_decided()) {
@@ -168,11 +170,11 @@
         if (now >= deadline) {
             break;
         }
-        for (const store_question& question_due : beginning.due(now, table_, choose)) {
-            std::visit([&](const auto& body) { send(question_due.store, body, started); },
-                       question_due.body);
+        for (const store_question& due_request : beginning.due(now, table_, choose)) {
+            std::visit([&](const auto& body) { send(due_request.store, body, started); },
+                       due_request.body);
         }
-        co_await wait(waiting, std::min(deadline, beginning.next_due()));
+        co_await wait(pending, std::min(deadline, beginning.next_due()));
     }
     operations_.erase(number);
     co_return beginning.outcome();
@@ -183,15 +185,15 @@
     const operation_number number = next_operation_++;
     const group_number group = table_.group_of(settlement.program);
     settle_operation operation(table_.groups[group]);
-    const auto waiting = enlist(number);
-    waiting->settle = &operation;
+    const auto pending = register_operation(number);
+    pending->settle = &operation;
     const instant started = steady_now();
     while (!operation.done()) {
         const instant now = steady_now();
         if (now >= deadline) {
             break;
         }
-        if (waiting->schedule.take_due(now)) {
+        if (pending->backoff.take_due(now)) {
             operation.use_map(table_.groups[group]);
             for (const store_member& member : operation.unanswered()) {
                 settle_request request;
@@ -202,7 +204,7 @@
                 send(member, request, started);
             }
         }
-        co_await wait(waiting, std::min(deadline, waiting->schedule.next()));
+        co_await wait(pending, std::min(deadline, pending->backoff.next_send_at()));
     }
     operations_.erase(number);
     if (!operation.done()) {
@@ -220,10 +222,10 @@
     asio::co_spawn(
         process_.loop(),
         [this, settlement = std::move(settlement)]() mutable -> asio::awaitable<void> {
-            // A settlement that fails is logged by settle(); no caller waits for it.
-            const instant deadline = steady_now() + background_limit;
-            cached_prompt held_nowhere;
-            co_await settle(std::move(settlement), std::move(held_nowhere), deadline);
+            // settle() logs a failure; no caller waits for the result.
+            const instant deadline = steady_now() + background_settle_timeout;
+            cached_prompt no_cached_prompt;
+            co_await settle(std::move(settlement), std::move(no_cached_prompt), deadline);
             --settling_;
         },
         asio::detached);
--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -16,8 +16,8 @@
 using storage::storage_failure;
 
 constexpr std::string_view segment_prefix = "turns-";
-constexpr std::string_view map_name = "store-map";
-constexpr std::string_view identity_name = "store-identity";
+constexpr std::string_view map_file_name = "store-map";
+constexpr std::string_view identity_file_name = "store-identity";
 
 }  // namespace
 
@@ -25,7 +25,7 @@
     : folder_(std::move(folder)), log_(folder_, std::string(segment_prefix), segment_bytes) {}
 
 tl::expected<turn_log, storage_error> turn_log::open(
-    const std::string& folder, store_id fresh_identity,
+    const std::string& folder, store_id new_identity,
     const std::function<void(const turn_change&)>& on_change, std::uint64_t segment_bytes) {
     std::error_code failure;
     fs::create_directories(folder, failure);
@@ -34,7 +34,7 @@
             storage_error{storage_failure::input_output, folder + ": " + failure.message()});
     }
     turn_log log(folder, segment_bytes);
-    if (auto loaded = log.load_identity(fresh_identity); !loaded) {
+    if (auto loaded = log.load_identity(new_identity); !loaded) {
         return tl::unexpected(loaded.error());
     }
     if (auto loaded = log.load_changes(on_change); !loaded) {
@@ -43,12 +43,11 @@
     return log;
 }
 
-tl::expected<void, storage_error> turn_log::load_identity(store_id fresh_identity) {
-    const std::string path = folder_ + "/" + std::string(identity_name);
+tl::expected<void, storage_error> turn_log::load_identity(store_id new_identity) {
+    const std::string path = folder_ + "/" + std::string(identity_file_name);
     if (!fs::exists(path)) {
-        identity_ = fresh_identity;
-        return storage::replace_file(path,
-                                     storage::single_record(protocol::encode(fresh_identity)));
+        identity_ = new_identity;
+        return storage::replace_file(path, storage::single_record(protocol::encode(new_identity)));
     }
     const auto payload = storage::read_single_record(path);
     if (!payload) {
@@ -64,10 +63,10 @@
 
 tl::expected<void, storage_error> turn_log::load_changes(
     const std::function<void(const turn_change&)>& on_change) {
-    const auto take = [&](std::string_view payload) -> tl::expected<void, storage_error> {
+    const auto decode_record = [&](std::string_view payload) -> tl::expected<void, storage_error> {
         const auto changes = protocol::decode_stored<std::vector<turn_change>>(payload);
         if (!changes) {
-            // The record's checksum holds: it is as it was written.
+            // The checksum matches, so the format is unknown rather than the record damaged.
             return tl::unexpected(storage_error{storage_failure::foreign,
                                                 log_.path() + ": " + changes.error().reason});
         }
@@ -76,7 +75,7 @@
         }
         return {};
     };
-    return log_.open(storage::tail_policy::cut_unsynced, take);
+    return log_.open(storage::tail_policy::cut_unsynced, decode_record);
 }
 
 tl::expected<void, storage_error> turn_log::append(const std::vector<turn_change>& changes) {
@@ -84,12 +83,12 @@
 }
 
 tl::expected<void, storage_error> turn_log::keep_map(const store_map& map) {
-    return storage::replace_file(folder_ + "/" + std::string(map_name),
+    return storage::replace_file(folder_ + "/" + std::string(map_file_name),
                                  storage::single_record(protocol::encode_stored(map)));
 }
 
 tl::expected<store_map, storage_error> turn_log::kept_map() const {
-    const std::string path = folder_ + "/" + std::string(map_name);
+    const std::string path = folder_ + "/" + std::string(map_file_name);
     if (!fs::exists(path)) {
         return store_map{};
     }
@@ -105,10 +104,10 @@
     return *map;
 }
 
-tl::expected<void, storage_error> turn_log::rotate(const change_pages& contents) {
+tl::expected<void, storage_error> turn_log::rotate(const page_reader& read_page) {
     std::string after;
     return log_.rewrite([&](std::string& bytes) {
-        const change_page page = contents(after);
+        const change_page page = read_page(after);
         if (!page.changes.empty()) {
             storage::append_record(bytes, protocol::encode(page.changes));
         }
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -20,24 +20,22 @@
 
 namespace {
 
-/// Chosen, not measured: a walk over all turns, and retentions are counted in minutes.
+/// Interval of the removal of expired turns, which visits every turn.
 constexpr duration expiry_interval = std::chrono::seconds(2);
-/// Turns are kept this much longer than their retention, for clocks that run apart and turns under
-/// way. Chosen, not measured: ten times the 1.5 s that a begin may take.
+/// Time that turns are kept beyond their retention, for clock skew and turns under way.
 constexpr duration expiry_margin = std::chrono::seconds(15);
-/// A log that failed is tried again this often. Chosen, not measured: a fresh segment costs a sync.
+/// Interval between attempts to restore a failed log; each attempt costs a sync.
 constexpr duration repair_interval = std::chrono::milliseconds(500);
-/// Chosen, not measured: a third of copy_timeout::min_timeout.
+/// Interval of timeout checks; well below copy_timeout::min_timeout.
 constexpr duration copy_check_interval = std::chrono::milliseconds(100);
-/// Interval of the reports to the directory. Chosen, not measured: a store counts as silent only
-/// after six seconds.
+/// Interval of reports to the directory; well below the time after which a store counts as silent.
 constexpr duration report_interval = std::chrono::milliseconds(300);
-/// Requests are served for this long after a stop was asked for. Chosen, not measured: lets writes
-/// under way end and be answered.
+/// Time that requests are still served after a stop was requested, so that pending writes end and
+/// are answered.
 constexpr duration stop_delay = std::chrono::milliseconds(300);
-/// Rounds of the event loop that a write waits for further requests to join its sync. Chosen, not
-/// measured: what other connections have already delivered is read within two rounds.
-constexpr int gathering_rounds = 2;
+/// Rounds of the event loop that a write waits so that further requests join its sync; enough to
+/// read what other connections have already received.
+constexpr int batching_rounds = 2;
 
 class store_node {
   public:
@@ -46,15 +44,15 @@
 
   private:
     void receive(const messaging::channel_pointer& channel, const messaging::peer_message& message);
-    /// Hands a request to the state machine. @return replies that need no write
+    /// Passes a request to the state machine. @return replies that depend on no write
     std::vector<addressed_reply> dispatch(peer_token from, const messaging::peer_message& message);
     void send(const std::vector<addressed_reply>& replies);
-    /// Writes what waits, after a few rounds of the loop.
-    void write_soon();
-    void write_after(int rounds);
-    void write_waiting();
-    void log_whole_copy();
-    void use_stores(const store_table& stores);
+    /// Schedules a write of the queued messages after `batching_rounds` rounds of the event loop.
+    void schedule_write();
+    void write_after_rounds(int rounds);
+    void write_queued();
+    void log_completed_copy();
+    void on_store_table(const store_table& stores);
     [[nodiscard]] directory::store_report describe() const;
 
     net::node_process& process_;
@@ -63,12 +61,12 @@
     store_fsm store_;
     store_writer writer_;
     copy_client copy_;
-    /// A write is due in a few rounds of the loop.
-    bool write_due_ = false;
-    /// Connections that wait for a reply.
-    std::map<peer_token, messaging::channel_pointer> callers_;
-    peer_token next_caller_ = 1;
-    map_epoch logged_copy_ = 0;
+    /// True while a write is scheduled.
+    bool write_scheduled_ = false;
+    /// Channels of the requests that have no reply yet.
+    std::map<peer_token, messaging::channel_pointer> reply_channels_;
+    peer_token next_token_ = 1;
+    map_epoch logged_copy_epoch_ = 0;
     prometheus::Counter& changes_;
     prometheus::Gauge& bytes_;
 };
@@ -79,7 +77,7 @@
       peers_(process_.loop(), process_.settings().store_listener()),
       store_(std::move(opened.state)),
       writer_(std::move(opened.log), process_.metrics()),
-      copy_(process_.loop(), store_, [this] { write_soon(); }),
+      copy_(process_.loop(), store_, [this] { schedule_write(); }),
       changes_(net::add_counter(process_.metrics(), "tallyfold_store_changes_total",
                                 "Reservations and settlements taken")),
       bytes_(net::add_gauge(process_.metrics(), "tallyfold_store_turn_bytes",
@@ -110,55 +108,55 @@
     if (const auto* copy = std::get_if<copy_request>(&message)) {
         return store_.receive(from, *copy);
     }
-    // No message for a store: nobody waits for a reply.
-    callers_.erase(from);
+    // Not a request to a store, so there is no reply.
+    reply_channels_.erase(from);
     return {};
 }
 
 void store_node::receive(const messaging::channel_pointer& channel,
                          const messaging::peer_message& message) {
-    const peer_token from = next_caller_++;
+    const peer_token from = next_token_++;
     const map_epoch epoch = store_.map().epoch;
-    callers_[from] = channel;
+    reply_channels_[from] = channel;
     const std::vector<addressed_reply> replies = dispatch(from, message);
     if (store_.map().epoch > epoch) {
         directory_.learn_map(store_.map());
     }
     send(replies);
-    write_soon();
+    schedule_write();
 }
 
 void store_node::send(const std::vector<addressed_reply>& replies) {
     for (const addressed_reply& reply : replies) {
-        const auto caller = callers_.find(reply.to);
-        if (caller == callers_.end()) {
+        const auto caller = reply_channels_.find(reply.to);
+        if (caller == reply_channels_.end()) {
             continue;
         }
         const messaging::channel_pointer channel = caller->second;
-        callers_.erase(caller);
+        reply_channels_.erase(caller);
         std::visit([&channel](const auto& body) { channel->send(body); }, reply.body);
     }
 }
 
-void store_node::write_soon() {
-    if (!write_due_ && store_.has_work()) {
-        write_due_ = true;
-        write_after(gathering_rounds);
+void store_node::schedule_write() {
+    if (!write_scheduled_ && store_.has_work()) {
+        write_scheduled_ = true;
+        write_after_rounds(batching_rounds);
     }
 }
 
-void store_node::write_after(int rounds) {
+void store_node::write_after_rounds(int rounds) {
     asio::post(process_.loop(), [this, rounds] {
         if (rounds > 0) {
-            write_after(rounds - 1);
+            write_after_rounds(rounds - 1);
             return;
         }
-        write_due_ = false;
-        write_waiting();
+        write_scheduled_ = false;
+        write_queued();
     });
 }
 
-void store_node::write_waiting() {
+void store_node::write_queued() {
     const store_write write = store_.take_write();
     const bool durable = writer_.make_durable(write);
     send(store_.written(durable, steady_now()));
@@ -167,29 +165,29 @@
         writer_.rotate_if_grown(store_.turns());
     }
     if (!store_.has_work()) {
-        // Requests that have no reply by now get none.
-        callers_.clear();
+        // All replies have been sent; the remaining requests get none.
+        reply_channels_.clear();
     }
     copy_.on_page_written();
-    log_whole_copy();
+    log_completed_copy();
 }
 
-void store_node::log_whole_copy() {
-    if (store_.copied_epoch() <= logged_copy_) {
+void store_node::log_completed_copy() {
+    if (store_.copied_epoch() <= logged_copy_epoch_) {
         return;
     }
-    logged_copy_ = store_.copied_epoch();
+    logged_copy_epoch_ = store_.copied_epoch();
     logging::write_event(logging::event_id::store_copied,
-                         "epoch=" + std::to_string(logged_copy_) +
+                         "epoch=" + std::to_string(logged_copy_epoch_) +
                              " turns=" + std::to_string(store_.turns().turn_count()) +
                              " programs=" + std::to_string(store_.turns().program_count()));
 }
 
-void store_node::use_stores(const store_table& stores) {
+void store_node::on_store_table(const store_table& stores) {
     if (store_.learn_table(stores)) {
         logging::write_event(logging::event_id::store_map_changed, turns::describe(store_.map()));
     }
-    write_soon();
+    schedule_write();
     copy_.request_page();
 }
 
@@ -202,7 +200,7 @@
         return 1;
     }
     directory_.start([](const directory::configuration_pointer&) {},
-                     [this](const store_table& stores) { use_stores(stores); },
+                     [this](const store_table& stores) { on_store_table(stores); },
                      [this] { return std::vector<directory::store_report>{describe()}; });
     if (store_.map().epoch > 0) {
         directory_.learn_map(store_.map());
--- a/src/tallyfold/plane/turns/turn_table.cpp
+++ b/src/tallyfold/plane/turns/turn_table.cpp
@@ -6,18 +6,17 @@
 
 namespace {
 
-/// Bytes that one turn takes beside its texts, about: keys, strings' and map nodes' overhead.
-/// Estimated, not measured.
-constexpr std::size_t turn_overhead = 256;
+/// Estimated size of one turn beside its texts: keys, and the overhead of strings and map nodes.
+constexpr std::size_t turn_overhead_bytes = 256;
 
 std::size_t size_of(const turn_record& record) {
-    return record.input.size() + record.output.size() + turn_overhead;
+    return record.input.size() + record.output.size() + turn_overhead_bytes;
 }
 
 }  // namespace
 
-turn_table::program_entry& turn_table::renew(const std::string& program, std::uint32_t retention_ms,
-                                             instant now) {
+turn_table::program_entry& turn_table::renew_retention(const std::string& program,
+                                                       std::uint32_t retention_ms, instant now) {
     program_entry& entry = programs_[program];
     entry.last_changed = now;
     entry.retention = std::max<duration>(entry.retention, std::chrono::milliseconds(retention_ms));
@@ -36,13 +35,13 @@
 }
 
 void turn_table::reserve(const turn_reservation& reservation, instant now) {
-    program_entry& entry = renew(reservation.program, reservation.retention_ms, now);
+    program_entry& entry = renew_retention(reservation.program, reservation.retention_ms, now);
     requests_[reservation.request] = reservation.program;
     merge(entry.requests, {{reservation.request, {reservation.max_tokens, false}}});
 }
 
 void turn_table::settle(const turn_settlement& settlement, instant now) {
-    program_entry& entry = renew(settlement.program, settlement.retention_ms, now);
+    program_entry& entry = renew_retention(settlement.program, settlement.retention_ms, now);
     requests_[settlement.request] = settlement.program;
     merge(entry.requests, {{settlement.request, {settlement.tokens, true}}});
     if (settlement.record.has_value()) {
@@ -50,7 +49,7 @@
     }
     for (const turn_record& record : settlement.adopted) {
         store_record(settlement, record, now);
-        // One that is held already keeps its own program, and what it cost there.
+        // A turn that is already held keeps its own program and its cost there.
         requests_.try_emplace(record.request, settlement.program);
     }
 }
@@ -88,32 +87,32 @@
 }
 
 void turn_table::expire(instant now, duration margin) {
-    std::set<std::string> kept;
+    std::set<std::string> retained;
     for (const auto& [request, entry] : turns_) {
-        if (now - entry.stored <= entry.retention + margin) {
+        if (now - entry.stored_at <= entry.retention + margin) {
             std::string next = request;
-            while (!next.empty() && kept.insert(next).second) {
+            while (!next.empty() && retained.insert(next).second) {
                 const auto found = turns_.find(next);
                 next = found == turns_.end() ? std::string{} : found->second.record.previous;
             }
         }
     }
     std::erase_if(turns_, [&](const auto& entry) {
-        const bool expired = !kept.contains(entry.first);
+        const bool expired = !retained.contains(entry.first);
         bytes_ -= expired ? size_of(entry.second.record) : 0;
         return expired;
     });
     std::erase_if(programs_, [&](const auto& entry) {
         return now - entry.second.last_changed > entry.second.retention + margin;
     });
-    index_requests();
+    rebuild_request_index();
 }
 
 turn_change turn_table::change_of(const std::string& request, const std::string& program) const {
     const auto turn = turns_.find(request);
     const auto entry = programs_.find(program);
     const bool in_ledger = entry != programs_.end() && entry->second.requests.contains(request);
-    // A turn may outlive its program's ledger when another program continues from it.
+    // A turn may outlive its program's ledger when another program continues it.
     const ledger_entry cost =
         in_ledger ? entry->second.requests.at(request) : ledger_entry{0, true};
     const duration retention = in_ledger ? entry->second.retention : turn->second.retention;
@@ -145,7 +144,7 @@
 
 change_page turn_table::page_after(const std::string& after, const std::set<std::string>& held,
                                    std::size_t limit_bytes) const {
-    // Only what goes into the page is copied: the table holds many times as much.
+    // Copies only what goes into the page, since the table may be many times as large.
     change_page page;
     std::size_t bytes = 0;
     std::string last;
@@ -159,14 +158,14 @@
             return page;
         }
         const auto turn = turns_.find(request);
-        bytes += turn != turns_.end() ? size_of(turn->second.record) : turn_overhead;
+        bytes += turn != turns_.end() ? size_of(turn->second.record) : turn_overhead_bytes;
         page.changes.push_back(change_of(request, program));
         last = request;
     }
     return page;
 }
 
-void turn_table::index_requests() {
+void turn_table::rebuild_request_index() {
     requests_.clear();
     for (const auto& [request, entry] : turns_) {
         requests_[request] = entry.program;
--- a/tests/plane/turns/copy_timeout_test.cpp
+++ b/tests/plane/turns/copy_timeout_test.cpp
@@ -8,15 +8,16 @@
 
 class copy_timeout_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(copy_timeout_test);
-    CPPUNIT_TEST(loaded_sources_get_the_time_that_a_page_takes);
-    CPPUNIT_TEST(a_dead_source_is_left_soon);
-    CPPUNIT_TEST(any_page_time_up_to_the_most_gets_through);
+    CPPUNIT_TEST(the_timeout_adapts_to_slow_sources);
+    CPPUNIT_TEST(an_unresponsive_source_times_out_after_the_minimum);
+    CPPUNIT_TEST(any_page_time_below_the_maximum_succeeds);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr int check_interval = 100;
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
-    /// Milliseconds until a source that needs `page_time` has given a page; 0 when none ever comes.
+    /// Milliseconds until a page arrives from sources that need `page_time` for it; 0 when none
+    /// arrives.
     static int time_to_page(copy_timeout& timeout, int page_time) {
         int asked = 0;
         timeout.page_requested(at(0));
@@ -26,7 +27,7 @@
                 return now;
             }
             if (timeout.expired(at(now))) {
-                // The next source is as loaded as this one.
+                // The next source is as slow as this one.
                 timeout.page_requested(at(now));
                 asked = now;
             }
@@ -34,22 +35,22 @@
         return 0;
     }
 
-    void loaded_sources_get_the_time_that_a_page_takes() {
+    void the_timeout_adapts_to_slow_sources() {
         copy_timeout timeout;
-        // 500 ms a page: with a timeout of 300 ms no page would ever come.
+        // With a fixed timeout of 300 ms, no page that takes 500 ms would arrive.
         CPPUNIT_ASSERT_EQUAL(800, time_to_page(timeout, 500));
         CPPUNIT_ASSERT_EQUAL(500, time_to_page(timeout, 500));
     }
 
-    void a_dead_source_is_left_soon() {
+    void an_unresponsive_source_times_out_after_the_minimum() {
         copy_timeout timeout;
         timeout.page_requested(at(1'000));
         CPPUNIT_ASSERT(!timeout.expired(at(1'299)));
         CPPUNIT_ASSERT(timeout.expired(at(1'300)));
     }
 
-    void any_page_time_up_to_the_most_gets_through() {
-        check_property("no load that a source can bear keeps a copy from its pages", [] {
+    void any_page_time_below_the_maximum_succeeds() {
+        check_property("pages that take less than 2.3 s always arrive", [] {
             copy_timeout timeout;
             for (int page = 0; page < 5; ++page) {
                 const int page_time = *rc::gen::inRange(1, 2'300);
--- a/tests/plane/turns/quorum_operations_test.cpp
+++ b/tests/plane/turns/quorum_operations_test.cpp
@@ -13,14 +13,14 @@
 class quorum_operations_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(quorum_operations_test);
     CPPUNIT_TEST(a_minority_decides_nothing);
-    CPPUNIT_TEST(a_disk_that_refuses_writes_does_not_count);
-    CPPUNIT_TEST(an_unknown_turn_is_known_by_a_majority_only);
-    CPPUNIT_TEST(the_budget_counts_open_turns_at_their_most);
-    CPPUNIT_TEST(a_change_of_the_map_asks_both_majorities);
-    CPPUNIT_TEST(a_history_is_put_together_from_several_stores);
-    CPPUNIT_TEST(two_turns_that_begin_at_once_never_both_overlook_each_other);
-    CPPUNIT_TEST(a_copy_meets_every_majority);
-    CPPUNIT_TEST(a_new_disk_at_an_old_address_is_no_source);
+    CPPUNIT_TEST(a_failed_write_does_not_count_towards_the_quorum);
+    CPPUNIT_TEST(a_previous_turn_is_unknown_only_after_a_majority_denies_it);
+    CPPUNIT_TEST(open_turns_count_with_their_upper_bound);
+    CPPUNIT_TEST(a_membership_change_requires_both_majorities);
+    CPPUNIT_TEST(a_history_is_assembled_from_several_stores);
+    CPPUNIT_TEST(concurrent_begins_are_never_both_admitted_over_budget);
+    CPPUNIT_TEST(copy_sources_intersect_every_majority);
+    CPPUNIT_TEST(a_replaced_disk_at_the_same_address_is_not_a_source);
     CPPUNIT_TEST_SUITE_END();
 
     static store_member member(store_id id) {
@@ -37,7 +37,7 @@
         }
         return map;
     }
-    static begin_reply durable(store_id store, program_ledger ledger = {}) {
+    static begin_reply durable_reply(store_id store, program_ledger ledger = {}) {
         begin_reply reply;
         reply.store = store;
         reply.durable = true;
@@ -52,64 +52,64 @@
 
     void a_minority_decides_nothing() {
         begin_operation begin = operation(map_of({1, 2, 3}));
-        begin.on_reply(durable(1));
+        begin.on_reply(durable_reply(1));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(1));
+        begin.on_reply(durable_reply(1));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(3));
+        begin.on_reply(durable_reply(3));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::admitted);
     }
 
-    void a_disk_that_refuses_writes_does_not_count() {
+    void a_failed_write_does_not_count_towards_the_quorum() {
         begin_operation begin = operation(map_of({1, 2, 3}));
-        begin_reply full = durable(1);
-        full.durable = false;
-        begin.on_reply(full);
-        begin.on_reply(durable(2));
+        begin_reply failed_write = durable_reply(1);
+        failed_write.durable = false;
+        begin.on_reply(failed_write);
+        begin.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(3));
+        begin.on_reply(durable_reply(3));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::admitted);
     }
 
-    void an_unknown_turn_is_known_by_a_majority_only() {
+    void a_previous_turn_is_unknown_only_after_a_majority_denies_it() {
         begin_operation begin = operation(map_of({1, 2, 3}), "before");
-        begin.on_reply(durable(1));
+        begin.on_reply(durable_reply(1));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(2));
+        begin.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::unknown_previous);
     }
 
-    void the_budget_counts_open_turns_at_their_most() {
+    void open_turns_count_with_their_upper_bound() {
         begin_operation fits = operation(map_of({1, 2, 3}), {}, 250);
-        fits.on_reply(durable(1, {{"x", {100, false}}}));
-        fits.on_reply(durable(2, {{"x", {40, true}}, {"y", {100, false}}}));
+        fits.on_reply(durable_reply(1, {{"x", {100, false}}}));
+        fits.on_reply(durable_reply(2, {{"x", {40, true}}, {"y", {100, false}}}));
         CPPUNIT_ASSERT_EQUAL(token_count{140}, fits.used_tokens());
         CPPUNIT_ASSERT_EQUAL(token_count{100}, fits.reserved_tokens());
         CPPUNIT_ASSERT(fits.outcome() == begin_outcome::admitted);
         begin_operation exceeds = operation(map_of({1, 2, 3}), {}, 239);
-        exceeds.on_reply(durable(1, {{"x", {40, true}}}));
-        exceeds.on_reply(durable(2, {{"y", {100, false}}}));
+        exceeds.on_reply(durable_reply(1, {{"x", {40, true}}}));
+        exceeds.on_reply(durable_reply(2, {{"y", {100, false}}}));
         CPPUNIT_ASSERT(exceeds.outcome() == begin_outcome::over_budget);
     }
 
-    void a_change_of_the_map_asks_both_majorities() {
+    void a_membership_change_requires_both_majorities() {
         begin_operation begin = operation(map_of({1, 2, 3}, {2, 3, 4, 5, 6}));
-        begin.on_reply(durable(1));
-        begin.on_reply(durable(2));
+        begin.on_reply(durable_reply(1));
+        begin.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(4));
+        begin.on_reply(durable_reply(4));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
-        begin.on_reply(durable(5));
+        begin.on_reply(durable_reply(5));
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::admitted);
     }
 
-    void a_history_is_put_together_from_several_stores() {
+    void a_history_is_assembled_from_several_stores() {
         begin_operation begin = operation(map_of({1, 2, 3}), "b");
-        begin_reply first = durable(1);
+        begin_reply first = durable_reply(1);
         first.holds_previous = true;
         first.history.records = {{"b", "a", "in-b", "out-b"}};
         begin.on_reply(first);
-        begin.on_reply(durable(2));
+        begin.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begin.reserved());
         CPPUNIT_ASSERT(begin.outcome() == begin_outcome::pending);
         CPPUNIT_ASSERT_EQUAL(std::string("a"), begin.missing_turn());
@@ -121,11 +121,11 @@
         CPPUNIT_ASSERT_EQUAL(std::string("b"), begin.history().back()->request);
     }
 
-    /// Runs two begins against stores that take their messages in an order drawn by a seed.
-    static bool one_sees_the_other(std::uint64_t seed) {
+    /// Runs two concurrent begins against stores that receive the messages in a random order.
+    static bool at_most_one_is_admitted(std::uint64_t seed) {
         random_source random(seed);
         std::map<store_id, program_ledger> stores{{1, {}}, {2, {}}, {3, {}}};
-        // A budget that holds one of the two turns only.
+        // The budget suffices for only one of the two turns.
         begin_operation left = operation(map_of({1, 2, 3}), {}, 150);
         begin_operation right{
             map_of({1, 2, 3}), turn_reservation{"program", "other", 100, 60'000}, {}, 150};
@@ -143,30 +143,30 @@
                 continue;
             }
             stores[id][is_left ? "own" : "other"] = {100, false};
-            begin.on_reply(durable(id, stores[id]));
+            begin.on_reply(durable_reply(id, stores[id]));
         }
         return !(left.outcome() == begin_outcome::admitted &&
                  right.outcome() == begin_outcome::admitted);
     }
 
-    void two_turns_that_begin_at_once_never_both_overlook_each_other() {
+    void concurrent_begins_are_never_both_admitted_over_budget() {
         const bool holds =
-            rc::check("of two begins at least one sees the other",
-                      [](std::uint64_t seed) { RC_ASSERT(one_sees_the_other(seed)); });
+            rc::check("of two concurrent begins at most one is admitted",
+                      [](std::uint64_t seed) { RC_ASSERT(at_most_one_is_admitted(seed)); });
         CPPUNIT_ASSERT(holds);
     }
 
-    void a_copy_meets_every_majority() {
+    void copy_sources_intersect_every_majority() {
         for (std::size_t stores = 1; stores <= 9; ++stores) {
             std::vector<store_id> current;
             for (store_id id = 1; id <= stores; ++id) {
                 current.push_back(id);
             }
             copy_progress copy(map_of(current, {100}), 100);
-            CPPUNIT_ASSERT(copy.wanted());
+            CPPUNIT_ASSERT(copy.required());
             std::size_t copied = 0;
-            while (!copy.whole()) {
-                copy.finished(copy.sources().front().id);
+            while (!copy.complete()) {
+                copy.mark_complete(copy.remaining_sources().front().id);
                 ++copied;
             }
             const std::size_t majority = stores / 2 + 1;
@@ -174,14 +174,14 @@
         }
     }
 
-    void a_new_disk_at_an_old_address_is_no_source() {
-        // Store 3 was wiped and is store 30 now, at the same address; it answers as itself.
+    void a_replaced_disk_at_the_same_address_is_not_a_source() {
+        // Store 3 was wiped and became store 30 at the same address.
         copy_progress copy(map_of({1, 2, 3}, {1, 2, 30}), 30);
-        copy.finished(30);
-        copy.finished(1);
-        CPPUNIT_ASSERT(!copy.whole());
-        copy.finished(2);
-        CPPUNIT_ASSERT(copy.whole());
+        copy.mark_complete(30);
+        copy.mark_complete(1);
+        CPPUNIT_ASSERT(!copy.complete());
+        copy.mark_complete(2);
+        CPPUNIT_ASSERT(copy.complete());
     }
 };
 
--- a/tests/plane/turns/resend_backoff_test.cpp
+++ b/tests/plane/turns/resend_backoff_test.cpp
@@ -8,30 +8,29 @@
 
 class resend_backoff_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(resend_backoff_test);
-    CPPUNIT_TEST(slow_stores_are_asked_ever_less_often);
-    CPPUNIT_TEST(a_store_that_came_back_is_asked_at_once);
+    CPPUNIT_TEST(resend_intervals_double);
+    CPPUNIT_TEST(a_reconnect_triggers_a_resend_at_once);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
-    void slow_stores_are_asked_ever_less_often() {
-        resend_backoff schedule;
-        int asked = 0;
+    void resend_intervals_double() {
+        resend_backoff backoff;
+        int sends = 0;
         for (int now = 1'000; now < 2'500; ++now) {
-            asked += schedule.take_due(at(now)) ? 1 : 0;
+            sends += backoff.take_due(at(now)) ? 1 : 0;
         }
-        // At 0, 250 and 750 ms of the 1,500 that a begin may take; with a fixed interval it were
-        // six.
-        CPPUNIT_ASSERT_EQUAL(3, asked);
+        // Sends at 0, 250 and 750 ms; a fixed interval would send six times.
+        CPPUNIT_ASSERT_EQUAL(3, sends);
     }
 
-    void a_store_that_came_back_is_asked_at_once() {
-        resend_backoff schedule;
-        CPPUNIT_ASSERT(schedule.take_due(at(1'000)));
-        CPPUNIT_ASSERT(!schedule.take_due(at(1'001)));
-        schedule.resend_now();
-        CPPUNIT_ASSERT(schedule.take_due(at(1'002)));
-        CPPUNIT_ASSERT(!schedule.take_due(at(1'003)));
+    void a_reconnect_triggers_a_resend_at_once() {
+        resend_backoff backoff;
+        CPPUNIT_ASSERT(backoff.take_due(at(1'000)));
+        CPPUNIT_ASSERT(!backoff.take_due(at(1'001)));
+        backoff.resend_now();
+        CPPUNIT_ASSERT(backoff.take_due(at(1'002)));
+        CPPUNIT_ASSERT(!backoff.take_due(at(1'003)));
     }
 };
 
--- a/tests/plane/turns/store_folder_test.cpp
+++ b/tests/plane/turns/store_folder_test.cpp
@@ -1,7 +1,6 @@
 /// @file
-/// What a store makes of its folder at a start. A store took a record that it couldn't decode for
-/// damage and emptied the folder: right for one disk, and the end of a group's turns when all of
-/// its machines met a form of another build one after the other.
+/// Opening a store's folder. Guards against treating a record in an unknown format as damage:
+/// emptying the folders of all machines for it would lose a group's turns.
 
 #include <fstream>
 #include <iterator>
@@ -18,13 +17,13 @@
 
 class store_folder_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_folder_test);
-    CPPUNIT_TEST(a_map_of_a_later_build_is_left_alone);
-    CPPUNIT_TEST(turns_of_a_later_build_are_left_alone);
-    CPPUNIT_TEST(a_damaged_log_begins_another_store);
-    CPPUNIT_TEST(a_map_is_written_in_the_oldest_form_that_holds_it);
+    CPPUNIT_TEST(a_map_in_a_newer_format_is_refused_and_left_unchanged);
+    CPPUNIT_TEST(turns_in_a_newer_format_are_refused_and_left_unchanged);
+    CPPUNIT_TEST(a_store_with_a_damaged_log_gets_a_new_identity);
+    CPPUNIT_TEST(a_map_is_written_in_the_oldest_sufficient_format);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::string later_form() {
+    static std::string newer_format() {
         const std::uint64_t mark = protocol::numbered_form_mark | 3U;
         return std::string(reinterpret_cast<const char*>(&mark), sizeof(mark)) + "whatever";
     }
@@ -45,8 +44,8 @@
         return map;
     }
 
-    /// A folder that a store has used. @return its identity
-    static store_id use(const temporary_path& folder) {
+    /// Creates a folder with a map and a reservation. @return the store's identity
+    static store_id create_used_folder(const temporary_path& folder) {
         auto opened = open_store(folder.text());
         CPPUNIT_ASSERT(opened.has_value());
         CPPUNIT_ASSERT(opened->log.keep_map(map_of_one()).has_value());
@@ -55,25 +54,25 @@
         return opened->log.identity();
     }
 
-    void a_map_of_a_later_build_is_left_alone() {
+    void a_map_in_a_newer_format_is_refused_and_left_unchanged() {
         const temporary_path folder("store-folder");
-        use(folder);
-        const std::string later = storage::single_record(later_form());
+        create_used_folder(folder);
+        const std::string later = storage::single_record(newer_format());
         write(folder.path() / "store-map", later);
         CPPUNIT_ASSERT(!open_store(folder.text()).has_value());
         CPPUNIT_ASSERT_EQUAL(later, read(folder.path() / "store-map"));
         CPPUNIT_ASSERT(std::filesystem::exists(folder.path() / "turns-1"));
     }
 
-    void turns_of_a_later_build_are_left_alone() {
+    void turns_in_a_newer_format_are_refused_and_left_unchanged() {
         const temporary_path folder("store-folder");
-        const store_id identity = use(folder);
+        const store_id identity = create_used_folder(folder);
         const std::string before = read(folder.path() / "turns-1");
-        const std::string after = before + storage::single_record(later_form());
+        const std::string after = before + storage::single_record(newer_format());
         write(folder.path() / "turns-1", after);
         CPPUNIT_ASSERT(!open_store(folder.text()).has_value());
         CPPUNIT_ASSERT_EQUAL(after, read(folder.path() / "turns-1"));
-        // The build that wrote it, or one without that record, finds all as it was.
+        // Without the unreadable record, the folder opens with its identity and contents.
         write(folder.path() / "turns-1", before);
         const auto opened = open_store(folder.text());
         CPPUNIT_ASSERT(opened.has_value());
@@ -81,9 +80,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, opened->state.turns().program_count());
     }
 
-    void a_damaged_log_begins_another_store() {
+    void a_store_with_a_damaged_log_gets_a_new_identity() {
         const temporary_path folder("store-folder");
-        const store_id identity = use(folder);
+        const store_id identity = create_used_folder(folder);
         std::string bytes = read(folder.path() / "turns-1");
         const std::string whole = bytes;
         bytes[bytes.size() / 2] ^= 0x40;
@@ -93,7 +92,7 @@
         CPPUNIT_ASSERT(identity != opened->log.identity());
     }
 
-    void a_map_is_written_in_the_oldest_form_that_holds_it() {
+    void a_map_is_written_in_the_oldest_sufficient_format() {
         using protocol::format_version;
         store_map map = map_of_one();
         CPPUNIT_ASSERT(protocol::encode_stored(map) ==
--- a/tests/plane/turns/store_fsm_test.cpp
+++ b/tests/plane/turns/store_fsm_test.cpp
@@ -8,11 +8,11 @@
 
 class store_fsm_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_fsm_test);
-    CPPUNIT_TEST(a_begin_is_answered_with_the_engine_that_holds_its_prompt);
-    CPPUNIT_TEST(the_engine_that_a_history_moved_to_is_named_first);
-    CPPUNIT_TEST(a_store_that_isnt_asked_names_no_engine);
-    CPPUNIT_TEST(a_store_that_changes_its_group_refuses_the_old_one);
-    CPPUNIT_TEST(a_spare_store_takes_no_part);
+    CPPUNIT_TEST(a_begin_returns_the_engine_that_caches_its_prompt);
+    CPPUNIT_TEST(the_engine_with_the_longest_cached_prefix_comes_first);
+    CPPUNIT_TEST(a_begin_without_a_prompt_returns_no_engine);
+    CPPUNIT_TEST(a_store_that_moved_to_another_group_refuses_requests_of_the_old_one);
+    CPPUNIT_TEST(a_spare_store_ignores_maps_that_do_not_list_it);
     CPPUNIT_TEST(a_store_answers_whether_it_holds_a_turn);
     CPPUNIT_TEST_SUITE_END();
 
@@ -28,7 +28,7 @@
         store.written(true, instant{});
     }
 
-    /// The engines that a begin with this prompt is answered with.
+    /// Engines in the reply to a begin with this prompt.
     static std::vector<scheduling::cached_prefix> begin(
         store_fsm& store, const std::vector<scheduling::prefix_point>& prompt) {
         begin_request request;
@@ -42,7 +42,7 @@
         return std::get<begin_reply>(replies.front().body).holders;
     }
 
-    void a_begin_is_answered_with_the_engine_that_holds_its_prompt() {
+    void a_begin_returns_the_engine_that_caches_its_prompt() {
         store_fsm asked = store();
         settle(asked, "engine-1", 1500);
         const auto holders = begin(asked, {{7, 1000}, {8, 1900}});
@@ -50,12 +50,12 @@
         CPPUNIT_ASSERT_EQUAL(std::string("engine-1"), holders.front().engine);
         CPPUNIT_ASSERT_EQUAL(scheduling::prefix_hash{8}, holders.front().hash);
         CPPUNIT_ASSERT_EQUAL(token_count{1500}, holders.front().tokens);
-        // A sub-agent's prompt opens with its parent's.
+        // A sub-agent's prompt begins with its parent's prompt.
         const auto opening = begin(asked, {{7, 1000}, {8, 1700}, {9, 2000}});
         CPPUNIT_ASSERT_EQUAL(token_count{1500}, opening.front().tokens);
     }
 
-    void the_engine_that_a_history_moved_to_is_named_first() {
+    void the_engine_with_the_longest_cached_prefix_comes_first() {
         store_fsm asked = store();
         settle(asked, "engine-1", 1500);
         settle(asked, "engine-2", 2400);
@@ -65,7 +65,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{1500}, holders.back().tokens);
     }
 
-    void a_store_that_isnt_asked_names_no_engine() {
+    void a_begin_without_a_prompt_returns_no_engine() {
         store_fsm asked = store();
         settle(asked, "engine-1", 1500);
         CPPUNIT_ASSERT(begin(asked, {}).empty());
@@ -81,11 +81,11 @@
         return map;
     }
 
-    void a_store_that_changes_its_group_refuses_the_old_one() {
+    void a_store_that_moved_to_another_group_refuses_requests_of_the_old_one() {
         store_fsm moved = store();
         CPPUNIT_ASSERT(moved.learn_table({2, {map_of(0, 1, {1, 2, 3}), map_of(1, 2, {4, 5, 6})}}));
         CPPUNIT_ASSERT_EQUAL(map_epoch{1}, moved.map().epoch);
-        // It has left group 0 with epoch 3, and joined group 1 with epoch 4.
+        // The store leaves group 0 in epoch 3 and joins group 1 in epoch 4.
         CPPUNIT_ASSERT(moved.learn_table({4, {map_of(0, 3, {2, 3, 7}), map_of(1, 4, {1, 5, 6})}}));
         CPPUNIT_ASSERT_EQUAL(group_number{1}, moved.map().group);
         begin_request late;
@@ -97,7 +97,7 @@
         CPPUNIT_ASSERT(!moved.learn_table({4, {map_of(0, 3, {2, 3, 7}), map_of(1, 4, {1, 5, 6})}}));
     }
 
-    void a_spare_store_takes_no_part() {
+    void a_spare_store_ignores_maps_that_do_not_list_it() {
         store_fsm spare = store();
         CPPUNIT_ASSERT(!spare.learn_table({2, {map_of(0, 1, {7, 2, 3}), map_of(1, 2, {4, 5, 6})}}));
         CPPUNIT_ASSERT_EQUAL(map_epoch{0}, spare.map().epoch);
@@ -113,7 +113,7 @@
             return std::get<find_reply>(asked.receive(2, find_request{1, 0, turn}).front().body)
                 .held;
         };
-        // What isn't durable yet doesn't count.
+        // A turn that is not durable yet does not count as held.
         CPPUNIT_ASSERT(!held("t"));
         asked.take_write();
         asked.written(true, instant{});
--- a/tests/plane/turns/store_simulation_test.cpp
+++ b/tests/plane/turns/store_simulation_test.cpp
@@ -3,26 +3,26 @@
 
 namespace tallyfold::tests {
 
-/// Machines crash and lose their disks one at a time.
+/// Simulates machines that crash and lose their disks one at a time.
 class store_simulation_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_simulation_test);
-    CPPUNIT_TEST(nothing_is_lost_by_wipes_in_one_group);
-    CPPUNIT_TEST(nothing_is_lost_by_wipes_and_moves_over_several_groups);
-    CPPUNIT_TEST(the_checks_notice_a_doubled_budget);
-    CPPUNIT_TEST(the_checks_notice_a_turn_told_as_unknown);
-    CPPUNIT_TEST(the_checks_notice_a_store_that_joins_without_copying);
+    CPPUNIT_TEST(disk_wipes_in_one_group_lose_no_settled_turn);
+    CPPUNIT_TEST(disk_wipes_and_moves_between_groups_lose_no_settled_turn);
+    CPPUNIT_TEST(the_checks_detect_an_exceeded_budget);
+    CPPUNIT_TEST(the_checks_detect_a_settled_turn_reported_as_unknown);
+    CPPUNIT_TEST(the_checks_detect_a_store_that_joins_without_copying);
     CPPUNIT_TEST_SUITE_END();
 
-    void nothing_is_lost_by_wipes_in_one_group() {
+    void disk_wipes_in_one_group_lose_no_settled_turn() {
         const run_totals sum = run_worlds(3, 60, put_back::nothing);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(sum.first_broken, 0, sum.broken);
-        // A run in which the faults never came would prove nothing.
+        // Guards against runs in which too few faults occur.
         CPPUNIT_ASSERT(sum.wipes > 100);
         CPPUNIT_ASSERT(sum.crashes > 60);
         CPPUNIT_ASSERT(sum.settled > 5'000);
     }
 
-    void nothing_is_lost_by_wipes_and_moves_over_several_groups() {
+    void disk_wipes_and_moves_between_groups_lose_no_settled_turn() {
         const run_totals sum = run_worlds(13, 60, put_back::nothing);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(sum.first_broken, 0, sum.broken);
         CPPUNIT_ASSERT(sum.wipes > 60);
@@ -33,15 +33,15 @@
         CPPUNIT_ASSERT(sum.settled > 5'000);
     }
 
-    void the_checks_notice_a_doubled_budget() {
+    void the_checks_detect_an_exceeded_budget() {
         CPPUNIT_ASSERT(run_worlds(13, 5, put_back::blind_ledger).broken > 0);
     }
 
-    void the_checks_notice_a_turn_told_as_unknown() {
+    void the_checks_detect_a_settled_turn_reported_as_unknown() {
         CPPUNIT_ASSERT(run_worlds(13, 5, put_back::denied_turn).broken > 0);
     }
 
-    void the_checks_notice_a_store_that_joins_without_copying() {
+    void the_checks_detect_a_store_that_joins_without_copying() {
         CPPUNIT_ASSERT(run_worlds(13, 20, put_back::no_copy).broken > 0);
     }
 };
--- a/tests/plane/turns/store_table_test.cpp
+++ b/tests/plane/turns/store_table_test.cpp
@@ -10,10 +10,10 @@
 class store_table_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_table_test);
     CPPUNIT_TEST(an_older_map_changes_nothing);
-    CPPUNIT_TEST(a_map_from_a_store_leaves_the_rest_to_be_asked_for);
-    CPPUNIT_TEST(an_absurd_number_of_a_group_is_refused);
-    CPPUNIT_TEST(a_program_stays_in_its_group_whatever_the_members);
-    CPPUNIT_TEST(tables_that_come_in_any_order_end_equal);
+    CPPUNIT_TEST(a_single_newer_map_does_not_advance_the_table_epoch);
+    CPPUNIT_TEST(a_group_number_out_of_range_is_refused);
+    CPPUNIT_TEST(a_program_keeps_its_group_when_members_change);
+    CPPUNIT_TEST(maps_merge_to_the_same_table_in_any_order);
     CPPUNIT_TEST_SUITE_END();
 
     static store_map map_of(group_number group, map_epoch epoch, std::vector<store_id> ids) {
@@ -36,10 +36,10 @@
         CPPUNIT_ASSERT(table == two_groups());
     }
 
-    void a_map_from_a_store_leaves_the_rest_to_be_asked_for() {
+    void a_single_newer_map_does_not_advance_the_table_epoch() {
         store_table table = two_groups();
         CPPUNIT_ASSERT(table.take(map_of(1, 5, {4, 5, 7})));
-        // Epoch 4 may have changed the other group: the directory is still asked from 3 on.
+        // Epoch 4 may have changed the other group, so updates are still requested from epoch 3 on.
         CPPUNIT_ASSERT_EQUAL(map_epoch{3}, table.epoch);
         CPPUNIT_ASSERT(table.holds(7) && !table.holds(6));
         store_table newer = two_groups();
@@ -50,13 +50,13 @@
         CPPUNIT_ASSERT(table.holds(8) && table.holds(7));
     }
 
-    void an_absurd_number_of_a_group_is_refused() {
+    void a_group_number_out_of_range_is_refused() {
         store_table table = two_groups();
         CPPUNIT_ASSERT(!table.take(map_of(max_groups, 9, {1})));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.groups.size());
     }
 
-    void a_program_stays_in_its_group_whatever_the_members() {
+    void a_program_keeps_its_group_when_members_change() {
         store_table table = two_groups();
         std::set<group_number> used;
         for (int number = 0; number < 50; ++number) {
@@ -70,8 +70,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, used.size());
     }
 
-    void tables_that_come_in_any_order_end_equal() {
-        const bool holds = rc::check("the newest of each group prevails", [] {
+    void maps_merge_to_the_same_table_in_any_order() {
+        const bool holds = rc::check("the newest map of each group is kept", [] {
             const auto epochs =
                 *rc::gen::container<std::vector<map_epoch>>(5, rc::gen::inRange<map_epoch>(1, 9));
             std::vector<store_map> maps;
--- a/tests/plane/turns/turn_log_test.cpp
+++ b/tests/plane/turns/turn_log_test.cpp
@@ -12,8 +12,8 @@
 
 class turn_log_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(turn_log_test);
-    CPPUNIT_TEST(a_new_segment_is_written_while_its_pages_are_made);
-    CPPUNIT_TEST(a_new_segment_holds_what_the_book_holds);
+    CPPUNIT_TEST(rotation_writes_each_page_before_it_reads_the_next);
+    CPPUNIT_TEST(rotation_preserves_the_contents_of_the_table);
     CPPUNIT_TEST_SUITE_END();
 
     static turn_settlement turn(const std::string& request, std::size_t bytes) {
@@ -36,9 +36,9 @@
         return bytes;
     }
 
-    /// A store has no memory for a second copy of its table: each page has to be in the file
-    /// before the next one is made.
-    void a_new_segment_is_written_while_its_pages_are_made() {
+    /// Guards against a second copy of the table in memory: each page is written to the file before
+    /// the next one is read.
+    void rotation_writes_each_page_before_it_reads_the_next() {
         turn_table empty;
         turn_log log = open(empty);
         constexpr std::size_t page_bytes = 10'000;
@@ -57,7 +57,7 @@
         CPPUNIT_ASSERT_EQUAL(pages, made);
     }
 
-    void a_new_segment_holds_what_the_book_holds() {
+    void rotation_preserves_the_contents_of_the_table() {
         turn_table table;
         for (int number = 0; number < 300; ++number) {
             table.apply(turn("t" + std::to_string(number), 50), {});
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -9,12 +9,12 @@
 
 class turn_search_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(turn_search_test);
-    CPPUNIT_TEST(no_group_holds_it_only_when_a_majority_of_each_denies_it);
-    CPPUNIT_TEST(one_store_that_holds_it_suffices);
+    CPPUNIT_TEST(a_turn_is_absent_only_when_a_majority_of_each_group_denies_it);
+    CPPUNIT_TEST(one_store_that_holds_the_turn_ends_the_search);
     CPPUNIT_TEST(a_reply_with_a_newer_map_does_not_count);
-    CPPUNIT_TEST(a_newer_map_asks_its_group_again);
+    CPPUNIT_TEST(a_newer_map_restarts_the_search_in_its_group);
     CPPUNIT_TEST(a_group_without_majority_leaves_a_turn_undecided);
-    CPPUNIT_TEST(what_may_have_been_lost_is_undecided_and_not_waited_for);
+    CPPUNIT_TEST(a_turn_that_may_be_lost_is_undecided_without_further_waiting);
     CPPUNIT_TEST(a_history_of_another_group_is_adopted);
     CPPUNIT_TEST(a_store_that_changed_its_group_is_not_asked_again_at_once);
     CPPUNIT_TEST_SUITE_END();
@@ -40,7 +40,7 @@
     static store_id no_store(const store_map& /*map*/) { return 0; }
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
-    void no_group_holds_it_only_when_a_majority_of_each_denies_it() {
+    void a_turn_is_absent_only_when_a_majority_of_each_group_denies_it() {
         turn_search search(three_groups(), "t", 0);
         search.on_reply(answer(10, false));
         search.on_reply(answer(11, false));
@@ -53,7 +53,7 @@
         CPPUNIT_ASSERT(!search.found());
     }
 
-    void one_store_that_holds_it_suffices() {
+    void one_store_that_holds_the_turn_ends_the_search() {
         turn_search search(three_groups(), "t", 0);
         search.on_reply(answer(10, false));
         search.on_reply(answer(21, true));
@@ -76,7 +76,7 @@
         CPPUNIT_ASSERT(!search.held_by_no_group());
     }
 
-    void a_newer_map_asks_its_group_again() {
+    void a_newer_map_restarts_the_search_in_its_group() {
         turn_search search(three_groups(), "t", 0);
         for (const store_id id : {10, 11, 20}) {
             search.on_reply(answer(id, false));
@@ -92,7 +92,7 @@
         CPPUNIT_ASSERT(search.held_by_no_group());
     }
 
-    static begin_reply reserved(store_id store) {
+    static begin_reply durable_reply(store_id store) {
         begin_reply reply;
         reply.operation = 1;
         reply.store = store;
@@ -100,7 +100,8 @@
         return reply;
     }
 
-    /// A turn of a program of group `group` that goes on with a turn that the group doesn't hold.
+    /// Begin of a turn that continues a turn which its own group does not hold. Sets `group` to the
+    /// own group.
     static turn_beginning beginning(const store_table& table, group_number& group) {
         turn_question question;
         question.reservation = {"program", "own", 10, 60'000};
@@ -108,8 +109,8 @@
         group = table.group_of("program");
         turn_beginning begun(1, question, table);
         begun.due(at(0), table, no_store);
-        begun.on_reply(reserved(10 * group));
-        begun.on_reply(reserved(10 * group + 1));
+        begun.on_reply(durable_reply(10 * group));
+        begun.on_reply(durable_reply(10 * group + 1));
         return begun;
     }
 
@@ -118,9 +119,9 @@
         group_number group = 0;
         turn_beginning begun = beginning(table, group);
         CPPUNIT_ASSERT(begun.undecided());
-        const auto questions = begun.due(at(1), table, no_store);
-        // The third store of its own group, and all of the other two.
-        CPPUNIT_ASSERT_EQUAL(std::size_t{7}, questions.size());
+        const auto requests = begun.due(at(1), table, no_store);
+        // The third store of its own group, and all stores of the other two groups.
+        CPPUNIT_ASSERT_EQUAL(std::size_t{7}, requests.size());
         const group_number other = (group + 1) % 3;
         const group_number silent = (group + 2) % 3;
         begun.on_reply(answer(10 * other, false));
@@ -132,7 +133,7 @@
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unknown_previous);
     }
 
-    void what_may_have_been_lost_is_undecided_and_not_waited_for() {
+    void a_turn_that_may_be_lost_is_undecided_without_further_waiting() {
         store_table table;
         table.epoch = 1;
         store_map map = three_groups().groups.front();
@@ -142,12 +143,12 @@
         question.reservation = {"program", "t", 1, 60'000};
         question.previous = "lost";
         turn_beginning begun(1, question, table);
-        begun.on_reply(reserved(0));
-        begun.on_reply(reserved(1));
+        begun.on_reply(durable_reply(0));
+        begun.on_reply(durable_reply(1));
         CPPUNIT_ASSERT(begun.undecided());
-        // The third store may hold it.
+        // The third store may hold the turn.
         CPPUNIT_ASSERT(!begun.cannot_be_decided());
-        begun.on_reply(reserved(2));
+        begun.on_reply(durable_reply(2));
         CPPUNIT_ASSERT(begun.undecided());
         CPPUNIT_ASSERT(begun.cannot_be_decided());
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unavailable);
@@ -160,11 +161,11 @@
         begun.due(at(1), table, no_store);
         const store_id holder = 10 * ((group + 1) % 3) + 2;
         begun.on_reply(answer(holder, true));
-        const auto questions = begun.due(at(2), table, no_store);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, questions.size());
-        CPPUNIT_ASSERT_EQUAL(holder, questions.front().store.id);
+        const auto requests = begun.due(at(2), table, no_store);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, requests.size());
+        CPPUNIT_ASSERT_EQUAL(holder, requests.front().store.id);
         CPPUNIT_ASSERT_EQUAL(std::string("t"),
-                             std::get<history_request>(questions.front().body).request);
+                             std::get<history_request>(requests.front().body).request);
         history_reply reply{1, holder, {}};
         reply.history.records = {{"t", "s", "in-t", "out-t"}, {"s", "", "in-s", "out-s"}};
         begun.on_reply(reply);
@@ -190,7 +191,7 @@
         moved.newer_map = {elsewhere};
         begun.on_reply(moved);
         CPPUNIT_ASSERT(begun.due(at(1), table, no_store).empty());
-        // A newer map of the turn's own group is worth asking under at once.
+        // A newer map of the turn's own group makes a resend due at once.
         store_table newer = table;
         newer.groups[group].epoch = 10;
         moved.newer_map = {newer.groups[group]};
--- a/tests/plane/turns/turn_table_test.cpp
+++ b/tests/plane/turns/turn_table_test.cpp
@@ -9,18 +9,18 @@
 class turn_table_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(turn_table_test);
     CPPUNIT_TEST(a_late_reservation_does_not_reopen_a_settled_turn);
-    CPPUNIT_TEST(a_history_is_walked_back_to_its_first_turn);
+    CPPUNIT_TEST(a_history_reaches_back_to_its_first_turn);
     CPPUNIT_TEST(a_history_names_the_turn_that_is_missing);
     CPPUNIT_TEST(a_kept_turn_keeps_the_history_before_it);
-    CPPUNIT_TEST(contents_rebuild_the_same_book);
-    CPPUNIT_TEST(a_copy_comes_in_pages_and_leaves_out_what_is_known);
-    CPPUNIT_TEST(an_adopted_history_is_held_whole_and_copied);
-    CPPUNIT_TEST(an_adopted_turn_keeps_what_its_own_program_paid);
+    CPPUNIT_TEST(pages_rebuild_an_equal_table);
+    CPPUNIT_TEST(a_copy_is_paged_and_omits_held_requests);
+    CPPUNIT_TEST(an_adopted_history_is_complete_and_copied);
+    CPPUNIT_TEST(adopting_a_held_turn_keeps_its_ledger_entry);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int seconds) { return instant(std::chrono::seconds(seconds)); }
-    static turn_settlement whole(const std::string& request, const std::string& previous,
-                                 std::uint32_t retention_ms = 60'000) {
+    static turn_settlement answered_turn(const std::string& request, const std::string& previous,
+                                         std::uint32_t retention_ms = 60'000) {
         return {"program", request, 9, retention_ms,
                 turn_record{request, previous, "in-" + request, "out-" + request}};
     }
@@ -34,11 +34,11 @@
         CPPUNIT_ASSERT_EQUAL(token_count{18}, entry.tokens);
     }
 
-    void a_history_is_walked_back_to_its_first_turn() {
+    void a_history_reaches_back_to_its_first_turn() {
         turn_table table;
-        table.apply(whole("a", ""), at(0));
-        table.apply(whole("b", "a"), at(0));
-        table.apply(whole("c", "b"), at(0));
+        table.apply(answered_turn("a", ""), at(0));
+        table.apply(answered_turn("b", "a"), at(0));
+        table.apply(answered_turn("c", "b"), at(0));
         const history_part part = table.history_up_to("c");
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, part.records.size());
         CPPUNIT_ASSERT_EQUAL(std::string("a"), part.records.back().request);
@@ -47,14 +47,14 @@
 
     void a_history_names_the_turn_that_is_missing() {
         turn_table table;
-        table.apply(whole("b", "a"), at(0));
+        table.apply(answered_turn("b", "a"), at(0));
         CPPUNIT_ASSERT_EQUAL(std::string("a"), table.history_up_to("b").missing);
     }
 
     void a_kept_turn_keeps_the_history_before_it() {
         turn_table table;
-        table.apply(whole("a", ""), at(0));
-        table.apply(whole("b", "a"), at(50));
+        table.apply(answered_turn("a", ""), at(0));
+        table.apply(answered_turn("b", "a"), at(50));
         table.expire(at(100), duration::zero());
         CPPUNIT_ASSERT(table.holds_turn("a"));
         table.expire(at(111), duration::zero());
@@ -63,11 +63,11 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, table.bytes());
     }
 
-    void contents_rebuild_the_same_book() {
+    void pages_rebuild_an_equal_table() {
         turn_table table;
         table.apply(turn_reservation{"other", "r", 288, 60'000}, at(0));
-        table.apply(whole("a", ""), at(0));
-        table.apply(whole("b", "a"), at(0));
+        table.apply(answered_turn("a", ""), at(0));
+        table.apply(answered_turn("b", "a"), at(0));
         turn_table rebuilt;
         constexpr std::size_t one_page = 1U << 20U;
         for (const turn_change& change : table.page_after("", {}, one_page).changes) {
@@ -78,10 +78,10 @@
         CPPUNIT_ASSERT(table.history_up_to("b").records == rebuilt.history_up_to("b").records);
     }
 
-    void a_copy_comes_in_pages_and_leaves_out_what_is_known() {
+    void a_copy_is_paged_and_omits_held_requests() {
         turn_table table;
         for (const char* request : {"a", "b", "c", "d"}) {
-            table.apply(whole(request, ""), at(0));
+            table.apply(answered_turn(request, ""), at(0));
         }
         std::string next;
         std::set<std::string> copied;
@@ -99,9 +99,9 @@
         CPPUNIT_ASSERT(pages >= 3);
     }
 
-    void an_adopted_history_is_held_whole_and_copied() {
+    void an_adopted_history_is_complete_and_copied() {
         turn_table table;
-        turn_settlement own = whole("c", "b");
+        turn_settlement own = answered_turn("c", "b");
         own.adopted = {{"a", "", "in-a", "out-a"}, {"b", "a", "in-b", "out-b"}};
         table.apply(own, at(0));
         CPPUNIT_ASSERT(table.history_up_to("c").missing.empty());
@@ -113,12 +113,12 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, copy.turn_count());
     }
 
-    void an_adopted_turn_keeps_what_its_own_program_paid() {
+    void adopting_a_held_turn_keeps_its_ledger_entry() {
         turn_table table;
         table.apply(
             turn_settlement{"other", "a", 40, 60'000, turn_record{"a", "", "in-a", "out-a"}},
             at(0));
-        turn_settlement own = whole("b", "a");
+        turn_settlement own = answered_turn("b", "a");
         own.adopted = {{"a", "", "in-a", "out-a"}};
         table.apply(own, at(0));
         turn_table copy;
