--- a/src/tallyfold/plane/tenants/key_index.cpp
+++ b/src/tallyfold/plane/tenants/key_index.cpp
@@ -9,9 +9,8 @@
 
 namespace {
 
-/// SHA-256 of a secret block and then the key. The secret is drawn once per process, so digests
-/// can't be worked out beforehand; its state is kept, so a digest costs one block and not two, nor
-/// the library's set-up (3.2 us a key with that, 0.2 us without: tallyfold-admission-bench).
+/// SHA-256 over a random block followed by the key. The block is drawn once per process, so digests
+/// can't be precomputed; its hash state is reused, so a digest costs one block instead of two.
 class keyed_hash {
   public:
     keyed_hash() : keyed_(EVP_MD_CTX_new()), work_(EVP_MD_CTX_new()) {
@@ -45,7 +44,7 @@
     EVP_MD_CTX* work_;
 };
 
-/// Belongs to the loop thread, the only one that looks keys up.
+/// Not thread-safe: called on the loop thread only.
 key_digest digest_of(std::string_view key) {
     static const keyed_hash hash;
     return hash.digest_of(key);
--- a/src/tallyfold/plane/tenants/key_index.hpp
+++ b/src/tallyfold/plane/tenants/key_index.hpp
@@ -1,7 +1,6 @@
 #pragma once
 /// @file
-/// Finds the tenant that a caller's key belongs to. Pure but for the random number it is keyed
-/// with.
+/// Finds the tenant that an API key belongs to. Pure, apart from the random secret of its digests.
 
 #include <array>
 #include <cstdint>
@@ -14,19 +13,18 @@
 
 namespace tallyfold::tenants {
 
-/// Keyed digest (SHA-256 with a secret of the process) of a key. It stands for the key wherever one
-/// is compared or logged.
+/// Digest of a key: SHA-256 with a secret of the process. Replaces the key in comparisons and logs.
 using key_digest = std::array<unsigned char, 32>;
 
 class key_index {
   public:
-    /// @param tenants have to outlive the index
+    /// @param tenants must outlive the index
     explicit key_index(const std::vector<routing::tenant>& tenants);
 
-    /// True when callers need a key at all.
+    /// True when callers must present a key.
     [[nodiscard]] bool required() const { return required_; }
-    /// The tenant that holds the key; null when none does. How long it takes doesn't tell how much
-    /// of the key is right: only digests are compared.
+    /// Tenant that the key belongs to, or null. Only digests are compared, so the time taken
+    /// reveals nothing about the key.
     [[nodiscard]] const routing::tenant* find(std::string_view key) const;
     [[nodiscard]] std::size_t size() const { return tenants_.size(); }
 
@@ -39,10 +37,10 @@
     std::unordered_map<key_digest, const routing::tenant*, first_bytes> tenants_;
 };
 
-/// Keys longer than this are refused unread: no configuration is expected to hold one.
+/// Longest accepted key, in bytes; a longer one is rejected without hashing.
 constexpr std::size_t longest_key = 1'024;
 
-/// What logs show of a key: a few digits of its digest, the same for the life of the process.
+/// Abbreviated digest of a key for logs, stable for the life of the process; "-" for an empty key.
 std::string loggable_key(std::string_view key);
 
 }  // namespace tallyfold::tenants
--- a/src/tallyfold/plane/tenants/messages.hpp
+++ b/src/tallyfold/plane/tenants/messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Messages between the nodes that spend tenants' permits and the one that grants them.
+/// Messages between the nodes that spend tenants' permits and the lender that grants them.
 
 #include <cstdint>
 #include <string>
@@ -12,21 +12,21 @@
 
 using tenant_name = std::string;
 
-/// What a node says of one tenant. All numbers are states, not changes, so that a report which is
-/// lost or comes twice does no harm.
+/// A node's use of one tenant's permits. All values are absolute, so lost or repeated reports do no
+/// harm.
 struct permit_use {
     tenant_name tenant;
-    /// Permits that the node has spent in its life, less those that it took back.
+    /// Permits spent by this process, less those returned.
     std::uint64_t spent = 0;
-    /// Value of `spent` up to which it may go.
+    /// Value that `spent` may reach.
     std::uint64_t ceiling = 0;
-    /// Permits spent within the quota's window, as the node counts it.
+    /// Permits spent within the quota's window, as counted by the node.
     std::uint32_t recent = 0;
-    /// Calls of programs under way that wait for a permit now.
+    /// Calls of running programs that wait for a permit.
     std::uint32_t needed = 0;
-    /// Calls that begin a program and wait for one.
+    /// Calls that start a program and wait for a permit.
     std::uint32_t beginning = 0;
-    /// Permits that it would like to have at hand beyond those.
+    /// Permits requested in advance for future calls, beyond those for waiting calls.
     std::uint32_t wanted = 0;
 
     bool operator==(const permit_use&) const = default;
@@ -36,15 +36,15 @@
     }
 };
 
-/// A node to the lender.
+/// Report of a node to the lender.
 struct permit_report {
     node_name node;
-    /// Differs from life to life of the node's process.
+    /// Identifies the node's process; differs after each restart.
     std::uint64_t life = 0;
-    /// Grows by one with each report of a life.
+    /// Sequence number of the report within the process; increases by one.
     std::uint64_t question = 0;
-    /// True: `uses` holds every tenant that the node has permits of, or has spent some of lately.
-    /// False: it holds those that have changed since the last report that was answered.
+    /// True: `uses` lists every tenant of which the node holds permits or has spent any recently.
+    /// False: it lists those that changed since the last answered report.
     bool whole = false;
     std::vector<permit_use> uses;
 
@@ -54,13 +54,13 @@
     }
 };
 
-/// What the lender lets a node spend of one tenant's.
+/// The lender's grant to a node for one tenant.
 struct permit_grant {
     tenant_name tenant;
     /// As in permit_use.
     std::uint64_t ceiling = 0;
-    /// When there may be room again for calls that got none, of programs under way and of new ones;
-    /// in milliseconds, 0 where all got one.
+    /// Delay in milliseconds after which permits may be free for calls that got none, of running
+    /// programs and of new ones; 0 when all calls were granted.
     std::uint32_t retry_after_ms = 0;
     std::uint32_t retry_new_program_after_ms = 0;
 
@@ -73,22 +73,23 @@
 
 enum class permit_outcome : std::uint8_t {
     granted,
-    /// The answering node doesn't keep permits now.
+    /// The answering node is not the lender.
     not_lender,
-    /// It keeps them, and needs a whole report first.
+    /// The lender needs a full report first.
     wants_whole,
 };
 
-/// The lender's answer. With permit_outcome::granted, all ceilings of the node hold on: those that
-/// aren't named stay as they were reported.
+/// Answer to a report. With permit_outcome::granted, the node's reported ceilings stay valid for
+/// tenants that `grants` omits.
 struct permit_answer {
     std::uint64_t question = 0;
     permit_outcome outcome = permit_outcome::granted;
-    /// Who leads in which term, as far as the answering node knows.
+    /// Leader and its term, as known to the answering node.
     node_name leader;
     std::uint64_t term = 0;
     std::vector<permit_grant> grants;
-    /// True: the lender may not have heard every node yet, so a refusal says little.
+    /// True: the lender started recently and may lack reports of some nodes, so a refusal is not
+    /// conclusive.
     bool settling = false;
 
     template <class Archive>
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -35,8 +35,8 @@
 bool permit_holder::take_without_lender(const tenant_name& tenant, instant now) {
     held_permits& held = of(tenant);
     held.last_call = now;
-    // A lender that settles has answered that there is no permit. A node that was let none of late
-    // has no pace of its own to go on at, and one call each at many nodes would exceed the bound.
+    // A settling lender has refused the permit. A node without recently granted permits has no rate
+    // of its own to continue at, and one call each at many nodes would exceed the bound.
     if (lender_settles_ && held.proven == 0) {
         return false;
     }
@@ -57,8 +57,8 @@
         return false;
     }
     held_permits& held = found->second;
-    // A permit that has left the window is free at the lender already: spent again here, it would
-    // count nowhere until the next report.
+    // A permit that has left the window is already free at the lender. Spent again here, it would
+    // not be counted until the next report.
     if (!held.recent.take_back(taken, now)) {
         return false;
     }
@@ -176,7 +176,8 @@
             continue;
         }
         found->second.ceiling = granted.ceiling;
-        // A lower ceiling frees permits once the lender knows that it has come.
+        // Keeps the higher ceiling as acknowledged, so that a lowered one is reported: the lender
+        // frees the permits only then.
         found->second.told.ceiling = std::max(granted.ceiling, found->second.told.ceiling);
         found->second.retry_after_ms = granted.retry_after_ms;
         found->second.retry_new_program_after_ms = granted.retry_new_program_after_ms;
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -38,7 +38,7 @@
 
 permit_lender::account permit_lender::open_account(const tenant_name& tenant) const {
     account opened{{}, spent_window(rules_.window)};
-    // Nodes may hold permits of a tenant that had left the configuration for a while.
+    // Nodes may still hold permits from before the tenant was removed from the configuration.
     for (const auto& [life, node] : nodes_) {
         const auto known = node.shares.find(tenant);
         if (known != node.shares.end()) {
@@ -80,14 +80,15 @@
 void permit_lender::note_spending(account& held, const share* known, const permit_use& use,
                                   instant now) {
     if (known == nullptr) {
-        // A new lender leaves what was spent before its start to the pace of its first window.
+        // Spending before the lender's start is covered by the rate that it lends at in its first
+        // window.
         if (now - started_ >= rules_.window) {
             held.spending.add(now, use.recent);
         }
         return;
     }
     if (use.spent >= known->spent) {
-        // What was spent since then and isn't recent any more lies before every span.
+        // Permits spent since the last report that have left the window precede every span.
         const std::uint64_t spent = std::min<std::uint64_t>(use.spent - known->spent, use.recent);
         held.spending.add(now, static_cast<std::uint32_t>(spent));
     } else {
@@ -122,7 +123,7 @@
                                                  instant now) {
     const auto tenant = tenants_.find(use.tenant);
     if (tenant == tenants_.end()) {
-        // No longer in the configuration here: nothing more is lent.
+        // The tenant was removed from the configuration: nothing more is lent.
         return permit_grant{use.tenant, use.spent, 0, 0};
     }
     limit_use& held = tenant->second.use;
@@ -138,7 +139,7 @@
     const double permits = lent.needed + lent.beginning + lent.spare;
     permit_grant granted{use.tenant, known.spent + static_cast<std::uint64_t>(permits), 0, 0};
     remove(held, known);
-    // Until the node has reported a lower ceiling, it may spend up to the one it has.
+    // Until the node reports a lower ceiling, it may spend up to its present one.
     known.ceiling = std::max(use.ceiling, granted.ceiling);
     add(held, known);
     name_waiting_times(granted, use, lent, held);
@@ -184,7 +185,7 @@
         return answer;
     }
     if (report.question <= node.question) {
-        // A report that was overtaken: what it says is older than what is known.
+        // The report arrived after a newer one, so it is outdated.
         answer.outcome = permit_outcome::wants_whole;
         return answer;
     }
--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -7,15 +7,14 @@
 
 namespace {
 
-/// The shortest time after which a refused call may come again, in milliseconds: one tick of
-/// quota_client.
+/// Shortest retry delay of a refused call, in milliseconds: one tick of quota_client.
 constexpr double min_room_after_ms = 50;
 
 double seconds(duration value) {
     return std::chrono::duration<double>(value).count();
 }
 
-/// Whole permits between what counts and a bound.
+/// Whole permits left below a bound.
 double left(double bound, std::uint64_t counted) {
     return std::max(0.0, std::floor(bound - static_cast<double>(counted)));
 }
@@ -24,7 +23,7 @@
     return use.ceiling > use.spent ? static_cast<double>(use.ceiling - use.spent) : 0;
 }
 
-/// While the lender doesn't know yet what its predecessor lent.
+/// Applies while the lender doesn't know yet what its predecessor lent.
 lendable lendable_while_settling(const permit_use& use, const limit_use& tenant,
                                  duration running_for, double within_limit) {
     const double by_rate = tenant.rate_per_second * seconds(running_for);
@@ -46,11 +45,11 @@
     return lent;
 }
 
-/// Permits that the pace leaves.
+/// Permits left by the token bucket and, in a lender's first window, by the rate since its start.
 struct pace_room {
     double for_all = 0;
-    /// For new programs and calls to come: less, so that these don't use up what calls of programs
-    /// under way need next.
+    /// For new programs and future calls: fewer, so that these don't use up the permits that calls
+    /// of running programs need next.
     double for_new = 0;
 };
 
@@ -68,8 +67,8 @@
     return {left(room.for_all, 0), left(room.for_new, 0)};
 }
 
-/// Whole permits that the bound leaves for new programs and calls to come. In a lender's first
-/// window the limit is the bound, and permits that lie ready would use it up.
+/// Whole permits that the bound leaves for new programs and future calls. In a lender's first
+/// window the limit is the bound, and permits held in advance would use it up.
 double within_bound_for_new(const limit_use& tenant, double bound, duration running_for,
                             const quota_rules& rules) {
     const double reserved = running_for < rules.window ? bound * reserved_share : 0;
--- a/src/tallyfold/plane/tenants/permit_rule.hpp
+++ b/src/tallyfold/plane/tenants/permit_rule.hpp
@@ -1,30 +1,32 @@
 #pragma once
 /// @file
-/// What of a tenant's limit is lent to one node: the one place that decides on permits. Pure;
-/// permit_lender brings the sums, permit_holder spends what is lent.
+/// Decides how much of a tenant's limit is lent to one node. Pure; permit_lender provides the sums,
+/// permit_holder spends the permits.
 ///
-/// Who gets permits, in order, and up to what:
+/// Permits are lent in this order:
+/// - to waiting calls of running programs: up to the limit, less what is spent; a program that
+///   loses a call fails as a whole;
+/// - to waiting calls that start a program: up to three quarters of the limit, since the last
+///   quarter is reserved for running programs;
+/// - to future calls, kept at the node so that most calls need no message: the same, less the
+///   above.
 ///
-/// - calls of programs under way: up to the limit, less what is spent; a program that loses a call
-///   fails whole;
-/// - calls that begin a program: up to three quarters of the limit, since the last quarter is for
-///   programs under way;
-/// - calls to come, kept at the node: the same, less the above. Most calls then need no message.
+/// All of them together stay within
+/// - the bound: the limit plus the configured allowance, less what is spent and lent already;
+/// - a token bucket: in each span up to a window, no more is spent and lent than the burst
+///   tolerance plus what the rate allows in that span.
 ///
-/// All of them together stay within the bound, the limit with the operators' allowance, less what
-/// is spent and lent already, and within the pace: in each span of time up to a window, no more is
-/// spent and lent than the burst tolerance and what the rate allows in that span.
-///
-/// The pace is for what nobody remembers. What was spent is known to the node that spent it and to
-/// the lender, and is forgotten when both are gone within a window, as in a loss of all power. For
-/// the whole window the pace allows as much as the bound, so if the next lender lends no faster
-/// than the rate for a window, the bound holds whatever was spent before and by whom.
+/// The token bucket guards against lost state. Spending is known to the node and the lender only,
+/// and is lost when both restart within a window, as in a power loss. Over a whole window the token
+/// bucket allows as much as the bound, so the bound holds whatever was spent before if the next
+/// lender lends no faster than the rate for a window.
 ///
 /// A lender that has just started doesn't know what its predecessor lent, so
-/// - up to a window after its start it lends no more than the rate allows for that time, beside
-///   what the nodes have from its predecessor; the limit is the bound then, since the allowance is
-///   left to nodes that can't report;
-/// - up to `settling` new programs get none, and a node keeps what it had for calls to come.
+/// - for a window after its start it lends no more than the rate allows for that time, besides what
+///   the nodes hold from its predecessor; the limit is the bound then, since the allowance is left
+///   to nodes that can't report;
+/// - for `settling`, new programs get no permits, and a node keeps the permits that it holds for
+///   future calls.
 
 #include <cstdint>
 #include <limits>
@@ -35,58 +37,57 @@
 
 namespace tallyfold::tenants {
 
-/// Time in which nodes in touch have reported twice. Until then a new lender lends no more than the
-/// rate, and nothing for calls to come. Twice the 250 ms between reports.
+/// Time in which all reachable nodes have reported to a new lender: two report intervals. Until
+/// then it lends no more than the rate, and nothing in addition for future calls.
 constexpr duration settling = std::chrono::milliseconds(500);
 
-/// Part of the limit, 0 to 1, that new programs and calls to come don't get: a tenant's last
-/// permits are for programs under way. Of what the pace leaves, the same part is kept for calls
-/// that wait.
+/// Share of the limit, 0 to 1, that is withheld from new programs and future calls, for calls of
+/// running programs. The same share of the token bucket and of the first window's rate is withheld.
 constexpr double reserved_share = 0.25;
 
-/// One tenant's limit and what of it is in use, in permits.
+/// One tenant's limit and its use, in permits.
 struct limit_use {
     double rate_per_second = 0;
-    /// Calls that may be let in within a window: rate x window + burst.
+    /// Calls that may be admitted within a window: rate x window + burst.
     double limit = 0;
-    /// The limit with the operators' allowance: spent and lent together never exceed it.
+    /// The limit plus the configured allowance: spent and lent together never exceed it.
     double bound = 0;
-    /// Spent within the window, and lent.
+    /// Spent within the window, or lent.
     std::uint64_t counted = 0;
     /// Spent within the window.
     std::uint64_t spent = 0;
-    /// Lent since the lender started, beyond what the nodes had from its predecessor, and less what
-    /// they returned; what the asking node holds is among it.
+    /// Lent since the lender's start, beyond what the nodes held from its predecessor and less what
+    /// they returned; includes what the requesting node holds.
     double lent_since_start = 0;
-    /// What the pace leaves, before anything is lent to the asking node.
+    /// Left by the token bucket, before anything is lent to the requesting node.
     double left_by_pace = std::numeric_limits<double>::infinity();
     /// Permits that may be spent and lent at once, beyond the rate; see tolerated_burst().
     double burst_tolerance = 0;
 };
 
-/// What a tenant may spend at once, so that this and the rate for a window are the bound: in
-/// permits, more than the rate gives in `resolution`. An allowance or a burst below that leaves
-/// nothing for what is forgotten, and the bound may be exceeded by it then.
-/// @param resolution the longest time by which a lender's spans are wrong
+/// Burst tolerance, in permits: what the bound leaves beyond the rate for a window, but more than
+/// the rate yields in `resolution`. With a smaller allowance and burst than that, the bound may be
+/// exceeded after a loss of state.
+/// @param resolution largest error in the length of the lender's spans
 double tolerated_burst(const limit_use& tenant, const quota_rules& rules, duration resolution);
 
 /// Permits that may be lent to one node; whole numbers.
 struct lendable {
-    /// For calls that wait there, of programs under way and of new ones.
+    /// For the node's waiting calls, of running programs and of new ones.
     double needed = 0;
     double beginning = 0;
-    /// For calls to come.
+    /// For future calls.
     double spare = 0;
 };
 
-/// @param use what the node asks for
-/// @param tenant without what this node has been lent, but for what it has spent
-/// @param running_for since the lender started
+/// @param use the node's request
+/// @param tenant without what this node has been lent, except what it has spent
+/// @param running_for time since the lender's start
 lendable lendable_permits(const permit_use& use, const limit_use& tenant, duration running_for,
                           const quota_rules& rules);
 
-/// Milliseconds until so many permits are free again, 50 at least: what was spent comes back a
-/// window later, on the mean at the pace that the limit allows.
+/// Estimated time in milliseconds until `permits` are free again, at least 50: a spent permit is
+/// free a window later, on average at the rate that the limit allows.
 std::uint32_t time_to_free_ms(const limit_use& tenant, double permits, const quota_rules& rules);
 
 }  // namespace tallyfold::tenants
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -11,20 +11,19 @@
 
 namespace {
 
-/// How often a waiting call's question and a silent lender are looked after: below half of the time
-/// that an answer may take.
+/// Interval of the checks for unanswered reports and waiting calls; below half of the answer
+/// timeout.
 constexpr duration tick_interval = std::chrono::milliseconds(50);
-/// Changes are told this often while no call waits: an eighth of a lease, and half of a new
-/// lender's settling.
+/// Interval of reports while no call waits: an eighth of a lease, and half of a new lender's
+/// settling period.
 constexpr duration report_interval = std::chrono::milliseconds(250);
-/// A lender that hasn't answered for this long is taken for silent. Far above the way between zones
-/// (some ms) and a lender's own work, and far below what callers wait.
+/// Time after which a lender that hasn't answered counts as unavailable. Far above a round trip
+/// between zones, and far below the time that callers wait.
 constexpr duration answer_limit = std::chrono::milliseconds(120);
-/// A call of a program under way waits this long for a permit that is about to be free: refusing it
-/// may lose the whole program, and permits come back at the tenant's rate all the time.
+/// Longest time that a call of a running program waits for a permit that is about to be free. A
+/// refusal may fail the whole program, and permits are freed continuously at the tenant's rate.
 constexpr duration longest_permit_wait = std::chrono::milliseconds(400);
-/// A call over its limit may come again after this time when the lender names none: one that is
-/// being elected needs 0.5 to 1 s, one that was slow a few ms.
+/// Retry delay of a refused call when the lender gives none, and the shortest otherwise.
 constexpr duration usual_room_after = std::chrono::milliseconds(200);
 
 std::uint64_t draw_life() {
@@ -113,8 +112,8 @@
     report_sent_.reset();
     directory_.learn_leader(answer.leader, answer.term);
     if (!holder_.apply(answer, http::steady_now())) {
-        // A lender that needs to hear all is told at once. Who doesn't keep permits may have named
-        // who does: that one is asked with the next tick.
+        // A lender that requires a full report gets it at once. A node that is not the lender may
+        // have named the lender, which gets the report of the next tick.
         if (answer.outcome == permit_outcome::wants_whole) {
             send_report();
         }
@@ -161,7 +160,7 @@
 
 std::uint64_t quota_client::report_waiting_call() {
     if (report_sent_) {
-        // What is under way doesn't tell of this call; the next report does.
+        // The report in flight doesn't include this call; the next one does.
         report_again_ = true;
         return holder_.question() + 1;
     }
@@ -212,7 +211,7 @@
         if (const auto refusal = refusal_for(tenant, need, began, now)) {
             co_return *refusal;
         }
-        // The next tick asks again.
+        // The next tick sends another report.
         question = holder_.question() + 1;
         reported = now;
     }
--- a/src/tallyfold/plane/tenants/quota_client_shell.hpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.hpp
@@ -1,12 +1,11 @@
 #pragma once
 /// @file
-/// Gets permits from their lender, the directory's leader, for the calls of one node. Owns the
-/// exchange of reports and answers, and the timers of calls that wait; relies on permit_holder for
-/// every decision, and on directory_client for who leads and for the messages. Belongs to the loop
-/// thread.
+/// Obtains permits for one node's calls from the lender, the directory's leader. Owns the exchange
+/// of reports and answers and the timers of waiting calls; permit_holder makes the decisions,
+/// directory_client provides the leader and the transport. Used on the loop thread only.
 ///
-/// A call gets its permit from those at hand. Where there is none, the lender is asked, one report
-/// at a time; when the lender is silent, permit_holder says how far the node may go without it.
+/// A call takes an available permit. When there is none, the lender is asked, with one report in
+/// flight at a time; while the lender is unavailable, permit_holder limits what the node may spend.
 
 #include <asio/awaitable.hpp>
 #include <asio/steady_timer.hpp>
@@ -26,33 +25,33 @@
     quota_client(net::node_process& process, directory::directory_client& directory);
 
     void start();
-    /// The limits in force.
+    /// Sets the tenants' limits.
     void use(const std::vector<routing::tenant>& tenants) { holder_.use(tenants); }
-    /// A permit for one call, when need be after a question to the lender: within 120 ms, or within
-    /// 400 ms for a call of a program under way where one is about to be free.
+    /// Acquires a permit for one call, asking the lender if necessary: within 120 ms, or within 400
+    /// ms for a call of a running program when a permit is about to be free.
     asio::awaitable<permit_decision> acquire(tenant_name tenant, permit_need need);
-    /// The call that a permit was acquired for was not run.
+    /// Returns the permit of a call that was not run.
     /// @param taken as in the permit's decision
     /// @return false when the permit has left the window, and can't be spent again
     bool give_back(const tenant_name& tenant, instant taken);
 
   private:
-    /// Notices a silent lender; reports what has changed, or what calls wait for.
+    /// Detects an unresponsive lender; reports changes and waiting calls.
     void tick();
     void send_report();
     void on_message(const messaging::peer_message& message);
     void on_answer(const permit_answer& answer);
-    /// Has all waiting calls look again.
+    /// Makes all waiting calls check for a permit again.
     void wake_all();
     permit_decision acquire_without_lender(const tenant_name& tenant);
-    /// Has the lender told of a call that waits. @return the report whose answer tells of it
+    /// Reports a waiting call to the lender. @return number of the report whose answer covers it
     std::uint64_t report_waiting_call();
     asio::awaitable<permit_decision> wait_for_permit(const tenant_name& tenant, permit_need need);
-    /// Until an answer came, or for as long as one may take.
+    /// Waits for an answer, at most for the answer timeout.
     asio::awaitable<void> wait_for_answer();
-    /// What the lender's answer means for a call that got no permit by it. @param began when the
-    /// call began to wait
-    /// @return nothing when it goes on waiting
+    /// Decides on a call that got no permit from the lender's answer.
+    /// @param began when the call began to wait
+    /// @return nothing when the call continues to wait
     [[nodiscard]] std::optional<permit_decision> refusal_for(const tenant_name& tenant,
                                                              permit_need need, instant began,
                                                              instant now) const;
@@ -60,19 +59,19 @@
     net::node_process& process_;
     directory::directory_client& directory_;
     permit_holder holder_;
-    /// Time that a call of a program under way waits for a permit at most; zero while that is
+    /// Longest time that a call of a running program waits for a permit; zero when waiting is
     /// switched off.
     duration longest_wait_{};
-    /// When the report under way was sent; nothing while none is.
+    /// When the report in flight was sent; empty while there is none.
     std::optional<instant> report_sent_;
     instant last_report_{};
     /// Number of the newest report whose answer was applied.
     std::uint64_t answered_ = 0;
-    /// No answer has come since a report went unanswered.
+    /// A report timed out, and no answer has arrived since.
     bool lender_silent_ = false;
-    /// A call has come to wait since the report under way was sent.
+    /// A call began to wait after the report in flight was sent.
     bool report_again_ = false;
-    /// One for each waiting call.
+    /// One timer for each waiting call.
     std::set<std::shared_ptr<asio::steady_timer>> waiting_;
 };
 
--- a/src/tallyfold/plane/tenants/quota_rules.hpp
+++ b/src/tallyfold/plane/tenants/quota_rules.hpp
@@ -1,20 +1,20 @@
 #pragma once
 /// @file
-/// How limits are meant, the same on all nodes.
+/// Parameters of the enforcement of limits, the same on all nodes.
 
 #include "tallyfold/base/common/time.hpp"
 
 namespace tallyfold::tenants {
 
-/// From the settings (quota_*), whose defaults these are.
+/// From the settings quota_*, with their defaults.
 struct quota_rules {
-    /// Span of time over which limits hold.
+    /// Length of the sliding window over which limits apply.
     duration window = std::chrono::seconds(5);
-    /// Allowance over a limit: a part of it, and some permits more.
+    /// Allowance over a limit: a share of it, plus a number of permits.
     double overshoot = 0.1;
     double slack = 20;
-    /// A node may spend what it was granted for this long after it asked. Longer than an election
-    /// of another lender, so that permits at hand bridge it.
+    /// Time after the sending of a report in which the node may spend what its answer grants.
+    /// Longer than the election of a lender, so that permits held in advance cover one.
     duration lease = std::chrono::seconds(2);
 };
 
--- a/src/tallyfold/plane/tenants/spent_window.hpp
+++ b/src/tallyfold/plane/tenants/spent_window.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Counts what was spent within the last span of time, in slots. Pure.
+/// Sliding-window counter of spent permits, in slots. Pure.
 ///
-/// Of the oldest slot, which the span covers in part, that part is counted, rounded up: counting it
-/// whole would hold a tenant to a window longer than its limit's, by up to a 20th.
+/// The oldest slot lies in the window in part, and that part of it is counted, rounded up. Counting
+/// it whole would lengthen the window by up to a 20th.
 
 #include <algorithm>
 #include <array>
@@ -15,7 +15,7 @@
 
 class spent_window {
   public:
-    /// @param window split into slots
+    /// @param window length of the window, which is split into slots
     explicit spent_window(duration window) : slot_length_(window / (slot_count - 1)) {}
 
     void add(instant now, std::uint32_t permits = 1) {
@@ -23,9 +23,9 @@
         slots_[newest_ % slot_count] += permits;
         sum_ += permits;
     }
-    /// One that was counted at `added` is not spent after all. It comes out of the slot that it
-    /// went into: out of a newer one, it would leave a later permit uncounted until that slot ends.
-    /// @return false when it no longer counts, and nothing changes
+    /// Removes a permit that was added at `added`. It is removed from its own slot: removed from a
+    /// newer one, it would leave a later permit uncounted.
+    /// @return false when the permit is no longer counted, and nothing changes
     bool take_back(instant added, instant now) {
         roll(now);
         const std::uint64_t number = slot_number(added);
@@ -37,8 +37,8 @@
         --sum_;
         return true;
     }
-    /// So many were not spent after all, and nobody knows which: the oldest go, so that no span up
-    /// to now counts less than was spent in it.
+    /// Removes permits that were added at unknown times. The oldest are removed, so that no span
+    /// that ends now counts fewer than were spent in it.
     void take_back_oldest(std::uint64_t permits, instant now) {
         roll(now);
         for (std::uint64_t age = slot_count; age-- > 0 && permits > 0;) {
@@ -52,8 +52,8 @@
             permits -= taken;
         }
     }
-    /// The count of each span that ends now and begins with a slot, the shortest first.
-    /// @param visit takes the span's length and what was spent in it
+    /// Visits each span that ends now and begins at a slot's start, shortest first.
+    /// @param visit called with the span's length and the permits spent in it
     template <class Visitor>
     void visit_spans(instant now, Visitor visit) {
         roll(now);
@@ -65,7 +65,7 @@
             length += slot_length_;
         }
     }
-    /// The longest time by which a span of visit_spans may differ from any other one.
+    /// Largest difference in length between an arbitrary span and the nearest one of visit_spans().
     [[nodiscard]] duration slot_length() const { return slot_length_; }
     [[nodiscard]] std::uint32_t count(instant now) {
         roll(now);
--- a/src/tallyfold/plane/tenants/tenant_scope.hpp
+++ b/src/tallyfold/plane/tenants/tenant_scope.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Identifiers of callers as they are kept: what one tenant names is nothing to another, even under
-/// the same name. Pure.
+/// Qualifies callers' identifiers by tenant, so that equal identifiers of two tenants stay
+/// distinct. Pure.
 
 #include <string>
 #include <utility>
@@ -12,13 +12,13 @@
 
 class tenant_scope {
   public:
-    /// @param tenant empty where callers need no key: identifiers stay as they are
+    /// @param tenant empty when callers need no key: identifiers stay unchanged
     explicit tenant_scope(const tenant_name& tenant)
-        // With its length before it, no tenant's name can be taken for part of an identifier.
+        // The length prefix prevents a tenant's name from being read as part of an identifier.
         : prefix_(tenant.empty() ? std::string{}
                                  : std::to_string(tenant.size()) + ":" + tenant + "/") {}
 
-    /// An empty identifier names nothing, whoever calls.
+    /// An empty identifier stays empty.
     [[nodiscard]] std::string scoped(const std::string& identifier) const {
         return identifier.empty() ? identifier : prefix_ + identifier;
     }
