--- a/src/tallyfold/scheduling/backend_pool.cpp
+++ b/src/tallyfold/scheduling/backend_pool.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Latest clock differences that are kept of each back end. Chosen, not measured: a few statuses,
-/// so that one answer without delay is likely among them, and a clock that jumped is soon believed.
+/// Number of clock samples kept for each back end: enough that one is likely without delay, few
+/// enough that a clock step is soon followed.
 constexpr std::size_t kept_clock_samples = 8;
 
 double load_of(const backend_state& backend) {
@@ -51,7 +51,7 @@
     std::map<backend_name, backend_state> next;
     for (const backend_member& member : members) {
         const auto found = backends_.find(member.name);
-        // A new address under an old name is a new process: nothing old holds for it.
+        // A changed address means a new process, to which no earlier state applies.
         const bool same =
             found != backends_.end() && found->second.member.address == member.address;
         backend_state state = same ? found->second : backend_state{};
@@ -74,7 +74,7 @@
 
 void backend_pool::add_clock_sample(const backend_name& name, duration ahead) {
     change(name, [&](backend_state& backend) {
-        // Only the latest count: either clock may have jumped since.
+        // Drops the oldest sample, since either clock may have been stepped.
         if (backend.clock_samples.size() >= kept_clock_samples) {
             backend.clock_samples.erase(backend.clock_samples.begin());
         }
--- a/src/tallyfold/scheduling/cache_map.hpp
+++ b/src/tallyfold/scheduling/cache_map.hpp
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// Estimate of which engine holds which cached prefix, fed by late events and own dispatches. Pure.
+/// Estimates which engine holds which cached prefix, from delayed engine events and this node's own
+/// dispatches. Pure.
 ///
-/// A wrong estimate costs time, never correctness: the engine finds out what it really holds.
+/// A wrong estimate costs time, never correctness: the engine checks its own cache.
 
 #include <cstdint>
 #include <list>
@@ -15,7 +16,7 @@
 
 namespace tallyfold::scheduling {
 
-/// Hash of a conversation up to the end of one message; equal for equal beginnings.
+/// Hash of a conversation up to the end of one message; equal for equal prefixes.
 using prefix_hash = std::uint64_t;
 
 struct prefix_point {
@@ -45,26 +46,25 @@
 
 class cache_map {
   public:
-    /// Points remembered at most; the least recently touched go first.
+    /// @param capacity maximum number of points; the least recently stored are evicted first
     explicit cache_map(std::size_t capacity = 200'000) : capacity_(capacity) {}
 
-    /// The engine holds the conversation up to the point. A point may grow under its hash, as the
-    /// own part of a session does from turn to turn: what is kept then is as long as the latest
-    /// that this engine was seen to hold.
+    /// Records that the engine holds the conversation up to the point. A point may grow under the
+    /// same hash, as a session's own part does from turn to turn; the latest length at this engine
+    /// is kept.
     void stored(const backend_name& engine, const prefix_point& point);
     void removed(const backend_name& engine, prefix_hash hash);
-    /// Forgets all that is believed of an engine: its events had a gap, or it restarted.
+    /// Removes all entries of an engine, after a gap in its events or a restart.
     void forget(const backend_name& engine);
 
-    /// Engines believed to hold the longest beginnings of the conversation, longest point first,
-    /// and within a point those that hold most of it.
+    /// Engines estimated to hold the longest prefixes of the conversation: longest point first, and
+    /// for a point those that hold most tokens of it first.
     /// @param points the conversation's points, shortest first
     [[nodiscard]] std::vector<cached_prefix> find(const std::vector<prefix_point>& points) const;
     [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
   private:
-    /// Distinct engines that a lookup returns at most. Chosen, not measured: as many as placement
-    /// samples besides.
+    /// Number of distinct engines after which a lookup stops.
     static constexpr std::size_t matches_limit = 4;
     struct holder {
         std::uint32_t engine = 0;
--- a/src/tallyfold/scheduling/call_queue.cpp
+++ b/src/tallyfold/scheduling/call_queue.cpp
@@ -9,7 +9,7 @@
     by_arrival_.insert({call.arrived, call.id});
     tenant_lane& lane = tiers_[call.priority][call.tenant];
     lane.by_rank.insert({call.rank, call.id});
-    // A tenant that was away does not come back with credit for the time it did not use.
+    // A tenant gets no credit for time in which it had no waiting calls.
     double& time = virtual_times_[call.tenant];
     if (waiting_[call.tenant]++ == 0) {
         time = std::max(time, virtual_now_);
@@ -33,7 +33,7 @@
 void call_queue::append_tier(const tier& lanes, std::size_t limit,
                              std::vector<ticket>& chosen) const {
     using position = std::set<std::pair<double, ticket>>::const_iterator;
-    // One cursor a tenant, ordered by the time that its next call would be served at.
+    // One cursor per tenant, ordered by the virtual time at which its next call would be served.
     std::multimap<double, std::pair<position, const tenant_lane*>> cursors;
     for (const auto& [tenant, lane] : lanes) {
         cursors.insert({virtual_times_.at(tenant), {lane.by_rank.begin(), &lane}});
--- a/src/tallyfold/scheduling/call_queue.hpp
+++ b/src/tallyfold/scheduling/call_queue.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Calls that wait for a back end: priority first, then weighted fair between tenants, then the
-/// policy's rank; with a bound on how long any call can be passed over.
+/// Queue of calls that wait for a back end: by priority, then by weighted fair queuing between
+/// tenants, then by the policy's rank. Bounds how often a call can be overtaken.
 
 #include <cstdint>
 #include <map>
@@ -20,30 +20,29 @@
     std::string tenant;
     double tenant_weight = 1.0;
     std::int32_t priority = 0;
-    /// From the policy; lower goes first within a tenant.
+    /// From the policy; lower is served first within a tenant.
     double rank = 0;
-    /// Tokens that serving the call will take, for the fair shares.
+    /// Estimated tokens that the call uses, charged to its tenant's share.
     double cost = 1;
     instant arrived{};
 };
 
 class call_queue {
   public:
-    /// Every `oldest_every`-th call taken is the one that has waited longest, so that a call is
-    /// served after at most oldest_every times the calls that were ahead of it at its arrival.
-    /// Chosen, not measured.
+    /// One in `oldest_every` calls taken is the one that has waited longest, so that a call is
+    /// served after at most `oldest_every` times the calls that were ahead of it at its arrival.
     static constexpr std::uint64_t oldest_every = 8;
 
     void push(const queued_call& call);
-    /// The calls to try next, best first; they stay in the queue.
+    /// Calls to try next, best first; they stay in the queue.
     [[nodiscard]] std::vector<ticket> next(std::size_t limit) const;
-    /// Serves a call: removes it and charges its tenant's share.
+    /// Removes a call that is served, and charges its cost to its tenant.
     void take(ticket id);
     /// Removes a call that will not be served.
     void remove(ticket id);
     [[nodiscard]] std::size_t size() const { return calls_.size(); }
     [[nodiscard]] std::size_t waiting_of(const std::string& tenant) const;
-    /// The call that has waited longest.
+    /// The call that has waited longest; null when the queue is empty.
     [[nodiscard]] const queued_call* oldest() const;
 
   private:
@@ -57,9 +56,9 @@
 
     std::map<ticket, queued_call> calls_;
     std::set<std::pair<instant, ticket>> by_arrival_;
-    /// Lanes by priority, greatest first; a lane lives while it has calls.
+    /// Tenants' queues by priority, highest first; empty ones are removed.
     std::map<std::int32_t, tier, std::greater<>> tiers_;
-    /// Cost served per tenant, divided by its weight.
+    /// Virtual time by tenant: cost served, divided by the tenant's weight.
     std::map<std::string, double> virtual_times_;
     std::map<std::string, std::size_t> waiting_;
     double virtual_now_ = 0;
--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -6,18 +6,14 @@
 
 namespace {
 
-/// Prompts shorter than this, in tokens, say more of the network than of the engine. Chosen, not
-/// measured: at 0.01 ms a token 10 ms, a few times the way between zones.
+/// Shortest prompt, in tokens, that is used as a sample; for shorter ones, network delay dominates.
 constexpr token_count min_tokens = 1'000;
-/// Parts, 0 to 1, by which the estimate of an idle engine's time moves to a lower and to a higher
-/// sample. An idle engine's time is near the least that is seen, and one odd sample mustn't decide
-/// it. Chosen, not measured: five low samples take the estimate two thirds of the way, 2,000 high
-/// ones as far, so that a burst doesn't pass for idle.
+/// Weights, 0 to 1, of a sample below and of one above the estimate of an idle engine's time. That
+/// time is close to the minimum, so the estimate falls quickly and rises slowly: a burst of slow
+/// samples must not pass for idle.
 constexpr double weight_of_lower_sample = 0.2;
 constexpr double weight_of_higher_sample = 0.0005;
-/// Weights, 0 to 1, of a new sample in the moving averages: of one engine's time between events,
-/// over some five answers, and of what is usual over all engines, over some 20. Chosen, not
-/// measured.
+/// Weights, 0 to 1, of a new sample in the moving averages of one engine and of all engines.
 constexpr double engine_weight = 0.2;
 constexpr double usual_weight = 0.05;
 
@@ -25,7 +21,7 @@
     return std::chrono::duration<double, std::milli>(value).count();
 }
 
-/// Moves an estimate of the least that is seen towards a sample; 0 stands for no estimate.
+/// Moves an estimate of the minimum towards a sample; 0 stands for no estimate.
 void follow_least(double& value, double sample) {
     if (value <= 0) {
         value = sample;
--- a/src/tallyfold/scheduling/outlier_ejection.hpp
+++ b/src/tallyfold/scheduling/outlier_ejection.hpp
@@ -1,14 +1,11 @@
 #pragma once
 /// @file
-/// Outlier ejection of one back end: leaves it out for a while after failures that stand out. Pure;
-/// backend_pool owns one for each back end and bounds how many are ejected at once.
+/// Outlier ejection of one back end: excludes it temporarily after repeated failures. Pure;
+/// backend_pool owns one for each back end and limits how many are ejected at once.
 ///
-/// Each outcome of a call multiplies the failure score by `failure_decay`; a failure adds 1. So
-/// three failures in a row eject (1 + 0.75 + 0.56 = 2.31), and so do as many among a few more
-/// outcomes, which finds a back end that fails only part of its calls. Counting only failures in a
-/// row found those late: on days with replicas that hang, the score raised the worth of
-/// dgh-fantasy from 0.820 to 0.856; on days with connection resets it measured 0.816 -> 0.795 (one
-/// play each, with silence suspicion; docs/DECISIONS-UNDER-LOAD.md).
+/// Each outcome of a call multiplies the failure score by `failure_decay`; a failure adds its
+/// weight. Three failures in a row eject (1 + 0.75 + 0.56 = 2.31), and so do frequent failures
+/// among successes, so that a back end which fails only part of its calls is detected too.
 
 #include <cstdint>
 
@@ -18,33 +15,29 @@
 
 class outlier_ejection {
   public:
-    /// Part of the failure score that is left after each further outcome; no unit. Chosen, not
-    /// measured: an outcome ten calls ago weighs next to nothing (0.06).
+    /// Factor applied to the failure score at each outcome.
     static constexpr double failure_decay = 0.75;
-    /// Failure score from which on a back end is ejected, in failures. Chosen, not measured: just
-    /// below the score of three failures in a row, 2.31.
+    /// Failure score at which a back end is ejected; just below that of three failures in a row.
     static constexpr double ejection_threshold = 2.2;
-    /// Failure score below which earlier ejections are forgotten, in failures. Chosen, not
-    /// measured: from the 1 of probation, six successes in a row.
+    /// Failure score below which the number of earlier ejections is reset.
     static constexpr double recovered_score = 0.2;
-    /// Length of a first ejection; each further one is twice as long. Chosen, not measured: a
-    /// second of calls gone elsewhere costs little where most back ends work.
+    /// Duration of the first ejection; each further one lasts twice as long.
     static constexpr duration base_ejection = std::chrono::seconds(1);
-    /// Doublings at most: 32 s. Chosen, not measured: one that came back is tried within a minute.
+    /// Maximum number of doublings, which limits an ejection to 32 s.
     static constexpr std::uint32_t max_doublings = 5;
 
-    /// A call has ended well.
+    /// Records a successful call.
     void succeeded();
-    /// A call has failed.
+    /// Records a failed call.
     /// @param weight in failures; `ejection_threshold` ejects at once
-    /// @param may_eject false while as many back ends are ejected as may be
+    /// @param may_eject false while the maximum number of back ends is ejected
     void failed(double weight, bool may_eject, instant now);
-    /// True while the back end is to get no work.
+    /// True while the back end must get no work.
     [[nodiscard]] bool is_ejected(instant now) const { return ejected_until_ > now; }
 
   private:
-    /// Score of a back end on probation after its ejection, in failures: the next failures eject it
-    /// sooner than one that never failed.
+    /// Failure score after an ejection: the next failures eject the back end sooner than one
+    /// without failures.
     static constexpr double probation_score = 1;
 
     double failure_score_ = 0;
--- a/src/tallyfold/scheduling/placement.cpp
+++ b/src/tallyfold/scheduling/placement.cpp
@@ -9,8 +9,7 @@
 
 namespace {
 
-/// Milliseconds a token that an engine is taken to need for a prompt until one has been seen to
-/// read one. Chosen, not measured.
+/// Prompt processing time of an engine, in milliseconds per token, while none has been observed.
 constexpr double assumed_read_ms_per_token = 0.01;
 
 engine_features describe(const placement_request& request, const backend_state& engine,
@@ -34,8 +33,7 @@
     return features;
 }
 
-/// Tokens of prompt that one running call is taken to delay a new one by, in the built-in cost.
-/// Chosen, not measured: the operators' policy has a cost of its own.
+/// Prompt tokens that one running call counts for in the built-in cost.
 constexpr double tokens_per_running_call = 64;
 
 double built_in_cost(const engine_features& engine) {
@@ -112,7 +110,7 @@
 std::vector<const backend_state*> placement::sampled(const placement_request& request,
                                                      const backend_pool& pool, instant now) const {
     if (strategy_ != strategy::policy) {
-        // A baseline sends a call at once and lets the engine queue it.
+        // A baseline sends each call at once and leaves queuing to the engine.
         return pool.least_loaded(1, request.model, true, now);
     }
     if (request.sample == nullptr) {
@@ -201,7 +199,7 @@
                                                  : placement_refusal::all_busy);
     }
     if (strategy_ != strategy::policy) {
-        // The longest cached prefix comes first where the strategy looks at the cache at all.
+        // Strategies that use the cache list the longest cached prefix first.
         const candidate& first = options.front();
         return placement_choice{first.engine->member.name, first.cached_tokens, 0, options.size()};
     }
--- a/src/tallyfold/scheduling/placement.hpp
+++ b/src/tallyfold/scheduling/placement.hpp
@@ -1,16 +1,15 @@
 #pragma once
 /// @file
-/// Chooses the engine for one call, by the class's policy or by a baseline strategy. Pure; both
-/// halves of the product use it.
+/// Selects the engine for one call, by the class's policy or by a baseline strategy. Pure; shared
+/// by the plane and the program API.
 ///
-/// Candidates, in this order, of which the first of those with the least cost is taken:
-/// 1. the affinity target of the call's program, taken to hold the prompt up to its newest part;
+/// Candidates, in this order; the first of those with the lowest cost is selected:
+/// 1. the affinity target of the call's program, assumed to hold the prompt up to its newest part;
 /// 2. engines that are known to hold a prefix of the prompt, longest first;
 /// 3. a sample of the others.
-/// The target stands before the holders, since what all programs begin with lies on a few engines
-/// that every node is told of: were these first, all programs would begin there (busiest engine
-/// over the mean 1.87, 1.65, 1.48, 1.86 -> 1.48, 1.56, 1.26, 1.19 on small twins of
-/// huayin-preview-large; docs/incidents has the account).
+/// The affinity target precedes the prefix holders because the prefix that all programs share is
+/// cached on a few engines that every node knows of: were these first, all programs would start
+/// there.
 
 #include <optional>
 #include <string>
@@ -24,7 +23,7 @@
 
 namespace tallyfold::scheduling {
 
-/// How calls are ordered and placed. All but `policy` are baselines for measurements.
+/// How calls are ordered and placed. All but `policy` are baselines for comparison.
 enum class strategy : std::uint8_t { policy, round_robin, least_outstanding, affinity_fcfs };
 
 std::optional<strategy> parse_strategy(std::string_view name);
@@ -35,36 +34,36 @@
     std::string zone;
     const std::vector<prefix_point>* prompt = nullptr;
     token_count prompt_tokens = 0;
-    /// Engine that every node derives for the call's program; empty when there is none. It is taken
-    /// to hold `affinity_tokens` of the prompt.
+    /// Engine that every node derives for the call's program, assumed to hold `affinity_tokens` of
+    /// the prompt; empty when there is none.
     backend_name affinity_target;
     token_count affinity_tokens = 0;
-    /// Engines that are weighed beside the affinity target and those that hold the prompt; null for
-    /// the least loaded ones. Nodes that see little of each other's calls find the same engines
-    /// idle, so each has to bring an order of its own.
+    /// Engines considered besides the affinity target and the prefix holders; null for the least
+    /// loaded ones. Nodes that see few of each other's calls regard the same engines as idle, so
+    /// each node provides its own sample in its own order.
     const std::vector<const backend_state*>* sample = nullptr;
-    /// How quickly the engines work; null when it isn't learned.
+    /// Speed estimates of the engines; null when they aren't learned.
     const engine_pace* pace = nullptr;
 };
 
-/// The available engine with the greatest rendezvous weight for a key, a program's identifier.
-/// Empty when none is available.
+/// Available engine with the greatest rendezvous weight for a key, such as a program's identifier;
+/// empty when none is available.
 backend_name affinity_target(const std::string& key, const backend_pool& pool, instant now);
 
 struct placement_choice {
     backend_name engine;
     token_count cached_tokens = 0;
-    /// Cost that the policy gave it; 0 for baselines.
+    /// Cost of the choice; 0 for baselines.
     double cost = 0;
     std::size_t candidates = 0;
 };
 
 enum class placement_refusal : std::uint8_t {
-    /// Engines exist, but each has all its slots taken.
+    /// Engines exist, but none of them is available with a free slot.
     all_busy,
-    /// A busy engine holds the prompt and is worth waiting for.
+    /// A busy engine has the lowest cost, so the call should wait for it.
     wait_for_cache,
-    /// No engine can run the call at all.
+    /// There are no engines.
     none_available,
 };
 
@@ -72,14 +71,14 @@
   public:
     explicit placement(strategy chosen) : strategy_(chosen) {}
 
-    /// @param ranking the class's policy; null uses the built-in cost
+    /// @param ranking the class's policy; null selects the built-in cost
     tl::expected<placement_choice, placement_refusal> choose(const placement_request& request,
                                                              const backend_pool& pool,
                                                              const cache_map& cache,
                                                              policy* ranking, instant now);
 
   private:
-    /// Engines without a cached prefix that are weighed, least loaded first. Chosen, not measured.
+    /// Maximum number of least loaded engines that are considered without a cached prefix.
     static constexpr std::size_t sampled_engines = 4;
 
     struct candidate {
@@ -99,7 +98,7 @@
                                   const cache_map& cache, instant now) const;
     const backend_state* next_in_turn(const backend_pool& pool, const std::string& model,
                                       instant now);
-    /// Engines that are weighed although nothing is known to tie the call to them.
+    /// Engines that are considered without a cached prefix.
     std::vector<const backend_state*> sampled(const placement_request& request,
                                               const backend_pool& pool, instant now) const;
     static double cost_of(const placement_request& request, const candidate& option,
--- a/src/tallyfold/scheduling/policy.cpp
+++ b/src/tallyfold/scheduling/policy.cpp
@@ -36,7 +36,7 @@
     luaL_error(state, "instruction limit reached");
 }
 
-/// Splits "policy:LINE: reason" as Lua writes it.
+/// Parses an error message of Lua, "policy:LINE: reason".
 policy_error parse_error(const std::string& text) {
     const std::string prefix = std::string(chunk_name + 1) + ":";
     if (!text.starts_with(prefix)) {
@@ -106,7 +106,7 @@
     set_boolean(state, "is_sub_agent", program.is_sub_agent);
 }
 
-/// Libraries without input, output, clocks, loading of code or random numbers.
+/// Opens the base and math libraries, without input, output, loading of code and random numbers.
 void open_safe_libraries(lua_State* state) {
     luaL_requiref(state, LUA_GNAME, luaopen_base, 1);
     luaL_requiref(state, LUA_MATHLIBNAME, luaopen_math, 1);
@@ -146,7 +146,7 @@
         return error;
     }
 
-    /// Builds a table of `features` under protection, since building it allocates.
+    /// Builds a table of `features`. Called through lua_pcall, since the allocation may fail.
     template <class Features>
     static int push_features(lua_State* target) {
         const auto* features = static_cast<const Features*>(lua_touserdata(target, 1));
