--- a/tests/plane/tenants/key_index_test.cpp
+++ b/tests/plane/tenants/key_index_test.cpp
@@ -112,7 +112,7 @@
         refused([](auto& it) { it.tenants[0].burst = 1e300; });
     }
 
-    /// The shapes in which configurations were written before there were keys.
+    /// Configuration format from before keys were added.
     struct earlier_configuration {
         std::uint64_t version = 0;
         std::vector<routing::route_without_keys> routes;
--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -33,11 +33,11 @@
 
     void new_programs_leave_the_last_permits_to_those_under_way() {
         permit_lender lender = settled_keeper();
-        // 55 of 60 are spent: nothing for what begins, the rest for what is under way.
+        // 55 of 60 are spent: none are left for new programs, five for running ones.
         permit_use use{"t", 55, 55, 55, 0, 1, 3};
         const permit_answer later = lender.answer(first_report(1, use), beginning);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{55}, later.grants.front().ceiling);
-        // 45 are open to new programs; 11 come back at 12 a second.
+        // New programs may use 45; 11 permits are free again at 12 a second.
         CPPUNIT_ASSERT_EQUAL(916U, later.grants.front().retry_new_program_after_ms);
         CPPUNIT_ASSERT_EQUAL(0U, later.grants.front().retry_after_ms);
         use.needed = 2;
@@ -49,7 +49,7 @@
         CPPUNIT_ASSERT(refused.grants.front().retry_after_ms > 0);
     }
 
-    /// What a node that asks for so many gets, having spent all that it had.
+    /// Permits granted to a node that has spent all it had and requests `needed`.
     static std::uint64_t granted(permit_lender& lender, std::uint64_t question, std::uint64_t spent,
                                  std::uint32_t needed, instant now) {
         const permit_use use{"t", spent, spent, static_cast<std::uint32_t>(spent), needed, 0, 0};
@@ -61,7 +61,7 @@
         permit_lender lender{quota_rules{}};
         lender.use({limited_tenant("t", 10, 10)});
         lender.start(beginning - std::chrono::seconds(10));
-        // The bound is 86, so 33 may go at once, and 10 a second after that.
+        // The bound is 86, so 33 may be lent at once, and 10 a second after that.
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{33}, granted(lender, 1, 0, 60, beginning));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, granted(lender, 2, 33, 60, beginning));
         const instant later = beginning + std::chrono::seconds(1);
@@ -73,8 +73,8 @@
         lender.use({limited_tenant("t", 10, 10)});
         lender.start(beginning);
         const instant later = beginning + std::chrono::seconds(1);
-        // Seven lie ready from the lender before; they come back, and are lent again beside the
-        // rate.
+        // The node returns seven unused permits of the previous lender, which are lent again in
+        // addition to the rate.
         lender.answer(first_report(1, {"t", 20, 27, 20, 0, 0, 9}), later);
         lender.answer(first_report(2, {"t", 20, 20, 20, 0, 0, 0}), later);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{17}, granted(lender, 3, 20, 60, later));
@@ -96,18 +96,18 @@
         CPPUNIT_ASSERT(lender.answer(first_report(7, use), beginning).outcome ==
                        permit_outcome::granted);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, lender.in_use("t"));
-        // The same again, and an older one.
+        // A repeated report, and an older one.
         CPPUNIT_ASSERT(lender.answer(first_report(7, use), beginning).outcome ==
                        permit_outcome::wants_whole);
         CPPUNIT_ASSERT(lender.answer(first_report(3, use), beginning).outcome ==
                        permit_outcome::wants_whole);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, lender.in_use("t"));
-        // A part of a report from a node that the lender doesn't know.
+        // A partial report from an unknown process of the node.
         permit_report part = first_report(8, use);
         part.life = 2;
         part.whole = false;
         CPPUNIT_ASSERT(lender.answer(part, beginning).outcome == permit_outcome::wants_whole);
-        // Nobody's permits, and more than there are.
+        // An unknown tenant, and more permits than the limit.
         const permit_answer unknown =
             lender.answer(first_report(9, {"nobody", 1, 500, 1, 10, 0, 10}), beginning);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, unknown.grants.front().ceiling);
--- a/tests/plane/tenants/permit_rule_test.cpp
+++ b/tests/plane/tenants/permit_rule_test.cpp
@@ -24,7 +24,7 @@
 
     static constexpr duration long_ago = std::chrono::seconds(60);
 
-    /// 10 a second and a burst of 10: 60 a window, 86 with the allowance.
+    /// Rate 10 a second and burst 10: limit 60 in a window, bound 86 with the allowance.
     static limit_use tenant_with(std::uint64_t counted, std::uint64_t spent) {
         return {10, 60, 86, counted, spent, 0};
     }
@@ -46,12 +46,12 @@
         CPPUNIT_ASSERT_EQUAL(5.0, open.beginning);
         CPPUNIT_ASSERT_EQUAL(0.0, open.spare);
         CPPUNIT_ASSERT_EQUAL(0.0, lent(asking_for(0, 9, 9), tenant_with(45, 45)).beginning);
-        // Calls under way go first.
+        // Calls of running programs are served first.
         CPPUNIT_ASSERT_EQUAL(2.0, lent(asking_for(3, 9, 0), tenant_with(40, 40)).beginning);
     }
 
     void what_is_lent_elsewhere_counts_against_the_bound_only() {
-        // 20 are spent, 50 more lie ready at other nodes.
+        // 20 are spent, and 50 more are lent to other nodes.
         const lendable open = lent(asking_for(9, 0, 9), tenant_with(70, 20));
         CPPUNIT_ASSERT_EQUAL(9.0, open.needed);
         CPPUNIT_ASSERT_EQUAL(7.0, open.spare);
@@ -118,7 +118,7 @@
         const duration slot = std::chrono::milliseconds(250);
         // 86 - 50, less 2.5 for the slot.
         CPPUNIT_ASSERT_EQUAL(33.5, tolerated_burst(tenant_with(0, 0), quota_rules{}, slot));
-        // Without allowance or burst something must be lent all the same.
+        // Without allowance and burst, some permits must be lent all the same.
         const limit_use narrow{10, 50, 50, 0, 0, 0};
         CPPUNIT_ASSERT_EQUAL(3.5, tolerated_burst(narrow, quota_rules{}, slot));
     }
--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -26,7 +26,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t node_count = 12;
-    /// So many that each has few of a tenant's calls, or none, within a window.
+    /// Enough nodes that each has few of a tenant's calls, or none, within a window.
     static constexpr std::size_t many_nodes = 69;
 
     static quota_world world(std::uint64_t seed, double rate) {
@@ -50,13 +50,14 @@
         pressed.run(std::chrono::seconds(30), 400);
         CPPUNIT_ASSERT(pressed.refused > 0);
         CPPUNIT_ASSERT(static_cast<double>(pressed.max_in_window()) <= pressed.bound());
-        // In the long run the rate comes through, not less: permits don't get lost.
+        // In the long run the full rate is admitted: no permits are lost.
         const double let_in =
             static_cast<double>(pressed.let_in_since(pressed.now - std::chrono::seconds(15)));
         CPPUNIT_ASSERT(let_in >= 15 * 50 * 0.95);
     }
 
-    /// @param restarts nodes restart, and no keeper changes; otherwise the other way round
+    /// @param restarts true: nodes restart and the lender stays; false: the lender changes and no
+    /// node restarts
     static void play_faults(quota_world& played, std::uint64_t seed, bool restarts) {
         std::mt19937_64 random(seed);
         for (int round = 0; round < 24; ++round) {
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Restarted nodes and changed keepers apart; the_bound_holds_under_all_faults_at_once has
-    /// both.
+    /// Restarts and lender changes separately; the_bound_holds_under_all_faults_at_once combines
+    /// them.
     void the_bound_holds_under_faults() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             quota_world played = world(seed, 60);
@@ -98,12 +99,9 @@
         }
     }
 
-    // Within five seconds 474 of a tenant's requests ran where 416 are allowed, in 47 of these 60
-    // seeds over the bound, without any fault. Half of the calls waited for up to three seconds and
-    // then didn't run, so that their permits went back. Cause: a permit given back was taken out of
-    // the newest slot of the node's window, whenever it had been spent. Calls that had run just now
-    // went uncounted, and the lender lent their permits once more. Shown by: with each permit taken
-    // out of the slot that it went into, 375 at most.
+    // Permits returned late must be removed from the slot in which they were counted. Removed from
+    // the newest slot, they left calls that had just run uncounted, and the lender lent their
+    // permits again.
     void the_bound_holds_when_permits_come_back_late() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             quota_world played = world(seed, 60);
@@ -119,18 +117,8 @@
         }
     }
 
-    // Within five seconds 140 of a tenant's requests ran where 99 are allowed, in fleets of real
-    // processes; in this world 835 at most where 416 are allowed, over the bound in 59 of 60 seeds.
-    // All machines lost power while the tenant pressed against its limit, and came back within two
-    // seconds.
-    // Cause: a new lender lent the whole limit at once. It knows what living nodes have spent, but
-    // the nodes were new too, so nobody knew what had been spent in the window before. That much
-    // had often been spent in one moment, when a window before had ended, so no lender without that
-    // knowledge could have lent anything.
-    // Shown by: limits_hold in eight of twelve runs with real processes, each time in a window that
-    // holds the loss of power; here, all that was over came from the first second of a new lender.
-    // With a bound on what is spent in each shorter span, and a lender that lends at the rate in
-    // its first window: 372 at most.
+    // After a loss of power neither the nodes nor the new lender know what was spent in the last
+    // window. A lender that lends the whole limit at once then exceeds the bound.
     void the_bound_holds_when_all_power_is_lost() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             quota_world played = world(seed, 60);
@@ -144,23 +132,15 @@
             CPPUNIT_ASSERT_MESSAGE(
                 "seed " + std::to_string(seed) + ": " + std::to_string(played.max_in_window()),
                 static_cast<double>(played.max_in_window()) <= played.bound() + without_lender);
-            // What is forgotten costs a window, not more.
+            // Lost state delays calls for a window at most.
             const double let_in =
                 static_cast<double>(played.let_in_since(played.now - std::chrono::seconds(2)));
             CPPUNIT_ASSERT(let_in >= 2 * 60 * 0.8);
         }
     }
 
-    // 107 of a tenant's requests ran within five seconds where 106 are allowed, on a played day; in
-    // this world 511 at most where 416 are allowed, over the bound in all 60 seeds. Nodes restarted
-    // one after the other, and the lender changed.
-    // Cause: what a node has spent is known to itself and to the lender that it told. When both are
-    // gone, the next lender counts only what living nodes tell, and lent the difference to the
-    // limit once more. Shown by: the lender that changes knows all nodes that restarted before, the
-    // one after it none of their former lives; with a bound on what is spent in each shorter span,
-    // and a lender that lends at the rate in its first window: 317 at most. That the played day
-    // went this way is inferred from a replay, which kept the limit: there quota_keeper_started
-    // named another node.
+    // When a node and the lender that had its reports are both gone, the next lender doesn't know
+    // what that node spent, and must not lend the difference to the limit again.
     void the_bound_holds_while_nodes_restart_and_the_keeper_changes() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             quota_world played = world(seed, 60);
@@ -180,8 +160,8 @@
         }
     }
 
-    /// A drawn sequence of lost power, restarts, changed lenders and frozen nodes, any of them
-    /// again before the last one's window has ended.
+    /// Random sequence of power losses, restarts, lender changes and frozen nodes, which may
+    /// overlap within a window.
     static void play_all_faults(quota_world& played, std::uint64_t seed, std::size_t nodes,
                                 double rate) {
         std::mt19937_64 random(seed);
@@ -220,12 +200,8 @@
         }
     }
 
-    // 113 of a tenant's requests ran where 86 are allowed, over the bound in 7 of these 20 seeds:
-    // at 69 nodes, after a loss of power or a change of the lender, with calls at most nodes at
-    // once. Cause: while a new lender settled, a node that it had refused let one call in all the
-    // same, though it had no pace of its own: it had been let nothing since its start. Of the
-    // lender's pace nothing was left over for 69 such calls. Shown by: the same seeds, where only
-    // nodes that were let some of late go on without the lender: 60 at most.
+    // While a new lender settles, a node without recently granted permits must not admit a call by
+    // itself: one call at each of many nodes exceeds the bound.
     void the_bound_holds_at_many_nodes_under_all_faults_at_once() {
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             quota_world played{seed, many_nodes, limited_tenant("t", 10, 10), quota_rules{}};
@@ -234,10 +210,8 @@
         }
     }
 
-    // 15 in 100 calls of a tenant that used 62 in 100 of its rate were refused at 69 nodes, without
-    // any fault. Each node was lent a permit for calls to come, until all of them together reached
-    // the bound, and a call at a node without one was refused though the tenant was far below its
-    // limit. A part of the burst tolerance is kept for calls that wait.
+    // Permits held in advance at other nodes must not cause refusals far below the limit: part of
+    // the burst tolerance is reserved for waiting calls.
     void permits_at_hand_elsewhere_refuse_nobody() {
         quota_world calm{1, many_nodes, limited_tenant("t", 10, 9), quota_rules{}};
         calm.run(std::chrono::seconds(17), 6.2);
@@ -253,8 +227,8 @@
         CPPUNIT_ASSERT(played.refused - before <= 3);
     }
 
-    /// Shows that the checks above see a keeper that forgets what it lent, and doesn't know that it
-    /// is new, where the nodes that could tell it have restarted too.
+    /// Shows that the checks above detect a lender that has lost its state and lends as if it were
+    /// not new, when the nodes that could report to it have restarted too.
     void without_the_bound_faults_are_noticed() {
         quota_world played = world(3, 60);
         std::size_t most = 0;
@@ -299,7 +273,7 @@
         const std::uint64_t before = played.refused;
         played.keeper_reachable = false;
         played.run(milliseconds(1'500), 60);
-        // Nodes bridge an election with the permits at hand and their own pace.
+        // Permits held in advance and the nodes' own rates cover an election.
         CPPUNIT_ASSERT_MESSAGE(std::to_string(played.refused - before),
                                played.refused - before <= 9);
         played.keeper_reachable = true;
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Lenders of permits, nodes and the messages between them, with delays, losses and faults; time is
-/// virtual.
+/// Simulation of permit lenders, nodes and the messages between them, with delays, losses and
+/// faults, in virtual time.
 
 #include <algorithm>
 #include <deque>
@@ -45,13 +45,13 @@
     }
 
     instant now = beginning;
-    /// When calls were let in.
+    /// Times at which calls were admitted.
     std::deque<instant> spent;
     std::uint64_t refused = 0;
     std::uint64_t taken_back = 0;
     double loss = 0;
-    /// Part of the calls, 0 to 1, that wait for up to `longest_hold` and then don't run: their
-    /// permits go back that late.
+    /// Share of calls, 0 to 1, that hold a permit for up to `longest_hold` and return it without
+    /// running.
     double late_returns = 0;
     duration longest_hold = std::chrono::seconds(3);
     bool keeper_reachable = true;
@@ -71,10 +71,10 @@
         }
     }
     void freeze(std::size_t number, duration length) { nodes_[number].frozen_until = now + length; }
-    /// The node's process ends; another life of it begins at once.
+    /// Replaces the node's process by a new one.
     void restart(std::size_t number) { nodes_[number] = make_node(number); }
 
-    /// All processes end at once and are back after `dark`.
+    /// Ends all processes at once and restarts them after `dark`.
     void lose_power(duration dark) {
         messages_.clear();
         now += dark;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// One millisecond. @param calls_a_second over all nodes together
+    /// Advances by one millisecond. @param calls_a_second over all nodes together
     void step(double calls_a_second) {
         now += milliseconds(1);
         deliver();
@@ -113,10 +113,10 @@
         }
     }
 
-    /// The most that was let in within any span as long as the window.
+    /// Largest number of calls admitted within any span as long as the window.
     [[nodiscard]] std::size_t max_in_window() const { return most_of(spent); }
-    /// The most times that nodes lost the keeper within such a span: each lets them go one call
-    /// further than before.
+    /// Largest number of times that nodes lost the lender within such a span; each time allows a
+    /// node one more call.
     [[nodiscard]] std::size_t max_silences() const { return most_of(silences_); }
     [[nodiscard]] std::size_t let_in_since(instant since) const {
         return static_cast<std::size_t>(
@@ -156,7 +156,7 @@
         bool silent = false;
         std::vector<waiting_call> waiting;
     };
-    /// A call that holds a permit and is not going to run.
+    /// A call that holds a permit and will not run.
     struct held_call {
         std::size_t node = 0;
         std::uint64_t life = 0;
@@ -305,7 +305,7 @@
             }
             spent.push_back(now);
             if (random_() % 50 == 0) {
-                // It was not run after all.
+                // The call was not run.
                 taker.holder->give_back(tenant_.name, now, now);
                 spent.pop_back();
                 ++taken_back;
--- a/tests/plane/tenants/spent_window_test.cpp
+++ b/tests/plane/tenants/spent_window_test.cpp
@@ -12,11 +12,8 @@
     CPPUNIT_TEST(one_that_has_left_the_window_frees_nothing);
     CPPUNIT_TEST_SUITE_END();
 
-    // Two permits were spent, at 0 s and at 3 s, and the first was given back at 3 s, since its
-    // call had waited and was never sent. At 5.5 s the window held the second one, and 0 were
-    // counted. Cause: a permit was taken out of the newest slot that held one, whenever it had been
-    // spent, so the slot of 3 s lost its permit, and the one of 0 s, which nobody held any more,
-    // was counted until it left the window.
+    // A returned permit must be removed from its own slot. Removed from a newer slot, it left the
+    // later permit uncounted.
     void one_given_back_leaves_the_newer_one_counted() {
         spent_window spent(std::chrono::seconds(5));
         const instant later = beginning + std::chrono::seconds(3);
@@ -27,8 +24,8 @@
         CPPUNIT_ASSERT_EQUAL(0U, spent.count(beginning + milliseconds(8'300)));
     }
 
-    // A permit that had left the window was given back: the node counted one spent less below the
-    // ceiling that it had been lent, and so could spend one that the lender counted nowhere.
+    // A permit that is returned after it has left the window must not allow another one to be
+    // spent, since the lender counts that one nowhere.
     void one_that_has_left_the_window_frees_nothing() {
         permit_holder holder(quota_rules{}, "n", 1);
         permit_lender lender{quota_rules{}};
