--- a/tests/scheduling/backend_pool_test.cpp
+++ b/tests/scheduling/backend_pool_test.cpp
@@ -37,7 +37,7 @@
         engines.report("engine-0", {2, 1, 0, false});
         engines.started("engine-0", 100);
         CPPUNIT_ASSERT_EQUAL(4U, engines.find("engine-0")->outstanding());
-        // The next report has our call in it; it must not count twice.
+        // The next report includes this node's call, which must not count twice.
         engines.report("engine-0", {3, 1, 0, false});
         CPPUNIT_ASSERT_EQUAL(4U, engines.find("engine-0")->outstanding());
         engines.finished("engine-0");
--- a/tests/scheduling/call_queue_test.cpp
+++ b/tests/scheduling/call_queue_test.cpp
@@ -34,7 +34,8 @@
     }
 
     void no_call_starves() {
-        // A low call behind an endless stream of high ones is served within the bound.
+        // A call of low priority is served within the bound despite a constant stream of higher
+        // priority.
         call_queue queue;
         queue.push(call(1, "low", 0, 1e9));
         ticket next = 2;
--- a/tests/scheduling/engine_pace_test.cpp
+++ b/tests/scheduling/engine_pace_test.cpp
@@ -23,7 +23,7 @@
     }
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
-    /// Many events of each of the engines, ending at `now`.
+    /// Records 20 events and ended streams for each engine at `now`.
     static void play(engine_pace& pace, const std::vector<std::string>& engines, double gap,
                      instant now) {
         for (int count = 0; count < 20; ++count) {
--- a/tests/scheduling/outlier_ejection_test.cpp
+++ b/tests/scheduling/outlier_ejection_test.cpp
@@ -17,7 +17,7 @@
 
     static constexpr instant now{std::chrono::seconds(50)};
 
-    /// Fails until it is ejected, at `at`, having been on probation or not.
+    /// Ejects the back end at `at`, whatever its score.
     static void eject(outlier_ejection& backend, instant at) {
         backend.failed(outlier_ejection::ejection_threshold, true, at);
     }
