--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -63,7 +63,7 @@
 
         [[nodiscard]] std::uint64_t lent() const { return ceiling > spent ? ceiling - spent : 0; }
         [[nodiscard]] std::uint64_t counted() const { return recent + lent(); }
-        /// Negative when the node has returned permits of `inherited`.
+        /// Negative when the node has returned permits of its first report.
         [[nodiscard]] double lent_since_start() const {
             return static_cast<double>(std::max(ceiling, spent)) - static_cast<double>(inherited);
         }
