--- a/src/tallyfold/plane/tenants/key_index.cpp
+++ b/src/tallyfold/plane/tenants/key_index.cpp
@@ -67,7 +67,7 @@
 }
 
 const routing::tenant* key_index::find(std::string_view key) const {
-    if (key.empty() || key.size() > longest_key) {
+    if (key.empty() || key.size() > max_key_bytes) {
         return nullptr;
     }
     const auto found = tenants_.find(digest_of(key));
@@ -80,7 +80,7 @@
     if (key.empty()) {
         return "-";
     }
-    const key_digest digest = digest_of(key.substr(0, longest_key));
+    const key_digest digest = digest_of(key.substr(0, max_key_bytes));
     std::string text;
     for (std::size_t place = 0; place < shown_bytes; ++place) {
         text += digits[digest[place] >> 4U];
--- a/src/tallyfold/plane/tenants/key_index.hpp
+++ b/src/tallyfold/plane/tenants/key_index.hpp
@@ -38,7 +38,7 @@
 };
 
 /// Longest accepted key, in bytes; a longer one is rejected without hashing.
-constexpr std::size_t longest_key = 1'024;
+constexpr std::size_t max_key_bytes = 1'024;
 
 /// Abbreviated digest of a key for logs, stable for the life of the process; "-" for an empty key.
 std::string loggable_key(std::string_view key);
