--- a/src/tallyfold/plane/tenants/key_index.cpp
+++ b/src/tallyfold/plane/tenants/key_index.cpp
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-std::size_t key_index::first_bytes::operator()(const key_digest& digest) const {
+std::size_t key_index::digest_hash::operator()(const key_digest& digest) const {
     std::size_t value = 0;
     std::memcpy(&value, digest.data(), sizeof(value));
     return value;
--- a/src/tallyfold/plane/tenants/key_index.hpp
+++ b/src/tallyfold/plane/tenants/key_index.hpp
@@ -29,12 +29,12 @@
     [[nodiscard]] std::size_t size() const { return tenants_.size(); }
 
   private:
-    struct first_bytes {
+    struct digest_hash {
         std::size_t operator()(const key_digest& digest) const;
     };
 
     bool required_;
-    std::unordered_map<key_digest, const routing::tenant*, first_bytes> tenants_;
+    std::unordered_map<key_digest, const routing::tenant*, digest_hash> tenants_;
 };
 
 /// Longest accepted key, in bytes; a longer one is rejected without hashing.
