--- a/src/tallyfold/plane/tenants/key_index.cpp
+++ b/src/tallyfold/plane/tenants/key_index.cpp
@@ -13,17 +13,17 @@
 /// can't be precomputed; its hash state is reused, so a digest costs one block instead of two.
 class keyed_hash {
   public:
-    keyed_hash() : keyed_(EVP_MD_CTX_new()), work_(EVP_MD_CTX_new()) {
+    keyed_hash() : keyed_context_(EVP_MD_CTX_new()), work_(EVP_MD_CTX_new()) {
         std::random_device source;
         std::array<unsigned char, block_size> secret{};
         for (unsigned char& byte : secret) {
             byte = static_cast<unsigned char>(source());
         }
-        EVP_DigestInit_ex(keyed_, EVP_sha256(), nullptr);
-        EVP_DigestUpdate(keyed_, secret.data(), secret.size());
+        EVP_DigestInit_ex(keyed_context_, EVP_sha256(), nullptr);
+        EVP_DigestUpdate(keyed_context_, secret.data(), secret.size());
     }
     ~keyed_hash() {
-        EVP_MD_CTX_free(keyed_);
+        EVP_MD_CTX_free(keyed_context_);
         EVP_MD_CTX_free(work_);
     }
     keyed_hash(const keyed_hash&) = delete;
@@ -32,7 +32,7 @@
     [[nodiscard]] key_digest digest_of(std::string_view key) const {
         key_digest digest{};
         unsigned int size = 0;
-        EVP_MD_CTX_copy_ex(work_, keyed_);
+        EVP_MD_CTX_copy_ex(work_, keyed_context_);
         EVP_DigestUpdate(work_, key.data(), key.size());
         EVP_DigestFinal_ex(work_, digest.data(), &size);
         return digest;
@@ -40,7 +40,7 @@
 
   private:
     static constexpr std::size_t block_size = 64;
-    EVP_MD_CTX* keyed_;
+    EVP_MD_CTX* keyed_context_;
     EVP_MD_CTX* work_;
 };
 
