--- a/src/tallyfold/plane/tenants/key_index.cpp
+++ b/src/tallyfold/plane/tenants/key_index.cpp
@@ -13,7 +13,7 @@
 /// can't be precomputed; its hash state is reused, so a digest costs one block instead of two.
 class keyed_hash {
   public:
-    keyed_hash() : keyed_context_(EVP_MD_CTX_new()), work_(EVP_MD_CTX_new()) {
+    keyed_hash() : keyed_context_(EVP_MD_CTX_new()), scratch_context_(EVP_MD_CTX_new()) {
         std::random_device source;
         std::array<unsigned char, block_size> secret{};
         for (unsigned char& byte : secret) {
@@ -24,7 +24,7 @@
     }
     ~keyed_hash() {
         EVP_MD_CTX_free(keyed_context_);
-        EVP_MD_CTX_free(work_);
+        EVP_MD_CTX_free(scratch_context_);
     }
     keyed_hash(const keyed_hash&) = delete;
     keyed_hash& operator=(const keyed_hash&) = delete;
@@ -32,16 +32,16 @@
     [[nodiscard]] key_digest digest_of(std::string_view key) const {
         key_digest digest{};
         unsigned int size = 0;
-        EVP_MD_CTX_copy_ex(work_, keyed_context_);
-        EVP_DigestUpdate(work_, key.data(), key.size());
-        EVP_DigestFinal_ex(work_, digest.data(), &size);
+        EVP_MD_CTX_copy_ex(scratch_context_, keyed_context_);
+        EVP_DigestUpdate(scratch_context_, key.data(), key.size());
+        EVP_DigestFinal_ex(scratch_context_, digest.data(), &size);
         return digest;
     }
 
   private:
     static constexpr std::size_t block_size = 64;
     EVP_MD_CTX* keyed_context_;
-    EVP_MD_CTX* work_;
+    EVP_MD_CTX* scratch_context_;
 };
 
 /// Not thread-safe: called on the loop thread only.
