--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -89,7 +89,7 @@
     use.recent = held.recent.count(now);
     use.needed = held.waiting_under_way;
     use.beginning = held.waiting_new;
-    if (spare_ && limited(tenant) && now - held.last_call < interest) {
+    if (spare_ && limited(tenant) && now - held.last_call < tenant_idle_timeout) {
         const double pace = static_cast<double>(use.recent) * provision / rules_.window;
         use.wanted += 1 + static_cast<std::uint32_t>(std::ceil(pace));
     }
@@ -121,7 +121,8 @@
         auto& [tenant, held] = *entry;
         permit_use use = describe(tenant, held, now);
         const bool idle = use.recent == 0 && use.ceiling == use.spent && use.wanted == 0 &&
-                          use.needed == 0 && use.beginning == 0 && now - held.last_call >= interest;
+                          use.needed == 0 && use.beginning == 0 &&
+                          now - held.last_call >= tenant_idle_timeout;
         if (idle && (next_is_whole_ || use == held.told)) {
             entry = tenants_.erase(entry);
             continue;
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -29,7 +29,7 @@
 class permit_holder {
   public:
     /// Time without calls after which no permits are held in advance for a tenant.
-    static constexpr duration interest = std::chrono::seconds(20);
+    static constexpr duration tenant_idle_timeout = std::chrono::seconds(20);
     /// Period of a tenant's calls at this node that permits held in advance cover. Longer than the
     /// election of a new lender.
     static constexpr duration provision = std::chrono::milliseconds(1'500);
