--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -32,7 +32,7 @@
     static constexpr duration tenant_idle_timeout = std::chrono::seconds(20);
     /// Period of a tenant's calls at this node that permits held in advance cover. Longer than the
     /// election of a new lender.
-    static constexpr duration provision = std::chrono::milliseconds(1'500);
+    static constexpr duration spare_permit_horizon = std::chrono::milliseconds(1'500);
 
     /// @param life identifies the process; differs after each restart
     permit_holder(quota_rules rules, node_name node, std::uint64_t life)
