--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -45,7 +45,7 @@
     }
     [[nodiscard]] bool has_limits() const { return !limited_.empty(); }
     /// @param spare false: no permits are held in advance, and each call requests its own
-    void keep_spare(bool spare) { spare_ = spare; }
+    void set_spare_permits(bool spare) { spare_ = spare; }
 
     /// Spends an available permit. @return false when there is none
     bool take(const tenant_name& tenant, instant now);
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -51,7 +51,7 @@
       directory_(directory),
       holder_(rules_of(process.settings()), process.settings().node, draw_life()) {
     const settings::switched_off& off = process.settings().off;
-    holder_.keep_spare(!off.contains(settings::mechanism::spare_permits));
+    holder_.set_spare_permits(!off.contains(settings::mechanism::spare_permits));
     longest_wait_ =
         off.contains(settings::mechanism::permit_wait) ? duration::zero() : longest_permit_wait;
 }
