--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -89,7 +89,7 @@
     use.recent = held.recent.count(now);
     use.needed = held.waiting_under_way;
     use.beginning = held.waiting_new;
-    if (spare_ && limited(tenant) && now - held.last_call < tenant_idle_timeout) {
+    if (spare_permits_enabled_ && limited(tenant) && now - held.last_call < tenant_idle_timeout) {
         const double pace = static_cast<double>(use.recent) * spare_permit_horizon / rules_.window;
         use.wanted += 1 + static_cast<std::uint32_t>(std::ceil(pace));
     }
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -45,7 +45,7 @@
     }
     [[nodiscard]] bool has_limits() const { return !limited_.empty(); }
     /// @param spare false: no permits are held in advance, and each call requests its own
-    void set_spare_permits(bool spare) { spare_ = spare; }
+    void set_spare_permits(bool spare) { spare_permits_enabled_ = spare; }
 
     /// Spends an available permit. @return false when there is none
     bool take(const tenant_name& tenant, instant now);
@@ -120,7 +120,7 @@
     quota_rules rules_;
     node_name node_;
     std::uint64_t life_;
-    bool spare_ = true;
+    bool spare_permits_enabled_ = true;
     std::unordered_set<tenant_name> limited_;
     std::unordered_map<tenant_name, held_permits> tenants_;
     /// Sequence number of the last report.
