--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -104,7 +104,7 @@
         return true;
     }
     for (auto& [tenant, held] : tenants_) {
-        if (describe(tenant, held, now) != held.told) {
+        if (describe(tenant, held, now) != held.acknowledged_use) {
             return true;
         }
     }
@@ -123,11 +123,11 @@
         const bool idle = use.recent == 0 && use.ceiling == use.spent && use.wanted == 0 &&
                           use.needed == 0 && use.beginning == 0 &&
                           now - held.last_call >= tenant_idle_timeout;
-        if (idle && (next_is_whole_ || use == held.told)) {
+        if (idle && (next_is_whole_ || use == held.acknowledged_use)) {
             entry = tenants_.erase(entry);
             continue;
         }
-        if (next_is_whole_ || use != held.told || use.needed > 0 || use.beginning > 0) {
+        if (next_is_whole_ || use != held.acknowledged_use || use.needed > 0 || use.beginning > 0) {
             report.uses.push_back(std::move(use));
         }
         ++entry;
@@ -164,7 +164,7 @@
         if (found != tenants_.end()) {
             found->second.retry_after_ms = 0;
             found->second.retry_new_program_after_ms = 0;
-            found->second.told = std::move(use);
+            found->second.acknowledged_use = std::move(use);
         }
     }
     reported_uses_.clear();
@@ -179,7 +179,8 @@
         found->second.ceiling = granted.ceiling;
         // Keeps the higher ceiling as acknowledged, so that a lowered one is reported: the lender
         // frees the permits only then.
-        found->second.told.ceiling = std::max(granted.ceiling, found->second.told.ceiling);
+        found->second.acknowledged_use.ceiling =
+            std::max(granted.ceiling, found->second.acknowledged_use.ceiling);
         found->second.retry_after_ms = granted.retry_after_ms;
         found->second.retry_new_program_after_ms = granted.retry_new_program_after_ms;
     }
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -104,7 +104,7 @@
         std::uint32_t retry_new_program_after_ms = 0;
         instant last_call{};
         /// Use as last acknowledged by the lender.
-        permit_use told;
+        permit_use acknowledged_use;
     };
 
     /// Marks the uses in the last report as acknowledged by the lender.
