--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -149,7 +149,7 @@
         return false;
     }
     lease_end_ = report_sent_ + rules_.lease;
-    note_told();
+    record_acknowledged_uses();
     take_grants(answer.grants);
     lender_settles_ = answer.settling;
     if (!lender_settles_) {
@@ -158,7 +158,7 @@
     return true;
 }
 
-void permit_holder::note_told() {
+void permit_holder::record_acknowledged_uses() {
     for (permit_use& use : reported_uses_) {
         const auto found = tenants_.find(use.tenant);
         if (found != tenants_.end()) {
