--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -37,10 +37,10 @@
     held.last_call = now;
     // A settling lender has refused the permit. A node without recently granted permits has no rate
     // of its own to continue at, and one call each at many nodes would exceed the bound.
-    if (lender_settles_ && held.proven == 0) {
+    if (lender_settles_ && held.granted_recent == 0) {
         return false;
     }
-    const double pace = held.proven * (1 + rules_.overshoot);
+    const double pace = held.granted_recent * (1 + rules_.overshoot);
     if (held.recent.count(now) > pace) {
         return false;
     }
@@ -189,7 +189,7 @@
 void permit_holder::note_proven_pace(instant now) {
     for (auto& [tenant, held] : tenants_) {
         const std::uint32_t recent = held.recent.count(now);
-        held.proven = recent - std::min(recent, held.spent_without_lender.count(now));
+        held.granted_recent = recent - std::min(recent, held.spent_without_lender.count(now));
     }
 }
 
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -95,7 +95,7 @@
         /// Permits of `recent` that were spent without a grant of the lender.
         spent_window spent_without_lender;
         /// Permits of `recent` that the lender had granted by its last answer.
-        std::uint32_t proven = 0;
+        std::uint32_t granted_recent = 0;
         /// Calls that wait for a permit, of running programs and of new ones.
         std::uint32_t waiting_under_way = 0;
         std::uint32_t waiting_new = 0;
