--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -153,7 +153,7 @@
     take_grants(answer.grants);
     lender_settles_ = answer.settling;
     if (!lender_settles_) {
-        note_proven_pace(now);
+        record_granted_recent(now);
     }
     return true;
 }
@@ -186,7 +186,7 @@
     }
 }
 
-void permit_holder::note_proven_pace(instant now) {
+void permit_holder::record_granted_recent(instant now) {
     for (auto& [tenant, held] : tenants_) {
         const std::uint32_t recent = held.recent.count(now);
         held.granted_recent = recent - std::min(recent, held.spent_without_lender.count(now));
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -112,7 +112,7 @@
     void take_grants(const std::vector<permit_grant>& grants);
     /// Records how many recent permits the lender granted: the rate that the node may keep without
     /// it.
-    void note_proven_pace(instant now);
+    void record_granted_recent(instant now);
     held_permits& of(const tenant_name& tenant);
     permit_use describe(const tenant_name& tenant, held_permits& held, instant now);
     [[nodiscard]] bool lease_holds(instant now) const { return now < lease_end_; }
