--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -150,7 +150,7 @@
     }
     lease_end_ = report_sent_ + rules_.lease;
     record_acknowledged_uses();
-    take_grants(answer.grants);
+    apply_grants(answer.grants);
     lender_settles_ = answer.settling;
     if (!lender_settles_) {
         record_granted_recent(now);
@@ -170,7 +170,7 @@
     reported_uses_.clear();
 }
 
-void permit_holder::take_grants(const std::vector<permit_grant>& grants) {
+void permit_holder::apply_grants(const std::vector<permit_grant>& grants) {
     for (const permit_grant& granted : grants) {
         const auto found = tenants_.find(granted.tenant);
         if (found == tenants_.end()) {
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -109,7 +109,7 @@
 
     /// Marks the uses in the last report as acknowledged by the lender.
     void record_acknowledged_uses();
-    void take_grants(const std::vector<permit_grant>& grants);
+    void apply_grants(const std::vector<permit_grant>& grants);
     /// Records how many recent permits the lender granted: the rate that the node may keep without
     /// it.
     void record_granted_recent(instant now);
