--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -100,7 +100,7 @@
     if (!has_limits()) {
         return false;
     }
-    if (next_is_whole_ || now + rules_.lease / 2 >= lease_end_) {
+    if (full_report_due_ || now + rules_.lease / 2 >= lease_end_) {
         return true;
     }
     for (auto& [tenant, held] : tenants_) {
@@ -116,18 +116,19 @@
     report.node = node_;
     report.life = life_;
     report.question = ++question_;
-    report.whole = next_is_whole_;
+    report.whole = full_report_due_;
     for (auto entry = tenants_.begin(); entry != tenants_.end();) {
         auto& [tenant, held] = *entry;
         permit_use use = describe(tenant, held, now);
         const bool idle = use.recent == 0 && use.ceiling == use.spent && use.wanted == 0 &&
                           use.needed == 0 && use.beginning == 0 &&
                           now - held.last_call >= tenant_idle_timeout;
-        if (idle && (next_is_whole_ || use == held.acknowledged_use)) {
+        if (idle && (full_report_due_ || use == held.acknowledged_use)) {
             entry = tenants_.erase(entry);
             continue;
         }
-        if (next_is_whole_ || use != held.acknowledged_use || use.needed > 0 || use.beginning > 0) {
+        if (full_report_due_ || use != held.acknowledged_use || use.needed > 0 ||
+            use.beginning > 0) {
             report.uses.push_back(std::move(use));
         }
         ++entry;
@@ -135,7 +136,7 @@
     report_sent_ = now;
     reported_uses_ = report.uses;
     awaits_answer_ = true;
-    next_is_whole_ = false;
+    full_report_due_ = false;
     return report;
 }
 
@@ -145,7 +146,7 @@
     }
     awaits_answer_ = false;
     if (answer.outcome != permit_outcome::granted) {
-        next_is_whole_ = true;
+        full_report_due_ = true;
         return false;
     }
     lease_end_ = report_sent_ + rules_.lease;
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -70,7 +70,7 @@
     bool apply(const permit_answer& answer, instant now);
     /// Records that the last report got no answer.
     void unanswered() {
-        next_is_whole_ = true;
+        full_report_due_ = true;
         lender_settles_ = false;
     }
     /// True while the lender has started recently and may refuse permits that it would grant later.
@@ -128,7 +128,7 @@
     instant report_sent_{};
     instant lease_end_{};
     /// The next report lists all tenants, not only those that changed.
-    bool next_is_whole_ = true;
+    bool full_report_due_ = true;
     bool awaits_answer_ = false;
     bool lender_settles_ = false;
     std::vector<permit_use> reported_uses_;
