--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -37,7 +37,7 @@
     held.last_call = now;
     // A settling lender has refused the permit. A node without recently granted permits has no rate
     // of its own to continue at, and one call each at many nodes would exceed the bound.
-    if (lender_settles_ && held.granted_recent == 0) {
+    if (lender_settling_ && held.granted_recent == 0) {
         return false;
     }
     const double pace = held.granted_recent * (1 + rules_.overshoot);
@@ -152,8 +152,8 @@
     lease_end_ = report_sent_ + rules_.lease;
     record_acknowledged_uses();
     apply_grants(answer.grants);
-    lender_settles_ = answer.settling;
-    if (!lender_settles_) {
+    lender_settling_ = answer.settling;
+    if (!lender_settling_) {
         record_granted_recent(now);
     }
     return true;
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -71,11 +71,11 @@
     /// Records that the last report got no answer.
     void unanswered() {
         full_report_due_ = true;
-        lender_settles_ = false;
+        lender_settling_ = false;
     }
     /// True while the lender has started recently and may refuse permits that it would grant later.
     /// The node then proceeds as without a lender.
-    [[nodiscard]] bool lender_settles() const { return lender_settles_; }
+    [[nodiscard]] bool lender_settles() const { return lender_settling_; }
     /// Delay after which permits may be free for the tenant's waiting calls, from the last answer.
     [[nodiscard]] duration retry_after(const tenant_name& tenant, permit_need need) const;
     /// Sequence number of the last report.
@@ -130,7 +130,7 @@
     /// The next report lists all tenants, not only those that changed.
     bool full_report_due_ = true;
     bool awaits_answer_ = false;
-    bool lender_settles_ = false;
+    bool lender_settling_ = false;
     std::vector<permit_use> reported_uses_;
 };
 
