--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -75,7 +75,7 @@
     }
     /// True while the lender has started recently and may refuse permits that it would grant later.
     /// The node then proceeds as without a lender.
-    [[nodiscard]] bool lender_settles() const { return lender_settling_; }
+    [[nodiscard]] bool lender_settling() const { return lender_settling_; }
     /// Delay after which permits may be free for the tenant's waiting calls, from the last answer.
     [[nodiscard]] duration retry_after(const tenant_name& tenant, permit_need need) const;
     /// Sequence number of the last report.
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -201,7 +201,7 @@
             co_return permit_granted(now);
         }
         const bool answered = answered_ >= question;
-        const bool lender_unsure = answered && holder_.lender_settles();
+        const bool lender_unsure = answered && holder_.lender_settling();
         if (lender_silent_ || lender_unsure || now - reported > 2 * answer_limit) {
             co_return acquire_without_lender(tenant);
         }
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -260,7 +260,7 @@
                 return true;
             }
             if (each.answered >= call.needed) {
-                const bool unsure = each.holder->lender_settles();
+                const bool unsure = each.holder->lender_settling();
                 end_waiting(each, unsure && each.holder->take_without_lender(tenant_.name, now));
                 return true;
             }
