--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -24,7 +24,7 @@
     }
     held_permits& held = of(tenant);
     held.last_call = now;
-    if (!lease_holds(now) || held.spent >= held.ceiling) {
+    if (!lease_is_valid(now) || held.spent >= held.ceiling) {
         return false;
     }
     ++held.spent;
@@ -79,7 +79,7 @@
 }
 
 permit_use permit_holder::describe(const tenant_name& tenant, held_permits& held, instant now) {
-    if (!lease_holds(now)) {
+    if (!lease_is_valid(now)) {
         held.ceiling = held.spent;
     }
     permit_use use;
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -115,7 +115,7 @@
     void record_granted_recent(instant now);
     held_permits& of(const tenant_name& tenant);
     permit_use describe(const tenant_name& tenant, held_permits& held, instant now);
-    [[nodiscard]] bool lease_holds(instant now) const { return now < lease_end_; }
+    [[nodiscard]] bool lease_is_valid(instant now) const { return now < lease_end_; }
 
     quota_rules rules_;
     node_name node_;
