--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -14,7 +14,7 @@
     }
 }
 
-permit_holder::held_permits& permit_holder::of(const tenant_name& tenant) {
+permit_holder::held_permits& permit_holder::permits_of(const tenant_name& tenant) {
     return tenants_.try_emplace(tenant, rules_.window).first->second;
 }
 
@@ -22,7 +22,7 @@
     if (!limited(tenant)) {
         return true;
     }
-    held_permits& held = of(tenant);
+    held_permits& held = permits_of(tenant);
     held.last_call = now;
     if (!lease_is_valid(now) || held.spent >= held.ceiling) {
         return false;
@@ -33,7 +33,7 @@
 }
 
 bool permit_holder::take_without_lender(const tenant_name& tenant, instant now) {
-    held_permits& held = of(tenant);
+    held_permits& held = permits_of(tenant);
     held.last_call = now;
     // A settling lender has refused the permit. A node without recently granted permits has no rate
     // of its own to continue at, and one call each at many nodes would exceed the bound.
@@ -67,12 +67,12 @@
 }
 
 void permit_holder::begin_wait(const tenant_name& tenant, permit_need need) {
-    held_permits& held = of(tenant);
+    held_permits& held = permits_of(tenant);
     ++(need == permit_need::under_way ? held.waiting_under_way : held.waiting_new);
 }
 
 void permit_holder::end_wait(const tenant_name& tenant, permit_need need) {
-    held_permits& held = of(tenant);
+    held_permits& held = permits_of(tenant);
     std::uint32_t& waiting =
         need == permit_need::under_way ? held.waiting_under_way : held.waiting_new;
     waiting -= std::min(waiting, 1U);
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -113,7 +113,7 @@
     /// Records how many recent permits the lender granted: the rate that the node may keep without
     /// it.
     void record_granted_recent(instant now);
-    held_permits& of(const tenant_name& tenant);
+    held_permits& permits_of(const tenant_name& tenant);
     permit_use describe(const tenant_name& tenant, held_permits& held, instant now);
     [[nodiscard]] bool lease_is_valid(instant now) const { return now < lease_end_; }
 
