--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -62,7 +62,7 @@
     tenants_ = std::move(next);
 }
 
-void permit_lender::take(known_node& node, const permit_use& use, instant now) {
+void permit_lender::take(node_entry& node, const permit_use& use, instant now) {
     const auto tenant = tenants_.find(use.tenant);
     if (tenant == tenants_.end()) {
         return;
@@ -119,7 +119,7 @@
     }
 }
 
-std::optional<permit_grant> permit_lender::grant(known_node& node, const permit_use& use,
+std::optional<permit_grant> permit_lender::grant(node_entry& node, const permit_use& use,
                                                  instant now) {
     const auto tenant = tenants_.find(use.tenant);
     if (tenant == tenants_.end()) {
@@ -150,7 +150,7 @@
     return granted;
 }
 
-void permit_lender::forget(known_node& node) {
+void permit_lender::forget(node_entry& node) {
     for (const auto& [name, known] : node.shares) {
         const auto tenant = tenants_.find(name);
         if (tenant != tenants_.end()) {
@@ -160,7 +160,7 @@
     node.shares.clear();
 }
 
-void permit_lender::drop_unnamed(known_node& node, const std::vector<permit_use>& uses) {
+void permit_lender::drop_unnamed(node_entry& node, const std::vector<permit_use>& uses) {
     std::set<tenant_name> named;
     for (const permit_use& use : uses) {
         named.insert(use.tenant);
@@ -178,7 +178,7 @@
 permit_answer permit_lender::answer(const permit_report& report, instant now) {
     permit_answer answer;
     answer.question = report.question;
-    known_node& node = nodes_[{report.node, report.life}];
+    node_entry& node = nodes_[{report.node, report.life}];
     const bool follows = node.question > 0 && report.question > node.question;
     if (!report.whole && !follows) {
         answer.outcome = permit_outcome::wants_whole;
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -68,7 +68,7 @@
             return static_cast<double>(std::max(ceiling, spent)) - static_cast<double>(inherited);
         }
     };
-    struct known_node {
+    struct node_entry {
         std::uint64_t question = 0;
         instant last_report{};
         std::unordered_map<tenant_name, share> shares;
@@ -83,14 +83,14 @@
     /// Account of a tenant that was added to the configuration, with what nodes already hold of it.
     [[nodiscard]] account open_account(const tenant_name& tenant) const;
     /// Replaces the node's share of one tenant by the reported one.
-    void take(known_node& node, const permit_use& use, instant now);
+    void take(node_entry& node, const permit_use& use, instant now);
     /// Records when permits were spent.
     /// @param known the node's previous share; null when there is none
     void note_spending(account& held, const share* known, const permit_use& use, instant now);
     /// See limit_use. @param held without what the requesting node has been lent
     static double left_by_pace(account& held, instant now);
     /// @return nothing when the reported ceiling stays and all waiting calls are granted
-    std::optional<permit_grant> grant(known_node& node, const permit_use& use, instant now);
+    std::optional<permit_grant> grant(node_entry& node, const permit_use& use, instant now);
     /// Sets the retry delays for calls that were not granted.
     void name_waiting_times(permit_grant& granted, const permit_use& use, const lendable& lent,
                             const limit_use& held) const;
@@ -98,13 +98,13 @@
     static void add(limit_use& held, const share& known);
     static void remove(limit_use& held, const share& known);
     /// Drops the node's shares of tenants that a full report omits.
-    void drop_unnamed(known_node& node, const std::vector<permit_use>& uses);
-    void forget(known_node& node);
+    void drop_unnamed(node_entry& node, const std::vector<permit_use>& uses);
+    void forget(node_entry& node);
 
     quota_rules rules_;
     instant started_{};
     std::unordered_map<tenant_name, account> tenants_;
-    std::map<node_life, known_node> nodes_;
+    std::map<node_life, node_entry> nodes_;
 };
 
 }  // namespace tallyfold::tenants
