--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -78,7 +78,7 @@
         limit_use use;
         spent_window spending;
     };
-    using node_life = std::pair<node_name, std::uint64_t>;
+    using node_process_id = std::pair<node_name, std::uint64_t>;
 
     /// Account of a tenant that was added to the configuration, with what nodes already hold of it.
     [[nodiscard]] account open_account(const tenant_name& tenant) const;
@@ -104,7 +104,7 @@
     quota_rules rules_;
     instant started_{};
     std::unordered_map<tenant_name, account> tenants_;
-    std::map<node_life, node_entry> nodes_;
+    std::map<node_process_id, node_entry> nodes_;
 };
 
 }  // namespace tallyfold::tenants
