--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -72,8 +72,9 @@
     share& known = entry->second;
     note_spending(held, is_new ? nullptr : &known, use, now);
     remove(held.use, known);
-    const std::uint64_t inherited = is_new ? std::max(use.ceiling, use.spent) : known.inherited;
-    known = {use.spent, use.ceiling, use.recent, inherited};
+    const std::uint64_t initial_ceiling =
+        is_new ? std::max(use.ceiling, use.spent) : known.initial_ceiling;
+    known = {use.spent, use.ceiling, use.recent, initial_ceiling};
     add(held.use, known);
 }
 
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -59,13 +59,14 @@
         std::uint64_t ceiling = 0;
         std::uint32_t recent = 0;
         /// Ceiling in the node's first report to this lender.
-        std::uint64_t inherited = 0;
+        std::uint64_t initial_ceiling = 0;
 
         [[nodiscard]] std::uint64_t lent() const { return ceiling > spent ? ceiling - spent : 0; }
         [[nodiscard]] std::uint64_t counted() const { return recent + lent(); }
         /// Negative when the node has returned permits of its first report.
         [[nodiscard]] double lent_since_start() const {
-            return static_cast<double>(std::max(ceiling, spent)) - static_cast<double>(inherited);
+            return static_cast<double>(std::max(ceiling, spent)) -
+                   static_cast<double>(initial_ceiling);
         }
     };
     struct node_entry {
