--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -70,7 +70,7 @@
     account& held = tenant->second;
     const auto [entry, is_new] = node.shares.try_emplace(use.tenant);
     share& known = entry->second;
-    note_spending(held, is_new ? nullptr : &known, use, now);
+    record_spending(held, is_new ? nullptr : &known, use, now);
     remove(held.use, known);
     const std::uint64_t initial_ceiling =
         is_new ? std::max(use.ceiling, use.spent) : known.initial_ceiling;
@@ -78,8 +78,8 @@
     add(held.use, known);
 }
 
-void permit_lender::note_spending(account& held, const share* known, const permit_use& use,
-                                  instant now) {
+void permit_lender::record_spending(account& held, const share* known, const permit_use& use,
+                                    instant now) {
     if (known == nullptr) {
         // Spending before the lender's start is covered by the rate that it lends at in its first
         // window.
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -87,7 +87,7 @@
     void take(node_entry& node, const permit_use& use, instant now);
     /// Records when permits were spent.
     /// @param known the node's previous share; null when there is none
-    void note_spending(account& held, const share* known, const permit_use& use, instant now);
+    void record_spending(account& held, const share* known, const permit_use& use, instant now);
     /// See limit_use. @param held without what the requesting node has been lent
     static double left_by_pace(account& held, instant now);
     /// @return nothing when the reported ceiling stays and all waiting calls are granted
