--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -107,8 +107,8 @@
     return left - static_cast<double>(lent);
 }
 
-void permit_lender::name_waiting_times(permit_grant& granted, const permit_use& use,
-                                       const lendable& lent, const limit_use& held) const {
+void permit_lender::set_retry_delays(permit_grant& granted, const permit_use& use,
+                                     const lendable& lent, const limit_use& held) const {
     if (lent.needed < use.needed) {
         granted.retry_after_ms = time_to_free_ms(held, use.needed - lent.needed, rules_);
     }
@@ -143,7 +143,7 @@
     // Until the node reports a lower ceiling, it may spend up to its present one.
     known.ceiling = std::max(use.ceiling, granted.ceiling);
     add(held, known);
-    name_waiting_times(granted, use, lent, held);
+    set_retry_delays(granted, use, lent, held);
     const bool all_got = lent.needed >= use.needed && lent.beginning >= use.beginning;
     if (granted.ceiling == use.ceiling && all_got) {
         return std::nullopt;
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -93,8 +93,8 @@
     /// @return nothing when the reported ceiling stays and all waiting calls are granted
     std::optional<permit_grant> grant(node_entry& node, const permit_use& use, instant now);
     /// Sets the retry delays for calls that were not granted.
-    void name_waiting_times(permit_grant& granted, const permit_use& use, const lendable& lent,
-                            const limit_use& held) const;
+    void set_retry_delays(permit_grant& granted, const permit_use& use, const lendable& lent,
+                          const limit_use& held) const;
     /// Adds a node's share to the sums, or subtracts it.
     static void add(limit_use& held, const share& known);
     static void remove(limit_use& held, const share& known);
