--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -161,7 +161,7 @@
     node.shares.clear();
 }
 
-void permit_lender::drop_unnamed(node_entry& node, const std::vector<permit_use>& uses) {
+void permit_lender::drop_unreported(node_entry& node, const std::vector<permit_use>& uses) {
     std::set<tenant_name> named;
     for (const permit_use& use : uses) {
         named.insert(use.tenant);
@@ -194,7 +194,7 @@
     node.question = report.question;
     node.last_report = now;
     if (report.whole) {
-        drop_unnamed(node, report.uses);
+        drop_unreported(node, report.uses);
     }
     for (const permit_use& use : report.uses) {
         take(node, use, now);
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -99,7 +99,7 @@
     static void add(limit_use& held, const share& known);
     static void remove(limit_use& held, const share& known);
     /// Drops the node's shares of tenants that a full report omits.
-    void drop_unnamed(node_entry& node, const std::vector<permit_use>& uses);
+    void drop_unreported(node_entry& node, const std::vector<permit_use>& uses);
     void forget(node_entry& node);
 
     quota_rules rules_;
