--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -162,13 +162,13 @@
 }
 
 void permit_lender::drop_unreported(node_entry& node, const std::vector<permit_use>& uses) {
-    std::set<tenant_name> named;
+    std::set<tenant_name> reported;
     for (const permit_use& use : uses) {
-        named.insert(use.tenant);
+        reported.insert(use.tenant);
     }
     std::erase_if(node.shares, [&](const auto& entry) {
         const auto tenant = tenants_.find(entry.first);
-        const bool dropped = !named.contains(entry.first);
+        const bool dropped = !reported.contains(entry.first);
         if (dropped && tenant != tenants_.end()) {
             remove(tenant->second.use, entry.second);
         }
