--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -151,7 +151,7 @@
     return granted;
 }
 
-void permit_lender::forget(node_entry& node) {
+void permit_lender::release_shares(node_entry& node) {
     for (const auto& [name, known] : node.shares) {
         const auto tenant = tenants_.find(name);
         if (tenant != tenants_.end()) {
@@ -210,7 +210,7 @@
 void permit_lender::expire(instant now) {
     for (auto node = nodes_.begin(); node != nodes_.end();) {
         if (now - node->second.last_report > rules_.window + rules_.lease) {
-            forget(node->second);
+            release_shares(node->second);
             node = nodes_.erase(node);
         } else {
             ++node;
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -100,7 +100,7 @@
     static void remove(limit_use& held, const share& known);
     /// Drops the node's shares of tenants that a full report omits.
     void drop_unreported(node_entry& node, const std::vector<permit_use>& uses);
-    void forget(node_entry& node);
+    void release_shares(node_entry& node);
 
     quota_rules rules_;
     instant started_{};
