--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -144,8 +144,8 @@
     known.ceiling = std::max(use.ceiling, granted.ceiling);
     add(held, known);
     set_retry_delays(granted, use, lent, held);
-    const bool all_got = lent.needed >= use.needed && lent.beginning >= use.beginning;
-    if (granted.ceiling == use.ceiling && all_got) {
+    const bool all_granted = lent.needed >= use.needed && lent.beginning >= use.beginning;
+    if (granted.ceiling == use.ceiling && all_granted) {
         return std::nullopt;
     }
     return granted;
