--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -133,10 +133,10 @@
     remove(held, known);
     known.ceiling = known.spent;
     add(held, known);
-    limit_use without_node = held;
-    without_node.lent_since_start = lent_since_start;
-    without_node.left_by_pace = left_by_pace(tenant->second, now);
-    const lendable lent = lendable_permits(use, without_node, now - started_, rules_);
+    limit_use use_without_node = held;
+    use_without_node.lent_since_start = lent_since_start;
+    use_without_node.left_by_pace = left_by_pace(tenant->second, now);
+    const lendable lent = lendable_permits(use, use_without_node, now - started_, rules_);
     const double permits = lent.needed + lent.beginning + lent.spare;
     permit_grant granted{use.tenant, known.spent + static_cast<std::uint64_t>(permits), 0, 0};
     remove(held, known);
