--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -97,7 +97,7 @@
     }
 }
 
-double permit_lender::left_by_pace(account& held, instant now) {
+double permit_lender::left_by_token_bucket(account& held, instant now) {
     const limit_use& use = held.use;
     double left = std::numeric_limits<double>::infinity();
     held.spending.visit_spans(now, [&](duration length, std::uint32_t spent) {
@@ -135,7 +135,7 @@
     add(held, known);
     limit_use use_without_node = held;
     use_without_node.lent_since_start = lent_since_start;
-    use_without_node.left_by_pace = left_by_pace(tenant->second, now);
+    use_without_node.left_by_token_bucket = left_by_token_bucket(tenant->second, now);
     const lendable lent = lendable_permits(use, use_without_node, now - started_, rules_);
     const double permits = lent.needed + lent.beginning + lent.spare;
     permit_grant granted{use.tenant, known.spent + static_cast<std::uint64_t>(permits), 0, 0};
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -89,7 +89,7 @@
     /// @param known the node's previous share; null when there is none
     void record_spending(account& held, const share* known, const permit_use& use, instant now);
     /// See limit_use. @param held without what the requesting node has been lent
-    static double left_by_pace(account& held, instant now);
+    static double left_by_token_bucket(account& held, instant now);
     /// @return nothing when the reported ceiling stays and all waiting calls are granted
     std::optional<permit_grant> grant(node_entry& node, const permit_use& use, instant now);
     /// Sets the retry delays for calls that were not granted.
--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -56,8 +56,8 @@
 pace_room room_by_pace(const permit_use& use, const limit_use& tenant, duration running_for,
                        const quota_rules& rules) {
     pace_room room;
-    room.for_all = tenant.left_by_pace;
-    room.for_new = tenant.left_by_pace - reserved_share * tenant.burst_tolerance;
+    room.for_all = tenant.left_by_token_bucket;
+    room.for_new = tenant.left_by_token_bucket - reserved_share * tenant.burst_tolerance;
     if (running_for < rules.window) {
         const double by_rate = tenant.rate_per_second * seconds(running_for);
         const double not_lent = std::max(0.0, by_rate - tenant.lent_since_start);
--- a/src/tallyfold/plane/tenants/permit_rule.hpp
+++ b/src/tallyfold/plane/tenants/permit_rule.hpp
@@ -60,7 +60,7 @@
     /// they returned; includes what the requesting node holds.
     double lent_since_start = 0;
     /// Left by the token bucket, before anything is lent to the requesting node.
-    double left_by_pace = std::numeric_limits<double>::infinity();
+    double left_by_token_bucket = std::numeric_limits<double>::infinity();
     /// Permits that may be spent and lent at once, beyond the rate; see tolerated_burst().
     double burst_tolerance = 0;
 };
--- a/tests/plane/tenants/permit_rule_test.cpp
+++ b/tests/plane/tenants/permit_rule_test.cpp
@@ -105,12 +105,12 @@
     void the_pace_binds_and_keeps_a_part_for_calls_that_wait() {
         limit_use tenant = tenant_with(0, 0);
         tenant.burst_tolerance = 20;
-        tenant.left_by_pace = 12.5;
+        tenant.left_by_token_bucket = 12.5;
         CPPUNIT_ASSERT_EQUAL(12.0, lent(asking_for(50, 9, 9), tenant).needed);
         const lendable open = lent(asking_for(0, 4, 9), tenant);
         CPPUNIT_ASSERT_EQUAL(4.0, open.beginning);
         CPPUNIT_ASSERT_EQUAL(3.0, open.spare);
-        tenant.left_by_pace = -3;
+        tenant.left_by_token_bucket = -3;
         CPPUNIT_ASSERT_EQUAL(0.0, lent(asking_for(9, 9, 9), tenant).needed);
     }
 
