--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Shortest retry delay of a refused call, in milliseconds: one tick of quota_client.
-constexpr double min_room_after_ms = 50;
+constexpr double min_retry_after_ms = 50;
 
 double seconds(duration value) {
     return std::chrono::duration<double>(value).count();
@@ -103,7 +103,7 @@
 
 std::uint32_t time_to_free_ms(const limit_use& tenant, double permits, const quota_rules& rules) {
     const double pace = std::max(1.0, tenant.limit / seconds(rules.window));
-    return static_cast<std::uint32_t>(std::max(min_room_after_ms, permits / pace * 1'000));
+    return static_cast<std::uint32_t>(std::max(min_retry_after_ms, permits / pace * 1'000));
 }
 
 }  // namespace tallyfold::tenants
