--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -15,7 +15,7 @@
 }
 
 /// Whole permits left below a bound.
-double left(double bound, std::uint64_t counted) {
+double whole_permits_left(double bound, std::uint64_t counted) {
     return std::max(0.0, std::floor(bound - static_cast<double>(counted)));
 }
 
@@ -29,7 +29,7 @@
     const double by_rate = tenant.rate_per_second * seconds(running_for);
     lendable lent;
     lent.needed = std::min({static_cast<double>(use.needed), within_limit,
-                            left(by_rate - tenant.lent_since_start, 0)});
+                            whole_permits_left(by_rate - tenant.lent_since_start, 0)});
     lent.spare = std::min(static_cast<double>(use.wanted), held_by_node(use));
     return lent;
 }
@@ -38,7 +38,7 @@
                                double within_limit) {
     lendable lent;
     lent.needed = std::min<double>(use.needed, within_limit);
-    const double unreserved = left(tenant.limit * (1 - reserved_share), tenant.spent);
+    const double unreserved = whole_permits_left(tenant.limit * (1 - reserved_share), tenant.spent);
     const double open_to_new = std::max(0.0, unreserved - lent.needed);
     lent.beginning = std::min<double>(use.beginning, open_to_new);
     lent.spare = std::min(static_cast<double>(use.wanted), open_to_new - lent.beginning);
@@ -64,7 +64,7 @@
         room.for_all = std::min(room.for_all, not_lent + held_by_node(use));
         room.for_new = std::min(room.for_new, not_lent * (1 - reserved_share) + held_by_node(use));
     }
-    return {left(room.for_all, 0), left(room.for_new, 0)};
+    return {whole_permits_left(room.for_all, 0), whole_permits_left(room.for_new, 0)};
 }
 
 /// Whole permits that the bound leaves for new programs and future calls. In a lender's first
@@ -72,7 +72,7 @@
 double within_bound_for_new(const limit_use& tenant, double bound, duration running_for,
                             const quota_rules& rules) {
     const double reserved = running_for < rules.window ? bound * reserved_share : 0;
-    return left(bound - reserved, tenant.counted);
+    return whole_permits_left(bound - reserved, tenant.counted);
 }
 
 }  // namespace
@@ -86,8 +86,9 @@
 lendable lendable_permits(const permit_use& use, const limit_use& tenant, duration running_for,
                           const quota_rules& rules) {
     const double bound = running_for < rules.window ? tenant.limit : tenant.bound;
-    const double within_bound = left(bound, tenant.counted);
-    const double within_limit = std::min(within_bound, left(tenant.limit, tenant.spent));
+    const double within_bound = whole_permits_left(bound, tenant.counted);
+    const double within_limit =
+        std::min(within_bound, whole_permits_left(tenant.limit, tenant.spent));
     lendable lent = running_for < settling
                         ? lendable_while_settling(use, tenant, running_for, within_limit)
                         : lendable_once_settled(use, tenant, within_limit);
