--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -46,16 +46,16 @@
 }
 
 /// Permits left by the token bucket and, in a lender's first window, by the rate since its start.
-struct pace_room {
+struct rate_headroom {
     double for_all = 0;
     /// For new programs and future calls: fewer, so that these don't use up the permits that calls
     /// of running programs need next.
     double for_new = 0;
 };
 
-pace_room room_by_pace(const permit_use& use, const limit_use& tenant, duration running_for,
-                       const quota_rules& rules) {
-    pace_room room;
+rate_headroom room_by_pace(const permit_use& use, const limit_use& tenant, duration running_for,
+                           const quota_rules& rules) {
+    rate_headroom room;
     room.for_all = tenant.left_by_token_bucket;
     room.for_new = tenant.left_by_token_bucket - reserved_share * tenant.burst_tolerance;
     if (running_for < rules.window) {
@@ -92,7 +92,7 @@
     lendable lent = running_for < settling
                         ? lendable_while_settling(use, tenant, running_for, within_limit)
                         : lendable_once_settled(use, tenant, within_limit);
-    const pace_room room = room_by_pace(use, tenant, running_for, rules);
+    const rate_headroom room = room_by_pace(use, tenant, running_for, rules);
     lent.needed = std::min(lent.needed, room.for_all);
     const double for_new =
         std::min(within_bound_for_new(tenant, bound, running_for, rules), room.for_new);
