--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -53,8 +53,8 @@
     double for_new = 0;
 };
 
-rate_headroom room_by_pace(const permit_use& use, const limit_use& tenant, duration running_for,
-                           const quota_rules& rules) {
+rate_headroom headroom_by_rate(const permit_use& use, const limit_use& tenant, duration running_for,
+                               const quota_rules& rules) {
     rate_headroom room;
     room.for_all = tenant.left_by_token_bucket;
     room.for_new = tenant.left_by_token_bucket - reserved_share * tenant.burst_tolerance;
@@ -92,7 +92,7 @@
     lendable lent = running_for < settling
                         ? lendable_while_settling(use, tenant, running_for, within_limit)
                         : lendable_once_settled(use, tenant, within_limit);
-    const rate_headroom room = room_by_pace(use, tenant, running_for, rules);
+    const rate_headroom room = headroom_by_rate(use, tenant, running_for, rules);
     lent.needed = std::min(lent.needed, room.for_all);
     const double for_new =
         std::min(within_bound_for_new(tenant, bound, running_for, rules), room.for_new);
