--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -190,7 +190,7 @@
         answer.outcome = permit_outcome::wants_whole;
         return answer;
     }
-    answer.settling = now - started_ < settling;
+    answer.settling = now - started_ < settling_time;
     node.question = report.question;
     node.last_report = now;
     if (report.whole) {
--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -89,7 +89,7 @@
     const double within_bound = whole_permits_left(bound, tenant.counted);
     const double within_limit =
         std::min(within_bound, whole_permits_left(tenant.limit, tenant.spent));
-    lendable lent = running_for < settling
+    lendable lent = running_for < settling_time
                         ? lendable_while_settling(use, tenant, running_for, within_limit)
                         : lendable_once_settled(use, tenant, within_limit);
     const rate_headroom room = headroom_by_rate(use, tenant, running_for, rules);
--- a/src/tallyfold/plane/tenants/permit_rule.hpp
+++ b/src/tallyfold/plane/tenants/permit_rule.hpp
@@ -25,7 +25,8 @@
 /// - for a window after its start it lends no more than the rate allows for that time, besides what
 ///   the nodes hold from its predecessor; the limit is the bound then, since the allowance is left
 ///   to nodes that can't report;
-/// - for `settling`, new programs get no permits, and a node keeps the permits that it holds for
+/// - for `settling_time`, new programs get no permits, and a node keeps the permits that it holds
+/// for
 ///   future calls.
 
 #include <cstdint>
@@ -39,7 +40,7 @@
 
 /// Time in which all reachable nodes have reported to a new lender: two report intervals. Until
 /// then it lends no more than the rate, and nothing in addition for future calls.
-constexpr duration settling = std::chrono::milliseconds(500);
+constexpr duration settling_time = std::chrono::milliseconds(500);
 
 /// Share of the limit, 0 to 1, that is withheld from new programs and future calls, for calls of
 /// running programs. The same share of the token bucket and of the first window's rate is withheld.
