--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -39,9 +39,9 @@
     lendable lent;
     lent.needed = std::min<double>(use.needed, within_limit);
     const double unreserved = whole_permits_left(tenant.limit * (1 - reserved_share), tenant.spent);
-    const double open_to_new = std::max(0.0, unreserved - lent.needed);
-    lent.beginning = std::min<double>(use.beginning, open_to_new);
-    lent.spare = std::min(static_cast<double>(use.wanted), open_to_new - lent.beginning);
+    const double available_to_new = std::max(0.0, unreserved - lent.needed);
+    lent.beginning = std::min<double>(use.beginning, available_to_new);
+    lent.spare = std::min(static_cast<double>(use.wanted), available_to_new - lent.beginning);
     return lent;
 }
 
@@ -96,9 +96,9 @@
     lent.needed = std::min(lent.needed, room.for_all);
     const double for_new =
         std::min(within_bound_for_new(tenant, bound, running_for, rules), room.for_new);
-    const double open_to_new = std::max(0.0, for_new - lent.needed);
-    lent.beginning = std::min(lent.beginning, open_to_new);
-    lent.spare = std::min(lent.spare, open_to_new - lent.beginning);
+    const double available_to_new = std::max(0.0, for_new - lent.needed);
+    lent.beginning = std::min(lent.beginning, available_to_new);
+    lent.spare = std::min(lent.spare, available_to_new - lent.beginning);
     return lent;
 }
 
