--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -26,7 +26,7 @@
 /// Retry delay of a refused call when the lender gives none, and the shortest otherwise.
 constexpr duration usual_room_after = std::chrono::milliseconds(200);
 
-std::uint64_t draw_life() {
+std::uint64_t random_process_id() {
     std::random_device source;
     const std::uint64_t high = source();
     return (high << 32U) ^ source();
@@ -49,7 +49,7 @@
 quota_client::quota_client(net::node_process& process, directory::directory_client& directory)
     : process_(process),
       directory_(directory),
-      holder_(rules_of(process.settings()), process.settings().node, draw_life()) {
+      holder_(rules_of(process.settings()), process.settings().node, random_process_id()) {
     const settings::switched_off& off = process.settings().off;
     holder_.set_spare_permits(!off.contains(settings::mechanism::spare_permits));
     longest_wait_ =
