--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -24,7 +24,7 @@
 /// refusal may fail the whole program, and permits are freed continuously at the tenant's rate.
 constexpr duration longest_permit_wait = std::chrono::milliseconds(400);
 /// Retry delay of a refused call when the lender gives none, and the shortest otherwise.
-constexpr duration usual_room_after = std::chrono::milliseconds(200);
+constexpr duration default_retry_after = std::chrono::milliseconds(200);
 
 std::uint64_t random_process_id() {
     std::random_device source;
@@ -138,7 +138,7 @@
         return permit_granted(now);
     }
     permit_decision decision;
-    decision.retry_after = usual_room_after;
+    decision.retry_after = default_retry_after;
     return decision;
 }
 
@@ -185,7 +185,7 @@
     }
     permit_decision refusal;
     refusal.state = permit_state::over_limit;
-    refusal.retry_after = std::max(retry_after, usual_room_after);
+    refusal.retry_after = std::max(retry_after, default_retry_after);
     return refusal;
 }
 
