--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -22,7 +22,7 @@
 constexpr duration answer_limit = std::chrono::milliseconds(120);
 /// Longest time that a call of a running program waits for a permit that is about to be free. A
 /// refusal may fail the whole program, and permits are freed continuously at the tenant's rate.
-constexpr duration longest_permit_wait = std::chrono::milliseconds(400);
+constexpr duration max_permit_wait = std::chrono::milliseconds(400);
 /// Retry delay of a refused call when the lender gives none, and the shortest otherwise.
 constexpr duration default_retry_after = std::chrono::milliseconds(200);
 
@@ -53,7 +53,7 @@
     const settings::switched_off& off = process.settings().off;
     holder_.set_spare_permits(!off.contains(settings::mechanism::spare_permits));
     longest_wait_ =
-        off.contains(settings::mechanism::permit_wait) ? duration::zero() : longest_permit_wait;
+        off.contains(settings::mechanism::permit_wait) ? duration::zero() : max_permit_wait;
 }
 
 void quota_client::start() {
