--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -52,7 +52,7 @@
       holder_(rules_of(process.settings()), process.settings().node, random_process_id()) {
     const settings::switched_off& off = process.settings().off;
     holder_.set_spare_permits(!off.contains(settings::mechanism::spare_permits));
-    longest_wait_ =
+    max_permit_wait_ =
         off.contains(settings::mechanism::permit_wait) ? duration::zero() : max_permit_wait;
 }
 
@@ -179,7 +179,7 @@
                                                          permit_need need, instant began,
                                                          instant now) const {
     const duration retry_after = holder_.retry_after(tenant, need);
-    const bool free_in_time = now - began + retry_after <= longest_wait_;
+    const bool free_in_time = now - began + retry_after <= max_permit_wait_;
     if (need == permit_need::under_way && free_in_time) {
         return std::nullopt;
     }
--- a/src/tallyfold/plane/tenants/quota_client_shell.hpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.hpp
@@ -61,7 +61,7 @@
     permit_holder holder_;
     /// Longest time that a call of a running program waits for a permit; zero when waiting is
     /// switched off.
-    duration longest_wait_{};
+    duration max_permit_wait_{};
     /// When the report in flight was sent; empty while there is none.
     std::optional<instant> report_sent_;
     instant last_report_{};
