--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -19,7 +19,7 @@
 constexpr duration report_interval = std::chrono::milliseconds(250);
 /// Time after which a lender that hasn't answered counts as unavailable. Far above a round trip
 /// between zones, and far below the time that callers wait.
-constexpr duration answer_limit = std::chrono::milliseconds(120);
+constexpr duration answer_timeout = std::chrono::milliseconds(120);
 /// Longest time that a call of a running program waits for a permit that is about to be free. A
 /// refusal may fail the whole program, and permits are freed continuously at the tenant's rate.
 constexpr duration max_permit_wait = std::chrono::milliseconds(400);
@@ -70,7 +70,7 @@
 
 void quota_client::tick() {
     const instant now = http::steady_now();
-    if (report_sent_ && now - *report_sent_ > answer_limit) {
+    if (report_sent_ && now - *report_sent_ > answer_timeout) {
         report_sent_.reset();
         holder_.unanswered();
         if (!lender_silent_) {
@@ -169,7 +169,7 @@
 }
 
 asio::awaitable<void> quota_client::wait_for_answer() {
-    const auto timer = std::make_shared<asio::steady_timer>(process_.loop(), answer_limit);
+    const auto timer = std::make_shared<asio::steady_timer>(process_.loop(), answer_timeout);
     waiting_.insert(timer);
     co_await timer->async_wait(asio::experimental::as_tuple(asio::use_awaitable));
     waiting_.erase(timer);
@@ -202,7 +202,7 @@
         }
         const bool answered = answered_ >= question;
         const bool lender_unsure = answered && holder_.lender_settling();
-        if (lender_silent_ || lender_unsure || now - reported > 2 * answer_limit) {
+        if (lender_silent_ || lender_unsure || now - reported > 2 * answer_timeout) {
             co_return acquire_without_lender(tenant);
         }
         if (!answered) {
