--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -125,9 +125,9 @@
         logging::write_event(logging::event_id::quota_keeper_regained,
                              "keeper=" + directory_.leader());
     }
-    const bool again = report_again_;
+    const bool report_needed = report_again_;
     wake_all();
-    if (again) {
+    if (report_needed) {
         send_report();
     }
 }
