--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -94,7 +94,7 @@
     const instant now = http::steady_now();
     report_sent_ = now;
     last_report_ = now;
-    report_again_ = false;
+    has_unreported_call_ = false;
     directory_.send_to(directory_.leader(), holder_.report(now));
 }
 
@@ -125,7 +125,7 @@
         logging::write_event(logging::event_id::quota_keeper_regained,
                              "keeper=" + directory_.leader());
     }
-    const bool report_needed = report_again_;
+    const bool report_needed = has_unreported_call_;
     wake_all();
     if (report_needed) {
         send_report();
@@ -161,7 +161,7 @@
 std::uint64_t quota_client::report_waiting_call() {
     if (report_sent_) {
         // The report in flight doesn't include this call; the next one does.
-        report_again_ = true;
+        has_unreported_call_ = true;
         return holder_.question() + 1;
     }
     send_report();
--- a/src/tallyfold/plane/tenants/quota_client_shell.hpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.hpp
@@ -70,7 +70,7 @@
     /// A report timed out, and no answer has arrived since.
     bool lender_silent_ = false;
     /// A call began to wait after the report in flight was sent.
-    bool report_again_ = false;
+    bool has_unreported_call_ = false;
     /// One timer for each waiting call.
     std::set<std::shared_ptr<asio::steady_timer>> waiting_;
 };
