--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -79,7 +79,7 @@
                                  "keeper=" + directory_.leader() +
                                      " question=" + std::to_string(holder_.question()));
         }
-        wake_all();
+        wake_waiting_calls();
     }
     const bool due = now - last_report_ >= report_interval && holder_.should_report(now);
     if (!report_sent_ && (due || !waiting_.empty())) {
@@ -98,7 +98,7 @@
     directory_.send_to(directory_.leader(), holder_.report(now));
 }
 
-void quota_client::wake_all() {
+void quota_client::wake_waiting_calls() {
     const auto woken = std::exchange(waiting_, {});
     for (const auto& timer : woken) {
         timer->cancel();
@@ -126,7 +126,7 @@
                              "keeper=" + directory_.leader());
     }
     const bool report_needed = has_unreported_call_;
-    wake_all();
+    wake_waiting_calls();
     if (report_needed) {
         send_report();
     }
--- a/src/tallyfold/plane/tenants/quota_client_shell.hpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.hpp
@@ -42,7 +42,7 @@
     void on_message(const messaging::peer_message& message);
     void on_answer(const permit_answer& answer);
     /// Makes all waiting calls check for a permit again.
-    void wake_all();
+    void wake_waiting_calls();
     permit_decision acquire_without_lender(const tenant_name& tenant);
     /// Reports a waiting call to the lender. @return number of the report whose answer covers it
     std::uint64_t report_waiting_call();
