--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -73,8 +73,8 @@
     if (report_sent_ && now - *report_sent_ > answer_timeout) {
         report_sent_.reset();
         holder_.unanswered();
-        if (!lender_silent_) {
-            lender_silent_ = true;
+        if (!lender_unresponsive_) {
+            lender_unresponsive_ = true;
             logging::write_event(logging::event_id::quota_keeper_lost,
                                  "keeper=" + directory_.leader() +
                                      " question=" + std::to_string(holder_.question()));
@@ -120,8 +120,8 @@
         return;
     }
     answered_ = answer.question;
-    if (lender_silent_) {
-        lender_silent_ = false;
+    if (lender_unresponsive_) {
+        lender_unresponsive_ = false;
         logging::write_event(logging::event_id::quota_keeper_regained,
                              "keeper=" + directory_.leader());
     }
@@ -147,7 +147,7 @@
     if (holder_.take(tenant, began)) {
         co_return permit_granted(began);
     }
-    if (lender_silent_ || directory_.leader().empty()) {
+    if (lender_unresponsive_ || directory_.leader().empty()) {
         co_return acquire_without_lender(tenant);
     }
     holder_.begin_wait(tenant, need);
@@ -202,7 +202,7 @@
         }
         const bool answered = answered_ >= question;
         const bool lender_unsure = answered && holder_.lender_settling();
-        if (lender_silent_ || lender_unsure || now - reported > 2 * answer_timeout) {
+        if (lender_unresponsive_ || lender_unsure || now - reported > 2 * answer_timeout) {
             co_return acquire_without_lender(tenant);
         }
         if (!answered) {
--- a/src/tallyfold/plane/tenants/quota_client_shell.hpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.hpp
@@ -68,7 +68,7 @@
     /// Number of the newest report whose answer was applied.
     std::uint64_t answered_ = 0;
     /// A report timed out, and no answer has arrived since.
-    bool lender_silent_ = false;
+    bool lender_unresponsive_ = false;
     /// A call began to wait after the report in flight was sent.
     bool has_unreported_call_ = false;
     /// One timer for each waiting call.
