--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -82,7 +82,7 @@
         wake_waiting_calls();
     }
     const bool due = now - last_report_ >= report_interval && holder_.should_report(now);
-    if (!report_sent_ && (due || !waiting_.empty())) {
+    if (!report_sent_ && (due || !answer_timers_.empty())) {
         send_report();
     }
 }
@@ -99,7 +99,7 @@
 }
 
 void quota_client::wake_waiting_calls() {
-    const auto woken = std::exchange(waiting_, {});
+    const auto woken = std::exchange(answer_timers_, {});
     for (const auto& timer : woken) {
         timer->cancel();
     }
@@ -170,9 +170,9 @@
 
 asio::awaitable<void> quota_client::wait_for_answer() {
     const auto timer = std::make_shared<asio::steady_timer>(process_.loop(), answer_timeout);
-    waiting_.insert(timer);
+    answer_timers_.insert(timer);
     co_await timer->async_wait(asio::experimental::as_tuple(asio::use_awaitable));
-    waiting_.erase(timer);
+    answer_timers_.erase(timer);
 }
 
 std::optional<permit_decision> quota_client::refusal_for(const tenant_name& tenant,
--- a/src/tallyfold/plane/tenants/quota_client_shell.hpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.hpp
@@ -72,7 +72,7 @@
     /// A call began to wait after the report in flight was sent.
     bool has_unreported_call_ = false;
     /// One timer for each waiting call.
-    std::set<std::shared_ptr<asio::steady_timer>> waiting_;
+    std::set<std::shared_ptr<asio::steady_timer>> answer_timers_;
 };
 
 }  // namespace tallyfold::tenants
