--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -99,8 +99,8 @@
 }
 
 void quota_client::wake_waiting_calls() {
-    const auto woken = std::exchange(answer_timers_, {});
-    for (const auto& timer : woken) {
+    const auto timers = std::exchange(answer_timers_, {});
+    for (const auto& timer : timers) {
         timer->cancel();
     }
 }
