--- a/src/tallyfold/plane/tenants/spent_window.hpp
+++ b/src/tallyfold/plane/tenants/spent_window.hpp
@@ -19,7 +19,7 @@
     explicit spent_window(duration window) : slot_length_(window / (slot_count - 1)) {}
 
     void add(instant now, std::uint32_t permits = 1) {
-        roll(now);
+        advance_to(now);
         slots_[newest_ % slot_count] += permits;
         sum_ += permits;
     }
@@ -27,7 +27,7 @@
     /// newer one, it would leave a later permit uncounted.
     /// @return false when the permit is no longer counted, and nothing changes
     bool take_back(instant added, instant now) {
-        roll(now);
+        advance_to(now);
         const std::uint64_t number = slot_number(added);
         const bool counts = number <= newest_ && newest_ - number < slot_count;
         if (!counts || slots_[number % slot_count] == 0) {
@@ -40,7 +40,7 @@
     /// Removes permits that were added at unknown times. The oldest are removed, so that no span
     /// that ends now counts fewer than were spent in it.
     void take_back_oldest(std::uint64_t permits, instant now) {
-        roll(now);
+        advance_to(now);
         for (std::uint64_t age = slot_count; age-- > 0 && permits > 0;) {
             if (age > newest_) {
                 continue;
@@ -56,7 +56,7 @@
     /// @param visit called with the span's length and the permits spent in it
     template <class Visitor>
     void visit_spans(instant now, Visitor visit) {
-        roll(now);
+        advance_to(now);
         duration length = now.time_since_epoch() % slot_length_;
         std::uint32_t spent = 0;
         for (std::uint64_t age = 0; age < slot_count && age <= newest_; ++age) {
@@ -68,7 +68,7 @@
     /// Largest difference in length between an arbitrary span and the nearest one of visit_spans().
     [[nodiscard]] duration slot_length() const { return slot_length_; }
     [[nodiscard]] std::uint32_t count(instant now) {
-        roll(now);
+        advance_to(now);
         const std::uint32_t oldest = slots_[(newest_ + 1) % slot_count];
         const duration into_newest = now.time_since_epoch() % slot_length_;
         const auto passed =
@@ -82,7 +82,7 @@
     [[nodiscard]] std::uint64_t slot_number(instant at) const {
         return static_cast<std::uint64_t>(at.time_since_epoch() / slot_length_);
     }
-    void roll(instant now) {
+    void advance_to(instant now) {
         const std::uint64_t current = slot_number(now);
         if (newest_ == 0 || current >= newest_ + slot_count) {
             slots_.fill(0);
