--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -93,7 +93,7 @@
         const std::uint64_t spent = std::min<std::uint64_t>(use.spent - known->spent, use.recent);
         held.spending.add(now, static_cast<std::uint32_t>(spent));
     } else {
-        held.spending.take_back_oldest(known->spent - use.spent, now);
+        held.spending.remove_oldest(known->spent - use.spent, now);
     }
 }
 
--- a/src/tallyfold/plane/tenants/spent_window.hpp
+++ b/src/tallyfold/plane/tenants/spent_window.hpp
@@ -39,7 +39,7 @@
     }
     /// Removes permits that were added at unknown times. The oldest are removed, so that no span
     /// that ends now counts fewer than were spent in it.
-    void take_back_oldest(std::uint64_t permits, instant now) {
+    void remove_oldest(std::uint64_t permits, instant now) {
         advance_to(now);
         for (std::uint64_t age = slot_count; age-- > 0 && permits > 0;) {
             if (age > newest_) {
