--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -59,7 +59,7 @@
     held_permits& held = found->second;
     // A permit that has left the window is already free at the lender. Spent again here, it would
     // not be counted until the next report.
-    if (!held.recent.take_back(taken, now)) {
+    if (!held.recent.remove_at(taken, now)) {
         return false;
     }
     --held.spent;
--- a/src/tallyfold/plane/tenants/spent_window.hpp
+++ b/src/tallyfold/plane/tenants/spent_window.hpp
@@ -26,7 +26,7 @@
     /// Removes a permit that was added at `added`. It is removed from its own slot: removed from a
     /// newer one, it would leave a later permit uncounted.
     /// @return false when the permit is no longer counted, and nothing changes
-    bool take_back(instant added, instant now) {
+    bool remove_at(instant added, instant now) {
         advance_to(now);
         const std::uint64_t number = slot_number(added);
         const bool counts = number <= newest_ && newest_ - number < slot_count;
--- a/tests/plane/tenants/spent_window_test.cpp
+++ b/tests/plane/tenants/spent_window_test.cpp
@@ -19,7 +19,7 @@
         const instant later = beginning + std::chrono::seconds(3);
         spent.add(beginning);
         spent.add(later);
-        CPPUNIT_ASSERT(spent.take_back(beginning, later));
+        CPPUNIT_ASSERT(spent.remove_at(beginning, later));
         CPPUNIT_ASSERT_EQUAL(1U, spent.count(beginning + milliseconds(5'500)));
         CPPUNIT_ASSERT_EQUAL(0U, spent.count(beginning + milliseconds(8'300)));
     }
