--- a/src/tallyfold/plane/tenants/spent_window.hpp
+++ b/src/tallyfold/plane/tenants/spent_window.hpp
@@ -71,9 +71,9 @@
         advance_to(now);
         const std::uint32_t oldest = slots_[(newest_ + 1) % slot_count];
         const duration into_newest = now.time_since_epoch() % slot_length_;
-        const auto passed =
+        const auto expired =
             static_cast<std::uint32_t>(oldest * into_newest.count() / slot_length_.count());
-        return sum_ - passed;
+        return sum_ - expired;
     }
 
   private:
