--- a/src/tallyfold/scheduling/backend_pool.cpp
+++ b/src/tallyfold/scheduling/backend_pool.cpp
@@ -8,7 +8,7 @@
 
 /// Number of clock samples kept for each back end: enough that one is likely without delay, few
 /// enough that a clock step is soon followed.
-constexpr std::size_t kept_clock_samples = 8;
+constexpr std::size_t max_clock_samples = 8;
 
 double load_of(const backend_state& backend) {
     return static_cast<double>(backend.outstanding()) /
@@ -75,7 +75,7 @@
 void backend_pool::add_clock_sample(const backend_name& name, duration ahead) {
     change(name, [&](backend_state& backend) {
         // Drops the oldest sample, since either clock may have been stepped.
-        if (backend.clock_samples.size() >= kept_clock_samples) {
+        if (backend.clock_samples.size() >= max_clock_samples) {
             backend.clock_samples.erase(backend.clock_samples.begin());
         }
         backend.clock_samples.push_back(ahead);
