--- a/src/tallyfold/scheduling/backend_pool.cpp
+++ b/src/tallyfold/scheduling/backend_pool.cpp
@@ -125,7 +125,7 @@
 
 void backend_pool::add_failure(const backend_name& name, double weight, instant now) {
     const auto allowed =
-        static_cast<std::size_t>(static_cast<double>(backends_.size()) * ejected_share_limit);
+        static_cast<std::size_t>(static_cast<double>(backends_.size()) * max_ejected_share);
     const bool may_eject = ejected_count(now) < allowed;
     change(name, [&](backend_state& backend) { backend.ejection.failed(weight, may_eject, now); });
 }
--- a/src/tallyfold/scheduling/backend_pool.hpp
+++ b/src/tallyfold/scheduling/backend_pool.hpp
@@ -75,7 +75,7 @@
   public:
     /// Share of the pool, 0 to 1, that may be ejected at once, so that a fault common to all back
     /// ends or local to this node doesn't empty the pool.
-    static constexpr double ejected_share_limit = 0.5;
+    static constexpr double max_ejected_share = 0.5;
 
     /// Replaces the membership list; back ends missing from it are dropped.
     void update(const std::vector<backend_member>& members);
