--- a/src/tallyfold/scheduling/backend_pool.cpp
+++ b/src/tallyfold/scheduling/backend_pool.cpp
@@ -136,8 +136,8 @@
 }
 
 bool backend_pool::available(const backend_state& backend, instant now) const {
-    const bool heard = backend.member.listed_only || !backend.clock_samples.empty();
-    return heard && !backend.leaving() && !backend.ejection.is_ejected(now);
+    const bool has_reported = backend.member.listed_only || !backend.clock_samples.empty();
+    return has_reported && !backend.leaving() && !backend.ejection.is_ejected(now);
 }
 
 std::vector<const backend_state*> backend_pool::least_loaded(std::size_t limit,
