--- a/src/tallyfold/scheduling/cache_map.cpp
+++ b/src/tallyfold/scheduling/cache_map.cpp
@@ -14,7 +14,7 @@
 }
 
 void cache_map::stored(const backend_name& engine, const prefix_point& point) {
-    const std::uint32_t number = number_of(engine);
+    const std::uint32_t id = number_of(engine);
     auto [position, added] = entries_.try_emplace(point.hash);
     entry& known = position->second;
     if (added) {
@@ -24,9 +24,9 @@
     }
     known.age = by_age_.begin();
     const auto holder = std::find_if(known.holders.begin(), known.holders.end(),
-                                     [&](const auto& other) { return other.engine == number; });
+                                     [&](const auto& other) { return other.engine == id; });
     if (holder == known.holders.end()) {
-        known.holders.push_back({number, point.tokens});
+        known.holders.push_back({id, point.tokens});
     } else {
         holder->tokens = point.tokens;
     }
@@ -45,9 +45,8 @@
     if (found == entries_.end()) {
         return;
     }
-    const std::uint32_t number = number_of(engine);
-    std::erase_if(found->second.holders,
-                  [number](const auto& holder) { return holder.engine == number; });
+    const std::uint32_t id = number_of(engine);
+    std::erase_if(found->second.holders, [id](const auto& holder) { return holder.engine == id; });
     if (found->second.holders.empty()) {
         by_age_.erase(found->second.age);
         entries_.erase(found);
@@ -55,10 +54,10 @@
 }
 
 void cache_map::forget(const backend_name& engine) {
-    const std::uint32_t number = number_of(engine);
+    const std::uint32_t id = number_of(engine);
     for (auto position = entries_.begin(); position != entries_.end();) {
         std::erase_if(position->second.holders,
-                      [number](const auto& holder) { return holder.engine == number; });
+                      [id](const auto& holder) { return holder.engine == id; });
         if (position->second.holders.empty()) {
             by_age_.erase(position->second.age);
             position = entries_.erase(position);
@@ -76,8 +75,8 @@
             continue;
         }
         const auto first_of_point = static_cast<std::ptrdiff_t>(matches.size());
-        for (const auto& [number, tokens] : found->second.holders) {
-            const backend_name& name = names_[number];
+        for (const auto& [id, tokens] : found->second.holders) {
+            const backend_name& name = names_[id];
             const bool known = std::any_of(matches.begin(), matches.end(),
                                            [&](const auto& match) { return match.engine == name; });
             if (!known) {
