--- a/src/tallyfold/scheduling/cache_map.cpp
+++ b/src/tallyfold/scheduling/cache_map.cpp
@@ -4,7 +4,7 @@
 
 namespace tallyfold::scheduling {
 
-std::uint32_t cache_map::number_of(const backend_name& engine) {
+std::uint32_t cache_map::engine_id(const backend_name& engine) {
     const auto [position, added] =
         numbers_.try_emplace(engine, static_cast<std::uint32_t>(names_.size()));
     if (added) {
@@ -14,7 +14,7 @@
 }
 
 void cache_map::stored(const backend_name& engine, const prefix_point& point) {
-    const std::uint32_t id = number_of(engine);
+    const std::uint32_t id = engine_id(engine);
     auto [position, added] = entries_.try_emplace(point.hash);
     entry& known = position->second;
     if (added) {
@@ -45,7 +45,7 @@
     if (found == entries_.end()) {
         return;
     }
-    const std::uint32_t id = number_of(engine);
+    const std::uint32_t id = engine_id(engine);
     std::erase_if(found->second.holders, [id](const auto& holder) { return holder.engine == id; });
     if (found->second.holders.empty()) {
         by_age_.erase(found->second.age);
@@ -54,7 +54,7 @@
 }
 
 void cache_map::forget(const backend_name& engine) {
-    const std::uint32_t id = number_of(engine);
+    const std::uint32_t id = engine_id(engine);
     for (auto position = entries_.begin(); position != entries_.end();) {
         std::erase_if(position->second.holders,
                       [id](const auto& holder) { return holder.engine == id; });
--- a/src/tallyfold/scheduling/cache_map.hpp
+++ b/src/tallyfold/scheduling/cache_map.hpp
@@ -74,7 +74,7 @@
         std::vector<holder> holders;
         std::list<prefix_hash>::iterator age;
     };
-    std::uint32_t number_of(const backend_name& engine);
+    std::uint32_t engine_id(const backend_name& engine);
     void drop_oldest();
 
     std::size_t capacity_;
