--- a/src/tallyfold/scheduling/cache_map.cpp
+++ b/src/tallyfold/scheduling/cache_map.cpp
@@ -6,7 +6,7 @@
 
 std::uint32_t cache_map::engine_id(const backend_name& engine) {
     const auto [position, added] =
-        numbers_.try_emplace(engine, static_cast<std::uint32_t>(names_.size()));
+        engine_ids_.try_emplace(engine, static_cast<std::uint32_t>(names_.size()));
     if (added) {
         names_.push_back(engine);
     }
--- a/src/tallyfold/scheduling/cache_map.hpp
+++ b/src/tallyfold/scheduling/cache_map.hpp
@@ -80,7 +80,7 @@
     std::size_t capacity_;
     std::unordered_map<prefix_hash, entry> entries_;
     std::list<prefix_hash> by_age_;
-    std::map<backend_name, std::uint32_t> numbers_;
+    std::map<backend_name, std::uint32_t> engine_ids_;
     std::vector<backend_name> names_;
 };
 
