--- a/src/tallyfold/scheduling/cache_map.cpp
+++ b/src/tallyfold/scheduling/cache_map.cpp
@@ -6,9 +6,9 @@
 
 std::uint32_t cache_map::engine_id(const backend_name& engine) {
     const auto [position, added] =
-        engine_ids_.try_emplace(engine, static_cast<std::uint32_t>(names_.size()));
+        engine_ids_.try_emplace(engine, static_cast<std::uint32_t>(engine_names_.size()));
     if (added) {
-        names_.push_back(engine);
+        engine_names_.push_back(engine);
     }
     return position->second;
 }
@@ -76,7 +76,7 @@
         }
         const auto first_of_point = static_cast<std::ptrdiff_t>(matches.size());
         for (const auto& [id, tokens] : found->second.holders) {
-            const backend_name& name = names_[id];
+            const backend_name& name = engine_names_[id];
             const bool known = std::any_of(matches.begin(), matches.end(),
                                            [&](const auto& match) { return match.engine == name; });
             if (!known) {
--- a/src/tallyfold/scheduling/cache_map.hpp
+++ b/src/tallyfold/scheduling/cache_map.hpp
@@ -81,7 +81,7 @@
     std::unordered_map<prefix_hash, entry> entries_;
     std::list<prefix_hash> by_age_;
     std::map<backend_name, std::uint32_t> engine_ids_;
-    std::vector<backend_name> names_;
+    std::vector<backend_name> engine_names_;
 };
 
 }  // namespace tallyfold::scheduling
