--- a/src/tallyfold/scheduling/cache_map.cpp
+++ b/src/tallyfold/scheduling/cache_map.cpp
@@ -18,11 +18,11 @@
     auto [position, added] = entries_.try_emplace(point.hash);
     entry& known = position->second;
     if (added) {
-        by_age_.push_front(point.hash);
+        lru_order_.push_front(point.hash);
     } else {
-        by_age_.splice(by_age_.begin(), by_age_, known.age);
+        lru_order_.splice(lru_order_.begin(), lru_order_, known.age);
     }
-    known.age = by_age_.begin();
+    known.age = lru_order_.begin();
     const auto holder = std::find_if(known.holders.begin(), known.holders.end(),
                                      [&](const auto& other) { return other.engine == id; });
     if (holder == known.holders.end()) {
@@ -36,8 +36,8 @@
 }
 
 void cache_map::drop_oldest() {
-    entries_.erase(by_age_.back());
-    by_age_.pop_back();
+    entries_.erase(lru_order_.back());
+    lru_order_.pop_back();
 }
 
 void cache_map::removed(const backend_name& engine, prefix_hash hash) {
@@ -48,7 +48,7 @@
     const std::uint32_t id = engine_id(engine);
     std::erase_if(found->second.holders, [id](const auto& holder) { return holder.engine == id; });
     if (found->second.holders.empty()) {
-        by_age_.erase(found->second.age);
+        lru_order_.erase(found->second.age);
         entries_.erase(found);
     }
 }
@@ -59,7 +59,7 @@
         std::erase_if(position->second.holders,
                       [id](const auto& holder) { return holder.engine == id; });
         if (position->second.holders.empty()) {
-            by_age_.erase(position->second.age);
+            lru_order_.erase(position->second.age);
             position = entries_.erase(position);
         } else {
             ++position;
--- a/src/tallyfold/scheduling/cache_map.hpp
+++ b/src/tallyfold/scheduling/cache_map.hpp
@@ -79,7 +79,7 @@
 
     std::size_t capacity_;
     std::unordered_map<prefix_hash, entry> entries_;
-    std::list<prefix_hash> by_age_;
+    std::list<prefix_hash> lru_order_;
     std::map<backend_name, std::uint32_t> engine_ids_;
     std::vector<backend_name> engine_names_;
 };
