--- a/src/tallyfold/scheduling/cache_map.cpp
+++ b/src/tallyfold/scheduling/cache_map.cpp
@@ -20,9 +20,9 @@
     if (added) {
         lru_order_.push_front(point.hash);
     } else {
-        lru_order_.splice(lru_order_.begin(), lru_order_, known.age);
+        lru_order_.splice(lru_order_.begin(), lru_order_, known.lru_position);
     }
-    known.age = lru_order_.begin();
+    known.lru_position = lru_order_.begin();
     const auto holder = std::find_if(known.holders.begin(), known.holders.end(),
                                      [&](const auto& other) { return other.engine == id; });
     if (holder == known.holders.end()) {
@@ -48,7 +48,7 @@
     const std::uint32_t id = engine_id(engine);
     std::erase_if(found->second.holders, [id](const auto& holder) { return holder.engine == id; });
     if (found->second.holders.empty()) {
-        lru_order_.erase(found->second.age);
+        lru_order_.erase(found->second.lru_position);
         entries_.erase(found);
     }
 }
@@ -59,7 +59,7 @@
         std::erase_if(position->second.holders,
                       [id](const auto& holder) { return holder.engine == id; });
         if (position->second.holders.empty()) {
-            lru_order_.erase(position->second.age);
+            lru_order_.erase(position->second.lru_position);
             position = entries_.erase(position);
         } else {
             ++position;
--- a/src/tallyfold/scheduling/cache_map.hpp
+++ b/src/tallyfold/scheduling/cache_map.hpp
@@ -72,7 +72,7 @@
     };
     struct entry {
         std::vector<holder> holders;
-        std::list<prefix_hash>::iterator age;
+        std::list<prefix_hash>::iterator lru_position;
     };
     std::uint32_t engine_id(const backend_name& engine);
     void drop_oldest();
