--- a/src/tallyfold/scheduling/cache_map.cpp
+++ b/src/tallyfold/scheduling/cache_map.cpp
@@ -31,11 +31,11 @@
         holder->tokens = point.tokens;
     }
     if (entries_.size() > capacity_) {
-        drop_oldest();
+        evict_oldest();
     }
 }
 
-void cache_map::drop_oldest() {
+void cache_map::evict_oldest() {
     entries_.erase(lru_order_.back());
     lru_order_.pop_back();
 }
--- a/src/tallyfold/scheduling/cache_map.hpp
+++ b/src/tallyfold/scheduling/cache_map.hpp
@@ -75,7 +75,7 @@
         std::list<prefix_hash>::iterator lru_position;
     };
     std::uint32_t engine_id(const backend_name& engine);
-    void drop_oldest();
+    void evict_oldest();
 
     std::size_t capacity_;
     std::unordered_map<prefix_hash, entry> entries_;
