--- a/src/tallyfold/scheduling/cache_map.cpp
+++ b/src/tallyfold/scheduling/cache_map.cpp
@@ -74,7 +74,7 @@
         if (found == entries_.end()) {
             continue;
         }
-        const auto first_of_point = static_cast<std::ptrdiff_t>(matches.size());
+        const auto point_begin = static_cast<std::ptrdiff_t>(matches.size());
         for (const auto& [id, tokens] : found->second.holders) {
             const backend_name& name = engine_names_[id];
             const bool known = std::any_of(matches.begin(), matches.end(),
@@ -84,7 +84,7 @@
             }
         }
         std::stable_sort(
-            matches.begin() + first_of_point, matches.end(),
+            matches.begin() + point_begin, matches.end(),
             [](const auto& left, const auto& right) { return left.tokens > right.tokens; });
         if (matches.size() >= matches_limit) {
             break;
