--- a/src/tallyfold/scheduling/call_queue.cpp
+++ b/src/tallyfold/scheduling/call_queue.cpp
@@ -18,7 +18,7 @@
 
 std::vector<ticket> call_queue::next(std::size_t limit) const {
     std::vector<ticket> chosen;
-    if (!calls_.empty() && taken_ % oldest_every == oldest_every - 1) {
+    if (!calls_.empty() && taken_ % oldest_first_interval == oldest_first_interval - 1) {
         chosen.push_back(by_arrival_.begin()->second);
     }
     for (const auto& [priority, lanes] : tiers_) {
--- a/src/tallyfold/scheduling/call_queue.hpp
+++ b/src/tallyfold/scheduling/call_queue.hpp
@@ -29,9 +29,10 @@
 
 class call_queue {
   public:
-    /// One in `oldest_every` calls taken is the one that has waited longest, so that a call is
-    /// served after at most `oldest_every` times the calls that were ahead of it at its arrival.
-    static constexpr std::uint64_t oldest_every = 8;
+    /// One in `oldest_first_interval` calls taken is the one that has waited longest, so that a
+    /// call is served after at most `oldest_first_interval` times the calls that were ahead of it
+    /// at its arrival.
+    static constexpr std::uint64_t oldest_first_interval = 8;
 
     void push(const queued_call& call);
     /// Calls to try next, best first; they stay in the queue.
--- a/tests/scheduling/call_queue_test.cpp
+++ b/tests/scheduling/call_queue_test.cpp
@@ -40,7 +40,7 @@
         queue.push(call(1, "low", 0, 1e9));
         ticket next = 2;
         std::uint64_t served = 0;
-        for (; served <= call_queue::oldest_every; ++served) {
+        for (; served <= call_queue::oldest_first_interval; ++served) {
             queue.push(call(next, "high", 10, 0));
             ++next;
             const ticket first = queue.next(1).front();
@@ -49,7 +49,7 @@
                 break;
             }
         }
-        CPPUNIT_ASSERT(served <= call_queue::oldest_every);
+        CPPUNIT_ASSERT(served <= call_queue::oldest_first_interval);
     }
 
     void tenants_share_by_weight() {
