--- a/src/tallyfold/scheduling/call_queue.cpp
+++ b/src/tallyfold/scheduling/call_queue.cpp
@@ -7,7 +7,7 @@
 void call_queue::push(const queued_call& call) {
     calls_[call.id] = call;
     by_arrival_.insert({call.arrived, call.id});
-    tenant_lane& lane = tiers_[call.priority][call.tenant];
+    tenant_queue& lane = tiers_[call.priority][call.tenant];
     lane.by_rank.insert({call.rank, call.id});
     // A tenant gets no credit for time in which it had no waiting calls.
     double& time = virtual_times_[call.tenant];
@@ -34,7 +34,7 @@
                              std::vector<ticket>& chosen) const {
     using position = std::set<std::pair<double, ticket>>::const_iterator;
     // One cursor per tenant, ordered by the virtual time at which its next call would be served.
-    std::multimap<double, std::pair<position, const tenant_lane*>> cursors;
+    std::multimap<double, std::pair<position, const tenant_queue*>> cursors;
     for (const auto& [tenant, lane] : lanes) {
         cursors.insert({virtual_times_.at(tenant), {lane.by_rank.begin(), &lane}});
     }
--- a/src/tallyfold/scheduling/call_queue.hpp
+++ b/src/tallyfold/scheduling/call_queue.hpp
@@ -47,10 +47,10 @@
     [[nodiscard]] const queued_call* oldest() const;
 
   private:
-    struct tenant_lane {
+    struct tenant_queue {
         std::set<std::pair<double, ticket>> by_rank;
     };
-    using tier = std::map<std::string, tenant_lane>;
+    using tier = std::map<std::string, tenant_queue>;
 
     void erase(ticket id);
     void append_tier(const tier& lanes, std::size_t limit, std::vector<ticket>& chosen) const;
