--- a/src/tallyfold/scheduling/call_queue.cpp
+++ b/src/tallyfold/scheduling/call_queue.cpp
@@ -7,8 +7,8 @@
 void call_queue::push(const queued_call& call) {
     calls_[call.id] = call;
     by_arrival_.insert({call.arrived, call.id});
-    tenant_queue& lane = tiers_[call.priority][call.tenant];
-    lane.by_rank.insert({call.rank, call.id});
+    tenant_queue& queue = tiers_[call.priority][call.tenant];
+    queue.by_rank.insert({call.rank, call.id});
     // A tenant gets no credit for time in which it had no waiting calls.
     double& time = virtual_times_[call.tenant];
     if (waiting_[call.tenant]++ == 0) {
@@ -35,22 +35,22 @@
     using position = std::set<std::pair<double, ticket>>::const_iterator;
     // One cursor per tenant, ordered by the virtual time at which its next call would be served.
     std::multimap<double, std::pair<position, const tenant_queue*>> cursors;
-    for (const auto& [tenant, lane] : lanes) {
-        cursors.insert({virtual_times_.at(tenant), {lane.by_rank.begin(), &lane}});
+    for (const auto& [tenant, queue] : lanes) {
+        cursors.insert({virtual_times_.at(tenant), {queue.by_rank.begin(), &queue}});
     }
     while (!cursors.empty() && chosen.size() < limit) {
         const auto first = cursors.begin();
         const double time = first->first;
-        auto [current, lane] = first->second;
+        auto [current, queue] = first->second;
         cursors.erase(first);
         const ticket id = current->second;
         const bool already_first = !chosen.empty() && chosen.front() == id;
         if (!already_first) {
             chosen.push_back(id);
         }
-        if (++current != lane->by_rank.end()) {
+        if (++current != queue->by_rank.end()) {
             const queued_call& call = calls_.at(id);
-            cursors.insert({time + call.cost / call.tenant_weight, {current, lane}});
+            cursors.insert({time + call.cost / call.tenant_weight, {current, queue}});
         }
     }
 }
@@ -80,10 +80,10 @@
     const queued_call call = found->second;
     by_arrival_.erase({call.arrived, id});
     const auto level = tiers_.find(call.priority);
-    const auto lane = level->second.find(call.tenant);
-    lane->second.by_rank.erase({call.rank, id});
-    if (lane->second.by_rank.empty()) {
-        level->second.erase(lane);
+    const auto queue = level->second.find(call.tenant);
+    queue->second.by_rank.erase({call.rank, id});
+    if (queue->second.by_rank.empty()) {
+        level->second.erase(queue);
     }
     if (level->second.empty()) {
         tiers_.erase(level);
