--- a/src/tallyfold/scheduling/call_queue.cpp
+++ b/src/tallyfold/scheduling/call_queue.cpp
@@ -21,8 +21,8 @@
     if (!calls_.empty() && taken_ % oldest_first_interval == oldest_first_interval - 1) {
         chosen.push_back(by_arrival_.begin()->second);
     }
-    for (const auto& [priority, lanes] : tiers_) {
-        append_tier(lanes, limit, chosen);
+    for (const auto& [priority, queues] : tiers_) {
+        append_tier(queues, limit, chosen);
         if (chosen.size() >= limit) {
             break;
         }
@@ -30,12 +30,12 @@
     return chosen;
 }
 
-void call_queue::append_tier(const tier& lanes, std::size_t limit,
+void call_queue::append_tier(const tier& queues, std::size_t limit,
                              std::vector<ticket>& chosen) const {
     using position = std::set<std::pair<double, ticket>>::const_iterator;
     // One cursor per tenant, ordered by the virtual time at which its next call would be served.
     std::multimap<double, std::pair<position, const tenant_queue*>> cursors;
-    for (const auto& [tenant, queue] : lanes) {
+    for (const auto& [tenant, queue] : queues) {
         cursors.insert({virtual_times_.at(tenant), {queue.by_rank.begin(), &queue}});
     }
     while (!cursors.empty() && chosen.size() < limit) {
--- a/src/tallyfold/scheduling/call_queue.hpp
+++ b/src/tallyfold/scheduling/call_queue.hpp
@@ -53,7 +53,7 @@
     using tier = std::map<std::string, tenant_queue>;
 
     void erase(ticket id);
-    void append_tier(const tier& lanes, std::size_t limit, std::vector<ticket>& chosen) const;
+    void append_tier(const tier& queues, std::size_t limit, std::vector<ticket>& chosen) const;
 
     std::map<ticket, queued_call> calls_;
     std::set<std::pair<instant, ticket>> by_arrival_;
