--- a/src/tallyfold/scheduling/call_queue.cpp
+++ b/src/tallyfold/scheduling/call_queue.cpp
@@ -12,7 +12,7 @@
     // A tenant gets no credit for time in which it had no waiting calls.
     double& time = virtual_times_[call.tenant];
     if (waiting_[call.tenant]++ == 0) {
-        time = std::max(time, virtual_now_);
+        time = std::max(time, queue_virtual_time_);
     }
 }
 
@@ -62,7 +62,7 @@
     }
     const queued_call& call = found->second;
     double& time = virtual_times_[call.tenant];
-    virtual_now_ = std::max(virtual_now_, time);
+    queue_virtual_time_ = std::max(queue_virtual_time_, time);
     time += call.cost / call.tenant_weight;
     ++taken_;
     erase(id);
--- a/src/tallyfold/scheduling/call_queue.hpp
+++ b/src/tallyfold/scheduling/call_queue.hpp
@@ -62,7 +62,7 @@
     /// Virtual time by tenant: cost served, divided by the tenant's weight.
     std::map<std::string, double> virtual_times_;
     std::map<std::string, std::size_t> waiting_;
-    double virtual_now_ = 0;
+    double queue_virtual_time_ = 0;
     std::uint64_t taken_ = 0;
 };
 
