--- a/src/tallyfold/scheduling/call_queue.cpp
+++ b/src/tallyfold/scheduling/call_queue.cpp
@@ -18,7 +18,7 @@
 
 std::vector<ticket> call_queue::next(std::size_t limit) const {
     std::vector<ticket> chosen;
-    if (!calls_.empty() && taken_ % oldest_first_interval == oldest_first_interval - 1) {
+    if (!calls_.empty() && taken_count_ % oldest_first_interval == oldest_first_interval - 1) {
         chosen.push_back(by_arrival_.begin()->second);
     }
     for (const auto& [priority, queues] : tiers_) {
@@ -64,7 +64,7 @@
     double& time = virtual_times_[call.tenant];
     queue_virtual_time_ = std::max(queue_virtual_time_, time);
     time += call.cost / call.tenant_weight;
-    ++taken_;
+    ++taken_count_;
     erase(id);
 }
 
--- a/src/tallyfold/scheduling/call_queue.hpp
+++ b/src/tallyfold/scheduling/call_queue.hpp
@@ -63,7 +63,7 @@
     std::map<std::string, double> virtual_times_;
     std::map<std::string, std::size_t> waiting_;
     double queue_virtual_time_ = 0;
-    std::uint64_t taken_ = 0;
+    std::uint64_t taken_count_ = 0;
 };
 
 }  // namespace tallyfold::scheduling
