--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -46,7 +46,7 @@
     }
     const double gap = milliseconds(took) / static_cast<double>(events);
     engine_state& state = engines_[engine];
-    const bool known = state.latest != instant{} && now - state.latest < memory;
+    const bool known = state.latest != instant{} && now - state.latest < sample_lifetime;
     state.gap_ms = known ? state.gap_ms + engine_weight * (gap - state.gap_ms) : gap;
     state.latest = now;
     if (recent_gaps_.size() < kept_gaps) {
@@ -73,7 +73,7 @@
 
 double engine_pace::gap_ms(const backend_name& engine, instant now) const {
     const auto known = engines_.find(engine);
-    const bool fresh = known != engines_.end() && now - known->second.latest < memory;
+    const bool fresh = known != engines_.end() && now - known->second.latest < sample_lifetime;
     return fresh ? known->second.gap_ms : usual_gap_ms_;
 }
 
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -20,7 +20,7 @@
 class engine_pace {
   public:
     /// Age of an engine's latest event after which the mean time between events is used for it.
-    static constexpr duration memory = std::chrono::milliseconds(1'500);
+    static constexpr duration sample_lifetime = std::chrono::milliseconds(1'500);
 
     /// Records that an engine processed `tokens` uncached prompt tokens and sent its first byte
     /// after `took`.
--- a/tests/scheduling/engine_pace_test.cpp
+++ b/tests/scheduling/engine_pace_test.cpp
@@ -67,7 +67,7 @@
         engine_pace pace;
         play(pace, {"a", "b", "c"}, 20, at(1000));
         pace.events_came("a", 1, ms(500), at(1100));
-        const instant later = at(1100) + engine_pace::memory;
+        const instant later = at(1100) + engine_pace::sample_lifetime;
         CPPUNIT_ASSERT_DOUBLES_EQUAL(20, pace.gap_ms("a", later), 5);
         CPPUNIT_ASSERT_EQUAL(1.0, pace.slowdown(later));
     }
