--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -80,7 +80,7 @@
 double engine_pace::slowdown(instant now) const {
     std::vector<double> gaps;
     for (const recent_gap& gap : recent_gaps_) {
-        if (now - gap.at <= recent) {
+        if (now - gap.at <= recent_span) {
             gaps.push_back(gap.gap_ms);
         }
     }
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -57,10 +57,10 @@
         instant at{};
     };
     /// The slowdown is the median of the latest samples of all engines: at most `kept_gaps`, not
-    /// older than `recent`; 1 with fewer than `min_gaps`. Few enough to follow the start of a
+    /// older than `recent_span`; 1 with fewer than `min_gaps`. Few enough to follow the start of a
     /// burst.
     static constexpr std::size_t kept_gaps = 64;
-    static constexpr duration recent = std::chrono::milliseconds(300);
+    static constexpr duration recent_span = std::chrono::milliseconds(300);
     static constexpr std::size_t min_gaps = 5;
 
     std::map<backend_name, engine_state> engines_;
