--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -49,11 +49,11 @@
     const bool known = state.latest != instant{} && now - state.latest < sample_lifetime;
     state.gap_ms = known ? state.gap_ms + engine_weight * (gap - state.gap_ms) : gap;
     state.latest = now;
-    if (recent_gaps_.size() < kept_gaps) {
+    if (recent_gaps_.size() < max_recent_gaps) {
         recent_gaps_.push_back({gap, now});
     } else {
         recent_gaps_[next_gap_] = {gap, now};
-        next_gap_ = (next_gap_ + 1) % kept_gaps;
+        next_gap_ = (next_gap_ + 1) % max_recent_gaps;
     }
 }
 
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -56,10 +56,10 @@
         double gap_ms = 0;
         instant at{};
     };
-    /// The slowdown is the median of the latest samples of all engines: at most `kept_gaps`, not
-    /// older than `recent_span`; 1 with fewer than `min_gaps`. Few enough to follow the start of a
-    /// burst.
-    static constexpr std::size_t kept_gaps = 64;
+    /// The slowdown is the median of the latest samples of all engines: at most `max_recent_gaps`,
+    /// not older than `recent_span`; 1 with fewer than `min_gaps`. Few enough to follow the start
+    /// of a burst.
+    static constexpr std::size_t max_recent_gaps = 64;
     static constexpr duration recent_span = std::chrono::milliseconds(300);
     static constexpr std::size_t min_gaps = 5;
 
