--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -84,7 +84,7 @@
             gaps.push_back(gap.gap_ms);
         }
     }
-    if (gaps.size() < min_gaps || idle_gap_ms_ <= 0) {
+    if (gaps.size() < min_recent_gaps || idle_gap_ms_ <= 0) {
         return 1;
     }
     const auto middle = gaps.begin() + static_cast<std::ptrdiff_t>(gaps.size() / 2);
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -57,11 +57,11 @@
         instant at{};
     };
     /// The slowdown is the median of the latest samples of all engines: at most `max_recent_gaps`,
-    /// not older than `recent_span`; 1 with fewer than `min_gaps`. Few enough to follow the start
-    /// of a burst.
+    /// not older than `recent_span`; 1 with fewer than `min_recent_gaps`. Few enough to follow the
+    /// start of a burst.
     static constexpr std::size_t max_recent_gaps = 64;
     static constexpr duration recent_span = std::chrono::milliseconds(300);
-    static constexpr std::size_t min_gaps = 5;
+    static constexpr std::size_t min_recent_gaps = 5;
 
     std::map<backend_name, engine_state> engines_;
     std::vector<recent_gap> recent_gaps_;
