--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -22,7 +22,7 @@
 }
 
 /// Moves an estimate of the minimum towards a sample; 0 stands for no estimate.
-void follow_least(double& value, double sample) {
+void track_minimum(double& value, double sample) {
     if (value <= 0) {
         value = sample;
     } else {
@@ -35,7 +35,7 @@
 
 void engine_pace::prompt_read(token_count tokens, duration took) {
     if (tokens >= min_tokens && took > duration::zero()) {
-        follow_least(read_ms_per_token_, milliseconds(took) / static_cast<double>(tokens));
+        track_minimum(read_ms_per_token_, milliseconds(took) / static_cast<double>(tokens));
     }
 }
 
@@ -62,7 +62,7 @@
         return;
     }
     const double gap = milliseconds(mean_gap);
-    follow_least(idle_gap_ms_, gap);
+    track_minimum(idle_gap_ms_, gap);
     usual_gap_ms_ = usual_gap_ms_ > 0 ? usual_gap_ms_ + usual_weight * (gap - usual_gap_ms_) : gap;
 }
 
