--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Shortest prompt, in tokens, that is used as a sample; for shorter ones, network delay dominates.
-constexpr token_count min_tokens = 1'000;
+constexpr token_count min_prompt_tokens = 1'000;
 /// Weights, 0 to 1, of a sample below and of one above the estimate of an idle engine's time. That
 /// time is close to the minimum, so the estimate falls quickly and rises slowly: a burst of slow
 /// samples must not pass for idle.
@@ -34,7 +34,7 @@
 }  // namespace
 
 void engine_pace::prompt_read(token_count tokens, duration took) {
-    if (tokens >= min_tokens && took > duration::zero()) {
+    if (tokens >= min_prompt_tokens && took > duration::zero()) {
         track_minimum(read_ms_per_token_, milliseconds(took) / static_cast<double>(tokens));
     }
 }
