--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -14,7 +14,7 @@
 constexpr double weight_of_lower_sample = 0.2;
 constexpr double weight_of_higher_sample = 0.0005;
 /// Weights, 0 to 1, of a new sample in the moving averages of one engine and of all engines.
-constexpr double engine_weight = 0.2;
+constexpr double engine_average_weight = 0.2;
 constexpr double usual_weight = 0.05;
 
 double milliseconds(duration value) {
@@ -47,7 +47,7 @@
     const double gap = milliseconds(took) / static_cast<double>(events);
     engine_state& state = engines_[engine];
     const bool known = state.latest != instant{} && now - state.latest < sample_lifetime;
-    state.gap_ms = known ? state.gap_ms + engine_weight * (gap - state.gap_ms) : gap;
+    state.gap_ms = known ? state.gap_ms + engine_average_weight * (gap - state.gap_ms) : gap;
     state.latest = now;
     if (recent_gaps_.size() < max_recent_gaps) {
         recent_gaps_.push_back({gap, now});
