--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -15,7 +15,7 @@
 constexpr double weight_of_higher_sample = 0.0005;
 /// Weights, 0 to 1, of a new sample in the moving averages of one engine and of all engines.
 constexpr double engine_average_weight = 0.2;
-constexpr double usual_weight = 0.05;
+constexpr double overall_average_weight = 0.05;
 
 double milliseconds(duration value) {
     return std::chrono::duration<double, std::milli>(value).count();
@@ -63,12 +63,13 @@
     }
     const double gap = milliseconds(mean_gap);
     track_minimum(idle_gap_ms_, gap);
-    usual_gap_ms_ = usual_gap_ms_ > 0 ? usual_gap_ms_ + usual_weight * (gap - usual_gap_ms_) : gap;
+    usual_gap_ms_ =
+        usual_gap_ms_ > 0 ? usual_gap_ms_ + overall_average_weight * (gap - usual_gap_ms_) : gap;
 }
 
 void engine_pace::call_ended(duration took) {
     const double time = std::max(0.0, milliseconds(took));
-    call_ms_ = call_ms_ > 0 ? call_ms_ + usual_weight * (time - call_ms_) : time;
+    call_ms_ = call_ms_ > 0 ? call_ms_ + overall_average_weight * (time - call_ms_) : time;
 }
 
 double engine_pace::gap_ms(const backend_name& engine, instant now) const {
