--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -63,8 +63,9 @@
     }
     const double gap = milliseconds(mean_gap);
     track_minimum(idle_gap_ms_, gap);
-    usual_gap_ms_ =
-        usual_gap_ms_ > 0 ? usual_gap_ms_ + overall_average_weight * (gap - usual_gap_ms_) : gap;
+    average_gap_ms_ = average_gap_ms_ > 0
+                          ? average_gap_ms_ + overall_average_weight * (gap - average_gap_ms_)
+                          : gap;
 }
 
 void engine_pace::call_ended(duration took) {
@@ -75,7 +76,7 @@
 double engine_pace::gap_ms(const backend_name& engine, instant now) const {
     const auto known = engines_.find(engine);
     const bool fresh = known != engines_.end() && now - known->second.latest < sample_lifetime;
-    return fresh ? known->second.gap_ms : usual_gap_ms_;
+    return fresh ? known->second.gap_ms : average_gap_ms_;
 }
 
 double engine_pace::slowdown(instant now) const {
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -66,7 +66,7 @@
     std::map<backend_name, engine_state> engines_;
     std::vector<recent_gap> recent_gaps_;
     std::size_t next_gap_ = 0;
-    double usual_gap_ms_ = 0;
+    double average_gap_ms_ = 0;
     double idle_gap_ms_ = 0;
     double read_ms_per_token_ = 0;
     double call_ms_ = 0;
