--- a/src/tallyfold/scheduling/outlier_ejection.cpp
+++ b/src/tallyfold/scheduling/outlier_ejection.cpp
@@ -17,7 +17,7 @@
         return;
     }
     const std::uint32_t doublings = std::min(ejections_, max_doublings);
-    ejected_until_ = now + base_ejection * (1 << doublings);
+    ejected_until_ = now + base_ejection_time * (1 << doublings);
     ++ejections_;
     failure_score_ = probation_score;
 }
--- a/src/tallyfold/scheduling/outlier_ejection.hpp
+++ b/src/tallyfold/scheduling/outlier_ejection.hpp
@@ -22,7 +22,7 @@
     /// Failure score below which the number of earlier ejections is reset.
     static constexpr double recovered_score = 0.2;
     /// Duration of the first ejection; each further one lasts twice as long.
-    static constexpr duration base_ejection = std::chrono::seconds(1);
+    static constexpr duration base_ejection_time = std::chrono::seconds(1);
     /// Maximum number of doublings, which limits an ejection to 32 s.
     static constexpr std::uint32_t max_doublings = 5;
 
--- a/tests/scheduling/outlier_ejection_test.cpp
+++ b/tests/scheduling/outlier_ejection_test.cpp
@@ -29,7 +29,7 @@
         CPPUNIT_ASSERT(!backend.is_ejected(now));
         backend.failed(1, true, now);
         CPPUNIT_ASSERT(backend.is_ejected(now));
-        CPPUNIT_ASSERT(!backend.is_ejected(now + outlier_ejection::base_ejection));
+        CPPUNIT_ASSERT(!backend.is_ejected(now + outlier_ejection::base_ejection_time));
     }
 
     void the_weight_of_a_refused_connection_ejects_at_once() {
@@ -48,7 +48,7 @@
 
     void ejections_double_up_to_a_limit() {
         outlier_ejection backend;
-        duration expected = outlier_ejection::base_ejection;
+        duration expected = outlier_ejection::base_ejection_time;
         instant at = now;
         for (std::uint32_t count = 0; count < outlier_ejection::max_doublings + 3; ++count) {
             eject(backend, at);
@@ -68,7 +68,7 @@
         }
         const instant later = now + std::chrono::seconds(10);
         eject(backend, later);
-        CPPUNIT_ASSERT(!backend.is_ejected(later + outlier_ejection::base_ejection));
+        CPPUNIT_ASSERT(!backend.is_ejected(later + outlier_ejection::base_ejection_time));
     }
 };
 
