--- a/src/tallyfold/scheduling/placement.cpp
+++ b/src/tallyfold/scheduling/placement.cpp
@@ -88,8 +88,8 @@
     return built_in_cost(features);
 }
 
-const backend_state* placement::next_in_turn(const backend_pool& pool, const std::string& model,
-                                             instant now) {
+const backend_state* placement::next_round_robin(const backend_pool& pool, const std::string& model,
+                                                 instant now) {
     const auto& all = pool.all();
     auto position = all.upper_bound(last_in_turn_);
     for (std::size_t step = 0; step < all.size(); ++step) {
@@ -187,7 +187,7 @@
     const placement_request& request, const backend_pool& pool, const cache_map& cache,
     policy* ranking, instant now) {
     if (strategy_ == strategy::round_robin) {
-        const backend_state* engine = next_in_turn(pool, request.model, now);
+        const backend_state* engine = next_round_robin(pool, request.model, now);
         if (engine == nullptr) {
             return tl::unexpected(placement_refusal::all_busy);
         }
--- a/src/tallyfold/scheduling/placement.hpp
+++ b/src/tallyfold/scheduling/placement.hpp
@@ -96,8 +96,8 @@
                                           const backend_pool& pool, instant now);
     std::vector<candidate> gather(const placement_request& request, const backend_pool& pool,
                                   const cache_map& cache, instant now) const;
-    const backend_state* next_in_turn(const backend_pool& pool, const std::string& model,
-                                      instant now);
+    const backend_state* next_round_robin(const backend_pool& pool, const std::string& model,
+                                          instant now);
     /// Engines that are considered without a cached prefix.
     std::vector<const backend_state*> sampled(const placement_request& request,
                                               const backend_pool& pool, instant now) const;
