--- a/src/tallyfold/scheduling/placement.cpp
+++ b/src/tallyfold/scheduling/placement.cpp
@@ -91,7 +91,7 @@
 const backend_state* placement::next_round_robin(const backend_pool& pool, const std::string& model,
                                                  instant now) {
     const auto& all = pool.all();
-    auto position = all.upper_bound(last_in_turn_);
+    auto position = all.upper_bound(last_round_robin_);
     for (std::size_t step = 0; step < all.size(); ++step) {
         if (position == all.end()) {
             position = all.begin();
@@ -99,7 +99,7 @@
         const backend_state& engine = position->second;
         const bool fits = model.empty() || engine.member.model == model;
         if (fits && pool.available(engine, now)) {
-            last_in_turn_ = position->first;
+            last_round_robin_ = position->first;
             return &engine;
         }
         ++position;
--- a/src/tallyfold/scheduling/placement.hpp
+++ b/src/tallyfold/scheduling/placement.hpp
@@ -105,7 +105,7 @@
                           policy* ranking, instant now);
 
     strategy strategy_;
-    backend_name last_in_turn_;
+    backend_name last_round_robin_;
 };
 
 }  // namespace tallyfold::scheduling
