--- a/src/tallyfold/scheduling/placement.cpp
+++ b/src/tallyfold/scheduling/placement.cpp
@@ -126,10 +126,10 @@
     return engines;
 }
 
-std::vector<placement::candidate> placement::holders_of_prompt(const placement_request& request,
-                                                               const backend_pool& pool,
-                                                               const cache_map& cache,
-                                                               instant now) const {
+std::vector<placement::candidate> placement::prefix_holders(const placement_request& request,
+                                                            const backend_pool& pool,
+                                                            const cache_map& cache,
+                                                            instant now) const {
     std::vector<candidate> options;
     const bool uses_cache = strategy_ == strategy::policy || strategy_ == strategy::affinity_fcfs;
     if (!uses_cache || request.prompt == nullptr) {
@@ -168,7 +168,7 @@
 std::vector<placement::candidate> placement::gather(const placement_request& request,
                                                     const backend_pool& pool,
                                                     const cache_map& cache, instant now) const {
-    std::vector<candidate> options = holders_of_prompt(request, pool, cache, now);
+    std::vector<candidate> options = prefix_holders(request, pool, cache, now);
     if (strategy_ == strategy::policy) {
         put_affinity_target_first(options, request, pool, now);
     }
--- a/src/tallyfold/scheduling/placement.hpp
+++ b/src/tallyfold/scheduling/placement.hpp
@@ -87,10 +87,9 @@
     };
 
     /// Available engines that hold a prefix of the prompt, longest first.
-    [[nodiscard]] std::vector<candidate> holders_of_prompt(const placement_request& request,
-                                                           const backend_pool& pool,
-                                                           const cache_map& cache,
-                                                           instant now) const;
+    [[nodiscard]] std::vector<candidate> prefix_holders(const placement_request& request,
+                                                        const backend_pool& pool,
+                                                        const cache_map& cache, instant now) const;
     static void put_affinity_target_first(std::vector<candidate>& options,
                                           const placement_request& request,
                                           const backend_pool& pool, instant now);
