--- a/src/tallyfold/scheduling/placement.cpp
+++ b/src/tallyfold/scheduling/placement.cpp
@@ -165,9 +165,10 @@
     std::rotate(options.begin(), known, known + 1);
 }
 
-std::vector<placement::candidate> placement::gather(const placement_request& request,
-                                                    const backend_pool& pool,
-                                                    const cache_map& cache, instant now) const {
+std::vector<placement::candidate> placement::gather_candidates(const placement_request& request,
+                                                               const backend_pool& pool,
+                                                               const cache_map& cache,
+                                                               instant now) const {
     std::vector<candidate> options = prefix_holders(request, pool, cache, now);
     if (strategy_ == strategy::policy) {
         put_affinity_target_first(options, request, pool, now);
@@ -193,7 +194,7 @@
         }
         return placement_choice{engine->member.name, 0, 0, 1};
     }
-    const std::vector<candidate> options = gather(request, pool, cache, now);
+    const std::vector<candidate> options = gather_candidates(request, pool, cache, now);
     if (options.empty()) {
         return tl::unexpected(pool.all().empty() ? placement_refusal::none_available
                                                  : placement_refusal::all_busy);
--- a/src/tallyfold/scheduling/placement.hpp
+++ b/src/tallyfold/scheduling/placement.hpp
@@ -93,8 +93,9 @@
     static void put_affinity_target_first(std::vector<candidate>& options,
                                           const placement_request& request,
                                           const backend_pool& pool, instant now);
-    std::vector<candidate> gather(const placement_request& request, const backend_pool& pool,
-                                  const cache_map& cache, instant now) const;
+    std::vector<candidate> gather_candidates(const placement_request& request,
+                                             const backend_pool& pool, const cache_map& cache,
+                                             instant now) const;
     const backend_state* next_round_robin(const backend_pool& pool, const std::string& model,
                                           instant now);
     /// Engines that are considered without a cached prefix.
