--- a/src/tallyfold/scheduling/placement.cpp
+++ b/src/tallyfold/scheduling/placement.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Prompt processing time of an engine, in milliseconds per token, while none has been observed.
-constexpr double assumed_read_ms_per_token = 0.01;
+constexpr double default_read_ms_per_token = 0.01;
 
 engine_features describe(const placement_request& request, const backend_state& engine,
                          token_count cached_tokens, instant now) {
@@ -22,7 +22,7 @@
     features.pending_prefill_tokens = static_cast<double>(engine.pending_prefill_tokens);
     features.cache_fill = engine.reported.cache_fill;
     const double learned = request.pace != nullptr ? request.pace->read_ms_per_token() : 0;
-    const double ms_per_token = learned > 0 ? learned : assumed_read_ms_per_token;
+    const double ms_per_token = learned > 0 ? learned : default_read_ms_per_token;
     features.read_ms = features.uncached_tokens * ms_per_token;
     features.pending_read_ms = features.pending_prefill_tokens * ms_per_token;
     if (request.pace != nullptr) {
