--- a/src/tallyfold/scheduling/placement.cpp
+++ b/src/tallyfold/scheduling/placement.cpp
@@ -114,7 +114,7 @@
         return pool.least_loaded(1, request.model, true, now);
     }
     if (request.sample == nullptr) {
-        return pool.least_loaded(sampled_engines, request.model, false, now);
+        return pool.least_loaded(max_sampled_engines, request.model, false, now);
     }
     std::vector<const backend_state*> engines;
     for (const backend_state* engine : *request.sample) {
--- a/src/tallyfold/scheduling/placement.hpp
+++ b/src/tallyfold/scheduling/placement.hpp
@@ -79,7 +79,7 @@
 
   private:
     /// Maximum number of least loaded engines that are considered without a cached prefix.
-    static constexpr std::size_t sampled_engines = 4;
+    static constexpr std::size_t max_sampled_engines = 4;
 
     struct candidate {
         const backend_state* engine = nullptr;
