--- a/src/tallyfold/scheduling/policy.cpp
+++ b/src/tallyfold/scheduling/policy.cpp
@@ -139,7 +139,7 @@
     runtime(const runtime&) = delete;
     runtime& operator=(const runtime&) = delete;
 
-    policy_error take_error() {
+    policy_error pop_error() {
         const char* text = lua_tostring(state, -1);
         policy_error error = parse_error(text == nullptr ? "not enough memory" : text);
         lua_settop(state, 0);
@@ -166,7 +166,7 @@
     tl::expected<double, policy_error> run(const char* function, int arguments) {
         lua_sethook(state, stop_at_limit, LUA_MASKCOUNT, instruction_limit);
         if (lua_pcall(state, arguments, 1, 0) != LUA_OK) {
-            return tl::unexpected(take_error());
+            return tl::unexpected(pop_error());
         }
         int is_number = 0;
         const double value = lua_tonumberx(state, -1, &is_number);
@@ -193,7 +193,7 @@
                 policy_error{0, std::string("function ") + function + " is missing"});
         }
         if (!(push_table(features) && ...)) {
-            return tl::unexpected(take_error());
+            return tl::unexpected(pop_error());
         }
         return run(function, sizeof...(features));
     }
@@ -210,11 +210,11 @@
     open_safe_libraries(state->state);
     // "t": text only, since Lua does not verify binary chunks.
     if (luaL_loadbufferx(state->state, text.data(), text.size(), chunk_name, "t") != LUA_OK) {
-        return tl::unexpected(state->take_error());
+        return tl::unexpected(state->pop_error());
     }
     lua_sethook(state->state, stop_at_limit, LUA_MASKCOUNT, instruction_limit);
     if (lua_pcall(state->state, 0, 0, 0) != LUA_OK) {
-        return tl::unexpected(state->take_error());
+        return tl::unexpected(state->pop_error());
     }
     std::unique_ptr<policy> compiled(new policy(std::move(state)));
     const call_features sample_call{"sample", 1, 1000, 3, 500, 100, 5000, 1, false, 0, 2000, 300};
