--- a/src/tallyfold/scheduling/policy.cpp
+++ b/src/tallyfold/scheduling/policy.cpp
@@ -65,7 +65,7 @@
     lua_setfield(state, -2, name);
 }
 
-void fill(lua_State* state, const call_features& call) {
+void set_fields(lua_State* state, const call_features& call) {
     set_string(state, "class", call.program_class);
     set_number(state, "priority", call.priority);
     set_number(state, "tenant_priority", call.tenant_priority);
@@ -81,7 +81,7 @@
     set_number(state, "call_ms", call.call_ms);
 }
 
-void fill(lua_State* state, const engine_features& engine) {
+void set_fields(lua_State* state, const engine_features& engine) {
     set_number(state, "cached_tokens", engine.cached_tokens);
     set_number(state, "uncached_tokens", engine.uncached_tokens);
     set_number(state, "outstanding", engine.outstanding);
@@ -95,7 +95,7 @@
     set_boolean(state, "same_zone", engine.same_zone);
 }
 
-void fill(lua_State* state, const program_features& program) {
+void set_fields(lua_State* state, const program_features& program) {
     set_string(state, "class", program.program_class);
     set_number(state, "priority", program.priority);
     set_number(state, "history_tokens", program.history_tokens);
@@ -151,7 +151,7 @@
     static int push_features(lua_State* target) {
         const auto* features = static_cast<const Features*>(lua_touserdata(target, 1));
         lua_createtable(target, 0, 14);
-        fill(target, *features);
+        set_fields(target, *features);
         return 1;
     }
 
