--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -55,16 +55,17 @@
 
 rate_headroom headroom_by_rate(const permit_use& use, const limit_use& tenant, duration running_for,
                                const quota_rules& rules) {
-    rate_headroom room;
-    room.for_all = tenant.left_by_token_bucket;
-    room.for_new = tenant.left_by_token_bucket - reserved_share * tenant.burst_tolerance;
+    rate_headroom headroom;
+    headroom.for_all = tenant.left_by_token_bucket;
+    headroom.for_new = tenant.left_by_token_bucket - reserved_share * tenant.burst_tolerance;
     if (running_for < rules.window) {
         const double by_rate = tenant.rate_per_second * seconds(running_for);
         const double not_lent = std::max(0.0, by_rate - tenant.lent_since_start);
-        room.for_all = std::min(room.for_all, not_lent + held_by_node(use));
-        room.for_new = std::min(room.for_new, not_lent * (1 - reserved_share) + held_by_node(use));
+        headroom.for_all = std::min(headroom.for_all, not_lent + held_by_node(use));
+        headroom.for_new =
+            std::min(headroom.for_new, not_lent * (1 - reserved_share) + held_by_node(use));
     }
-    return {whole_permits_left(room.for_all, 0), whole_permits_left(room.for_new, 0)};
+    return {whole_permits_left(headroom.for_all, 0), whole_permits_left(headroom.for_new, 0)};
 }
 
 /// Whole permits that the bound leaves for new programs and future calls. In a lender's first
@@ -92,10 +93,10 @@
     lendable lent = running_for < settling_time
                         ? lendable_while_settling(use, tenant, running_for, within_limit)
                         : lendable_once_settled(use, tenant, within_limit);
-    const rate_headroom room = headroom_by_rate(use, tenant, running_for, rules);
-    lent.needed = std::min(lent.needed, room.for_all);
+    const rate_headroom headroom = headroom_by_rate(use, tenant, running_for, rules);
+    lent.needed = std::min(lent.needed, headroom.for_all);
     const double for_new =
-        std::min(within_bound_for_new(tenant, bound, running_for, rules), room.for_new);
+        std::min(within_bound_for_new(tenant, bound, running_for, rules), headroom.for_new);
     const double available_to_new = std::max(0.0, for_new - lent.needed);
     lent.beginning = std::min(lent.beginning, available_to_new);
     lent.spare = std::min(lent.spare, available_to_new - lent.beginning);
