--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -201,8 +201,8 @@
             co_return permit_granted(now);
         }
         const bool answered = answered_ >= question;
-        const bool lender_unsure = answered && holder_.lender_settling();
-        if (lender_unresponsive_ || lender_unsure || now - reported > 2 * answer_timeout) {
+        const bool refused_while_settling = answered && holder_.lender_settling();
+        if (lender_unresponsive_ || refused_while_settling || now - reported > 2 * answer_timeout) {
             co_return acquire_without_lender(tenant);
         }
         if (!answered) {
