--- a/tests/plane/tenants/key_index_test.cpp
+++ b/tests/plane/tenants/key_index_test.cpp
@@ -91,9 +91,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string{}, tenant_scope("one").scoped(""));
     }
 
-    static void refused(const std::function<void(routing::configuration&)>& spoil) {
+    static void refused(const std::function<void(routing::configuration&)>& invalidate) {
         routing::configuration candidate = valid();
-        spoil(candidate);
+        invalidate(candidate);
         const auto outcome = routing::validate(candidate);
         CPPUNIT_ASSERT(!outcome.has_value());
         CPPUNIT_ASSERT(!outcome.error().reason.empty());
