--- a/tests/plane/tenants/key_index_test.cpp
+++ b/tests/plane/tenants/key_index_test.cpp
@@ -91,7 +91,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string{}, tenant_scope("one").scoped(""));
     }
 
-    static void refused(const std::function<void(routing::configuration&)>& invalidate) {
+    static void assert_rejected(const std::function<void(routing::configuration&)>& invalidate) {
         routing::configuration candidate = valid();
         invalidate(candidate);
         const auto outcome = routing::validate(candidate);
@@ -102,14 +102,14 @@
 
     void each_kind_of_invalid_tenant_is_refused() {
         CPPUNIT_ASSERT(routing::validate(valid()).has_value());
-        refused([](auto& it) { it.tenants[1].keys = {"k1"}; });
-        refused([](auto& it) { it.tenants[0].keys = {"k1", "k1"}; });
-        refused([](auto& it) { it.tenants[0].keys = {""}; });
-        refused([](auto& it) { it.tenants[1].name = "one"; });
-        refused([](auto& it) { it.tenants[1].name = ""; });
-        refused([](auto& it) { it.tenants[0].rate_per_second = -1; });
-        refused([](auto& it) { it.tenants[0].rate_per_second = std::nan(""); });
-        refused([](auto& it) { it.tenants[0].burst = 1e300; });
+        assert_rejected([](auto& it) { it.tenants[1].keys = {"k1"}; });
+        assert_rejected([](auto& it) { it.tenants[0].keys = {"k1", "k1"}; });
+        assert_rejected([](auto& it) { it.tenants[0].keys = {""}; });
+        assert_rejected([](auto& it) { it.tenants[1].name = "one"; });
+        assert_rejected([](auto& it) { it.tenants[1].name = ""; });
+        assert_rejected([](auto& it) { it.tenants[0].rate_per_second = -1; });
+        assert_rejected([](auto& it) { it.tenants[0].rate_per_second = std::nan(""); });
+        assert_rejected([](auto& it) { it.tenants[0].burst = 1e300; });
     }
 
     /// Configuration format from before keys were added.
