--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -24,7 +24,7 @@
         return report;
     }
 
-    static permit_lender settled_keeper() {
+    static permit_lender settled_lender() {
         permit_lender lender{quota_rules{}};
         lender.use({limited_tenant("t", 10, 10)});
         lender.start(beginning - std::chrono::seconds(1));
@@ -32,7 +32,7 @@
     }
 
     void new_programs_leave_the_last_permits_to_those_under_way() {
-        permit_lender lender = settled_keeper();
+        permit_lender lender = settled_lender();
         // 55 of 60 are spent: none are left for new programs, five for running ones.
         permit_use use{"t", 55, 55, 55, 0, 1, 3};
         const permit_answer later = lender.answer(first_report(1, use), beginning);
@@ -82,7 +82,7 @@
     }
 
     void a_tenant_that_is_back_has_what_its_nodes_hold() {
-        permit_lender lender = settled_keeper();
+        permit_lender lender = settled_lender();
         lender.answer(first_report(1, {"t", 5, 9, 5, 0, 0, 0}), beginning);
         lender.use({limited_tenant("another", 10, 10)});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, lender.in_use("t"));
@@ -91,7 +91,7 @@
     }
 
     void absurd_and_doubled_reports_do_no_harm() {
-        permit_lender lender = settled_keeper();
+        permit_lender lender = settled_lender();
         const permit_use use{"t", 5, 9, 5, 0, 0, 0};
         CPPUNIT_ASSERT(lender.answer(first_report(7, use), beginning).outcome ==
                        permit_outcome::granted);
