--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -27,7 +27,7 @@
     static permit_lender settled_lender() {
         permit_lender lender{quota_rules{}};
         lender.use({limited_tenant("t", 10, 10)});
-        lender.start(beginning - std::chrono::seconds(1));
+        lender.start(start_time - std::chrono::seconds(1));
         return lender;
     }
 
@@ -35,16 +35,16 @@
         permit_lender lender = settled_lender();
         // 55 of 60 are spent: none are left for new programs, five for running ones.
         permit_use use{"t", 55, 55, 55, 0, 1, 3};
-        const permit_answer later = lender.answer(first_report(1, use), beginning);
+        const permit_answer later = lender.answer(first_report(1, use), start_time);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{55}, later.grants.front().ceiling);
         // New programs may use 45; 11 permits are free again at 12 a second.
         CPPUNIT_ASSERT_EQUAL(916U, later.grants.front().retry_new_program_after_ms);
         CPPUNIT_ASSERT_EQUAL(0U, later.grants.front().retry_after_ms);
         use.needed = 2;
-        const permit_answer answer = lender.answer(first_report(2, use), beginning);
+        const permit_answer answer = lender.answer(first_report(2, use), start_time);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{57}, answer.grants.front().ceiling);
         use.needed = 9;
-        const permit_answer refused = lender.answer(first_report(3, use), beginning);
+        const permit_answer refused = lender.answer(first_report(3, use), start_time);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{60}, refused.grants.front().ceiling);
         CPPUNIT_ASSERT(refused.grants.front().retry_after_ms > 0);
     }
@@ -60,19 +60,19 @@
     void what_was_spent_at_once_is_followed_at_the_rate() {
         permit_lender lender{quota_rules{}};
         lender.use({limited_tenant("t", 10, 10)});
-        lender.start(beginning - std::chrono::seconds(10));
+        lender.start(start_time - std::chrono::seconds(10));
         // The bound is 86, so 33 may be lent at once, and 10 a second after that.
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{33}, granted(lender, 1, 0, 60, beginning));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, granted(lender, 2, 33, 60, beginning));
-        const instant later = beginning + std::chrono::seconds(1);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{33}, granted(lender, 1, 0, 60, start_time));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, granted(lender, 2, 33, 60, start_time));
+        const instant later = start_time + std::chrono::seconds(1);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, granted(lender, 3, 33, 60, later));
     }
 
     void permits_of_the_lender_before_are_not_its_own() {
         permit_lender lender{quota_rules{}};
         lender.use({limited_tenant("t", 10, 10)});
-        lender.start(beginning);
-        const instant later = beginning + std::chrono::seconds(1);
+        lender.start(start_time);
+        const instant later = start_time + std::chrono::seconds(1);
         // The node returns seven unused permits of the previous lender, which are lent again in
         // addition to the rate.
         lender.answer(first_report(1, {"t", 20, 27, 20, 0, 0, 9}), later);
@@ -83,7 +83,7 @@
 
     void a_tenant_that_is_back_has_what_its_nodes_hold() {
         permit_lender lender = settled_lender();
-        lender.answer(first_report(1, {"t", 5, 9, 5, 0, 0, 0}), beginning);
+        lender.answer(first_report(1, {"t", 5, 9, 5, 0, 0, 0}), start_time);
         lender.use({limited_tenant("another", 10, 10)});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, lender.in_use("t"));
         lender.use({limited_tenant("t", 10, 10)});
@@ -93,28 +93,28 @@
     void absurd_and_doubled_reports_do_no_harm() {
         permit_lender lender = settled_lender();
         const permit_use use{"t", 5, 9, 5, 0, 0, 0};
-        CPPUNIT_ASSERT(lender.answer(first_report(7, use), beginning).outcome ==
+        CPPUNIT_ASSERT(lender.answer(first_report(7, use), start_time).outcome ==
                        permit_outcome::granted);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, lender.in_use("t"));
         // A repeated report, and an older one.
-        CPPUNIT_ASSERT(lender.answer(first_report(7, use), beginning).outcome ==
+        CPPUNIT_ASSERT(lender.answer(first_report(7, use), start_time).outcome ==
                        permit_outcome::wants_whole);
-        CPPUNIT_ASSERT(lender.answer(first_report(3, use), beginning).outcome ==
+        CPPUNIT_ASSERT(lender.answer(first_report(3, use), start_time).outcome ==
                        permit_outcome::wants_whole);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, lender.in_use("t"));
         // A partial report from an unknown process of the node.
         permit_report part = first_report(8, use);
         part.life = 2;
         part.whole = false;
-        CPPUNIT_ASSERT(lender.answer(part, beginning).outcome == permit_outcome::wants_whole);
+        CPPUNIT_ASSERT(lender.answer(part, start_time).outcome == permit_outcome::wants_whole);
         // An unknown tenant, and more permits than the limit.
         const permit_answer unknown =
-            lender.answer(first_report(9, {"nobody", 1, 500, 1, 10, 0, 10}), beginning);
+            lender.answer(first_report(9, {"nobody", 1, 500, 1, 10, 0, 10}), start_time);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, unknown.grants.front().ceiling);
         const permit_answer absurd = lender.answer(
-            first_report(10, {"t", 0, 0, 0, 4'000'000'000U, 0, 4'000'000'000U}), beginning);
+            first_report(10, {"t", 0, 0, 0, 4'000'000'000U, 0, 4'000'000'000U}), start_time);
         CPPUNIT_ASSERT(absurd.grants.front().ceiling <= 60);
-        lender.expire(beginning + std::chrono::seconds(8));
+        lender.expire(start_time + std::chrono::seconds(8));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, lender.in_use("t"));
     }
 };
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -19,7 +19,7 @@
 using namespace tenants;
 using std::chrono::milliseconds;
 
-inline const instant beginning(std::chrono::seconds(100));
+inline const instant start_time(std::chrono::seconds(100));
 
 inline routing::tenant limited_tenant(const std::string& name, double rate, double burst) {
     routing::tenant made;
@@ -37,14 +37,14 @@
         for (int number = 0; number < 2; ++number) {
             keepers_.emplace_back(rules_);
             keepers_.back().use({tenant_});
-            keepers_.back().start(beginning);
+            keepers_.back().start(start_time);
         }
         for (std::size_t number = 0; number < node_count; ++number) {
             nodes_.push_back(make_node(number));
         }
     }
 
-    instant now = beginning;
+    instant now = start_time;
     /// Times at which calls were admitted.
     std::deque<instant> spent;
     std::uint64_t refused = 0;
--- a/tests/plane/tenants/spent_window_test.cpp
+++ b/tests/plane/tenants/spent_window_test.cpp
@@ -16,12 +16,12 @@
     // later permit uncounted.
     void one_given_back_leaves_the_newer_one_counted() {
         spent_window spent(std::chrono::seconds(5));
-        const instant later = beginning + std::chrono::seconds(3);
-        spent.add(beginning);
+        const instant later = start_time + std::chrono::seconds(3);
+        spent.add(start_time);
         spent.add(later);
-        CPPUNIT_ASSERT(spent.remove_at(beginning, later));
-        CPPUNIT_ASSERT_EQUAL(1U, spent.count(beginning + milliseconds(5'500)));
-        CPPUNIT_ASSERT_EQUAL(0U, spent.count(beginning + milliseconds(8'300)));
+        CPPUNIT_ASSERT(spent.remove_at(start_time, later));
+        CPPUNIT_ASSERT_EQUAL(1U, spent.count(start_time + milliseconds(5'500)));
+        CPPUNIT_ASSERT_EQUAL(0U, spent.count(start_time + milliseconds(8'300)));
     }
 
     // A permit that is returned after it has left the window must not allow another one to be
@@ -31,18 +31,18 @@
         permit_lender lender{quota_rules{}};
         holder.use({limited_tenant("t", 10, 10)});
         lender.use({limited_tenant("t", 10, 10)});
-        lender.start(beginning - std::chrono::seconds(10));
+        lender.start(start_time - std::chrono::seconds(10));
         const auto exchange = [&](instant now) {
             holder.apply(lender.answer(holder.report(now), now), now);
         };
         holder.begin_wait("t", permit_need::under_way);
-        exchange(beginning);
+        exchange(start_time);
         holder.end_wait("t", permit_need::under_way);
-        CPPUNIT_ASSERT(holder.take("t", beginning));
-        const instant later = beginning + std::chrono::seconds(6);
+        CPPUNIT_ASSERT(holder.take("t", start_time));
+        const instant later = start_time + std::chrono::seconds(6);
         exchange(later);
         const std::uint64_t counted = lender.in_use("t");
-        CPPUNIT_ASSERT(!holder.give_back("t", beginning, later));
+        CPPUNIT_ASSERT(!holder.give_back("t", start_time, later));
         std::uint64_t taken = 0;
         while (holder.take("t", later)) {
             ++taken;
