--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -57,9 +57,9 @@
     bool keeper_reachable = true;
 
     void change_keeper() {
-        lender_ = 1 - lender_;
-        keepers_[lender_].use({tenant_});
-        keepers_[lender_].start(now);
+        active_lender_ = 1 - active_lender_;
+        keepers_[active_lender_].use({tenant_});
+        keepers_[active_lender_].start(now);
     }
     void change_limit(double rate, double burst) {
         tenant_ = limited_tenant(tenant_.name, rate, burst);
@@ -122,7 +122,7 @@
         return static_cast<std::size_t>(
             std::count_if(spent.begin(), spent.end(), [&](instant at) { return at >= since; }));
     }
-    [[nodiscard]] permit_lender& keeper() { return keepers_[lender_]; }
+    [[nodiscard]] permit_lender& keeper() { return keepers_[active_lender_]; }
     [[nodiscard]] double bound() const {
         const double window = std::chrono::duration<double>(rules_.window).count();
         return (tenant_.rate_per_second * window + tenant_.burst) * (1 + rules_.overshoot) +
@@ -197,7 +197,7 @@
         for (message& each : due) {
             if (each.to_keeper) {
                 message back;
-                back.answer = keepers_[lender_].answer(each.report, now);
+                back.answer = keepers_[active_lender_].answer(each.report, now);
                 back.node = each.node;
                 back.at = now + delay();
                 if (!lost()) {
@@ -325,7 +325,7 @@
     quota_rules rules_;
     routing::tenant tenant_;
     std::vector<permit_lender> keepers_;
-    std::size_t lender_ = 0;
+    std::size_t active_lender_ = 0;
     std::vector<node> nodes_;
     std::vector<message> messages_;
     std::vector<held_call> held_;
