--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -35,9 +35,9 @@
                 quota_rules rules)
         : random_(seed), rules_(rules), tenant_(std::move(tenant)) {
         for (int number = 0; number < 2; ++number) {
-            keepers_.emplace_back(rules_);
-            keepers_.back().use({tenant_});
-            keepers_.back().start(start_time);
+            lenders_.emplace_back(rules_);
+            lenders_.back().use({tenant_});
+            lenders_.back().start(start_time);
         }
         for (std::size_t number = 0; number < node_count; ++number) {
             nodes_.push_back(make_node(number));
@@ -58,12 +58,12 @@
 
     void change_keeper() {
         active_lender_ = 1 - active_lender_;
-        keepers_[active_lender_].use({tenant_});
-        keepers_[active_lender_].start(now);
+        lenders_[active_lender_].use({tenant_});
+        lenders_[active_lender_].start(now);
     }
     void change_limit(double rate, double burst) {
         tenant_ = limited_tenant(tenant_.name, rate, burst);
-        for (permit_lender& keeper : keepers_) {
+        for (permit_lender& keeper : lenders_) {
             keeper.use({tenant_});
         }
         for (node& each : nodes_) {
@@ -102,7 +102,7 @@
                 call(chosen);
             }
         }
-        for (permit_lender& keeper : keepers_) {
+        for (permit_lender& keeper : lenders_) {
             keeper.expire(now);
         }
     }
@@ -122,7 +122,7 @@
         return static_cast<std::size_t>(
             std::count_if(spent.begin(), spent.end(), [&](instant at) { return at >= since; }));
     }
-    [[nodiscard]] permit_lender& keeper() { return keepers_[active_lender_]; }
+    [[nodiscard]] permit_lender& keeper() { return lenders_[active_lender_]; }
     [[nodiscard]] double bound() const {
         const double window = std::chrono::duration<double>(rules_.window).count();
         return (tenant_.rate_per_second * window + tenant_.burst) * (1 + rules_.overshoot) +
@@ -197,7 +197,7 @@
         for (message& each : due) {
             if (each.to_keeper) {
                 message back;
-                back.answer = keepers_[active_lender_].answer(each.report, now);
+                back.answer = lenders_[active_lender_].answer(each.report, now);
                 back.node = each.node;
                 back.at = now + delay();
                 if (!lost()) {
@@ -324,7 +324,7 @@
     std::mt19937_64 random_;
     quota_rules rules_;
     routing::tenant tenant_;
-    std::vector<permit_lender> keepers_;
+    std::vector<permit_lender> lenders_;
     std::size_t active_lender_ = 0;
     std::vector<node> nodes_;
     std::vector<message> messages_;
