--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -237,7 +237,7 @@
             for (std::size_t number = 0; number < node_count; ++number) {
                 played.restart(number);
             }
-            played.keeper().start(played.now - std::chrono::seconds(10));
+            played.lender().start(played.now - std::chrono::seconds(10));
             most = std::max(most, played.max_in_window());
         }
         CPPUNIT_ASSERT(static_cast<double>(most) > played.bound());
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -63,8 +63,8 @@
     }
     void change_limit(double rate, double burst) {
         tenant_ = limited_tenant(tenant_.name, rate, burst);
-        for (permit_lender& keeper : lenders_) {
-            keeper.use({tenant_});
+        for (permit_lender& lender : lenders_) {
+            lender.use({tenant_});
         }
         for (node& each : nodes_) {
             each.holder->use({tenant_});
@@ -102,8 +102,8 @@
                 call(chosen);
             }
         }
-        for (permit_lender& keeper : lenders_) {
-            keeper.expire(now);
+        for (permit_lender& lender : lenders_) {
+            lender.expire(now);
         }
     }
     void run(duration length, double calls_a_second) {
@@ -122,7 +122,7 @@
         return static_cast<std::size_t>(
             std::count_if(spent.begin(), spent.end(), [&](instant at) { return at >= since; }));
     }
-    [[nodiscard]] permit_lender& keeper() { return lenders_[active_lender_]; }
+    [[nodiscard]] permit_lender& lender() { return lenders_[active_lender_]; }
     [[nodiscard]] double bound() const {
         const double window = std::chrono::duration<double>(rules_.window).count();
         return (tenant_.rate_per_second * window + tenant_.burst) * (1 + rules_.overshoot) +
