--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -76,12 +76,12 @@
                     played.loss = 0;
                     break;
                 default:
-                    played.keeper_reachable = !played.keeper_reachable;
+                    played.lender_reachable = !played.lender_reachable;
                     break;
             }
             played.run(milliseconds(100 + random() % 1'400), 30 + random() % 500);
             if (random() % 2 == 0) {
-                played.keeper_reachable = true;
+                played.lender_reachable = true;
             }
         }
     }
@@ -271,12 +271,12 @@
         quota_world played = world(6, 100);
         played.run(std::chrono::seconds(6), 60);
         const std::uint64_t before = played.refused;
-        played.keeper_reachable = false;
+        played.lender_reachable = false;
         played.run(milliseconds(1'500), 60);
         // Permits held in advance and the nodes' own rates cover an election.
         CPPUNIT_ASSERT_MESSAGE(std::to_string(played.refused - before),
                                played.refused - before <= 9);
-        played.keeper_reachable = true;
+        played.lender_reachable = true;
         played.change_keeper();
         const std::uint64_t after = played.refused;
         played.run(std::chrono::seconds(5), 60);
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -54,7 +54,7 @@
     /// running.
     double late_returns = 0;
     duration longest_hold = std::chrono::seconds(3);
-    bool keeper_reachable = true;
+    bool lender_reachable = true;
 
     void change_keeper() {
         active_lender_ = 1 - active_lender_;
@@ -181,7 +181,7 @@
         return made;
     }
 
-    bool lost() { return !keeper_reachable || random_() % 1'000 < loss * 1'000; }
+    bool lost() { return !lender_reachable || random_() % 1'000 < loss * 1'000; }
     duration delay() { return milliseconds(1 + random_() % 6); }
 
     void deliver() {
