--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -64,7 +64,7 @@
             switch (random() % 6) {
                 case 0:
                 case 2:
-                    restarts ? played.restart(random() % node_count) : played.change_keeper();
+                    restarts ? played.restart(random() % node_count) : played.change_lender();
                     break;
                 case 1:
                     played.freeze(random() % node_count, milliseconds(random() % 7'000));
@@ -150,7 +150,7 @@
                 played.run(milliseconds(300 + random() % 600), 100 + random() % 500);
                 played.restart(next++ % node_count);
                 if (round % 5 == 4) {
-                    played.change_keeper();
+                    played.change_lender();
                 }
             }
             const auto without_lender = static_cast<double>(played.max_silences());
@@ -169,7 +169,7 @@
         for (int round = 0; round < 14; ++round) {
             switch (random() % 5) {
                 case 0:
-                    played.change_keeper();
+                    played.change_lender();
                     break;
                 case 1:
                     played.lose_power(milliseconds(100 + random() % 1'500));
@@ -184,7 +184,7 @@
                     for (std::size_t number = 0; number < nodes; number += 2) {
                         played.restart(number);
                     }
-                    played.change_keeper();
+                    played.change_lender();
                     break;
             }
             const duration length = milliseconds(100 + random() % 1'500);
@@ -222,7 +222,7 @@
         quota_world played = world(8, 100);
         played.run(std::chrono::seconds(8), 60);
         const std::uint64_t before = played.refused;
-        played.change_keeper();
+        played.change_lender();
         played.run(std::chrono::seconds(4), 60);
         CPPUNIT_ASSERT(played.refused - before <= 3);
     }
@@ -277,7 +277,7 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(played.refused - before),
                                played.refused - before <= 9);
         played.lender_reachable = true;
-        played.change_keeper();
+        played.change_lender();
         const std::uint64_t after = played.refused;
         played.run(std::chrono::seconds(5), 60);
         CPPUNIT_ASSERT_MESSAGE(std::to_string(played.refused - after), played.refused - after <= 3);
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -56,7 +56,7 @@
     duration longest_hold = std::chrono::seconds(3);
     bool lender_reachable = true;
 
-    void change_keeper() {
+    void change_lender() {
         active_lender_ = 1 - active_lender_;
         lenders_[active_lender_].use({tenant_});
         lenders_[active_lender_].start(now);
@@ -78,7 +78,7 @@
     void lose_power(duration dark) {
         messages_.clear();
         now += dark;
-        change_keeper();
+        change_lender();
         for (std::size_t number = 0; number < nodes_.size(); ++number) {
             restart(number);
         }
