--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -167,7 +167,7 @@
         instant at{};
         std::size_t node = 0;
         std::uint64_t life = 0;
-        bool to_keeper = false;
+        bool to_lender = false;
         permit_report report;
         permit_answer answer;
     };
@@ -187,7 +187,7 @@
     void deliver() {
         std::vector<message> due;
         std::erase_if(messages_, [&](const message& each) {
-            const bool frozen = !each.to_keeper && now < nodes_[each.node].frozen_until;
+            const bool frozen = !each.to_lender && now < nodes_[each.node].frozen_until;
             if (each.at > now || frozen) {
                 return false;
             }
@@ -195,7 +195,7 @@
             return true;
         });
         for (message& each : due) {
-            if (each.to_keeper) {
+            if (each.to_lender) {
                 message back;
                 back.answer = lenders_[active_lender_].answer(each.report, now);
                 back.node = each.node;
@@ -213,7 +213,7 @@
         asker.asked = now;
         asker.last_report = now;
         message sent;
-        sent.to_keeper = true;
+        sent.to_lender = true;
         sent.node = number;
         sent.report = asker.holder->report(now);
         sent.at = now + delay();
