--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -52,7 +52,7 @@
         CPPUNIT_ASSERT(static_cast<double>(pressed.max_in_window()) <= pressed.bound());
         // In the long run the full rate is admitted: no permits are lost.
         const double let_in =
-            static_cast<double>(pressed.let_in_since(pressed.now - std::chrono::seconds(15)));
+            static_cast<double>(pressed.admitted_since(pressed.now - std::chrono::seconds(15)));
         CPPUNIT_ASSERT(let_in >= 15 * 50 * 0.95);
     }
 
@@ -134,7 +134,7 @@
                 static_cast<double>(played.max_in_window()) <= played.bound() + without_lender);
             // Lost state delays calls for a window at most.
             const double let_in =
-                static_cast<double>(played.let_in_since(played.now - std::chrono::seconds(2)));
+                static_cast<double>(played.admitted_since(played.now - std::chrono::seconds(2)));
             CPPUNIT_ASSERT(let_in >= 2 * 60 * 0.8);
         }
     }
@@ -252,7 +252,7 @@
         }
         played.run(std::chrono::seconds(12), 300);
         const double let_in =
-            static_cast<double>(played.let_in_since(played.now - std::chrono::seconds(5)));
+            static_cast<double>(played.admitted_since(played.now - std::chrono::seconds(5)));
         CPPUNIT_ASSERT(let_in >= 5 * 50 * 0.95);
         CPPUNIT_ASSERT(played.taken_back > 0);
     }
@@ -264,7 +264,7 @@
         played.run(std::chrono::seconds(6), 180);
         const instant since = played.now;
         played.run(std::chrono::seconds(5), 180);
-        CPPUNIT_ASSERT(static_cast<double>(played.let_in_since(since)) <= played.bound());
+        CPPUNIT_ASSERT(static_cast<double>(played.admitted_since(since)) <= played.bound());
     }
 
     void a_silent_keeper_stops_nobody_who_keeps_his_pace() {
