--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -51,9 +51,9 @@
         CPPUNIT_ASSERT(pressed.refused > 0);
         CPPUNIT_ASSERT(static_cast<double>(pressed.max_in_window()) <= pressed.bound());
         // In the long run the full rate is admitted: no permits are lost.
-        const double let_in =
+        const double admitted =
             static_cast<double>(pressed.admitted_since(pressed.now - std::chrono::seconds(15)));
-        CPPUNIT_ASSERT(let_in >= 15 * 50 * 0.95);
+        CPPUNIT_ASSERT(admitted >= 15 * 50 * 0.95);
     }
 
     /// @param restarts true: nodes restart and the lender stays; false: the lender changes and no
@@ -133,9 +133,9 @@
                 "seed " + std::to_string(seed) + ": " + std::to_string(played.max_in_window()),
                 static_cast<double>(played.max_in_window()) <= played.bound() + without_lender);
             // Lost state delays calls for a window at most.
-            const double let_in =
+            const double admitted =
                 static_cast<double>(played.admitted_since(played.now - std::chrono::seconds(2)));
-            CPPUNIT_ASSERT(let_in >= 2 * 60 * 0.8);
+            CPPUNIT_ASSERT(admitted >= 2 * 60 * 0.8);
         }
     }
 
@@ -251,9 +251,9 @@
             played.freeze(number + 1, std::chrono::seconds(4));
         }
         played.run(std::chrono::seconds(12), 300);
-        const double let_in =
+        const double admitted =
             static_cast<double>(played.admitted_since(played.now - std::chrono::seconds(5)));
-        CPPUNIT_ASSERT(let_in >= 5 * 50 * 0.95);
+        CPPUNIT_ASSERT(admitted >= 5 * 50 * 0.95);
         CPPUNIT_ASSERT(played.taken_back > 0);
     }
 
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -235,9 +235,9 @@
         asker.silent = false;
     }
 
-    void end_waiting(node& asker, bool let_in) {
+    void end_waiting(node& asker, bool admitted) {
         asker.holder->end_wait(tenant_.name, permit_need::under_way);
-        let_in ? spent.push_back(now) : void(++refused);
+        admitted ? spent.push_back(now) : void(++refused);
     }
 
     void run_node(std::size_t number) {
