--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -74,10 +74,10 @@
     /// Replaces the node's process by a new one.
     void restart(std::size_t number) { nodes_[number] = make_node(number); }
 
-    /// Ends all processes at once and restarts them after `dark`.
-    void lose_power(duration dark) {
+    /// Ends all processes at once and restarts them after `outage`.
+    void lose_power(duration outage) {
         messages_.clear();
-        now += dark;
+        now += outage;
         change_lender();
         for (std::size_t number = 0; number < nodes_.size(); ++number) {
             restart(number);
