--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -92,7 +92,7 @@
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             quota_world played = world(seed, 60);
             play_faults(played, seed, seed % 2 == 0);
-            const auto without_lender = static_cast<double>(played.max_silences());
+            const auto without_lender = static_cast<double>(played.max_lender_losses());
             CPPUNIT_ASSERT_MESSAGE(
                 "seed " + std::to_string(seed) + ": " + std::to_string(played.max_in_window()),
                 static_cast<double>(played.max_in_window()) <= played.bound() + without_lender);
@@ -128,7 +128,7 @@
                 played.lose_power(milliseconds(200 + random() % 1'800));
             }
             played.run(std::chrono::seconds(7), 300);
-            const auto without_lender = static_cast<double>(played.max_silences());
+            const auto without_lender = static_cast<double>(played.max_lender_losses());
             CPPUNIT_ASSERT_MESSAGE(
                 "seed " + std::to_string(seed) + ": " + std::to_string(played.max_in_window()),
                 static_cast<double>(played.max_in_window()) <= played.bound() + without_lender);
@@ -153,7 +153,7 @@
                     played.change_lender();
                 }
             }
-            const auto without_lender = static_cast<double>(played.max_silences());
+            const auto without_lender = static_cast<double>(played.max_lender_losses());
             CPPUNIT_ASSERT_MESSAGE(
                 "seed " + std::to_string(seed) + ": " + std::to_string(played.max_in_window()),
                 static_cast<double>(played.max_in_window()) <= played.bound() + without_lender);
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -117,7 +117,7 @@
     [[nodiscard]] std::size_t max_in_window() const { return most_of(spent); }
     /// Largest number of times that nodes lost the lender within such a span; each time allows a
     /// node one more call.
-    [[nodiscard]] std::size_t max_silences() const { return most_of(silences_); }
+    [[nodiscard]] std::size_t max_lender_losses() const { return most_of(silences_); }
     [[nodiscard]] std::size_t admitted_since(instant since) const {
         return static_cast<std::size_t>(
             std::count_if(spent.begin(), spent.end(), [&](instant at) { return at >= since; }));
