--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -117,7 +117,7 @@
     [[nodiscard]] std::size_t max_in_window() const { return most_of(spent); }
     /// Largest number of times that nodes lost the lender within such a span; each time allows a
     /// node one more call.
-    [[nodiscard]] std::size_t max_lender_losses() const { return most_of(silences_); }
+    [[nodiscard]] std::size_t max_lender_losses() const { return most_of(lender_losses_); }
     [[nodiscard]] std::size_t admitted_since(instant since) const {
         return static_cast<std::size_t>(
             std::count_if(spent.begin(), spent.end(), [&](instant at) { return at >= since; }));
@@ -246,7 +246,7 @@
             each.asked.reset();
             each.holder->unanswered();
             if (!each.silent) {
-                silences_.push_back(now);
+                lender_losses_.push_back(now);
             }
             each.silent = true;
         }
@@ -329,7 +329,7 @@
     std::vector<node> nodes_;
     std::vector<message> messages_;
     std::vector<held_call> held_;
-    std::deque<instant> silences_;
+    std::deque<instant> lender_losses_;
     double arrivals_ = 0;
     std::uint64_t lives_ = 0;
 };
