--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -153,7 +153,7 @@
         instant last_report{};
         instant frozen_until{};
         std::uint64_t answered = 0;
-        bool silent = false;
+        bool lender_lost = false;
         std::vector<waiting_call> waiting;
     };
     /// A call that holds a permit and will not run.
@@ -232,7 +232,7 @@
             return;
         }
         asker.answered = answer.question;
-        asker.silent = false;
+        asker.lender_lost = false;
     }
 
     void end_waiting(node& asker, bool admitted) {
@@ -245,17 +245,17 @@
         if (each.asked && now - *each.asked > milliseconds(120)) {
             each.asked.reset();
             each.holder->unanswered();
-            if (!each.silent) {
+            if (!each.lender_lost) {
                 lender_losses_.push_back(now);
             }
-            each.silent = true;
+            each.lender_lost = true;
         }
         std::erase_if(each.waiting, [&](const waiting_call& call) {
             if (each.holder->take(tenant_.name, now)) {
                 end_waiting(each, true);
                 return true;
             }
-            if (each.silent) {
+            if (each.lender_lost) {
                 end_waiting(each, each.holder->take_without_lender(tenant_.name, now));
                 return true;
             }
@@ -312,7 +312,7 @@
             }
             return;
         }
-        if (taker.silent) {
+        if (taker.lender_lost) {
             taker.holder->take_without_lender(tenant_.name, now) ? spent.push_back(now)
                                                                  : void(++refused);
             return;
