--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -114,10 +114,12 @@
     }
 
     /// Largest number of calls admitted within any span as long as the window.
-    [[nodiscard]] std::size_t max_in_window() const { return most_of(spent); }
+    [[nodiscard]] std::size_t max_in_window() const { return max_count_in_window(spent); }
     /// Largest number of times that nodes lost the lender within such a span; each time allows a
     /// node one more call.
-    [[nodiscard]] std::size_t max_lender_losses() const { return most_of(lender_losses_); }
+    [[nodiscard]] std::size_t max_lender_losses() const {
+        return max_count_in_window(lender_losses_);
+    }
     [[nodiscard]] std::size_t admitted_since(instant since) const {
         return static_cast<std::size_t>(
             std::count_if(spent.begin(), spent.end(), [&](instant at) { return at >= since; }));
@@ -130,7 +132,7 @@
     }
 
   private:
-    [[nodiscard]] std::size_t most_of(const std::deque<instant>& times) const {
+    [[nodiscard]] std::size_t max_count_in_window(const std::deque<instant>& times) const {
         std::size_t most = 0;
         std::size_t first = 0;
         for (std::size_t last = 0; last < times.size(); ++last) {
