--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -276,7 +276,7 @@
     }
 
     /// @return true when the call that has just taken a permit is one of those that don't run
-    bool hold_for_a_while(std::size_t number) {
+    bool hold_permit(std::size_t number) {
         if (late_returns <= 0 || random_() % 1'000 >= late_returns * 1'000) {
             return false;
         }
@@ -302,7 +302,7 @@
     void call(std::size_t number) {
         node& taker = nodes_[number];
         if (taker.holder->take(tenant_.name, now)) {
-            if (hold_for_a_while(number)) {
+            if (hold_permit(number)) {
                 return;
             }
             spent.push_back(now);
