--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -113,7 +113,7 @@
                 played.run(length, 60 * (0.5 + static_cast<double>(random() % 8)));
             }
             require_within_bound(played, seed);
-            CPPUNIT_ASSERT(played.taken_back > 0);
+            CPPUNIT_ASSERT(played.returned > 0);
         }
     }
 
@@ -254,7 +254,7 @@
         const double admitted =
             static_cast<double>(played.admitted_since(played.now - std::chrono::seconds(5)));
         CPPUNIT_ASSERT(admitted >= 5 * 50 * 0.95);
-        CPPUNIT_ASSERT(played.taken_back > 0);
+        CPPUNIT_ASSERT(played.returned > 0);
     }
 
     void a_lowered_limit_binds_after_a_window() {
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -48,7 +48,7 @@
     /// Times at which calls were admitted.
     std::deque<instant> spent;
     std::uint64_t refused = 0;
-    std::uint64_t taken_back = 0;
+    std::uint64_t returned = 0;
     double loss = 0;
     /// Share of calls, 0 to 1, that hold a permit for up to `longest_hold` and return it without
     /// running.
@@ -293,7 +293,7 @@
             node& holding = nodes_[call.node];
             if (holding.life == call.life) {
                 holding.holder->give_back(tenant_.name, call.taken, now);
-                ++taken_back;
+                ++returned;
             }
             return true;
         });
@@ -310,7 +310,7 @@
                 // The call was not run.
                 taker.holder->give_back(tenant_.name, now, now);
                 spent.pop_back();
-                ++taken_back;
+                ++returned;
             }
             return;
         }
