--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -105,7 +105,7 @@
     void the_bound_holds_when_permits_come_back_late() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             quota_world played = world(seed, 60);
-            played.late_returns = 0.5;
+            played.late_return_share = 0.5;
             played.run(std::chrono::seconds(6), 30);
             std::mt19937_64 random(seed);
             for (int round = 0; round < 8; ++round) {
@@ -165,7 +165,7 @@
     static void play_all_faults(quota_world& played, std::uint64_t seed, std::size_t nodes,
                                 double rate) {
         std::mt19937_64 random(seed);
-        played.late_returns = seed % 2 == 0 ? 0 : 0.3;
+        played.late_return_share = seed % 2 == 0 ? 0 : 0.3;
         for (int round = 0; round < 14; ++round) {
             switch (random() % 5) {
                 case 0:
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -52,7 +52,7 @@
     double loss = 0;
     /// Share of calls, 0 to 1, that hold a permit for up to `longest_hold` and return it without
     /// running.
-    double late_returns = 0;
+    double late_return_share = 0;
     duration longest_hold = std::chrono::seconds(3);
     bool lender_reachable = true;
 
@@ -277,7 +277,7 @@
 
     /// @return true when the call that has just taken a permit is one of those that don't run
     bool hold_permit(std::size_t number) {
-        if (late_returns <= 0 || random_() % 1'000 >= late_returns * 1'000) {
+        if (late_return_share <= 0 || random_() % 1'000 >= late_return_share * 1'000) {
             return false;
         }
         const auto most = std::chrono::duration_cast<milliseconds>(longest_hold).count();
