--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -262,8 +262,8 @@
                 return true;
             }
             if (each.answered >= call.needed) {
-                const bool unsure = each.holder->lender_settling();
-                end_waiting(each, unsure && each.holder->take_without_lender(tenant_.name, now));
+                const bool settling = each.holder->lender_settling();
+                end_waiting(each, settling && each.holder->take_without_lender(tenant_.name, now));
                 return true;
             }
             return false;
