--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -46,13 +46,13 @@
     }
 
     void far_above_the_limit_just_the_limit_is_let_in() {
-        quota_world pressed = world(2, 50);
-        pressed.run(std::chrono::seconds(30), 400);
-        CPPUNIT_ASSERT(pressed.refused > 0);
-        CPPUNIT_ASSERT(static_cast<double>(pressed.max_in_window()) <= pressed.bound());
+        quota_world overloaded = world(2, 50);
+        overloaded.run(std::chrono::seconds(30), 400);
+        CPPUNIT_ASSERT(overloaded.refused > 0);
+        CPPUNIT_ASSERT(static_cast<double>(overloaded.max_in_window()) <= overloaded.bound());
         // In the long run the full rate is admitted: no permits are lost.
-        const double admitted =
-            static_cast<double>(pressed.admitted_since(pressed.now - std::chrono::seconds(15)));
+        const double admitted = static_cast<double>(
+            overloaded.admitted_since(overloaded.now - std::chrono::seconds(15)));
         CPPUNIT_ASSERT(admitted >= 15 * 50 * 0.95);
     }
 
