--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -40,9 +40,9 @@
     }
 
     void far_below_the_limit_nothing_is_refused() {
-        quota_world calm = world(1, 100);
-        calm.run(std::chrono::seconds(20), 60);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, calm.refused);
+        quota_world underloaded = world(1, 100);
+        underloaded.run(std::chrono::seconds(20), 60);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, underloaded.refused);
     }
 
     void far_above_the_limit_just_the_limit_is_let_in() {
@@ -213,9 +213,9 @@
     // Permits held in advance at other nodes must not cause refusals far below the limit: part of
     // the burst tolerance is reserved for waiting calls.
     void permits_at_hand_elsewhere_refuse_nobody() {
-        quota_world calm{1, many_nodes, limited_tenant("t", 10, 9), quota_rules{}};
-        calm.run(std::chrono::seconds(17), 6.2);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, calm.refused);
+        quota_world underloaded{1, many_nodes, limited_tenant("t", 10, 9), quota_rules{}};
+        underloaded.run(std::chrono::seconds(17), 6.2);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, underloaded.refused);
     }
 
     void a_keeper_that_is_new_alone_lends_the_whole_limit() {
