--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -58,7 +58,7 @@
 
     /// @param restarts true: nodes restart and the lender stays; false: the lender changes and no
     /// node restarts
-    static void play_faults(quota_world& played, std::uint64_t seed, bool restarts) {
+    static void inject_faults(quota_world& played, std::uint64_t seed, bool restarts) {
         std::mt19937_64 random(seed);
         for (int round = 0; round < 24; ++round) {
             switch (random() % 6) {
@@ -91,7 +91,7 @@
     void the_bound_holds_under_faults() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             quota_world played = world(seed, 60);
-            play_faults(played, seed, seed % 2 == 0);
+            inject_faults(played, seed, seed % 2 == 0);
             const auto without_lender = static_cast<double>(played.max_lender_losses());
             CPPUNIT_ASSERT_MESSAGE(
                 "seed " + std::to_string(seed) + ": " + std::to_string(played.max_in_window()),
