--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -162,8 +162,8 @@
 
     /// Random sequence of power losses, restarts, lender changes and frozen nodes, which may
     /// overlap within a window.
-    static void play_all_faults(quota_world& played, std::uint64_t seed, std::size_t nodes,
-                                double rate) {
+    static void inject_all_faults(quota_world& played, std::uint64_t seed, std::size_t nodes,
+                                  double rate) {
         std::mt19937_64 random(seed);
         played.late_return_share = seed % 2 == 0 ? 0 : 0.3;
         for (int round = 0; round < 14; ++round) {
@@ -195,7 +195,7 @@
     void the_bound_holds_under_all_faults_at_once() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             quota_world played = world(seed, 60);
-            play_all_faults(played, seed, node_count, 60);
+            inject_all_faults(played, seed, node_count, 60);
             require_within_bound(played, seed);
         }
     }
@@ -205,7 +205,7 @@
     void the_bound_holds_at_many_nodes_under_all_faults_at_once() {
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             quota_world played{seed, many_nodes, limited_tenant("t", 10, 10), quota_rules{}};
-            play_all_faults(played, seed, many_nodes, 10);
+            inject_all_faults(played, seed, many_nodes, 10);
             require_within_bound(played, seed);
         }
     }
