--- a/tests/scheduling/engine_pace_test.cpp
+++ b/tests/scheduling/engine_pace_test.cpp
@@ -24,8 +24,8 @@
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
 
     /// Records 20 events and ended streams for each engine at `now`.
-    static void play(engine_pace& pace, const std::vector<std::string>& engines, double gap,
-                     instant now) {
+    static void record_events(engine_pace& pace, const std::vector<std::string>& engines,
+                              double gap, instant now) {
         for (int count = 0; count < 20; ++count) {
             for (const std::string& engine : engines) {
                 pace.events_came(engine, 1, ms(gap), now);
@@ -47,17 +47,17 @@
     void engines_that_slow_down_together_show_as_slowdown() {
         engine_pace pace;
         CPPUNIT_ASSERT_EQUAL(1.0, pace.slowdown(at(1)));
-        play(pace, {"a", "b", "c"}, 20, at(1000));
+        record_events(pace, {"a", "b", "c"}, 20, at(1000));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1, pace.slowdown(at(1000)), 0.05);
-        play(pace, {"a", "b", "c"}, 60, at(2000));
+        record_events(pace, {"a", "b", "c"}, 60, at(2000));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(3, pace.slowdown(at(2000)), 0.2);
     }
 
     void one_slow_engine_is_seen_and_is_no_slowdown_of_all() {
         engine_pace pace;
-        play(pace, {"a", "b", "c"}, 20, at(1000));
-        play(pace, {"a", "b"}, 20, at(1500));
-        play(pace, {"c"}, 200, at(1500));
+        record_events(pace, {"a", "b", "c"}, 20, at(1000));
+        record_events(pace, {"a", "b"}, 20, at(1500));
+        record_events(pace, {"c"}, 200, at(1500));
         CPPUNIT_ASSERT(pace.gap_ms("c", at(1500)) > 150);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(20, pace.gap_ms("a", at(1500)), 1);
         CPPUNIT_ASSERT(pace.slowdown(at(1500)) < 1.5);
@@ -65,7 +65,7 @@
 
     void what_is_old_no_longer_counts() {
         engine_pace pace;
-        play(pace, {"a", "b", "c"}, 20, at(1000));
+        record_events(pace, {"a", "b", "c"}, 20, at(1000));
         pace.events_came("a", 1, ms(500), at(1100));
         const instant later = at(1100) + engine_pace::sample_lifetime;
         CPPUNIT_ASSERT_DOUBLES_EQUAL(20, pace.gap_ms("a", later), 5);
