--- a/tests/plane/tenants/key_index_test.cpp
+++ b/tests/plane/tenants/key_index_test.cpp
@@ -12,13 +12,13 @@
 
 class key_index_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(key_index_test);
-    CPPUNIT_TEST(each_key_finds_its_tenant_and_no_other_text_does);
-    CPPUNIT_TEST(absurd_keys_find_nobody);
-    CPPUNIT_TEST(what_logs_show_is_not_the_key);
-    CPPUNIT_TEST(tenants_share_no_identifier);
-    CPPUNIT_TEST(each_kind_of_invalid_tenant_is_refused);
-    CPPUNIT_TEST(configurations_from_before_there_were_keys_are_read);
-    CPPUNIT_TEST(configurations_with_tenants_survive_the_codec);
+    CPPUNIT_TEST(finds_tenants_by_exact_key_only);
+    CPPUNIT_TEST(empty_oversized_and_extended_keys_find_no_tenant);
+    CPPUNIT_TEST(loggable_key_is_a_short_stable_digest);
+    CPPUNIT_TEST(scoped_identifiers_of_tenants_differ);
+    CPPUNIT_TEST(validation_rejects_invalid_tenants);
+    CPPUNIT_TEST(reads_configurations_without_keys);
+    CPPUNIT_TEST(configurations_with_tenants_round_trip);
     CPPUNIT_TEST_SUITE_END();
 
     static routing::tenant make(const std::string& name, std::vector<std::string> keys) {
@@ -44,7 +44,7 @@
         return made;
     }
 
-    void each_key_finds_its_tenant_and_no_other_text_does() {
+    void finds_tenants_by_exact_key_only() {
         const std::vector<routing::tenant> known = valid().tenants;
         const key_index keys(known);
         CPPUNIT_ASSERT(keys.required());
@@ -59,7 +59,7 @@
         });
     }
 
-    void absurd_keys_find_nobody() {
+    void empty_oversized_and_extended_keys_find_no_tenant() {
         const std::string huge(10'000, 'k');
         const std::vector<routing::tenant> known{make("one", {huge, "k1"})};
         const key_index keys(known);
@@ -68,7 +68,7 @@
         CPPUNIT_ASSERT(keys.find(std::string("k1\0", 3)) == nullptr);
     }
 
-    void what_logs_show_is_not_the_key() {
+    void loggable_key_is_a_short_stable_digest() {
         const std::string shown = loggable_key("gjqnirth5mgjy5rcpihh");
         CPPUNIT_ASSERT_EQUAL(std::size_t{8}, shown.size());
         CPPUNIT_ASSERT_EQUAL(shown, loggable_key("gjqnirth5mgjy5rcpihh"));
@@ -76,7 +76,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("-"), loggable_key(""));
     }
 
-    void tenants_share_no_identifier() {
+    void scoped_identifiers_of_tenants_differ() {
         check_property("two tenants never name the same, whatever they are called", [] {
             const auto name = rc::gen::nonEmpty(
                 rc::gen::container<std::string>(rc::gen::element('1', '2', ':', '/', 'a')));
@@ -100,7 +100,7 @@
         CPPUNIT_ASSERT(outcome.error().reason.find("k1") == std::string::npos);
     }
 
-    void each_kind_of_invalid_tenant_is_refused() {
+    void validation_rejects_invalid_tenants() {
         CPPUNIT_ASSERT(routing::validate(valid()).has_value());
         assert_rejected([](auto& it) { it.tenants[1].keys = {"k1"}; });
         assert_rejected([](auto& it) { it.tenants[0].keys = {"k1", "k1"}; });
@@ -124,7 +124,7 @@
         }
     };
 
-    void configurations_from_before_there_were_keys_are_read() {
+    void reads_configurations_without_keys() {
         earlier_configuration earlier;
         earlier.version = 9;
         earlier.services = valid().services;
@@ -146,7 +146,7 @@
         CPPUNIT_ASSERT(read->tenants.empty());
     }
 
-    void configurations_with_tenants_survive_the_codec() {
+    void configurations_with_tenants_round_trip() {
         const auto read = protocol::decode<routing::configuration>(protocol::encode(valid()));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT(*read == valid());
