--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -7,11 +7,11 @@
 
 class permit_lender_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(permit_lender_test);
-    CPPUNIT_TEST(new_programs_leave_the_last_permits_to_those_under_way);
-    CPPUNIT_TEST(absurd_and_doubled_reports_do_no_harm);
-    CPPUNIT_TEST(what_was_spent_at_once_is_followed_at_the_rate);
-    CPPUNIT_TEST(permits_of_the_lender_before_are_not_its_own);
-    CPPUNIT_TEST(a_tenant_that_is_back_has_what_its_nodes_hold);
+    CPPUNIT_TEST(last_permits_are_reserved_for_running_programs);
+    CPPUNIT_TEST(invalid_and_repeated_reports_do_no_harm);
+    CPPUNIT_TEST(lends_at_the_rate_after_a_burst);
+    CPPUNIT_TEST(permits_of_the_previous_lender_do_not_count_as_lent);
+    CPPUNIT_TEST(readded_tenant_includes_permits_held_by_nodes);
     CPPUNIT_TEST_SUITE_END();
 
     static permit_report first_report(std::uint64_t question, permit_use use) {
@@ -31,7 +31,7 @@
         return lender;
     }
 
-    void new_programs_leave_the_last_permits_to_those_under_way() {
+    void last_permits_are_reserved_for_running_programs() {
         permit_lender lender = settled_lender();
         // 55 of 60 are spent: none are left for new programs, five for running ones.
         permit_use use{"t", 55, 55, 55, 0, 1, 3};
@@ -57,7 +57,7 @@
         return answer.grants.empty() ? 0 : answer.grants.front().ceiling - spent;
     }
 
-    void what_was_spent_at_once_is_followed_at_the_rate() {
+    void lends_at_the_rate_after_a_burst() {
         permit_lender lender{quota_rules{}};
         lender.use({limited_tenant("t", 10, 10)});
         lender.start(start_time - std::chrono::seconds(10));
@@ -68,7 +68,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, granted(lender, 3, 33, 60, later));
     }
 
-    void permits_of_the_lender_before_are_not_its_own() {
+    void permits_of_the_previous_lender_do_not_count_as_lent() {
         permit_lender lender{quota_rules{}};
         lender.use({limited_tenant("t", 10, 10)});
         lender.start(start_time);
@@ -81,7 +81,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, granted(lender, 4, 37, 60, later));
     }
 
-    void a_tenant_that_is_back_has_what_its_nodes_hold() {
+    void readded_tenant_includes_permits_held_by_nodes() {
         permit_lender lender = settled_lender();
         lender.answer(first_report(1, {"t", 5, 9, 5, 0, 0, 0}), start_time);
         lender.use({limited_tenant("another", 10, 10)});
@@ -90,7 +90,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, lender.in_use("t"));
     }
 
-    void absurd_and_doubled_reports_do_no_harm() {
+    void invalid_and_repeated_reports_do_no_harm() {
         permit_lender lender = settled_lender();
         const permit_use use{"t", 5, 9, 5, 0, 0, 0};
         CPPUNIT_ASSERT(lender.answer(first_report(7, use), start_time).outcome ==
