--- a/tests/plane/tenants/permit_rule_test.cpp
+++ b/tests/plane/tenants/permit_rule_test.cpp
@@ -8,17 +8,17 @@
 
 class permit_rule_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(permit_rule_test);
-    CPPUNIT_TEST(calls_under_way_get_all_of_the_limit);
-    CPPUNIT_TEST(new_programs_leave_the_reserve);
-    CPPUNIT_TEST(what_is_lent_elsewhere_counts_against_the_bound_only);
-    CPPUNIT_TEST(while_settling_the_rate_alone_is_lent);
-    CPPUNIT_TEST(while_settling_a_node_keeps_what_it_had);
-    CPPUNIT_TEST(within_a_window_of_its_start_a_lender_leaves_the_allowance);
-    CPPUNIT_TEST(within_a_window_of_its_start_a_lender_lends_at_the_rate);
-    CPPUNIT_TEST(in_that_window_a_node_keeps_what_it_had);
-    CPPUNIT_TEST(the_pace_binds_and_keeps_a_part_for_calls_that_wait);
-    CPPUNIT_TEST(the_tolerated_burst_and_the_rate_for_a_window_are_the_bound);
-    CPPUNIT_TEST(waiting_times_follow_the_pace_of_the_limit);
+    CPPUNIT_TEST(running_programs_may_use_the_whole_limit);
+    CPPUNIT_TEST(new_programs_leave_the_reserved_share);
+    CPPUNIT_TEST(permits_lent_elsewhere_count_against_the_bound_only);
+    CPPUNIT_TEST(only_the_rate_is_lent_while_settling);
+    CPPUNIT_TEST(a_node_keeps_its_permits_while_settling);
+    CPPUNIT_TEST(the_allowance_is_not_lent_in_the_first_window);
+    CPPUNIT_TEST(lends_at_the_rate_in_the_first_window);
+    CPPUNIT_TEST(a_node_keeps_its_permits_in_the_first_window);
+    CPPUNIT_TEST(the_token_bucket_limits_lending_and_reserves_a_share);
+    CPPUNIT_TEST(the_tolerated_burst_plus_the_rate_for_a_window_is_the_bound);
+    CPPUNIT_TEST(retry_delays_follow_the_rate_of_the_limit);
     CPPUNIT_TEST(nothing_is_lent_beyond_the_bound);
     CPPUNIT_TEST_SUITE_END();
 
@@ -37,11 +37,11 @@
         return lendable_permits(use, tenant, running_for, quota_rules{});
     }
 
-    void calls_under_way_get_all_of_the_limit() {
+    void running_programs_may_use_the_whole_limit() {
         CPPUNIT_ASSERT_EQUAL(5.0, lent(asking_for(9, 0, 0), tenant_with(55, 55)).needed);
     }
 
-    void new_programs_leave_the_reserve() {
+    void new_programs_leave_the_reserved_share() {
         const lendable open = lent(asking_for(0, 9, 9), tenant_with(40, 40));
         CPPUNIT_ASSERT_EQUAL(5.0, open.beginning);
         CPPUNIT_ASSERT_EQUAL(0.0, open.spare);
@@ -50,7 +50,7 @@
         CPPUNIT_ASSERT_EQUAL(2.0, lent(asking_for(3, 9, 0), tenant_with(40, 40)).beginning);
     }
 
-    void what_is_lent_elsewhere_counts_against_the_bound_only() {
+    void permits_lent_elsewhere_count_against_the_bound_only() {
         // 20 are spent, and 50 more are lent to other nodes.
         const lendable open = lent(asking_for(9, 0, 9), tenant_with(70, 20));
         CPPUNIT_ASSERT_EQUAL(9.0, open.needed);
@@ -58,7 +58,7 @@
         CPPUNIT_ASSERT_EQUAL(0.0, lent(asking_for(9, 0, 9), tenant_with(86, 20)).needed);
     }
 
-    void while_settling_the_rate_alone_is_lent() {
+    void only_the_rate_is_lent_while_settling() {
         const duration early = std::chrono::milliseconds(300);
         CPPUNIT_ASSERT_EQUAL(3.0, lent(asking_for(9, 9, 0), tenant_with(0, 0), early).needed);
         CPPUNIT_ASSERT_EQUAL(0.0, lent(asking_for(9, 9, 0), tenant_with(0, 0), early).beginning);
@@ -67,20 +67,20 @@
         CPPUNIT_ASSERT_EQUAL(1.0, lent(asking_for(9, 0, 0), granted, early).needed);
     }
 
-    void while_settling_a_node_keeps_what_it_had() {
+    void a_node_keeps_its_permits_while_settling() {
         permit_use use = asking_for(0, 0, 9);
         use.spent = 10;
         use.ceiling = 14;
         CPPUNIT_ASSERT_EQUAL(4.0, lent(use, tenant_with(0, 0), duration::zero()).spare);
     }
 
-    void within_a_window_of_its_start_a_lender_leaves_the_allowance() {
+    void the_allowance_is_not_lent_in_the_first_window() {
         const permit_use use = asking_for(9, 0, 0);
         CPPUNIT_ASSERT_EQUAL(0.0, lent(use, tenant_with(60, 20), std::chrono::seconds(4)).needed);
         CPPUNIT_ASSERT_EQUAL(9.0, lent(use, tenant_with(60, 20), std::chrono::seconds(5)).needed);
     }
 
-    void within_a_window_of_its_start_a_lender_lends_at_the_rate() {
+    void lends_at_the_rate_in_the_first_window() {
         const duration early = std::chrono::seconds(2);
         const permit_use use = asking_for(50, 0, 0);
         CPPUNIT_ASSERT_EQUAL(20.0, lent(use, tenant_with(0, 0), early).needed);
@@ -93,7 +93,7 @@
         CPPUNIT_ASSERT_EQUAL(6.0, lent(asking_for(0, 50, 0), tenant, early).beginning);
     }
 
-    void in_that_window_a_node_keeps_what_it_had() {
+    void a_node_keeps_its_permits_in_the_first_window() {
         permit_use use = asking_for(0, 0, 9);
         use.spent = 10;
         use.ceiling = 14;
@@ -102,7 +102,7 @@
         CPPUNIT_ASSERT_EQUAL(4.0, lent(use, tenant, std::chrono::seconds(1)).spare);
     }
 
-    void the_pace_binds_and_keeps_a_part_for_calls_that_wait() {
+    void the_token_bucket_limits_lending_and_reserves_a_share() {
         limit_use tenant = tenant_with(0, 0);
         tenant.burst_tolerance = 20;
         tenant.left_by_token_bucket = 12.5;
@@ -114,7 +114,7 @@
         CPPUNIT_ASSERT_EQUAL(0.0, lent(asking_for(9, 9, 9), tenant).needed);
     }
 
-    void the_tolerated_burst_and_the_rate_for_a_window_are_the_bound() {
+    void the_tolerated_burst_plus_the_rate_for_a_window_is_the_bound() {
         const duration slot = std::chrono::milliseconds(250);
         // 86 - 50, less 2.5 for the slot.
         CPPUNIT_ASSERT_EQUAL(33.5, tolerated_burst(tenant_with(0, 0), quota_rules{}, slot));
@@ -123,7 +123,7 @@
         CPPUNIT_ASSERT_EQUAL(3.5, tolerated_burst(narrow, quota_rules{}, slot));
     }
 
-    void waiting_times_follow_the_pace_of_the_limit() {
+    void retry_delays_follow_the_rate_of_the_limit() {
         // 60 in five seconds are 12 a second.
         CPPUNIT_ASSERT_EQUAL(500U, time_to_free_ms(tenant_with(0, 0), 6, quota_rules{}));
         CPPUNIT_ASSERT_EQUAL(50U, time_to_free_ms(tenant_with(0, 0), 0, quota_rules{}));
