--- a/tests/plane/tenants/spent_window_test.cpp
+++ b/tests/plane/tenants/spent_window_test.cpp
@@ -8,13 +8,13 @@
 
 class spent_window_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(spent_window_test);
-    CPPUNIT_TEST(one_given_back_leaves_the_newer_one_counted);
-    CPPUNIT_TEST(one_that_has_left_the_window_frees_nothing);
+    CPPUNIT_TEST(a_returned_permit_leaves_the_newer_one_counted);
+    CPPUNIT_TEST(a_permit_outside_the_window_is_not_returned);
     CPPUNIT_TEST_SUITE_END();
 
     // A returned permit must be removed from its own slot. Removed from a newer slot, it left the
     // later permit uncounted.
-    void one_given_back_leaves_the_newer_one_counted() {
+    void a_returned_permit_leaves_the_newer_one_counted() {
         spent_window spent(std::chrono::seconds(5));
         const instant later = start_time + std::chrono::seconds(3);
         spent.add(start_time);
@@ -26,7 +26,7 @@
 
     // A permit that is returned after it has left the window must not allow another one to be
     // spent, since the lender counts that one nowhere.
-    void one_that_has_left_the_window_frees_nothing() {
+    void a_permit_outside_the_window_is_not_returned() {
         permit_holder holder(quota_rules{}, "n", 1);
         permit_lender lender{quota_rules{}};
         holder.use({limited_tenant("t", 10, 10)});
