--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -8,21 +8,21 @@
 
 class quota_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(quota_test);
-    CPPUNIT_TEST(far_below_the_limit_nothing_is_refused);
-    CPPUNIT_TEST(far_above_the_limit_just_the_limit_is_let_in);
+    CPPUNIT_TEST(no_call_is_refused_far_below_the_limit);
+    CPPUNIT_TEST(overload_is_admitted_up_to_the_limit);
     CPPUNIT_TEST(the_bound_holds_under_faults);
-    CPPUNIT_TEST(the_bound_holds_when_permits_come_back_late);
-    CPPUNIT_TEST(the_bound_holds_when_all_power_is_lost);
-    CPPUNIT_TEST(the_bound_holds_while_nodes_restart_and_the_keeper_changes);
+    CPPUNIT_TEST(the_bound_holds_when_permits_are_returned_late);
+    CPPUNIT_TEST(the_bound_holds_after_a_loss_of_power);
+    CPPUNIT_TEST(the_bound_holds_while_nodes_restart_and_the_lender_changes);
     CPPUNIT_TEST(the_bound_holds_under_all_faults_at_once);
     CPPUNIT_TEST(the_bound_holds_at_many_nodes_under_all_faults_at_once);
-    CPPUNIT_TEST(permits_at_hand_elsewhere_refuse_nobody);
-    CPPUNIT_TEST(a_keeper_that_is_new_alone_lends_the_whole_limit);
-    CPPUNIT_TEST(without_the_bound_faults_are_noticed);
-    CPPUNIT_TEST(permits_of_dead_and_frozen_nodes_come_back);
-    CPPUNIT_TEST(a_lowered_limit_binds_after_a_window);
-    CPPUNIT_TEST(a_silent_keeper_stops_nobody_who_keeps_his_pace);
-    CPPUNIT_TEST(a_tenant_without_a_limit_needs_no_permit);
+    CPPUNIT_TEST(spare_permits_at_other_nodes_cause_no_refusals);
+    CPPUNIT_TEST(a_change_of_lender_alone_causes_few_refusals);
+    CPPUNIT_TEST(the_loss_of_all_lender_state_is_detected);
+    CPPUNIT_TEST(permits_of_dead_and_frozen_nodes_are_recovered);
+    CPPUNIT_TEST(a_lowered_limit_applies_after_a_window);
+    CPPUNIT_TEST(an_unreachable_lender_causes_few_refusals_at_a_steady_rate);
+    CPPUNIT_TEST(an_unlimited_tenant_needs_no_permit);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t node_count = 12;
@@ -39,13 +39,13 @@
             static_cast<double>(played.max_in_window()) <= played.bound());
     }
 
-    void far_below_the_limit_nothing_is_refused() {
+    void no_call_is_refused_far_below_the_limit() {
         quota_world underloaded = world(1, 100);
         underloaded.run(std::chrono::seconds(20), 60);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, underloaded.refused);
     }
 
-    void far_above_the_limit_just_the_limit_is_let_in() {
+    void overload_is_admitted_up_to_the_limit() {
         quota_world overloaded = world(2, 50);
         overloaded.run(std::chrono::seconds(30), 400);
         CPPUNIT_ASSERT(overloaded.refused > 0);
@@ -102,7 +102,7 @@
     // Permits returned late must be removed from the slot in which they were counted. Removed from
     // the newest slot, they left calls that had just run uncounted, and the lender lent their
     // permits again.
-    void the_bound_holds_when_permits_come_back_late() {
+    void the_bound_holds_when_permits_are_returned_late() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             quota_world played = world(seed, 60);
             played.late_return_share = 0.5;
@@ -119,7 +119,7 @@
 
     // After a loss of power neither the nodes nor the new lender know what was spent in the last
     // window. A lender that lends the whole limit at once then exceeds the bound.
-    void the_bound_holds_when_all_power_is_lost() {
+    void the_bound_holds_after_a_loss_of_power() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             quota_world played = world(seed, 60);
             std::mt19937_64 random(seed);
@@ -141,7 +141,7 @@
 
     // When a node and the lender that had its reports are both gone, the next lender doesn't know
     // what that node spent, and must not lend the difference to the limit again.
-    void the_bound_holds_while_nodes_restart_and_the_keeper_changes() {
+    void the_bound_holds_while_nodes_restart_and_the_lender_changes() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
             quota_world played = world(seed, 60);
             std::mt19937_64 random(seed);
@@ -212,13 +212,13 @@
 
     // Permits held in advance at other nodes must not cause refusals far below the limit: part of
     // the burst tolerance is reserved for waiting calls.
-    void permits_at_hand_elsewhere_refuse_nobody() {
+    void spare_permits_at_other_nodes_cause_no_refusals() {
         quota_world underloaded{1, many_nodes, limited_tenant("t", 10, 9), quota_rules{}};
         underloaded.run(std::chrono::seconds(17), 6.2);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, underloaded.refused);
     }
 
-    void a_keeper_that_is_new_alone_lends_the_whole_limit() {
+    void a_change_of_lender_alone_causes_few_refusals() {
         quota_world played = world(8, 100);
         played.run(std::chrono::seconds(8), 60);
         const std::uint64_t before = played.refused;
@@ -229,7 +229,7 @@
 
     /// Shows that the checks above detect a lender that has lost its state and lends as if it were
     /// not new, when the nodes that could report to it have restarted too.
-    void without_the_bound_faults_are_noticed() {
+    void the_loss_of_all_lender_state_is_detected() {
         quota_world played = world(3, 60);
         std::size_t most = 0;
         for (int round = 0; round < 20; ++round) {
@@ -243,7 +243,7 @@
         CPPUNIT_ASSERT(static_cast<double>(most) > played.bound());
     }
 
-    void permits_of_dead_and_frozen_nodes_come_back() {
+    void permits_of_dead_and_frozen_nodes_are_recovered() {
         quota_world played = world(4, 50);
         played.run(std::chrono::seconds(6), 300);
         for (std::size_t number = 0; number < node_count; number += 2) {
@@ -257,7 +257,7 @@
         CPPUNIT_ASSERT(played.returned > 0);
     }
 
-    void a_lowered_limit_binds_after_a_window() {
+    void a_lowered_limit_applies_after_a_window() {
         quota_world played = world(5, 200);
         played.run(std::chrono::seconds(6), 180);
         played.change_limit(20, 20);
@@ -267,7 +267,7 @@
         CPPUNIT_ASSERT(static_cast<double>(played.admitted_since(since)) <= played.bound());
     }
 
-    void a_silent_keeper_stops_nobody_who_keeps_his_pace() {
+    void an_unreachable_lender_causes_few_refusals_at_a_steady_rate() {
         quota_world played = world(6, 100);
         played.run(std::chrono::seconds(6), 60);
         const std::uint64_t before = played.refused;
@@ -283,7 +283,7 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(played.refused - after), played.refused - after <= 3);
     }
 
-    void a_tenant_without_a_limit_needs_no_permit() {
+    void an_unlimited_tenant_needs_no_permit() {
         permit_holder holder(quota_rules{}, "n", 1);
         holder.use({limited_tenant("free", 0, 0), limited_tenant("t", 10, 10)});
         CPPUNIT_ASSERT(holder.take("free", start_time));
