--- a/tests/scheduling/backend_pool_test.cpp
+++ b/tests/scheduling/backend_pool_test.cpp
@@ -8,13 +8,13 @@
 
 class backend_pool_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_pool_test);
-    CPPUNIT_TEST(own_work_counts_on_top_of_a_lagging_report);
+    CPPUNIT_TEST(own_calls_are_added_to_a_lagging_report);
     CPPUNIT_TEST(a_shared_fault_does_not_empty_the_pool);
-    CPPUNIT_TEST(one_that_fails_part_of_its_calls_is_left_out);
-    CPPUNIT_TEST(rare_failures_leave_it_in);
-    CPPUNIT_TEST(whichever_source_says_leaving_counts);
-    CPPUNIT_TEST(an_unheard_back_end_gets_no_work);
-    CPPUNIT_TEST(the_clock_is_never_taken_for_further_ahead_than_it_is);
+    CPPUNIT_TEST(a_partly_failing_back_end_is_ejected);
+    CPPUNIT_TEST(rare_failures_do_not_eject);
+    CPPUNIT_TEST(leaving_is_accepted_from_each_source);
+    CPPUNIT_TEST(a_back_end_without_status_is_unavailable);
+    CPPUNIT_TEST(the_clock_estimate_is_a_lower_bound);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t size = 6;
@@ -32,7 +32,7 @@
         return made;
     }
 
-    void own_work_counts_on_top_of_a_lagging_report() {
+    void own_calls_are_added_to_a_lagging_report() {
         backend_pool engines = pool();
         engines.report("engine-0", {2, 1, 0, false});
         engines.started("engine-0", 100);
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT(engines.least_loaded(size, {}, false, now).size() < size);
     }
 
-    void one_that_fails_part_of_its_calls_is_left_out() {
+    void a_partly_failing_back_end_is_ejected() {
         // Never three failures in a row, yet half of its calls fail.
         backend_pool engines = pool();
         const instant now(std::chrono::seconds(5));
@@ -71,7 +71,7 @@
         CPPUNIT_ASSERT(ejected);
     }
 
-    void rare_failures_leave_it_in() {
+    void rare_failures_do_not_eject() {
         backend_pool engines = pool();
         const instant now(std::chrono::seconds(5));
         for (int round = 0; round < 100; ++round) {
@@ -83,7 +83,7 @@
         }
     }
 
-    void whichever_source_says_leaving_counts() {
+    void leaving_is_accepted_from_each_source() {
         const instant now(std::chrono::seconds(5));
         backend_pool engines = pool();
         engines.report("engine-1", {0, 0, 0, true});
@@ -93,7 +93,7 @@
         CPPUNIT_ASSERT(engines.available(*engines.find("engine-3"), now));
     }
 
-    void an_unheard_back_end_gets_no_work() {
+    void a_back_end_without_status_is_unavailable() {
         backend_pool engines;
         backend_member member;
         member.name = "new";
@@ -103,7 +103,7 @@
         CPPUNIT_ASSERT(engines.available(*engines.find("new"), instant{}));
     }
 
-    void the_clock_is_never_taken_for_further_ahead_than_it_is() {
+    void the_clock_estimate_is_a_lower_bound() {
         check_property("a delayed answer only makes the difference smaller", [] {
             backend_pool engines = pool();
             const std::int64_t ahead = 5'000'000;
