--- a/tests/scheduling/engine_pace_test.cpp
+++ b/tests/scheduling/engine_pace_test.cpp
@@ -10,10 +10,10 @@
 
 class engine_pace_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(engine_pace_test);
-    CPPUNIT_TEST(the_reading_rate_is_that_of_an_engine_with_nothing_else_to_do);
-    CPPUNIT_TEST(engines_that_slow_down_together_show_as_slowdown);
-    CPPUNIT_TEST(one_slow_engine_is_seen_and_is_no_slowdown_of_all);
-    CPPUNIT_TEST(what_is_old_no_longer_counts);
+    CPPUNIT_TEST(the_prompt_rate_is_that_of_an_idle_engine);
+    CPPUNIT_TEST(a_common_slowdown_is_measured);
+    CPPUNIT_TEST(one_slow_engine_does_not_raise_the_common_slowdown);
+    CPPUNIT_TEST(expired_samples_are_ignored);
     CPPUNIT_TEST(any_samples_leave_finite_values);
     CPPUNIT_TEST_SUITE_END();
 
@@ -34,7 +34,7 @@
         }
     }
 
-    void the_reading_rate_is_that_of_an_engine_with_nothing_else_to_do() {
+    void the_prompt_rate_is_that_of_an_idle_engine() {
         engine_pace pace;
         for (int count = 0; count < 50; ++count) {
             pace.prompt_read(10'000, ms(100));
@@ -44,7 +44,7 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.01, pace.read_ms_per_token(), 0.002);
     }
 
-    void engines_that_slow_down_together_show_as_slowdown() {
+    void a_common_slowdown_is_measured() {
         engine_pace pace;
         CPPUNIT_ASSERT_EQUAL(1.0, pace.slowdown(at(1)));
         record_events(pace, {"a", "b", "c"}, 20, at(1000));
@@ -53,7 +53,7 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(3, pace.slowdown(at(2000)), 0.2);
     }
 
-    void one_slow_engine_is_seen_and_is_no_slowdown_of_all() {
+    void one_slow_engine_does_not_raise_the_common_slowdown() {
         engine_pace pace;
         record_events(pace, {"a", "b", "c"}, 20, at(1000));
         record_events(pace, {"a", "b"}, 20, at(1500));
@@ -63,7 +63,7 @@
         CPPUNIT_ASSERT(pace.slowdown(at(1500)) < 1.5);
     }
 
-    void what_is_old_no_longer_counts() {
+    void expired_samples_are_ignored() {
         engine_pace pace;
         record_events(pace, {"a", "b", "c"}, 20, at(1000));
         pace.events_came("a", 1, ms(500), at(1100));
