--- a/tests/scheduling/outlier_ejection_test.cpp
+++ b/tests/scheduling/outlier_ejection_test.cpp
@@ -9,10 +9,10 @@
 class outlier_ejection_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(outlier_ejection_test);
     CPPUNIT_TEST(the_third_failure_in_a_row_ejects);
-    CPPUNIT_TEST(the_weight_of_a_refused_connection_ejects_at_once);
-    CPPUNIT_TEST(while_too_many_are_ejected_none_is);
+    CPPUNIT_TEST(a_failure_of_threshold_weight_ejects_at_once);
+    CPPUNIT_TEST(no_ejection_while_the_pool_forbids_it);
     CPPUNIT_TEST(ejections_double_up_to_a_limit);
-    CPPUNIT_TEST(a_back_end_that_recovered_starts_anew);
+    CPPUNIT_TEST(recovery_resets_the_ejection_time);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant now{std::chrono::seconds(50)};
@@ -32,13 +32,13 @@
         CPPUNIT_ASSERT(!backend.is_ejected(now + outlier_ejection::base_ejection_time));
     }
 
-    void the_weight_of_a_refused_connection_ejects_at_once() {
+    void a_failure_of_threshold_weight_ejects_at_once() {
         outlier_ejection backend;
         eject(backend, now);
         CPPUNIT_ASSERT(backend.is_ejected(now));
     }
 
-    void while_too_many_are_ejected_none_is() {
+    void no_ejection_while_the_pool_forbids_it() {
         outlier_ejection backend;
         for (int count = 0; count < 10; ++count) {
             backend.failed(1, false, now);
@@ -59,7 +59,7 @@
         }
     }
 
-    void a_back_end_that_recovered_starts_anew() {
+    void recovery_resets_the_ejection_time() {
         outlier_ejection backend;
         eject(backend, now);
         // From probation, six successes bring the score below recovered_score.
