--- a/tests/scheduling/policy_test.cpp
+++ b/tests/scheduling/policy_test.cpp
@@ -15,9 +15,9 @@
     CPPUNIT_TEST(shipped_policies_compile);
     CPPUNIT_TEST(an_endless_loop_is_stopped);
     CPPUNIT_TEST(memory_is_bounded);
-    CPPUNIT_TEST(nothing_outside_is_reachable);
-    CPPUNIT_TEST(results_repeat);
-    CPPUNIT_TEST(any_text_compiles_or_is_refused);
+    CPPUNIT_TEST(unsafe_functions_are_unavailable);
+    CPPUNIT_TEST(results_are_deterministic);
+    CPPUNIT_TEST(any_text_compiles_or_is_rejected);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string policy_text(const std::string& order_body) {
@@ -49,7 +49,7 @@
                  .has_value());
     }
 
-    void nothing_outside_is_reachable() {
+    void unsafe_functions_are_unavailable() {
         for (const std::string call :
              {"io.open('/etc/passwd')", "os.exit(1)", "require('os')", "load('return 1')",
               "dofile('x')", "debug.getinfo(1)", "math.random()", "os.time()"}) {
@@ -58,7 +58,7 @@
         }
     }
 
-    void results_repeat() {
+    void results_are_deterministic() {
         const auto compiled = policy::compile(policy_text("return call.attained_tokens * 2"));
         scheduling::call_features features;
         features.attained_tokens = 21;
@@ -66,7 +66,7 @@
         CPPUNIT_ASSERT_EQUAL(42.0, (*compiled)->order(features).value());
     }
 
-    void any_text_compiles_or_is_refused() {
+    void any_text_compiles_or_is_rejected() {
         check_property("compile answers any bytes", [] {
             const auto compiled = policy::compile(*any_bytes());
             RC_ASSERT(!compiled.has_value() || *compiled != nullptr);
