--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -70,10 +70,10 @@
                     played.freeze(random() % node_count, milliseconds(random() % 7'000));
                     break;
                 case 3:
-                    played.loss = static_cast<double>(random() % 40) / 100;
+                    played.message_loss = static_cast<double>(random() % 40) / 100;
                     break;
                 case 4:
-                    played.loss = 0;
+                    played.message_loss = 0;
                     break;
                 default:
                     played.lender_reachable = !played.lender_reachable;
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -49,7 +49,7 @@
     std::deque<instant> spent;
     std::uint64_t refused = 0;
     std::uint64_t returned = 0;
-    double loss = 0;
+    double message_loss = 0;
     /// Share of calls, 0 to 1, that hold a permit for up to `longest_hold` and return it without
     /// running.
     double late_return_share = 0;
@@ -183,7 +183,7 @@
         return made;
     }
 
-    bool lost() { return !lender_reachable || random_() % 1'000 < loss * 1'000; }
+    bool lost() { return !lender_reachable || random_() % 1'000 < message_loss * 1'000; }
     duration delay() { return milliseconds(1 + random_() % 6); }
 
     void deliver() {
