--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -33,10 +33,10 @@
         return {seed, node_count, limited_tenant("t", rate, rate), quota_rules{}};
     }
 
-    static void require_within_bound(const quota_world& played, std::uint64_t seed) {
+    static void require_within_bound(const quota_world& simulation, std::uint64_t seed) {
         CPPUNIT_ASSERT_MESSAGE(
-            "seed " + std::to_string(seed) + ": " + std::to_string(played.max_in_window()),
-            static_cast<double>(played.max_in_window()) <= played.bound());
+            "seed " + std::to_string(seed) + ": " + std::to_string(simulation.max_in_window()),
+            static_cast<double>(simulation.max_in_window()) <= simulation.bound());
     }
 
     void no_call_is_refused_far_below_the_limit() {
@@ -58,30 +58,31 @@
 
     /// @param restarts true: nodes restart and the lender stays; false: the lender changes and no
     /// node restarts
-    static void inject_faults(quota_world& played, std::uint64_t seed, bool restarts) {
+    static void inject_faults(quota_world& simulation, std::uint64_t seed, bool restarts) {
         std::mt19937_64 random(seed);
         for (int round = 0; round < 24; ++round) {
             switch (random() % 6) {
                 case 0:
                 case 2:
-                    restarts ? played.restart(random() % node_count) : played.change_lender();
+                    restarts ? simulation.restart(random() % node_count)
+                             : simulation.change_lender();
                     break;
                 case 1:
-                    played.freeze(random() % node_count, milliseconds(random() % 7'000));
+                    simulation.freeze(random() % node_count, milliseconds(random() % 7'000));
                     break;
                 case 3:
-                    played.message_loss = static_cast<double>(random() % 40) / 100;
+                    simulation.message_loss = static_cast<double>(random() % 40) / 100;
                     break;
                 case 4:
-                    played.message_loss = 0;
+                    simulation.message_loss = 0;
                     break;
                 default:
-                    played.lender_reachable = !played.lender_reachable;
+                    simulation.lender_reachable = !simulation.lender_reachable;
                     break;
             }
-            played.run(milliseconds(100 + random() % 1'400), 30 + random() % 500);
+            simulation.run(milliseconds(100 + random() % 1'400), 30 + random() % 500);
             if (random() % 2 == 0) {
-                played.lender_reachable = true;
+                simulation.lender_reachable = true;
             }
         }
     }
@@ -90,12 +91,13 @@
     /// them.
     void the_bound_holds_under_faults() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-            quota_world played = world(seed, 60);
-            inject_faults(played, seed, seed % 2 == 0);
-            const auto without_lender = static_cast<double>(played.max_lender_losses());
+            quota_world simulation = world(seed, 60);
+            inject_faults(simulation, seed, seed % 2 == 0);
+            const auto without_lender = static_cast<double>(simulation.max_lender_losses());
             CPPUNIT_ASSERT_MESSAGE(
-                "seed " + std::to_string(seed) + ": " + std::to_string(played.max_in_window()),
-                static_cast<double>(played.max_in_window()) <= played.bound() + without_lender);
+                "seed " + std::to_string(seed) + ": " + std::to_string(simulation.max_in_window()),
+                static_cast<double>(simulation.max_in_window()) <=
+                    simulation.bound() + without_lender);
         }
     }
 
@@ -104,16 +106,16 @@
     // permits again.
     void the_bound_holds_when_permits_are_returned_late() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-            quota_world played = world(seed, 60);
-            played.late_return_share = 0.5;
-            played.run(std::chrono::seconds(6), 30);
+            quota_world simulation = world(seed, 60);
+            simulation.late_return_share = 0.5;
+            simulation.run(std::chrono::seconds(6), 30);
             std::mt19937_64 random(seed);
             for (int round = 0; round < 8; ++round) {
                 const duration length = milliseconds(1'000 + random() % 3'000);
-                played.run(length, 60 * (0.5 + static_cast<double>(random() % 8)));
+                simulation.run(length, 60 * (0.5 + static_cast<double>(random() % 8)));
             }
-            require_within_bound(played, seed);
-            CPPUNIT_ASSERT(played.returned > 0);
+            require_within_bound(simulation, seed);
+            CPPUNIT_ASSERT(simulation.returned > 0);
         }
     }
 
@@ -121,20 +123,21 @@
     // window. A lender that lends the whole limit at once then exceeds the bound.
     void the_bound_holds_after_a_loss_of_power() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-            quota_world played = world(seed, 60);
+            quota_world simulation = world(seed, 60);
             std::mt19937_64 random(seed);
             for (int round = 0; round < 4; ++round) {
-                played.run(milliseconds(1'500 + random() % 7'000), 100 + random() % 500);
-                played.lose_power(milliseconds(200 + random() % 1'800));
+                simulation.run(milliseconds(1'500 + random() % 7'000), 100 + random() % 500);
+                simulation.lose_power(milliseconds(200 + random() % 1'800));
             }
-            played.run(std::chrono::seconds(7), 300);
-            const auto without_lender = static_cast<double>(played.max_lender_losses());
+            simulation.run(std::chrono::seconds(7), 300);
+            const auto without_lender = static_cast<double>(simulation.max_lender_losses());
             CPPUNIT_ASSERT_MESSAGE(
-                "seed " + std::to_string(seed) + ": " + std::to_string(played.max_in_window()),
-                static_cast<double>(played.max_in_window()) <= played.bound() + without_lender);
+                "seed " + std::to_string(seed) + ": " + std::to_string(simulation.max_in_window()),
+                static_cast<double>(simulation.max_in_window()) <=
+                    simulation.bound() + without_lender);
             // Lost state delays calls for a window at most.
-            const double admitted =
-                static_cast<double>(played.admitted_since(played.now - std::chrono::seconds(2)));
+            const double admitted = static_cast<double>(
+                simulation.admitted_since(simulation.now - std::chrono::seconds(2)));
             CPPUNIT_ASSERT(admitted >= 2 * 60 * 0.8);
         }
     }
@@ -143,60 +146,61 @@
     // what that node spent, and must not lend the difference to the limit again.
     void the_bound_holds_while_nodes_restart_and_the_lender_changes() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-            quota_world played = world(seed, 60);
+            quota_world simulation = world(seed, 60);
             std::mt19937_64 random(seed);
             std::size_t next = 0;
             for (int round = 0; round < 12; ++round) {
-                played.run(milliseconds(300 + random() % 600), 100 + random() % 500);
-                played.restart(next++ % node_count);
+                simulation.run(milliseconds(300 + random() % 600), 100 + random() % 500);
+                simulation.restart(next++ % node_count);
                 if (round % 5 == 4) {
-                    played.change_lender();
+                    simulation.change_lender();
                 }
             }
-            const auto without_lender = static_cast<double>(played.max_lender_losses());
+            const auto without_lender = static_cast<double>(simulation.max_lender_losses());
             CPPUNIT_ASSERT_MESSAGE(
-                "seed " + std::to_string(seed) + ": " + std::to_string(played.max_in_window()),
-                static_cast<double>(played.max_in_window()) <= played.bound() + without_lender);
+                "seed " + std::to_string(seed) + ": " + std::to_string(simulation.max_in_window()),
+                static_cast<double>(simulation.max_in_window()) <=
+                    simulation.bound() + without_lender);
         }
     }
 
     /// Random sequence of power losses, restarts, lender changes and frozen nodes, which may
     /// overlap within a window.
-    static void inject_all_faults(quota_world& played, std::uint64_t seed, std::size_t nodes,
+    static void inject_all_faults(quota_world& simulation, std::uint64_t seed, std::size_t nodes,
                                   double rate) {
         std::mt19937_64 random(seed);
-        played.late_return_share = seed % 2 == 0 ? 0 : 0.3;
+        simulation.late_return_share = seed % 2 == 0 ? 0 : 0.3;
         for (int round = 0; round < 14; ++round) {
             switch (random() % 5) {
                 case 0:
-                    played.change_lender();
+                    simulation.change_lender();
                     break;
                 case 1:
-                    played.lose_power(milliseconds(100 + random() % 1'500));
+                    simulation.lose_power(milliseconds(100 + random() % 1'500));
                     break;
                 case 2:
-                    played.restart(random() % nodes);
+                    simulation.restart(random() % nodes);
                     break;
                 case 3:
-                    played.freeze(random() % nodes, milliseconds(random() % 7'000));
+                    simulation.freeze(random() % nodes, milliseconds(random() % 7'000));
                     break;
                 default:
                     for (std::size_t number = 0; number < nodes; number += 2) {
-                        played.restart(number);
+                        simulation.restart(number);
                     }
-                    played.change_lender();
+                    simulation.change_lender();
                     break;
             }
             const duration length = milliseconds(100 + random() % 1'500);
-            played.run(length, rate * (0.5 + static_cast<double>(random() % 10)));
+            simulation.run(length, rate * (0.5 + static_cast<double>(random() % 10)));
         }
     }
 
     void the_bound_holds_under_all_faults_at_once() {
         for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-            quota_world played = world(seed, 60);
-            inject_all_faults(played, seed, node_count, 60);
-            require_within_bound(played, seed);
+            quota_world simulation = world(seed, 60);
+            inject_all_faults(simulation, seed, node_count, 60);
+            require_within_bound(simulation, seed);
         }
     }
 
@@ -204,9 +208,9 @@
     // itself: one call at each of many nodes exceeds the bound.
     void the_bound_holds_at_many_nodes_under_all_faults_at_once() {
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-            quota_world played{seed, many_nodes, limited_tenant("t", 10, 10), quota_rules{}};
-            inject_all_faults(played, seed, many_nodes, 10);
-            require_within_bound(played, seed);
+            quota_world simulation{seed, many_nodes, limited_tenant("t", 10, 10), quota_rules{}};
+            inject_all_faults(simulation, seed, many_nodes, 10);
+            require_within_bound(simulation, seed);
         }
     }
 
@@ -219,68 +223,69 @@
     }
 
     void a_change_of_lender_alone_causes_few_refusals() {
-        quota_world played = world(8, 100);
-        played.run(std::chrono::seconds(8), 60);
-        const std::uint64_t before = played.refused;
-        played.change_lender();
-        played.run(std::chrono::seconds(4), 60);
-        CPPUNIT_ASSERT(played.refused - before <= 3);
+        quota_world simulation = world(8, 100);
+        simulation.run(std::chrono::seconds(8), 60);
+        const std::uint64_t before = simulation.refused;
+        simulation.change_lender();
+        simulation.run(std::chrono::seconds(4), 60);
+        CPPUNIT_ASSERT(simulation.refused - before <= 3);
     }
 
     /// Shows that the checks above detect a lender that has lost its state and lends as if it were
     /// not new, when the nodes that could report to it have restarted too.
     void the_loss_of_all_lender_state_is_detected() {
-        quota_world played = world(3, 60);
+        quota_world simulation = world(3, 60);
         std::size_t most = 0;
         for (int round = 0; round < 20; ++round) {
-            played.run(milliseconds(600), 600);
+            simulation.run(milliseconds(600), 600);
             for (std::size_t number = 0; number < node_count; ++number) {
-                played.restart(number);
+                simulation.restart(number);
             }
-            played.lender().start(played.now - std::chrono::seconds(10));
-            most = std::max(most, played.max_in_window());
+            simulation.lender().start(simulation.now - std::chrono::seconds(10));
+            most = std::max(most, simulation.max_in_window());
         }
-        CPPUNIT_ASSERT(static_cast<double>(most) > played.bound());
+        CPPUNIT_ASSERT(static_cast<double>(most) > simulation.bound());
     }
 
     void permits_of_dead_and_frozen_nodes_are_recovered() {
-        quota_world played = world(4, 50);
-        played.run(std::chrono::seconds(6), 300);
+        quota_world simulation = world(4, 50);
+        simulation.run(std::chrono::seconds(6), 300);
         for (std::size_t number = 0; number < node_count; number += 2) {
-            played.restart(number);
-            played.freeze(number + 1, std::chrono::seconds(4));
+            simulation.restart(number);
+            simulation.freeze(number + 1, std::chrono::seconds(4));
         }
-        played.run(std::chrono::seconds(12), 300);
-        const double admitted =
-            static_cast<double>(played.admitted_since(played.now - std::chrono::seconds(5)));
+        simulation.run(std::chrono::seconds(12), 300);
+        const double admitted = static_cast<double>(
+            simulation.admitted_since(simulation.now - std::chrono::seconds(5)));
         CPPUNIT_ASSERT(admitted >= 5 * 50 * 0.95);
-        CPPUNIT_ASSERT(played.returned > 0);
+        CPPUNIT_ASSERT(simulation.returned > 0);
     }
 
     void a_lowered_limit_applies_after_a_window() {
-        quota_world played = world(5, 200);
-        played.run(std::chrono::seconds(6), 180);
-        played.change_limit(20, 20);
-        played.run(std::chrono::seconds(6), 180);
-        const instant since = played.now;
-        played.run(std::chrono::seconds(5), 180);
-        CPPUNIT_ASSERT(static_cast<double>(played.admitted_since(since)) <= played.bound());
+        quota_world simulation = world(5, 200);
+        simulation.run(std::chrono::seconds(6), 180);
+        simulation.change_limit(20, 20);
+        simulation.run(std::chrono::seconds(6), 180);
+        const instant since = simulation.now;
+        simulation.run(std::chrono::seconds(5), 180);
+        CPPUNIT_ASSERT(static_cast<double>(simulation.admitted_since(since)) <= simulation.bound());
     }
 
     void an_unreachable_lender_causes_few_refusals_at_a_steady_rate() {
-        quota_world played = world(6, 100);
-        played.run(std::chrono::seconds(6), 60);
-        const std::uint64_t before = played.refused;
-        played.lender_reachable = false;
-        played.run(milliseconds(1'500), 60);
+        quota_world simulation = world(6, 100);
+        simulation.run(std::chrono::seconds(6), 60);
+        const std::uint64_t before = simulation.refused;
+        simulation.lender_reachable = false;
+        simulation.run(milliseconds(1'500), 60);
         // Permits held in advance and the nodes' own rates cover an election.
-        CPPUNIT_ASSERT_MESSAGE(std::to_string(played.refused - before),
-                               played.refused - before <= 9);
-        played.lender_reachable = true;
-        played.change_lender();
-        const std::uint64_t after = played.refused;
-        played.run(std::chrono::seconds(5), 60);
-        CPPUNIT_ASSERT_MESSAGE(std::to_string(played.refused - after), played.refused - after <= 3);
+        CPPUNIT_ASSERT_MESSAGE(std::to_string(simulation.refused - before),
+                               simulation.refused - before <= 9);
+        simulation.lender_reachable = true;
+        simulation.change_lender();
+        const std::uint64_t after = simulation.refused;
+        simulation.run(std::chrono::seconds(5), 60);
+        CPPUNIT_ASSERT_MESSAGE(std::to_string(simulation.refused - after),
+                               simulation.refused - after <= 3);
     }
 
     void an_unlimited_tenant_needs_no_permit() {
