--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -104,8 +104,8 @@
 }
 
 std::uint32_t time_to_free_ms(const limit_use& tenant, double permits, const quota_rules& rules) {
-    const double pace = std::max(1.0, tenant.limit / seconds(rules.window));
-    return static_cast<std::uint32_t>(std::max(min_retry_after_ms, permits / pace * 1'000));
+    const double rate = std::max(1.0, tenant.limit / seconds(rules.window));
+    return static_cast<std::uint32_t>(std::max(min_retry_after_ms, permits / rate * 1'000));
 }
 
 }  // namespace tallyfold::tenants
