--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -40,8 +40,8 @@
     if (lender_settling_ && held.granted_recent == 0) {
         return false;
     }
-    const double pace = held.granted_recent * (1 + rules_.overshoot);
-    if (held.recent.count(now) > pace) {
+    const double permitted = held.granted_recent * (1 + rules_.overshoot);
+    if (held.recent.count(now) > permitted) {
         return false;
     }
     ++held.spent;
