--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -90,8 +90,9 @@
     use.needed = held.waiting_under_way;
     use.beginning = held.waiting_new;
     if (spare_permits_enabled_ && limited(tenant) && now - held.last_call < tenant_idle_timeout) {
-        const double pace = static_cast<double>(use.recent) * spare_permit_horizon / rules_.window;
-        use.wanted += 1 + static_cast<std::uint32_t>(std::ceil(pace));
+        const double expected_calls =
+            static_cast<double>(use.recent) * spare_permit_horizon / rules_.window;
+        use.wanted += 1 + static_cast<std::uint32_t>(std::ceil(expected_calls));
     }
     return use;
 }
