--- a/tests/plane/tenants/key_index_test.cpp
+++ b/tests/plane/tenants/key_index_test.cpp
@@ -52,7 +52,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("two"), keys.find("k3")->name);
         const std::vector<routing::tenant> nobody;
         CPPUNIT_ASSERT(!key_index(nobody).required());
-        check_property("a text that is no key finds nobody", [&] {
+        check_property("a text that is not a key finds no tenant", [&] {
             const std::string text = *any_bytes();
             const bool is_key = text == "k1" || text == "k2" || text == "k3";
             RC_ASSERT((keys.find(text) != nullptr) == is_key);
@@ -77,7 +77,7 @@
     }
 
     void scoped_identifiers_of_tenants_differ() {
-        check_property("two tenants never name the same, whatever they are called", [] {
+        check_property("scoped identifiers of two tenants differ for any names", [] {
             const auto name = rc::gen::nonEmpty(
                 rc::gen::container<std::string>(rc::gen::element('1', '2', ':', '/', 'a')));
             const std::string one = *name;
--- a/tests/plane/tenants/permit_rule_test.cpp
+++ b/tests/plane/tenants/permit_rule_test.cpp
@@ -130,7 +130,7 @@
     }
 
     void nothing_is_lent_beyond_the_bound() {
-        check_property("all that is lent stays within the bound", [] {
+        check_property("lent permits stay within the bound", [] {
             const auto number = [](std::uint32_t most) {
                 return *rc::gen::inRange<std::uint32_t>(0, most);
             };
