--- a/tests/scheduling/backend_pool_test.cpp
+++ b/tests/scheduling/backend_pool_test.cpp
@@ -104,7 +104,7 @@
     }
 
     void the_clock_estimate_is_a_lower_bound() {
-        check_property("a delayed answer only makes the difference smaller", [] {
+        check_property("a delayed answer only lowers the estimated difference", [] {
             backend_pool engines = pool();
             const std::int64_t ahead = 5'000'000;
             for (int count = 0; count < 10; ++count) {
--- a/tests/scheduling/engine_pace_test.cpp
+++ b/tests/scheduling/engine_pace_test.cpp
@@ -73,7 +73,7 @@
     }
 
     void any_samples_leave_finite_values() {
-        check_property("the model stays sane whatever engines send", [] {
+        check_property("estimates stay finite for any samples", [] {
             engine_pace pace;
             instant now{};
             for (int count = 0; count < 100; ++count) {
--- a/tests/scheduling/policy_test.cpp
+++ b/tests/scheduling/policy_test.cpp
@@ -67,7 +67,7 @@
     }
 
     void any_text_compiles_or_is_rejected() {
-        check_property("compile answers any bytes", [] {
+        check_property("compile accepts or rejects any bytes", [] {
             const auto compiled = policy::compile(*any_bytes());
             RC_ASSERT(!compiled.has_value() || *compiled != nullptr);
         });
