--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -56,7 +56,8 @@
         held.use.rate_per_second = tenant.rate_per_second;
         held.use.limit = tenant.rate_per_second * seconds(rules_.window) + tenant.burst;
         held.use.bound = held.use.limit * (1 + rules_.overshoot) + rules_.slack;
-        held.use.burst_tolerance = tolerated_burst(held.use, rules_, held.spending.slot_length());
+        held.use.burst_tolerance =
+            burst_tolerance_for(held.use, rules_, held.spending.slot_length());
         next.emplace(tenant.name, held);
     }
     tenants_ = std::move(next);
--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-double tolerated_burst(const limit_use& tenant, const quota_rules& rules, duration resolution) {
+double burst_tolerance_for(const limit_use& tenant, const quota_rules& rules, duration resolution) {
     const double beyond_rate = tenant.bound - tenant.rate_per_second * seconds(rules.window);
     const double by_resolution = tenant.rate_per_second * seconds(resolution);
     return std::max(beyond_rate - by_resolution, by_resolution + 1);
--- a/src/tallyfold/plane/tenants/permit_rule.hpp
+++ b/src/tallyfold/plane/tenants/permit_rule.hpp
@@ -62,7 +62,7 @@
     double lent_since_start = 0;
     /// Left by the token bucket, before anything is lent to the requesting node.
     double left_by_token_bucket = std::numeric_limits<double>::infinity();
-    /// Permits that may be spent and lent at once, beyond the rate; see tolerated_burst().
+    /// Permits that may be spent and lent at once, beyond the rate; see burst_tolerance_for().
     double burst_tolerance = 0;
 };
 
@@ -70,7 +70,7 @@
 /// the rate yields in `resolution`. With a smaller allowance and burst than that, the bound may be
 /// exceeded after a loss of state.
 /// @param resolution largest error in the length of the lender's spans
-double tolerated_burst(const limit_use& tenant, const quota_rules& rules, duration resolution);
+double burst_tolerance_for(const limit_use& tenant, const quota_rules& rules, duration resolution);
 
 /// Permits that may be lent to one node; whole numbers.
 struct lendable {
--- a/tests/plane/tenants/permit_rule_test.cpp
+++ b/tests/plane/tenants/permit_rule_test.cpp
@@ -117,10 +117,10 @@
     void the_tolerated_burst_plus_the_rate_for_a_window_is_the_bound() {
         const duration slot = std::chrono::milliseconds(250);
         // 86 - 50, less 2.5 for the slot.
-        CPPUNIT_ASSERT_EQUAL(33.5, tolerated_burst(tenant_with(0, 0), quota_rules{}, slot));
+        CPPUNIT_ASSERT_EQUAL(33.5, burst_tolerance_for(tenant_with(0, 0), quota_rules{}, slot));
         // Without allowance and burst, some permits must be lent all the same.
         const limit_use narrow{10, 50, 50, 0, 0, 0};
-        CPPUNIT_ASSERT_EQUAL(3.5, tolerated_burst(narrow, quota_rules{}, slot));
+        CPPUNIT_ASSERT_EQUAL(3.5, burst_tolerance_for(narrow, quota_rules{}, slot));
     }
 
     void retry_delays_follow_the_rate_of_the_limit() {
