--- a/src/tallyfold/plane/tenants/permit_rule.hpp
+++ b/src/tallyfold/plane/tenants/permit_rule.hpp
@@ -25,8 +25,7 @@
 /// - for a window after its start it lends no more than the rate allows for that time, besides what
 ///   the nodes hold from its predecessor; the limit is the bound then, since the allowance is left
 ///   to nodes that can't report;
-/// - for `settling_time`, new programs get no permits, and a node keeps the permits that it holds
-/// for
+/// - for `settling_time`, new programs get no permits, and a node keeps those that it holds for
 ///   future calls.
 
 #include <cstdint>
@@ -43,7 +42,8 @@
 constexpr duration settling_time = std::chrono::milliseconds(500);
 
 /// Share of the limit, 0 to 1, that is withheld from new programs and future calls, for calls of
-/// running programs. The same share of the token bucket and of the first window's rate is withheld.
+/// running programs. The same share of the burst tolerance is withheld, and in a lender's first
+/// window the same share of the rate and of the bound.
 constexpr double reserved_share = 0.25;
 
 /// One tenant's limit and its use, in permits.
