--- a/tests/plane/tenants/key_index_test.cpp
+++ b/tests/plane/tenants/key_index_test.cpp
@@ -50,8 +50,8 @@
         CPPUNIT_ASSERT(keys.required());
         CPPUNIT_ASSERT_EQUAL(std::string("one"), keys.find("k2")->name);
         CPPUNIT_ASSERT_EQUAL(std::string("two"), keys.find("k3")->name);
-        const std::vector<routing::tenant> nobody;
-        CPPUNIT_ASSERT(!key_index(nobody).required());
+        const std::vector<routing::tenant> no_tenants;
+        CPPUNIT_ASSERT(!key_index(no_tenants).required());
         check_property("a text that is not a key finds no tenant", [&] {
             const std::string text = *any_bytes();
             const bool is_key = text == "k1" || text == "k2" || text == "k3";
