--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -119,7 +119,7 @@
         }
         return;
     }
-    answered_ = answer.question;
+    last_answered_ = answer.question;
     if (lender_unresponsive_) {
         lender_unresponsive_ = false;
         logging::write_event(logging::event_id::quota_keeper_regained,
@@ -200,7 +200,7 @@
         if (holder_.take(tenant, now)) {
             co_return permit_granted(now);
         }
-        const bool answered = answered_ >= question;
+        const bool answered = last_answered_ >= question;
         const bool refused_while_settling = answered && holder_.lender_settling();
         if (lender_unresponsive_ || refused_while_settling || now - reported > 2 * answer_timeout) {
             co_return acquire_without_lender(tenant);
--- a/src/tallyfold/plane/tenants/quota_client_shell.hpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.hpp
@@ -66,7 +66,7 @@
     std::optional<instant> report_sent_;
     instant last_report_{};
     /// Number of the newest report whose answer was applied.
-    std::uint64_t answered_ = 0;
+    std::uint64_t last_answered_ = 0;
     /// A report timed out, and no answer has arrived since.
     bool lender_unresponsive_ = false;
     /// A call began to wait after the report in flight was sent.
