--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -78,7 +78,7 @@
     waiting -= std::min(waiting, 1U);
 }
 
-permit_use permit_holder::describe(const tenant_name& tenant, held_permits& held, instant now) {
+permit_use permit_holder::current_use(const tenant_name& tenant, held_permits& held, instant now) {
     if (!lease_is_valid(now)) {
         held.ceiling = held.spent;
     }
@@ -105,7 +105,7 @@
         return true;
     }
     for (auto& [tenant, held] : tenants_) {
-        if (describe(tenant, held, now) != held.acknowledged_use) {
+        if (current_use(tenant, held, now) != held.acknowledged_use) {
             return true;
         }
     }
@@ -120,7 +120,7 @@
     report.whole = full_report_due_;
     for (auto entry = tenants_.begin(); entry != tenants_.end();) {
         auto& [tenant, held] = *entry;
-        permit_use use = describe(tenant, held, now);
+        permit_use use = current_use(tenant, held, now);
         const bool idle = use.recent == 0 && use.ceiling == use.spent && use.wanted == 0 &&
                           use.needed == 0 && use.beginning == 0 &&
                           now - held.last_call >= tenant_idle_timeout;
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -114,7 +114,7 @@
     /// it.
     void record_granted_recent(instant now);
     held_permits& permits_of(const tenant_name& tenant);
-    permit_use describe(const tenant_name& tenant, held_permits& held, instant now);
+    permit_use current_use(const tenant_name& tenant, held_permits& held, instant now);
     [[nodiscard]] bool lease_is_valid(instant now) const { return now < lease_end_; }
 
     quota_rules rules_;
