--- a/src/tallyfold/scheduling/placement.cpp
+++ b/src/tallyfold/scheduling/placement.cpp
@@ -12,8 +12,8 @@
 /// Prompt processing time of an engine, in milliseconds per token, while none has been observed.
 constexpr double default_read_ms_per_token = 0.01;
 
-engine_features describe(const placement_request& request, const backend_state& engine,
-                         token_count cached_tokens, instant now) {
+engine_features features_of(const placement_request& request, const backend_state& engine,
+                            token_count cached_tokens, instant now) {
     engine_features features;
     features.cached_tokens = static_cast<double>(cached_tokens);
     features.uncached_tokens = static_cast<double>(request.prompt_tokens - cached_tokens);
@@ -79,7 +79,8 @@
 
 double placement::cost_of(const placement_request& request, const candidate& option,
                           policy* ranking, instant now) {
-    const engine_features features = describe(request, *option.engine, option.cached_tokens, now);
+    const engine_features features =
+        features_of(request, *option.engine, option.cached_tokens, now);
     if (ranking != nullptr) {
         if (const auto cost = ranking->place(request.call, features)) {
             return *cost;
