--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -63,7 +63,7 @@
     tenants_ = std::move(next);
 }
 
-void permit_lender::take(node_entry& node, const permit_use& use, instant now) {
+void permit_lender::update_share(node_entry& node, const permit_use& use, instant now) {
     const auto tenant = tenants_.find(use.tenant);
     if (tenant == tenants_.end()) {
         return;
@@ -198,7 +198,7 @@
         drop_unreported(node, report.uses);
     }
     for (const permit_use& use : report.uses) {
-        take(node, use, now);
+        update_share(node, use, now);
     }
     for (const permit_use& use : report.uses) {
         if (auto granted = grant(node, use, now)) {
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -84,7 +84,7 @@
     /// Account of a tenant that was added to the configuration, with what nodes already hold of it.
     [[nodiscard]] account open_account(const tenant_name& tenant) const;
     /// Replaces the node's share of one tenant by the reported one.
-    void take(node_entry& node, const permit_use& use, instant now);
+    void update_share(node_entry& node, const permit_use& use, instant now);
     /// Records when permits were spent.
     /// @param known the node's previous share; null when there is none
     void record_spending(account& held, const share* known, const permit_use& use, instant now);
