--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -60,10 +60,10 @@
     headroom.for_new = tenant.left_by_token_bucket - reserved_share * tenant.burst_tolerance;
     if (running_for < rules.window) {
         const double by_rate = tenant.rate_per_second * seconds(running_for);
-        const double not_lent = std::max(0.0, by_rate - tenant.lent_since_start);
-        headroom.for_all = std::min(headroom.for_all, not_lent + held_by_node(use));
+        const double rate_left = std::max(0.0, by_rate - tenant.lent_since_start);
+        headroom.for_all = std::min(headroom.for_all, rate_left + held_by_node(use));
         headroom.for_new =
-            std::min(headroom.for_new, not_lent * (1 - reserved_share) + held_by_node(use));
+            std::min(headroom.for_new, rate_left * (1 - reserved_share) + held_by_node(use));
     }
     return {whole_permits_left(headroom.for_all, 0), whole_permits_left(headroom.for_new, 0)};
 }
