--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -6,10 +6,10 @@
 namespace tallyfold::tenants {
 
 void permit_holder::use(const std::vector<routing::tenant>& tenants) {
-    limited_.clear();
+    limited_tenants_.clear();
     for (const routing::tenant& tenant : tenants) {
         if (tenant.is_limited()) {
-            limited_.insert(tenant.name);
+            limited_tenants_.insert(tenant.name);
         }
     }
 }
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -41,9 +41,9 @@
     /// Sets the tenants' limits. Tenants without a limit need no permits.
     void use(const std::vector<routing::tenant>& tenants);
     [[nodiscard]] bool limited(const tenant_name& tenant) const {
-        return limited_.contains(tenant);
+        return limited_tenants_.contains(tenant);
     }
-    [[nodiscard]] bool has_limits() const { return !limited_.empty(); }
+    [[nodiscard]] bool has_limits() const { return !limited_tenants_.empty(); }
     /// @param spare false: no permits are held in advance, and each call requests its own
     void set_spare_permits(bool spare) { spare_permits_enabled_ = spare; }
 
@@ -121,7 +121,7 @@
     node_name node_;
     std::uint64_t life_;
     bool spare_permits_enabled_ = true;
-    std::unordered_set<tenant_name> limited_;
+    std::unordered_set<tenant_name> limited_tenants_;
     std::unordered_map<tenant_name, held_permits> tenants_;
     /// Sequence number of the last report.
     std::uint64_t question_ = 0;
