--- a/src/tallyfold/scheduling/call_queue.cpp
+++ b/src/tallyfold/scheduling/call_queue.cpp
@@ -11,7 +11,7 @@
     queue.by_rank.insert({call.rank, call.id});
     // A tenant gets no credit for time in which it had no waiting calls.
     double& time = virtual_times_[call.tenant];
-    if (waiting_[call.tenant]++ == 0) {
+    if (waiting_counts_[call.tenant]++ == 0) {
         time = std::max(time, queue_virtual_time_);
     }
 }
@@ -88,13 +88,13 @@
     if (level->second.empty()) {
         tiers_.erase(level);
     }
-    --waiting_[call.tenant];
+    --waiting_counts_[call.tenant];
     calls_.erase(found);
 }
 
 std::size_t call_queue::waiting_of(const std::string& tenant) const {
-    const auto found = waiting_.find(tenant);
-    return found == waiting_.end() ? 0 : found->second;
+    const auto found = waiting_counts_.find(tenant);
+    return found == waiting_counts_.end() ? 0 : found->second;
 }
 
 const queued_call* call_queue::oldest() const {
--- a/src/tallyfold/scheduling/call_queue.hpp
+++ b/src/tallyfold/scheduling/call_queue.hpp
@@ -61,7 +61,7 @@
     std::map<std::int32_t, tier, std::greater<>> tiers_;
     /// Virtual time by tenant: cost served, divided by the tenant's weight.
     std::map<std::string, double> virtual_times_;
-    std::map<std::string, std::size_t> waiting_;
+    std::map<std::string, std::size_t> waiting_counts_;
     double queue_virtual_time_ = 0;
     std::uint64_t taken_count_ = 0;
 };
