--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -282,11 +282,11 @@
         }
         const auto most = std::chrono::duration_cast<milliseconds>(longest_hold).count();
         const duration held = milliseconds(random_() % static_cast<std::uint64_t>(most));
-        held_.push_back({number, nodes_[number].life, now, now + held});
+        held_calls_.push_back({number, nodes_[number].life, now, now + held});
         return true;
     }
     void return_permits() {
-        std::erase_if(held_, [&](const held_call& call) {
+        std::erase_if(held_calls_, [&](const held_call& call) {
             if (call.until > now) {
                 return false;
             }
@@ -330,7 +330,7 @@
     std::size_t active_lender_ = 0;
     std::vector<node> nodes_;
     std::vector<message> messages_;
-    std::vector<held_call> held_;
+    std::vector<held_call> held_calls_;
     std::deque<instant> lender_losses_;
     double arrivals_ = 0;
     std::uint64_t lives_ = 0;
