--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -176,7 +176,7 @@
 
     node make_node(std::size_t number) {
         node made;
-        made.life = ++lives_;
+        made.life = ++last_life_;
         made.holder =
             std::make_unique<permit_holder>(rules_, "node-" + std::to_string(number), made.life);
         made.holder->use({tenant_});
@@ -333,7 +333,7 @@
     std::vector<held_call> held_calls_;
     std::deque<instant> lender_losses_;
     double arrivals_ = 0;
-    std::uint64_t lives_ = 0;
+    std::uint64_t last_life_ = 0;
 };
 
 }  // namespace tallyfold::tests
