--- a/src/tallyfold/plane/tenants/key_index.cpp
+++ b/src/tallyfold/plane/tenants/key_index.cpp
@@ -9,23 +9,22 @@
 
 namespace {
 
-/// SHA-256 of a secret block and then the key. The secret is drawn once per process, so digests
-/// can't be worked out beforehand; its state is kept, so a digest costs one block and not two, nor
-/// the library's set-up (3.2 us a key with that, 0.2 us without: tallyfold-admission-bench).
+/// SHA-256 over a random block followed by the key. The block is drawn once per process, so digests
+/// can't be precomputed; its hash state is reused, so a digest costs one block instead of two.
 class keyed_hash {
   public:
-    keyed_hash() : keyed_(EVP_MD_CTX_new()), work_(EVP_MD_CTX_new()) {
+    keyed_hash() : keyed_context_(EVP_MD_CTX_new()), scratch_context_(EVP_MD_CTX_new()) {
         std::random_device source;
         std::array<unsigned char, block_size> secret{};
         for (unsigned char& byte : secret) {
             byte = static_cast<unsigned char>(source());
         }
-        EVP_DigestInit_ex(keyed_, EVP_sha256(), nullptr);
-        EVP_DigestUpdate(keyed_, secret.data(), secret.size());
+        EVP_DigestInit_ex(keyed_context_, EVP_sha256(), nullptr);
+        EVP_DigestUpdate(keyed_context_, secret.data(), secret.size());
     }
     ~keyed_hash() {
-        EVP_MD_CTX_free(keyed_);
-        EVP_MD_CTX_free(work_);
+        EVP_MD_CTX_free(keyed_context_);
+        EVP_MD_CTX_free(scratch_context_);
     }
     keyed_hash(const keyed_hash&) = delete;
     keyed_hash& operator=(const keyed_hash&) = delete;
@@ -33,19 +32,19 @@
     [[nodiscard]] key_digest digest_of(std::string_view key) const {
         key_digest digest{};
         unsigned int size = 0;
-        EVP_MD_CTX_copy_ex(work_, keyed_);
-        EVP_DigestUpdate(work_, key.data(), key.size());
-        EVP_DigestFinal_ex(work_, digest.data(), &size);
+        EVP_MD_CTX_copy_ex(scratch_context_, keyed_context_);
+        EVP_DigestUpdate(scratch_context_, key.data(), key.size());
+        EVP_DigestFinal_ex(scratch_context_, digest.data(), &size);
         return digest;
     }
 
   private:
     static constexpr std::size_t block_size = 64;
-    EVP_MD_CTX* keyed_;
-    EVP_MD_CTX* work_;
+    EVP_MD_CTX* keyed_context_;
+    EVP_MD_CTX* scratch_context_;
 };
 
-/// Belongs to the loop thread, the only one that looks keys up.
+/// Not thread-safe: called on the loop thread only.
 key_digest digest_of(std::string_view key) {
     static const keyed_hash hash;
     return hash.digest_of(key);
@@ -53,7 +52,7 @@
 
 }  // namespace
 
-std::size_t key_index::first_bytes::operator()(const key_digest& digest) const {
+std::size_t key_index::digest_hash::operator()(const key_digest& digest) const {
     std::size_t value = 0;
     std::memcpy(&value, digest.data(), sizeof(value));
     return value;
@@ -68,7 +67,7 @@
 }
 
 const routing::tenant* key_index::find(std::string_view key) const {
-    if (key.empty() || key.size() > longest_key) {
+    if (key.empty() || key.size() > max_key_bytes) {
         return nullptr;
     }
     const auto found = tenants_.find(digest_of(key));
@@ -81,7 +80,7 @@
     if (key.empty()) {
         return "-";
     }
-    const key_digest digest = digest_of(key.substr(0, longest_key));
+    const key_digest digest = digest_of(key.substr(0, max_key_bytes));
     std::string text;
     for (std::size_t place = 0; place < shown_bytes; ++place) {
         text += digits[digest[place] >> 4U];
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -6,15 +6,15 @@
 namespace tallyfold::tenants {
 
 void permit_holder::use(const std::vector<routing::tenant>& tenants) {
-    limited_.clear();
+    limited_tenants_.clear();
     for (const routing::tenant& tenant : tenants) {
         if (tenant.is_limited()) {
-            limited_.insert(tenant.name);
+            limited_tenants_.insert(tenant.name);
         }
     }
 }
 
-permit_holder::held_permits& permit_holder::of(const tenant_name& tenant) {
+permit_holder::held_permits& permit_holder::permits_of(const tenant_name& tenant) {
     return tenants_.try_emplace(tenant, rules_.window).first->second;
 }
 
@@ -22,9 +22,9 @@
     if (!limited(tenant)) {
         return true;
     }
-    held_permits& held = of(tenant);
+    held_permits& held = permits_of(tenant);
     held.last_call = now;
-    if (!lease_holds(now) || held.spent >= held.ceiling) {
+    if (!lease_is_valid(now) || held.spent >= held.ceiling) {
         return false;
     }
     ++held.spent;
@@ -33,15 +33,15 @@
 }
 
 bool permit_holder::take_without_lender(const tenant_name& tenant, instant now) {
-    held_permits& held = of(tenant);
+    held_permits& held = permits_of(tenant);
     held.last_call = now;
-    // A lender that settles has answered that there is no permit. A node that was let none of late
-    // has no pace of its own to go on at, and one call each at many nodes would exceed the bound.
-    if (lender_settles_ && held.proven == 0) {
+    // A settling lender has refused the permit. A node without recently granted permits has no rate
+    // of its own to continue at, and one call each at many nodes would exceed the bound.
+    if (lender_settling_ && held.granted_recent == 0) {
         return false;
     }
-    const double pace = held.proven * (1 + rules_.overshoot);
-    if (held.recent.count(now) > pace) {
+    const double permitted = held.granted_recent * (1 + rules_.overshoot);
+    if (held.recent.count(now) > permitted) {
         return false;
     }
     ++held.spent;
@@ -57,9 +57,9 @@
         return false;
     }
     held_permits& held = found->second;
-    // A permit that has left the window is free at the lender already: spent again here, it would
-    // count nowhere until the next report.
-    if (!held.recent.take_back(taken, now)) {
+    // A permit that has left the window is already free at the lender. Spent again here, it would
+    // not be counted until the next report.
+    if (!held.recent.remove_at(taken, now)) {
         return false;
     }
     --held.spent;
@@ -67,19 +67,19 @@
 }
 
 void permit_holder::begin_wait(const tenant_name& tenant, permit_need need) {
-    held_permits& held = of(tenant);
+    held_permits& held = permits_of(tenant);
     ++(need == permit_need::under_way ? held.waiting_under_way : held.waiting_new);
 }
 
 void permit_holder::end_wait(const tenant_name& tenant, permit_need need) {
-    held_permits& held = of(tenant);
+    held_permits& held = permits_of(tenant);
     std::uint32_t& waiting =
         need == permit_need::under_way ? held.waiting_under_way : held.waiting_new;
     waiting -= std::min(waiting, 1U);
 }
 
-permit_use permit_holder::describe(const tenant_name& tenant, held_permits& held, instant now) {
-    if (!lease_holds(now)) {
+permit_use permit_holder::current_use(const tenant_name& tenant, held_permits& held, instant now) {
+    if (!lease_is_valid(now)) {
         held.ceiling = held.spent;
     }
     permit_use use;
@@ -89,9 +89,10 @@
     use.recent = held.recent.count(now);
     use.needed = held.waiting_under_way;
     use.beginning = held.waiting_new;
-    if (spare_ && limited(tenant) && now - held.last_call < interest) {
-        const double pace = static_cast<double>(use.recent) * provision / rules_.window;
-        use.wanted += 1 + static_cast<std::uint32_t>(std::ceil(pace));
+    if (spare_permits_enabled_ && limited(tenant) && now - held.last_call < tenant_idle_timeout) {
+        const double expected_calls =
+            static_cast<double>(use.recent) * spare_permit_horizon / rules_.window;
+        use.wanted += 1 + static_cast<std::uint32_t>(std::ceil(expected_calls));
     }
     return use;
 }
@@ -100,11 +101,11 @@
     if (!has_limits()) {
         return false;
     }
-    if (next_is_whole_ || now + rules_.lease / 2 >= lease_end_) {
+    if (full_report_due_ || now + rules_.lease / 2 >= lease_end_) {
         return true;
     }
     for (auto& [tenant, held] : tenants_) {
-        if (describe(tenant, held, now) != held.told) {
+        if (current_use(tenant, held, now) != held.acknowledged_use) {
             return true;
         }
     }
@@ -116,17 +117,19 @@
     report.node = node_;
     report.life = life_;
     report.question = ++question_;
-    report.whole = next_is_whole_;
+    report.whole = full_report_due_;
     for (auto entry = tenants_.begin(); entry != tenants_.end();) {
         auto& [tenant, held] = *entry;
-        permit_use use = describe(tenant, held, now);
+        permit_use use = current_use(tenant, held, now);
         const bool idle = use.recent == 0 && use.ceiling == use.spent && use.wanted == 0 &&
-                          use.needed == 0 && use.beginning == 0 && now - held.last_call >= interest;
-        if (idle && (next_is_whole_ || use == held.told)) {
+                          use.needed == 0 && use.beginning == 0 &&
+                          now - held.last_call >= tenant_idle_timeout;
+        if (idle && (full_report_due_ || use == held.acknowledged_use)) {
             entry = tenants_.erase(entry);
             continue;
         }
-        if (next_is_whole_ || use != held.told || use.needed > 0 || use.beginning > 0) {
+        if (full_report_due_ || use != held.acknowledged_use || use.needed > 0 ||
+            use.beginning > 0) {
             report.uses.push_back(std::move(use));
         }
         ++entry;
@@ -134,7 +137,7 @@
     report_sent_ = now;
     reported_uses_ = report.uses;
     awaits_answer_ = true;
-    next_is_whole_ = false;
+    full_report_due_ = false;
     return report;
 }
 
@@ -144,49 +147,51 @@
     }
     awaits_answer_ = false;
     if (answer.outcome != permit_outcome::granted) {
-        next_is_whole_ = true;
+        full_report_due_ = true;
         return false;
     }
     lease_end_ = report_sent_ + rules_.lease;
-    note_told();
-    take_grants(answer.grants);
-    lender_settles_ = answer.settling;
-    if (!lender_settles_) {
-        note_proven_pace(now);
+    record_acknowledged_uses();
+    apply_grants(answer.grants);
+    lender_settling_ = answer.settling;
+    if (!lender_settling_) {
+        record_granted_recent(now);
     }
     return true;
 }
 
-void permit_holder::note_told() {
+void permit_holder::record_acknowledged_uses() {
     for (permit_use& use : reported_uses_) {
         const auto found = tenants_.find(use.tenant);
         if (found != tenants_.end()) {
             found->second.retry_after_ms = 0;
             found->second.retry_new_program_after_ms = 0;
-            found->second.told = std::move(use);
+            found->second.acknowledged_use = std::move(use);
         }
     }
     reported_uses_.clear();
 }
 
-void permit_holder::take_grants(const std::vector<permit_grant>& grants) {
+void permit_holder::apply_grants(const std::vector<permit_grant>& grants) {
     for (const permit_grant& granted : grants) {
         const auto found = tenants_.find(granted.tenant);
         if (found == tenants_.end()) {
             continue;
         }
         found->second.ceiling = granted.ceiling;
-        // A lower ceiling frees permits once the lender knows that it has come.
-        found->second.told.ceiling = std::max(granted.ceiling, found->second.told.ceiling);
+        // Keeps the higher ceiling as acknowledged, so that a lowered one is reported: the lender
+        // frees the permits only then.
+        found->second.acknowledged_use.ceiling =
+            std::max(granted.ceiling, found->second.acknowledged_use.ceiling);
         found->second.retry_after_ms = granted.retry_after_ms;
         found->second.retry_new_program_after_ms = granted.retry_new_program_after_ms;
     }
 }
 
-void permit_holder::note_proven_pace(instant now) {
+void permit_holder::record_granted_recent(instant now) {
     for (auto& [tenant, held] : tenants_) {
         const std::uint32_t recent = held.recent.count(now);
-        held.proven = recent - std::min(recent, held.spent_without_lender.count(now));
+        held.granted_recent = recent - std::min(recent, held.spent_without_lender.count(now));
     }
 }
 
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -38,7 +38,7 @@
 
 permit_lender::account permit_lender::open_account(const tenant_name& tenant) const {
     account opened{{}, spent_window(rules_.window)};
-    // Nodes may hold permits of a tenant that had left the configuration for a while.
+    // Nodes may still hold permits from before the tenant was removed from the configuration.
     for (const auto& [life, node] : nodes_) {
         const auto known = node.shares.find(tenant);
         if (known != node.shares.end()) {
@@ -56,13 +56,14 @@
         held.use.rate_per_second = tenant.rate_per_second;
         held.use.limit = tenant.rate_per_second * seconds(rules_.window) + tenant.burst;
         held.use.bound = held.use.limit * (1 + rules_.overshoot) + rules_.slack;
-        held.use.burst_tolerance = tolerated_burst(held.use, rules_, held.spending.slot_length());
+        held.use.burst_tolerance =
+            burst_tolerance_for(held.use, rules_, held.spending.slot_length());
         next.emplace(tenant.name, held);
     }
     tenants_ = std::move(next);
 }
 
-void permit_lender::take(known_node& node, const permit_use& use, instant now) {
+void permit_lender::update_share(node_entry& node, const permit_use& use, instant now) {
     const auto tenant = tenants_.find(use.tenant);
     if (tenant == tenants_.end()) {
         return;
@@ -70,32 +71,34 @@
     account& held = tenant->second;
     const auto [entry, is_new] = node.shares.try_emplace(use.tenant);
     share& known = entry->second;
-    note_spending(held, is_new ? nullptr : &known, use, now);
+    record_spending(held, is_new ? nullptr : &known, use, now);
     remove(held.use, known);
-    const std::uint64_t inherited = is_new ? std::max(use.ceiling, use.spent) : known.inherited;
-    known = {use.spent, use.ceiling, use.recent, inherited};
+    const std::uint64_t initial_ceiling =
+        is_new ? std::max(use.ceiling, use.spent) : known.initial_ceiling;
+    known = {use.spent, use.ceiling, use.recent, initial_ceiling};
     add(held.use, known);
 }
 
-void permit_lender::note_spending(account& held, const share* known, const permit_use& use,
-                                  instant now) {
+void permit_lender::record_spending(account& held, const share* known, const permit_use& use,
+                                    instant now) {
     if (known == nullptr) {
-        // A new lender leaves what was spent before its start to the pace of its first window.
+        // Spending before the lender's start is covered by the rate that it lends at in its first
+        // window.
         if (now - started_ >= rules_.window) {
             held.spending.add(now, use.recent);
         }
         return;
     }
     if (use.spent >= known->spent) {
-        // What was spent since then and isn't recent any more lies before every span.
+        // Permits spent since the last report that have left the window precede every span.
         const std::uint64_t spent = std::min<std::uint64_t>(use.spent - known->spent, use.recent);
         held.spending.add(now, static_cast<std::uint32_t>(spent));
     } else {
-        held.spending.take_back_oldest(known->spent - use.spent, now);
+        held.spending.remove_oldest(known->spent - use.spent, now);
     }
 }
 
-double permit_lender::left_by_pace(account& held, instant now) {
+double permit_lender::left_by_token_bucket(account& held, instant now) {
     const limit_use& use = held.use;
     double left = std::numeric_limits<double>::infinity();
     held.spending.visit_spans(now, [&](duration length, std::uint32_t spent) {
@@ -105,8 +108,8 @@
     return left - static_cast<double>(lent);
 }
 
-void permit_lender::name_waiting_times(permit_grant& granted, const permit_use& use,
-                                       const lendable& lent, const limit_use& held) const {
+void permit_lender::set_retry_delays(permit_grant& granted, const permit_use& use,
+                                     const lendable& lent, const limit_use& held) const {
     if (lent.needed < use.needed) {
         granted.retry_after_ms = time_to_free_ms(held, use.needed - lent.needed, rules_);
     }
@@ -118,11 +121,11 @@
     }
 }
 
-std::optional<permit_grant> permit_lender::grant(known_node& node, const permit_use& use,
+std::optional<permit_grant> permit_lender::grant(node_entry& node, const permit_use& use,
                                                  instant now) {
     const auto tenant = tenants_.find(use.tenant);
     if (tenant == tenants_.end()) {
-        // No longer in the configuration here: nothing more is lent.
+        // The tenant was removed from the configuration: nothing more is lent.
         return permit_grant{use.tenant, use.spent, 0, 0};
     }
     limit_use& held = tenant->second.use;
@@ -131,25 +134,25 @@
     remove(held, known);
     known.ceiling = known.spent;
     add(held, known);
-    limit_use without_node = held;
-    without_node.lent_since_start = lent_since_start;
-    without_node.left_by_pace = left_by_pace(tenant->second, now);
-    const lendable lent = lendable_permits(use, without_node, now - started_, rules_);
+    limit_use use_without_node = held;
+    use_without_node.lent_since_start = lent_since_start;
+    use_without_node.left_by_token_bucket = left_by_token_bucket(tenant->second, now);
+    const lendable lent = lendable_permits(use, use_without_node, now - started_, rules_);
     const double permits = lent.needed + lent.beginning + lent.spare;
     permit_grant granted{use.tenant, known.spent + static_cast<std::uint64_t>(permits), 0, 0};
     remove(held, known);
-    // Until the node has reported a lower ceiling, it may spend up to the one it has.
+    // Until the node reports a lower ceiling, it may spend up to its present one.
     known.ceiling = std::max(use.ceiling, granted.ceiling);
     add(held, known);
-    name_waiting_times(granted, use, lent, held);
-    const bool all_got = lent.needed >= use.needed && lent.beginning >= use.beginning;
-    if (granted.ceiling == use.ceiling && all_got) {
+    set_retry_delays(granted, use, lent, held);
+    const bool all_granted = lent.needed >= use.needed && lent.beginning >= use.beginning;
+    if (granted.ceiling == use.ceiling && all_granted) {
         return std::nullopt;
     }
     return granted;
 }
 
-void permit_lender::forget(known_node& node) {
+void permit_lender::release_shares(node_entry& node) {
     for (const auto& [name, known] : node.shares) {
         const auto tenant = tenants_.find(name);
         if (tenant != tenants_.end()) {
@@ -159,14 +162,14 @@
     node.shares.clear();
 }
 
-void permit_lender::drop_unnamed(known_node& node, const std::vector<permit_use>& uses) {
-    std::set<tenant_name> named;
+void permit_lender::drop_unreported(node_entry& node, const std::vector<permit_use>& uses) {
+    std::set<tenant_name> reported;
     for (const permit_use& use : uses) {
-        named.insert(use.tenant);
+        reported.insert(use.tenant);
     }
     std::erase_if(node.shares, [&](const auto& entry) {
         const auto tenant = tenants_.find(entry.first);
-        const bool dropped = !named.contains(entry.first);
+        const bool dropped = !reported.contains(entry.first);
         if (dropped && tenant != tenants_.end()) {
             remove(tenant->second.use, entry.second);
         }
@@ -177,25 +180,25 @@
 permit_answer permit_lender::answer(const permit_report& report, instant now) {
     permit_answer answer;
     answer.question = report.question;
-    known_node& node = nodes_[{report.node, report.life}];
+    node_entry& node = nodes_[{report.node, report.life}];
     const bool follows = node.question > 0 && report.question > node.question;
     if (!report.whole && !follows) {
         answer.outcome = permit_outcome::wants_whole;
         return answer;
     }
     if (report.question <= node.question) {
-        // A report that was overtaken: what it says is older than what is known.
+        // The report arrived after a newer one, so it is outdated.
         answer.outcome = permit_outcome::wants_whole;
         return answer;
     }
-    answer.settling = now - started_ < settling;
+    answer.settling = now - started_ < settling_time;
     node.question = report.question;
     node.last_report = now;
     if (report.whole) {
-        drop_unnamed(node, report.uses);
+        drop_unreported(node, report.uses);
     }
     for (const permit_use& use : report.uses) {
-        take(node, use, now);
+        update_share(node, use, now);
     }
     for (const permit_use& use : report.uses) {
         if (auto granted = grant(node, use, now)) {
@@ -208,7 +211,7 @@
 void permit_lender::expire(instant now) {
     for (auto node = nodes_.begin(); node != nodes_.end();) {
         if (now - node->second.last_report > rules_.window + rules_.lease) {
-            forget(node->second);
+            release_shares(node->second);
             node = nodes_.erase(node);
         } else {
             ++node;
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -11,23 +11,22 @@
 
 namespace {
 
-/// How often a waiting call's question and a silent lender are looked after: below half of the time
-/// that an answer may take.
+/// Interval of the checks for unanswered reports and waiting calls; below half of the answer
+/// timeout.
 constexpr duration tick_interval = std::chrono::milliseconds(50);
-/// Changes are told this often while no call waits: an eighth of a lease, and half of a new
-/// lender's settling.
+/// Interval of reports while no call waits: an eighth of a lease, and half of a new lender's
+/// settling period.
 constexpr duration report_interval = std::chrono::milliseconds(250);
-/// A lender that hasn't answered for this long is taken for silent. Far above the way between zones
-/// (some ms) and a lender's own work, and far below what callers wait.
-constexpr duration answer_limit = std::chrono::milliseconds(120);
-/// A call of a program under way waits this long for a permit that is about to be free: refusing it
-/// may lose the whole program, and permits come back at the tenant's rate all the time.
-constexpr duration longest_permit_wait = std::chrono::milliseconds(400);
-/// A call over its limit may come again after this time when the lender names none: one that is
-/// being elected needs 0.5 to 1 s, one that was slow a few ms.
-constexpr duration usual_room_after = std::chrono::milliseconds(200);
-
-std::uint64_t draw_life() {
+/// Time after which a lender that hasn't answered counts as unavailable. Far above a round trip
+/// between zones, and far below the time that callers wait.
+constexpr duration answer_timeout = std::chrono::milliseconds(120);
+/// Longest time that a call of a running program waits for a permit that is about to be free. A
+/// refusal may fail the whole program, and permits are freed continuously at the tenant's rate.
+constexpr duration max_permit_wait = std::chrono::milliseconds(400);
+/// Retry delay of a refused call when the lender gives none, and the shortest otherwise.
+constexpr duration default_retry_after = std::chrono::milliseconds(200);
+
+std::uint64_t random_process_id() {
     std::random_device source;
     const std::uint64_t high = source();
     return (high << 32U) ^ source();
@@ -50,11 +49,11 @@
 quota_client::quota_client(net::node_process& process, directory::directory_client& directory)
     : process_(process),
       directory_(directory),
-      holder_(rules_of(process.settings()), process.settings().node, draw_life()) {
+      holder_(rules_of(process.settings()), process.settings().node, random_process_id()) {
     const settings::switched_off& off = process.settings().off;
-    holder_.keep_spare(!off.contains(settings::mechanism::spare_permits));
-    longest_wait_ =
-        off.contains(settings::mechanism::permit_wait) ? duration::zero() : longest_permit_wait;
+    holder_.set_spare_permits(!off.contains(settings::mechanism::spare_permits));
+    max_permit_wait_ =
+        off.contains(settings::mechanism::permit_wait) ? duration::zero() : max_permit_wait;
 }
 
 void quota_client::start() {
@@ -71,19 +70,19 @@
 
 void quota_client::tick() {
     const instant now = http::steady_now();
-    if (report_sent_ && now - *report_sent_ > answer_limit) {
+    if (report_sent_ && now - *report_sent_ > answer_timeout) {
         report_sent_.reset();
         holder_.unanswered();
-        if (!lender_silent_) {
-            lender_silent_ = true;
+        if (!lender_unresponsive_) {
+            lender_unresponsive_ = true;
             logging::write_event(logging::event_id::quota_keeper_lost,
                                  "keeper=" + directory_.leader() +
                                      " question=" + std::to_string(holder_.question()));
         }
-        wake_all();
+        wake_waiting_calls();
     }
     const bool due = now - last_report_ >= report_interval && holder_.should_report(now);
-    if (!report_sent_ && (due || !waiting_.empty())) {
+    if (!report_sent_ && (due || !answer_timers_.empty())) {
         send_report();
     }
 }
@@ -95,13 +94,13 @@
     const instant now = http::steady_now();
     report_sent_ = now;
     last_report_ = now;
-    report_again_ = false;
+    has_unreported_call_ = false;
     directory_.send_to(directory_.leader(), holder_.report(now));
 }
 
-void quota_client::wake_all() {
-    const auto woken = std::exchange(waiting_, {});
-    for (const auto& timer : woken) {
+void quota_client::wake_waiting_calls() {
+    const auto timers = std::exchange(answer_timers_, {});
+    for (const auto& timer : timers) {
         timer->cancel();
     }
 }
@@ -113,22 +112,22 @@
     report_sent_.reset();
     directory_.learn_leader(answer.leader, answer.term);
     if (!holder_.apply(answer, http::steady_now())) {
-        // A lender that needs to hear all is told at once. Who doesn't keep permits may have named
-        // who does: that one is asked with the next tick.
+        // A lender that requires a full report gets it at once. A node that is not the lender may
+        // have named the lender, which gets the report of the next tick.
         if (answer.outcome == permit_outcome::wants_whole) {
             send_report();
         }
         return;
     }
-    answered_ = answer.question;
-    if (lender_silent_) {
-        lender_silent_ = false;
+    last_answered_ = answer.question;
+    if (lender_unresponsive_) {
+        lender_unresponsive_ = false;
         logging::write_event(logging::event_id::quota_keeper_regained,
                              "keeper=" + directory_.leader());
     }
-    const bool again = report_again_;
-    wake_all();
-    if (again) {
+    const bool report_needed = has_unreported_call_;
+    wake_waiting_calls();
+    if (report_needed) {
         send_report();
     }
 }
@@ -139,7 +138,7 @@
         return permit_granted(now);
     }
     permit_decision decision;
-    decision.retry_after = usual_room_after;
+    decision.retry_after = default_retry_after;
     return decision;
 }
 
@@ -148,7 +147,7 @@
     if (holder_.take(tenant, began)) {
         co_return permit_granted(began);
     }
-    if (lender_silent_ || directory_.leader().empty()) {
+    if (lender_unresponsive_ || directory_.leader().empty()) {
         co_return acquire_without_lender(tenant);
     }
     holder_.begin_wait(tenant, need);
@@ -161,8 +160,8 @@
 
 std::uint64_t quota_client::report_waiting_call() {
     if (report_sent_) {
-        // What is under way doesn't tell of this call; the next report does.
-        report_again_ = true;
+        // The report in flight doesn't include this call; the next one does.
+        has_unreported_call_ = true;
         return holder_.question() + 1;
     }
     send_report();
@@ -170,23 +169,23 @@
 }
 
 asio::awaitable<void> quota_client::wait_for_answer() {
-    const auto timer = std::make_shared<asio::steady_timer>(process_.loop(), answer_limit);
-    waiting_.insert(timer);
+    const auto timer = std::make_shared<asio::steady_timer>(process_.loop(), answer_timeout);
+    answer_timers_.insert(timer);
     co_await timer->async_wait(asio::experimental::as_tuple(asio::use_awaitable));
-    waiting_.erase(timer);
+    answer_timers_.erase(timer);
 }
 
 std::optional<permit_decision> quota_client::refusal_for(const tenant_name& tenant,
                                                          permit_need need, instant began,
                                                          instant now) const {
     const duration retry_after = holder_.retry_after(tenant, need);
-    const bool free_in_time = now - began + retry_after <= longest_wait_;
+    const bool free_in_time = now - began + retry_after <= max_permit_wait_;
     if (need == permit_need::under_way && free_in_time) {
         return std::nullopt;
     }
     permit_decision refusal;
     refusal.state = permit_state::over_limit;
-    refusal.retry_after = std::max(retry_after, usual_room_after);
+    refusal.retry_after = std::max(retry_after, default_retry_after);
     return refusal;
 }
 
@@ -201,9 +200,9 @@
         if (holder_.take(tenant, now)) {
             co_return permit_granted(now);
         }
-        const bool answered = answered_ >= question;
-        const bool lender_unsure = answered && holder_.lender_settles();
-        if (lender_silent_ || lender_unsure || now - reported > 2 * answer_limit) {
+        const bool answered = last_answered_ >= question;
+        const bool refused_while_settling = answered && holder_.lender_settling();
+        if (lender_unresponsive_ || refused_while_settling || now - reported > 2 * answer_timeout) {
             co_return acquire_without_lender(tenant);
         }
         if (!answered) {
@@ -212,7 +211,7 @@
         if (const auto refusal = refusal_for(tenant, need, began, now)) {
             co_return *refusal;
         }
-        // The next tick asks again.
+        // The next tick sends another report.
         question = holder_.question() + 1;
         reported = now;
     }
--- a/src/tallyfold/plane/tenants/spent_window.hpp
+++ b/src/tallyfold/plane/tenants/spent_window.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Counts what was spent within the last span of time, in slots. Pure.
+/// Sliding-window counter of spent permits, in slots. Pure.
 ///
-/// Of the oldest slot, which the span covers in part, that part is counted, rounded up: counting it
-/// whole would hold a tenant to a window longer than its limit's, by up to a 20th.
+/// The oldest slot lies in the window in part, and that part of it is counted, rounded up. Counting
+/// it whole would lengthen the window by up to a 20th.
 
 #include <algorithm>
 #include <array>
@@ -15,19 +15,19 @@
 
 class spent_window {
   public:
-    /// @param window split into slots
+    /// @param window length of the window, which is split into slots
     explicit spent_window(duration window) : slot_length_(window / (slot_count - 1)) {}
 
     void add(instant now, std::uint32_t permits = 1) {
-        roll(now);
+        advance_to(now);
         slots_[newest_ % slot_count] += permits;
         sum_ += permits;
     }
-    /// One that was counted at `added` is not spent after all. It comes out of the slot that it
-    /// went into: out of a newer one, it would leave a later permit uncounted until that slot ends.
-    /// @return false when it no longer counts, and nothing changes
-    bool take_back(instant added, instant now) {
-        roll(now);
+    /// Removes a permit that was added at `added`. It is removed from its own slot: removed from a
+    /// newer one, it would leave a later permit uncounted.
+    /// @return false when the permit is no longer counted, and nothing changes
+    bool remove_at(instant added, instant now) {
+        advance_to(now);
         const std::uint64_t number = slot_number(added);
         const bool counts = number <= newest_ && newest_ - number < slot_count;
         if (!counts || slots_[number % slot_count] == 0) {
@@ -37,10 +37,10 @@
         --sum_;
         return true;
     }
-    /// So many were not spent after all, and nobody knows which: the oldest go, so that no span up
-    /// to now counts less than was spent in it.
-    void take_back_oldest(std::uint64_t permits, instant now) {
-        roll(now);
+    /// Removes permits that were added at unknown times. The oldest are removed, so that no span
+    /// that ends now counts fewer than were spent in it.
+    void remove_oldest(std::uint64_t permits, instant now) {
+        advance_to(now);
         for (std::uint64_t age = slot_count; age-- > 0 && permits > 0;) {
             if (age > newest_) {
                 continue;
@@ -52,11 +52,11 @@
             permits -= taken;
         }
     }
-    /// The count of each span that ends now and begins with a slot, the shortest first.
-    /// @param visit takes the span's length and what was spent in it
+    /// Visits each span that ends now and begins at a slot's start, shortest first.
+    /// @param visit called with the span's length and the permits spent in it
     template <class Visitor>
     void visit_spans(instant now, Visitor visit) {
-        roll(now);
+        advance_to(now);
         duration length = now.time_since_epoch() % slot_length_;
         std::uint32_t spent = 0;
         for (std::uint64_t age = 0; age < slot_count && age <= newest_; ++age) {
@@ -65,15 +65,15 @@
             length += slot_length_;
         }
     }
-    /// The longest time by which a span of visit_spans may differ from any other one.
+    /// Largest difference in length between an arbitrary span and the nearest one of visit_spans().
     [[nodiscard]] duration slot_length() const { return slot_length_; }
     [[nodiscard]] std::uint32_t count(instant now) {
-        roll(now);
+        advance_to(now);
         const std::uint32_t oldest = slots_[(newest_ + 1) % slot_count];
-        const duration into_newest = now.time_since_epoch() % slot_length_;
-        const auto passed =
-            static_cast<std::uint32_t>(oldest * into_newest.count() / slot_length_.count());
-        return sum_ - passed;
+        const duration elapsed_in_newest = now.time_since_epoch() % slot_length_;
+        const auto expired =
+            static_cast<std::uint32_t>(oldest * elapsed_in_newest.count() / slot_length_.count());
+        return sum_ - expired;
     }
 
   private:
@@ -82,7 +82,7 @@
     [[nodiscard]] std::uint64_t slot_number(instant at) const {
         return static_cast<std::uint64_t>(at.time_since_epoch() / slot_length_);
     }
-    void roll(instant now) {
+    void advance_to(instant now) {
         const std::uint64_t current = slot_number(now);
         if (newest_ == 0 || current >= newest_ + slot_count) {
             slots_.fill(0);
--- a/src/tallyfold/scheduling/backend_pool.cpp
+++ b/src/tallyfold/scheduling/backend_pool.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Latest clock differences that are kept of each back end. Chosen, not measured: a few statuses,
-/// so that one answer without delay is likely among them, and a clock that jumped is soon believed.
-constexpr std::size_t kept_clock_samples = 8;
+/// Number of clock samples kept for each back end: enough that one is likely without delay, few
+/// enough that a clock step is soon followed.
+constexpr std::size_t max_clock_samples = 8;
 
 double load_of(const backend_state& backend) {
     return static_cast<double>(backend.outstanding()) /
@@ -51,7 +51,7 @@
     std::map<backend_name, backend_state> next;
     for (const backend_member& member : members) {
         const auto found = backends_.find(member.name);
-        // A new address under an old name is a new process: nothing old holds for it.
+        // A changed address means a new process, to which no earlier state applies.
         const bool same =
             found != backends_.end() && found->second.member.address == member.address;
         backend_state state = same ? found->second : backend_state{};
@@ -74,8 +74,8 @@
 
 void backend_pool::add_clock_sample(const backend_name& name, duration ahead) {
     change(name, [&](backend_state& backend) {
-        // Only the latest count: either clock may have jumped since.
-        if (backend.clock_samples.size() >= kept_clock_samples) {
+        // Drops the oldest sample, since either clock may have been stepped.
+        if (backend.clock_samples.size() >= max_clock_samples) {
             backend.clock_samples.erase(backend.clock_samples.begin());
         }
         backend.clock_samples.push_back(ahead);
@@ -125,7 +125,7 @@
 
 void backend_pool::add_failure(const backend_name& name, double weight, instant now) {
     const auto allowed =
-        static_cast<std::size_t>(static_cast<double>(backends_.size()) * ejected_share_limit);
+        static_cast<std::size_t>(static_cast<double>(backends_.size()) * max_ejected_share);
     const bool may_eject = ejected_count(now) < allowed;
     change(name, [&](backend_state& backend) { backend.ejection.failed(weight, may_eject, now); });
 }
@@ -136,8 +136,8 @@
 }
 
 bool backend_pool::available(const backend_state& backend, instant now) const {
-    const bool heard = backend.member.listed_only || !backend.clock_samples.empty();
-    return heard && !backend.leaving() && !backend.ejection.is_ejected(now);
+    const bool has_reported = backend.member.listed_only || !backend.clock_samples.empty();
+    return has_reported && !backend.leaving() && !backend.ejection.is_ejected(now);
 }
 
 std::vector<const backend_state*> backend_pool::least_loaded(std::size_t limit,
--- a/src/tallyfold/scheduling/cache_map.cpp
+++ b/src/tallyfold/scheduling/cache_map.cpp
@@ -4,40 +4,40 @@
 
 namespace tallyfold::scheduling {
 
-std::uint32_t cache_map::number_of(const backend_name& engine) {
+std::uint32_t cache_map::engine_id(const backend_name& engine) {
     const auto [position, added] =
-        numbers_.try_emplace(engine, static_cast<std::uint32_t>(names_.size()));
+        engine_ids_.try_emplace(engine, static_cast<std::uint32_t>(engine_names_.size()));
     if (added) {
-        names_.push_back(engine);
+        engine_names_.push_back(engine);
     }
     return position->second;
 }
 
 void cache_map::stored(const backend_name& engine, const prefix_point& point) {
-    const std::uint32_t number = number_of(engine);
+    const std::uint32_t id = engine_id(engine);
     auto [position, added] = entries_.try_emplace(point.hash);
     entry& known = position->second;
     if (added) {
-        by_age_.push_front(point.hash);
+        lru_order_.push_front(point.hash);
     } else {
-        by_age_.splice(by_age_.begin(), by_age_, known.age);
+        lru_order_.splice(lru_order_.begin(), lru_order_, known.lru_position);
     }
-    known.age = by_age_.begin();
+    known.lru_position = lru_order_.begin();
     const auto holder = std::find_if(known.holders.begin(), known.holders.end(),
-                                     [&](const auto& other) { return other.engine == number; });
+                                     [&](const auto& other) { return other.engine == id; });
     if (holder == known.holders.end()) {
-        known.holders.push_back({number, point.tokens});
+        known.holders.push_back({id, point.tokens});
     } else {
         holder->tokens = point.tokens;
     }
     if (entries_.size() > capacity_) {
-        drop_oldest();
+        evict_oldest();
     }
 }
 
-void cache_map::drop_oldest() {
-    entries_.erase(by_age_.back());
-    by_age_.pop_back();
+void cache_map::evict_oldest() {
+    entries_.erase(lru_order_.back());
+    lru_order_.pop_back();
 }
 
 void cache_map::removed(const backend_name& engine, prefix_hash hash) {
@@ -45,22 +45,21 @@
     if (found == entries_.end()) {
         return;
     }
-    const std::uint32_t number = number_of(engine);
-    std::erase_if(found->second.holders,
-                  [number](const auto& holder) { return holder.engine == number; });
+    const std::uint32_t id = engine_id(engine);
+    std::erase_if(found->second.holders, [id](const auto& holder) { return holder.engine == id; });
     if (found->second.holders.empty()) {
-        by_age_.erase(found->second.age);
+        lru_order_.erase(found->second.lru_position);
         entries_.erase(found);
     }
 }
 
 void cache_map::forget(const backend_name& engine) {
-    const std::uint32_t number = number_of(engine);
+    const std::uint32_t id = engine_id(engine);
     for (auto position = entries_.begin(); position != entries_.end();) {
         std::erase_if(position->second.holders,
-                      [number](const auto& holder) { return holder.engine == number; });
+                      [id](const auto& holder) { return holder.engine == id; });
         if (position->second.holders.empty()) {
-            by_age_.erase(position->second.age);
+            lru_order_.erase(position->second.lru_position);
             position = entries_.erase(position);
         } else {
             ++position;
@@ -75,9 +74,9 @@
         if (found == entries_.end()) {
             continue;
         }
-        const auto first_of_point = static_cast<std::ptrdiff_t>(matches.size());
-        for (const auto& [number, tokens] : found->second.holders) {
-            const backend_name& name = names_[number];
+        const auto point_begin = static_cast<std::ptrdiff_t>(matches.size());
+        for (const auto& [id, tokens] : found->second.holders) {
+            const backend_name& name = engine_names_[id];
             const bool known = std::any_of(matches.begin(), matches.end(),
                                            [&](const auto& match) { return match.engine == name; });
             if (!known) {
@@ -85,7 +84,7 @@
             }
         }
         std::stable_sort(
-            matches.begin() + first_of_point, matches.end(),
+            matches.begin() + point_begin, matches.end(),
             [](const auto& left, const auto& right) { return left.tokens > right.tokens; });
         if (matches.size() >= matches_limit) {
             break;
--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -6,27 +6,23 @@
 
 namespace {
 
-/// Prompts shorter than this, in tokens, say more of the network than of the engine. Chosen, not
-/// measured: at 0.01 ms a token 10 ms, a few times the way between zones.
-constexpr token_count min_tokens = 1'000;
-/// Parts, 0 to 1, by which the estimate of an idle engine's time moves to a lower and to a higher
-/// sample. An idle engine's time is near the least that is seen, and one odd sample mustn't decide
-/// it. Chosen, not measured: five low samples take the estimate two thirds of the way, 2,000 high
-/// ones as far, so that a burst doesn't pass for idle.
+/// Shortest prompt, in tokens, that is used as a sample; for shorter ones, network delay dominates.
+constexpr token_count min_prompt_tokens = 1'000;
+/// Weights, 0 to 1, of a sample below and of one above the estimate of an idle engine's time. That
+/// time is close to the minimum, so the estimate falls quickly and rises slowly: a burst of slow
+/// samples must not pass for idle.
 constexpr double weight_of_lower_sample = 0.2;
 constexpr double weight_of_higher_sample = 0.0005;
-/// Weights, 0 to 1, of a new sample in the moving averages: of one engine's time between events,
-/// over some five answers, and of what is usual over all engines, over some 20. Chosen, not
-/// measured.
-constexpr double engine_weight = 0.2;
-constexpr double usual_weight = 0.05;
+/// Weights, 0 to 1, of a new sample in the moving averages of one engine and of all engines.
+constexpr double engine_average_weight = 0.2;
+constexpr double overall_average_weight = 0.05;
 
 double milliseconds(duration value) {
     return std::chrono::duration<double, std::milli>(value).count();
 }
 
-/// Moves an estimate of the least that is seen towards a sample; 0 stands for no estimate.
-void follow_least(double& value, double sample) {
+/// Moves an estimate of the minimum towards a sample; 0 stands for no estimate.
+void track_minimum(double& value, double sample) {
     if (value <= 0) {
         value = sample;
     } else {
@@ -38,8 +34,8 @@
 }  // namespace
 
 void engine_pace::prompt_read(token_count tokens, duration took) {
-    if (tokens >= min_tokens && took > duration::zero()) {
-        follow_least(read_ms_per_token_, milliseconds(took) / static_cast<double>(tokens));
+    if (tokens >= min_prompt_tokens && took > duration::zero()) {
+        track_minimum(read_ms_per_token_, milliseconds(took) / static_cast<double>(tokens));
     }
 }
 
@@ -50,14 +46,14 @@
     }
     const double gap = milliseconds(took) / static_cast<double>(events);
     engine_state& state = engines_[engine];
-    const bool known = state.latest != instant{} && now - state.latest < memory;
-    state.gap_ms = known ? state.gap_ms + engine_weight * (gap - state.gap_ms) : gap;
+    const bool known = state.latest != instant{} && now - state.latest < sample_lifetime;
+    state.gap_ms = known ? state.gap_ms + engine_average_weight * (gap - state.gap_ms) : gap;
     state.latest = now;
-    if (recent_gaps_.size() < kept_gaps) {
+    if (recent_gaps_.size() < max_recent_gaps) {
         recent_gaps_.push_back({gap, now});
     } else {
         recent_gaps_[next_gap_] = {gap, now};
-        next_gap_ = (next_gap_ + 1) % kept_gaps;
+        next_gap_ = (next_gap_ + 1) % max_recent_gaps;
     }
 }
 
@@ -66,29 +62,31 @@
         return;
     }
     const double gap = milliseconds(mean_gap);
-    follow_least(idle_gap_ms_, gap);
-    usual_gap_ms_ = usual_gap_ms_ > 0 ? usual_gap_ms_ + usual_weight * (gap - usual_gap_ms_) : gap;
+    track_minimum(idle_gap_ms_, gap);
+    average_gap_ms_ = average_gap_ms_ > 0
+                          ? average_gap_ms_ + overall_average_weight * (gap - average_gap_ms_)
+                          : gap;
 }
 
 void engine_pace::call_ended(duration took) {
     const double time = std::max(0.0, milliseconds(took));
-    call_ms_ = call_ms_ > 0 ? call_ms_ + usual_weight * (time - call_ms_) : time;
+    call_ms_ = call_ms_ > 0 ? call_ms_ + overall_average_weight * (time - call_ms_) : time;
 }
 
 double engine_pace::gap_ms(const backend_name& engine, instant now) const {
     const auto known = engines_.find(engine);
-    const bool fresh = known != engines_.end() && now - known->second.latest < memory;
-    return fresh ? known->second.gap_ms : usual_gap_ms_;
+    const bool fresh = known != engines_.end() && now - known->second.latest < sample_lifetime;
+    return fresh ? known->second.gap_ms : average_gap_ms_;
 }
 
 double engine_pace::slowdown(instant now) const {
     std::vector<double> gaps;
     for (const recent_gap& gap : recent_gaps_) {
-        if (now - gap.at <= recent) {
+        if (now - gap.at <= recent_span) {
             gaps.push_back(gap.gap_ms);
         }
     }
-    if (gaps.size() < min_gaps || idle_gap_ms_ <= 0) {
+    if (gaps.size() < min_recent_gaps || idle_gap_ms_ <= 0) {
         return 1;
     }
     const auto middle = gaps.begin() + static_cast<std::ptrdiff_t>(gaps.size() / 2);
--- a/src/tallyfold/scheduling/placement.cpp
+++ b/src/tallyfold/scheduling/placement.cpp
@@ -9,12 +9,11 @@
 
 namespace {
 
-/// Milliseconds a token that an engine is taken to need for a prompt until one has been seen to
-/// read one. Chosen, not measured.
-constexpr double assumed_read_ms_per_token = 0.01;
+/// Prompt processing time of an engine, in milliseconds per token, while none has been observed.
+constexpr double default_read_ms_per_token = 0.01;
 
-engine_features describe(const placement_request& request, const backend_state& engine,
-                         token_count cached_tokens, instant now) {
+engine_features features_of(const placement_request& request, const backend_state& engine,
+                            token_count cached_tokens, instant now) {
     engine_features features;
     features.cached_tokens = static_cast<double>(cached_tokens);
     features.uncached_tokens = static_cast<double>(request.prompt_tokens - cached_tokens);
@@ -23,7 +22,7 @@
     features.pending_prefill_tokens = static_cast<double>(engine.pending_prefill_tokens);
     features.cache_fill = engine.reported.cache_fill;
     const double learned = request.pace != nullptr ? request.pace->read_ms_per_token() : 0;
-    const double ms_per_token = learned > 0 ? learned : assumed_read_ms_per_token;
+    const double ms_per_token = learned > 0 ? learned : default_read_ms_per_token;
     features.read_ms = features.uncached_tokens * ms_per_token;
     features.pending_read_ms = features.pending_prefill_tokens * ms_per_token;
     if (request.pace != nullptr) {
@@ -34,8 +33,7 @@
     return features;
 }
 
-/// Tokens of prompt that one running call is taken to delay a new one by, in the built-in cost.
-/// Chosen, not measured: the operators' policy has a cost of its own.
+/// Prompt tokens that one running call counts for in the built-in cost.
 constexpr double tokens_per_running_call = 64;
 
 double built_in_cost(const engine_features& engine) {
@@ -81,7 +79,8 @@
 
 double placement::cost_of(const placement_request& request, const candidate& option,
                           policy* ranking, instant now) {
-    const engine_features features = describe(request, *option.engine, option.cached_tokens, now);
+    const engine_features features =
+        features_of(request, *option.engine, option.cached_tokens, now);
     if (ranking != nullptr) {
         if (const auto cost = ranking->place(request.call, features)) {
             return *cost;
@@ -90,10 +89,10 @@
     return built_in_cost(features);
 }
 
-const backend_state* placement::next_in_turn(const backend_pool& pool, const std::string& model,
-                                             instant now) {
+const backend_state* placement::next_round_robin(const backend_pool& pool, const std::string& model,
+                                                 instant now) {
     const auto& all = pool.all();
-    auto position = all.upper_bound(last_in_turn_);
+    auto position = all.upper_bound(last_round_robin_);
     for (std::size_t step = 0; step < all.size(); ++step) {
         if (position == all.end()) {
             position = all.begin();
@@ -101,7 +100,7 @@
         const backend_state& engine = position->second;
         const bool fits = model.empty() || engine.member.model == model;
         if (fits && pool.available(engine, now)) {
-            last_in_turn_ = position->first;
+            last_round_robin_ = position->first;
             return &engine;
         }
         ++position;
@@ -112,11 +111,11 @@
 std::vector<const backend_state*> placement::sampled(const placement_request& request,
                                                      const backend_pool& pool, instant now) const {
     if (strategy_ != strategy::policy) {
-        // A baseline sends a call at once and lets the engine queue it.
+        // A baseline sends each call at once and leaves queuing to the engine.
         return pool.least_loaded(1, request.model, true, now);
     }
     if (request.sample == nullptr) {
-        return pool.least_loaded(sampled_engines, request.model, false, now);
+        return pool.least_loaded(max_sampled_engines, request.model, false, now);
     }
     std::vector<const backend_state*> engines;
     for (const backend_state* engine : *request.sample) {
@@ -128,10 +127,10 @@
     return engines;
 }
 
-std::vector<placement::candidate> placement::holders_of_prompt(const placement_request& request,
-                                                               const backend_pool& pool,
-                                                               const cache_map& cache,
-                                                               instant now) const {
+std::vector<placement::candidate> placement::prefix_holders(const placement_request& request,
+                                                            const backend_pool& pool,
+                                                            const cache_map& cache,
+                                                            instant now) const {
     std::vector<candidate> options;
     const bool uses_cache = strategy_ == strategy::policy || strategy_ == strategy::affinity_fcfs;
     if (!uses_cache || request.prompt == nullptr) {
@@ -167,10 +166,11 @@
     std::rotate(options.begin(), known, known + 1);
 }
 
-std::vector<placement::candidate> placement::gather(const placement_request& request,
-                                                    const backend_pool& pool,
-                                                    const cache_map& cache, instant now) const {
-    std::vector<candidate> options = holders_of_prompt(request, pool, cache, now);
+std::vector<placement::candidate> placement::gather_candidates(const placement_request& request,
+                                                               const backend_pool& pool,
+                                                               const cache_map& cache,
+                                                               instant now) const {
+    std::vector<candidate> options = prefix_holders(request, pool, cache, now);
     if (strategy_ == strategy::policy) {
         put_affinity_target_first(options, request, pool, now);
     }
@@ -189,19 +189,19 @@
     const placement_request& request, const backend_pool& pool, const cache_map& cache,
     policy* ranking, instant now) {
     if (strategy_ == strategy::round_robin) {
-        const backend_state* engine = next_in_turn(pool, request.model, now);
+        const backend_state* engine = next_round_robin(pool, request.model, now);
         if (engine == nullptr) {
             return tl::unexpected(placement_refusal::all_busy);
         }
         return placement_choice{engine->member.name, 0, 0, 1};
     }
-    const std::vector<candidate> options = gather(request, pool, cache, now);
+    const std::vector<candidate> options = gather_candidates(request, pool, cache, now);
     if (options.empty()) {
         return tl::unexpected(pool.all().empty() ? placement_refusal::none_available
                                                  : placement_refusal::all_busy);
     }
     if (strategy_ != strategy::policy) {
-        // The longest cached prefix comes first where the strategy looks at the cache at all.
+        // Strategies that use the cache list the longest cached prefix first.
         const candidate& first = options.front();
         return placement_choice{first.engine->member.name, first.cached_tokens, 0, options.size()};
     }
--- a/src/tallyfold/scheduling/policy.cpp
+++ b/src/tallyfold/scheduling/policy.cpp
@@ -36,7 +36,7 @@
     luaL_error(state, "instruction limit reached");
 }
 
-/// Splits "policy:LINE: reason" as Lua writes it.
+/// Parses an error message of Lua, "policy:LINE: reason".
 policy_error parse_error(const std::string& text) {
     const std::string prefix = std::string(chunk_name + 1) + ":";
     if (!text.starts_with(prefix)) {
@@ -65,7 +65,7 @@
     lua_setfield(state, -2, name);
 }
 
-void fill(lua_State* state, const call_features& call) {
+void set_fields(lua_State* state, const call_features& call) {
     set_string(state, "class", call.program_class);
     set_number(state, "priority", call.priority);
     set_number(state, "tenant_priority", call.tenant_priority);
@@ -81,7 +81,7 @@
     set_number(state, "call_ms", call.call_ms);
 }
 
-void fill(lua_State* state, const engine_features& engine) {
+void set_fields(lua_State* state, const engine_features& engine) {
     set_number(state, "cached_tokens", engine.cached_tokens);
     set_number(state, "uncached_tokens", engine.uncached_tokens);
     set_number(state, "outstanding", engine.outstanding);
@@ -95,7 +95,7 @@
     set_boolean(state, "same_zone", engine.same_zone);
 }
 
-void fill(lua_State* state, const program_features& program) {
+void set_fields(lua_State* state, const program_features& program) {
     set_string(state, "class", program.program_class);
     set_number(state, "priority", program.priority);
     set_number(state, "history_tokens", program.history_tokens);
@@ -106,7 +106,7 @@
     set_boolean(state, "is_sub_agent", program.is_sub_agent);
 }
 
-/// Libraries without input, output, clocks, loading of code or random numbers.
+/// Opens the base and math libraries, without input, output, loading of code and random numbers.
 void open_safe_libraries(lua_State* state) {
     luaL_requiref(state, LUA_GNAME, luaopen_base, 1);
     luaL_requiref(state, LUA_MATHLIBNAME, luaopen_math, 1);
@@ -139,19 +139,19 @@
     runtime(const runtime&) = delete;
     runtime& operator=(const runtime&) = delete;
 
-    policy_error take_error() {
+    policy_error pop_error() {
         const char* text = lua_tostring(state, -1);
         policy_error error = parse_error(text == nullptr ? "not enough memory" : text);
         lua_settop(state, 0);
         return error;
     }
 
-    /// Builds a table of `features` under protection, since building it allocates.
+    /// Builds a table of `features`. Called through lua_pcall, since the allocation may fail.
     template <class Features>
     static int push_features(lua_State* target) {
         const auto* features = static_cast<const Features*>(lua_touserdata(target, 1));
         lua_createtable(target, 0, 14);
-        fill(target, *features);
+        set_fields(target, *features);
         return 1;
     }
 
@@ -166,7 +166,7 @@
     tl::expected<double, policy_error> run(const char* function, int arguments) {
         lua_sethook(state, stop_at_limit, LUA_MASKCOUNT, instruction_limit);
         if (lua_pcall(state, arguments, 1, 0) != LUA_OK) {
-            return tl::unexpected(take_error());
+            return tl::unexpected(pop_error());
         }
         int is_number = 0;
         const double value = lua_tonumberx(state, -1, &is_number);
@@ -193,7 +193,7 @@
                 policy_error{0, std::string("function ") + function + " is missing"});
         }
         if (!(push_table(features) && ...)) {
-            return tl::unexpected(take_error());
+            return tl::unexpected(pop_error());
         }
         return run(function, sizeof...(features));
     }
@@ -210,11 +210,11 @@
     open_safe_libraries(state->state);
     // "t": text only, since Lua does not verify binary chunks.
     if (luaL_loadbufferx(state->state, text.data(), text.size(), chunk_name, "t") != LUA_OK) {
-        return tl::unexpected(state->take_error());
+        return tl::unexpected(state->pop_error());
     }
     lua_sethook(state->state, stop_at_limit, LUA_MASKCOUNT, instruction_limit);
     if (lua_pcall(state->state, 0, 0, 0) != LUA_OK) {
-        return tl::unexpected(state->take_error());
+        return tl::unexpected(state->pop_error());
     }
     std::unique_ptr<policy> compiled(new policy(std::move(state)));
     const call_features sample_call{"sample", 1, 1000, 3, 500, 100, 5000, 1, false, 0, 2000, 300};
--- a/tests/plane/tenants/key_index_test.cpp
+++ b/tests/plane/tenants/key_index_test.cpp
@@ -12,13 +12,13 @@
 
 class key_index_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(key_index_test);
-    CPPUNIT_TEST(each_key_finds_its_tenant_and_no_other_text_does);
-    CPPUNIT_TEST(absurd_keys_find_nobody);
-    CPPUNIT_TEST(what_logs_show_is_not_the_key);
-    CPPUNIT_TEST(tenants_share_no_identifier);
-    CPPUNIT_TEST(each_kind_of_invalid_tenant_is_refused);
-    CPPUNIT_TEST(configurations_from_before_there_were_keys_are_read);
-    CPPUNIT_TEST(configurations_with_tenants_survive_the_codec);
+    CPPUNIT_TEST(finds_tenants_by_exact_key_only);
+    CPPUNIT_TEST(empty_oversized_and_extended_keys_find_no_tenant);
+    CPPUNIT_TEST(loggable_key_is_a_short_stable_digest);
+    CPPUNIT_TEST(scoped_identifiers_of_tenants_differ);
+    CPPUNIT_TEST(validation_rejects_invalid_tenants);
+    CPPUNIT_TEST(reads_configurations_without_keys);
+    CPPUNIT_TEST(configurations_with_tenants_round_trip);
     CPPUNIT_TEST_SUITE_END();
 
     static routing::tenant make(const std::string& name, std::vector<std::string> keys) {
@@ -44,22 +44,22 @@
         return made;
     }
 
-    void each_key_finds_its_tenant_and_no_other_text_does() {
+    void finds_tenants_by_exact_key_only() {
         const std::vector<routing::tenant> known = valid().tenants;
         const key_index keys(known);
         CPPUNIT_ASSERT(keys.required());
         CPPUNIT_ASSERT_EQUAL(std::string("one"), keys.find("k2")->name);
         CPPUNIT_ASSERT_EQUAL(std::string("two"), keys.find("k3")->name);
-        const std::vector<routing::tenant> nobody;
-        CPPUNIT_ASSERT(!key_index(nobody).required());
-        check_property("a text that is no key finds nobody", [&] {
+        const std::vector<routing::tenant> no_tenants;
+        CPPUNIT_ASSERT(!key_index(no_tenants).required());
+        check_property("a text that is not a key finds no tenant", [&] {
             const std::string text = *any_bytes();
             const bool is_key = text == "k1" || text == "k2" || text == "k3";
             RC_ASSERT((keys.find(text) != nullptr) == is_key);
         });
     }
 
-    void absurd_keys_find_nobody() {
+    void empty_oversized_and_extended_keys_find_no_tenant() {
         const std::string huge(10'000, 'k');
         const std::vector<routing::tenant> known{make("one", {huge, "k1"})};
         const key_index keys(known);
@@ -68,7 +68,7 @@
         CPPUNIT_ASSERT(keys.find(std::string("k1\0", 3)) == nullptr);
     }
 
-    void what_logs_show_is_not_the_key() {
+    void loggable_key_is_a_short_stable_digest() {
         const std::string shown = loggable_key("gjqnirth5mgjy5rcpihh");
         CPPUNIT_ASSERT_EQUAL(std::size_t{8}, shown.size());
         CPPUNIT_ASSERT_EQUAL(shown, loggable_key("gjqnirth5mgjy5rcpihh"));
@@ -76,8 +76,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("-"), loggable_key(""));
     }
 
-    void tenants_share_no_identifier() {
-        check_property("two tenants never name the same, whatever they are called", [] {
+    void scoped_identifiers_of_tenants_differ() {
+        check_property("scoped identifiers of two tenants differ for any names", [] {
             const auto name = rc::gen::nonEmpty(
                 rc::gen::container<std::string>(rc::gen::element('1', '2', ':', '/', 'a')));
             const std::string one = *name;
@@ -91,28 +91,28 @@
         CPPUNIT_ASSERT_EQUAL(std::string{}, tenant_scope("one").scoped(""));
     }
 
-    static void refused(const std::function<void(routing::configuration&)>& spoil) {
+    static void assert_rejected(const std::function<void(routing::configuration&)>& invalidate) {
         routing::configuration candidate = valid();
-        spoil(candidate);
+        invalidate(candidate);
         const auto outcome = routing::validate(candidate);
         CPPUNIT_ASSERT(!outcome.has_value());
         CPPUNIT_ASSERT(!outcome.error().reason.empty());
         CPPUNIT_ASSERT(outcome.error().reason.find("k1") == std::string::npos);
     }
 
-    void each_kind_of_invalid_tenant_is_refused() {
+    void validation_rejects_invalid_tenants() {
         CPPUNIT_ASSERT(routing::validate(valid()).has_value());
-        refused([](auto& it) { it.tenants[1].keys = {"k1"}; });
-        refused([](auto& it) { it.tenants[0].keys = {"k1", "k1"}; });
-        refused([](auto& it) { it.tenants[0].keys = {""}; });
-        refused([](auto& it) { it.tenants[1].name = "one"; });
-        refused([](auto& it) { it.tenants[1].name = ""; });
-        refused([](auto& it) { it.tenants[0].rate_per_second = -1; });
-        refused([](auto& it) { it.tenants[0].rate_per_second = std::nan(""); });
-        refused([](auto& it) { it.tenants[0].burst = 1e300; });
+        assert_rejected([](auto& it) { it.tenants[1].keys = {"k1"}; });
+        assert_rejected([](auto& it) { it.tenants[0].keys = {"k1", "k1"}; });
+        assert_rejected([](auto& it) { it.tenants[0].keys = {""}; });
+        assert_rejected([](auto& it) { it.tenants[1].name = "one"; });
+        assert_rejected([](auto& it) { it.tenants[1].name = ""; });
+        assert_rejected([](auto& it) { it.tenants[0].rate_per_second = -1; });
+        assert_rejected([](auto& it) { it.tenants[0].rate_per_second = std::nan(""); });
+        assert_rejected([](auto& it) { it.tenants[0].burst = 1e300; });
     }
 
-    /// The shapes in which configurations were written before there were keys.
+    /// Configuration format from before keys were added.
     struct earlier_configuration {
         std::uint64_t version = 0;
         std::vector<routing::route_without_keys> routes;
@@ -124,7 +124,7 @@
         }
     };
 
-    void configurations_from_before_there_were_keys_are_read() {
+    void reads_configurations_without_keys() {
         earlier_configuration earlier;
         earlier.version = 9;
         earlier.services = valid().services;
@@ -146,7 +146,7 @@
         CPPUNIT_ASSERT(read->tenants.empty());
     }
 
-    void configurations_with_tenants_survive_the_codec() {
+    void configurations_with_tenants_round_trip() {
         const auto read = protocol::decode<routing::configuration>(protocol::encode(valid()));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT(*read == valid());
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Lenders of permits, nodes and the messages between them, with delays, losses and faults; time is
-/// virtual.
+/// Simulation of permit lenders, nodes and the messages between them, with delays, losses and
+/// faults, in virtual time.
 
 #include <algorithm>
 #include <deque>
@@ -19,7 +19,7 @@
 using namespace tenants;
 using std::chrono::milliseconds;
 
-inline const instant beginning(std::chrono::seconds(100));
+inline const instant start_time(std::chrono::seconds(100));
 
 inline routing::tenant limited_tenant(const std::string& name, double rate, double burst) {
     routing::tenant made;
@@ -35,56 +35,56 @@
                 quota_rules rules)
         : random_(seed), rules_(rules), tenant_(std::move(tenant)) {
         for (int number = 0; number < 2; ++number) {
-            keepers_.emplace_back(rules_);
-            keepers_.back().use({tenant_});
-            keepers_.back().start(beginning);
+            lenders_.emplace_back(rules_);
+            lenders_.back().use({tenant_});
+            lenders_.back().start(start_time);
         }
         for (std::size_t number = 0; number < node_count; ++number) {
             nodes_.push_back(make_node(number));
         }
     }
 
-    instant now = beginning;
-    /// When calls were let in.
+    instant now = start_time;
+    /// Times at which calls were admitted.
     std::deque<instant> spent;
     std::uint64_t refused = 0;
-    std::uint64_t taken_back = 0;
-    double loss = 0;
-    /// Part of the calls, 0 to 1, that wait for up to `longest_hold` and then don't run: their
-    /// permits go back that late.
-    double late_returns = 0;
+    std::uint64_t returned = 0;
+    double message_loss = 0;
+    /// Share of calls, 0 to 1, that hold a permit for up to `longest_hold` and return it without
+    /// running.
+    double late_return_share = 0;
     duration longest_hold = std::chrono::seconds(3);
-    bool keeper_reachable = true;
+    bool lender_reachable = true;
 
-    void change_keeper() {
-        lender_ = 1 - lender_;
-        keepers_[lender_].use({tenant_});
-        keepers_[lender_].start(now);
+    void change_lender() {
+        active_lender_ = 1 - active_lender_;
+        lenders_[active_lender_].use({tenant_});
+        lenders_[active_lender_].start(now);
     }
     void change_limit(double rate, double burst) {
         tenant_ = limited_tenant(tenant_.name, rate, burst);
-        for (permit_lender& keeper : keepers_) {
-            keeper.use({tenant_});
+        for (permit_lender& lender : lenders_) {
+            lender.use({tenant_});
         }
         for (node& each : nodes_) {
             each.holder->use({tenant_});
         }
     }
     void freeze(std::size_t number, duration length) { nodes_[number].frozen_until = now + length; }
-    /// The node's process ends; another life of it begins at once.
+    /// Replaces the node's process by a new one.
     void restart(std::size_t number) { nodes_[number] = make_node(number); }
 
-    /// All processes end at once and are back after `dark`.
-    void lose_power(duration dark) {
+    /// Ends all processes at once and restarts them after `outage`.
+    void lose_power(duration outage) {
         messages_.clear();
-        now += dark;
-        change_keeper();
+        now += outage;
+        change_lender();
         for (std::size_t number = 0; number < nodes_.size(); ++number) {
             restart(number);
         }
     }
 
-    /// One millisecond. @param calls_a_second over all nodes together
+    /// Advances by one millisecond. @param calls_a_second over all nodes together
     void step(double calls_a_second) {
         now += milliseconds(1);
         deliver();
@@ -102,8 +102,8 @@
                 call(chosen);
             }
         }
-        for (permit_lender& keeper : keepers_) {
-            keeper.expire(now);
+        for (permit_lender& lender : lenders_) {
+            lender.expire(now);
         }
     }
     void run(duration length, double calls_a_second) {
@@ -113,16 +113,18 @@
         }
     }
 
-    /// The most that was let in within any span as long as the window.
-    [[nodiscard]] std::size_t max_in_window() const { return most_of(spent); }
-    /// The most times that nodes lost the keeper within such a span: each lets them go one call
-    /// further than before.
-    [[nodiscard]] std::size_t max_silences() const { return most_of(silences_); }
-    [[nodiscard]] std::size_t let_in_since(instant since) const {
+    /// Largest number of calls admitted within any span as long as the window.
+    [[nodiscard]] std::size_t max_in_window() const { return max_count_in_window(spent); }
+    /// Largest number of times that nodes lost the lender within such a span; each time allows a
+    /// node one more call.
+    [[nodiscard]] std::size_t max_lender_losses() const {
+        return max_count_in_window(lender_losses_);
+    }
+    [[nodiscard]] std::size_t admitted_since(instant since) const {
         return static_cast<std::size_t>(
             std::count_if(spent.begin(), spent.end(), [&](instant at) { return at >= since; }));
     }
-    [[nodiscard]] permit_lender& keeper() { return keepers_[lender_]; }
+    [[nodiscard]] permit_lender& lender() { return lenders_[active_lender_]; }
     [[nodiscard]] double bound() const {
         const double window = std::chrono::duration<double>(rules_.window).count();
         return (tenant_.rate_per_second * window + tenant_.burst) * (1 + rules_.overshoot) +
@@ -130,7 +132,7 @@
     }
 
   private:
-    [[nodiscard]] std::size_t most_of(const std::deque<instant>& times) const {
+    [[nodiscard]] std::size_t max_count_in_window(const std::deque<instant>& times) const {
         std::size_t most = 0;
         std::size_t first = 0;
         for (std::size_t last = 0; last < times.size(); ++last) {
@@ -153,10 +155,10 @@
         instant last_report{};
         instant frozen_until{};
         std::uint64_t answered = 0;
-        bool silent = false;
+        bool lender_lost = false;
         std::vector<waiting_call> waiting;
     };
-    /// A call that holds a permit and is not going to run.
+    /// A call that holds a permit and will not run.
     struct held_call {
         std::size_t node = 0;
         std::uint64_t life = 0;
@@ -167,27 +169,27 @@
         instant at{};
         std::size_t node = 0;
         std::uint64_t life = 0;
-        bool to_keeper = false;
+        bool to_lender = false;
         permit_report report;
         permit_answer answer;
     };
 
     node make_node(std::size_t number) {
         node made;
-        made.life = ++lives_;
+        made.life = ++last_life_;
         made.holder =
             std::make_unique<permit_holder>(rules_, "node-" + std::to_string(number), made.life);
         made.holder->use({tenant_});
         return made;
     }
 
-    bool lost() { return !keeper_reachable || random_() % 1'000 < loss * 1'000; }
+    bool lost() { return !lender_reachable || random_() % 1'000 < message_loss * 1'000; }
     duration delay() { return milliseconds(1 + random_() % 6); }
 
     void deliver() {
         std::vector<message> due;
         std::erase_if(messages_, [&](const message& each) {
-            const bool frozen = !each.to_keeper && now < nodes_[each.node].frozen_until;
+            const bool frozen = !each.to_lender && now < nodes_[each.node].frozen_until;
             if (each.at > now || frozen) {
                 return false;
             }
@@ -195,9 +197,9 @@
             return true;
         });
         for (message& each : due) {
-            if (each.to_keeper) {
+            if (each.to_lender) {
                 message back;
-                back.answer = keepers_[lender_].answer(each.report, now);
+                back.answer = lenders_[active_lender_].answer(each.report, now);
                 back.node = each.node;
                 back.at = now + delay();
                 if (!lost()) {
@@ -213,7 +215,7 @@
         asker.asked = now;
         asker.last_report = now;
         message sent;
-        sent.to_keeper = true;
+        sent.to_lender = true;
         sent.node = number;
         sent.report = asker.holder->report(now);
         sent.at = now + delay();
@@ -232,12 +234,12 @@
             return;
         }
         asker.answered = answer.question;
-        asker.silent = false;
+        asker.lender_lost = false;
     }
 
-    void end_waiting(node& asker, bool let_in) {
+    void end_waiting(node& asker, bool admitted) {
         asker.holder->end_wait(tenant_.name, permit_need::under_way);
-        let_in ? spent.push_back(now) : void(++refused);
+        admitted ? spent.push_back(now) : void(++refused);
     }
 
     void run_node(std::size_t number) {
@@ -245,23 +247,23 @@
         if (each.asked && now - *each.asked > milliseconds(120)) {
             each.asked.reset();
             each.holder->unanswered();
-            if (!each.silent) {
-                silences_.push_back(now);
+            if (!each.lender_lost) {
+                lender_losses_.push_back(now);
             }
-            each.silent = true;
+            each.lender_lost = true;
         }
         std::erase_if(each.waiting, [&](const waiting_call& call) {
             if (each.holder->take(tenant_.name, now)) {
                 end_waiting(each, true);
                 return true;
             }
-            if (each.silent) {
+            if (each.lender_lost) {
                 end_waiting(each, each.holder->take_without_lender(tenant_.name, now));
                 return true;
             }
             if (each.answered >= call.needed) {
-                const bool unsure = each.holder->lender_settles();
-                end_waiting(each, unsure && each.holder->take_without_lender(tenant_.name, now));
+                const bool settling = each.holder->lender_settling();
+                end_waiting(each, settling && each.holder->take_without_lender(tenant_.name, now));
                 return true;
             }
             return false;
@@ -274,24 +276,24 @@
     }
 
     /// @return true when the call that has just taken a permit is one of those that don't run
-    bool hold_for_a_while(std::size_t number) {
-        if (late_returns <= 0 || random_() % 1'000 >= late_returns * 1'000) {
+    bool hold_permit(std::size_t number) {
+        if (late_return_share <= 0 || random_() % 1'000 >= late_return_share * 1'000) {
             return false;
         }
         const auto most = std::chrono::duration_cast<milliseconds>(longest_hold).count();
         const duration held = milliseconds(random_() % static_cast<std::uint64_t>(most));
-        held_.push_back({number, nodes_[number].life, now, now + held});
+        held_calls_.push_back({number, nodes_[number].life, now, now + held});
         return true;
     }
     void return_permits() {
-        std::erase_if(held_, [&](const held_call& call) {
+        std::erase_if(held_calls_, [&](const held_call& call) {
             if (call.until > now) {
                 return false;
             }
             node& holding = nodes_[call.node];
             if (holding.life == call.life) {
                 holding.holder->give_back(tenant_.name, call.taken, now);
-                ++taken_back;
+                ++returned;
             }
             return true;
         });
@@ -300,19 +302,19 @@
     void call(std::size_t number) {
         node& taker = nodes_[number];
         if (taker.holder->take(tenant_.name, now)) {
-            if (hold_for_a_while(number)) {
+            if (hold_permit(number)) {
                 return;
             }
             spent.push_back(now);
             if (random_() % 50 == 0) {
-                // It was not run after all.
+                // The call was not run.
                 taker.holder->give_back(tenant_.name, now, now);
                 spent.pop_back();
-                ++taken_back;
+                ++returned;
             }
             return;
         }
-        if (taker.silent) {
+        if (taker.lender_lost) {
             taker.holder->take_without_lender(tenant_.name, now) ? spent.push_back(now)
                                                                  : void(++refused);
             return;
@@ -324,14 +326,14 @@
     std::mt19937_64 random_;
     quota_rules rules_;
     routing::tenant tenant_;
-    std::vector<permit_lender> keepers_;
-    std::size_t lender_ = 0;
+    std::vector<permit_lender> lenders_;
+    std::size_t active_lender_ = 0;
     std::vector<node> nodes_;
     std::vector<message> messages_;
-    std::vector<held_call> held_;
-    std::deque<instant> silences_;
+    std::vector<held_call> held_calls_;
+    std::deque<instant> lender_losses_;
     double arrivals_ = 0;
-    std::uint64_t lives_ = 0;
+    std::uint64_t last_life_ = 0;
 };
 
 }  // namespace tallyfold::tests
--- a/tests/scheduling/call_queue_test.cpp
+++ b/tests/scheduling/call_queue_test.cpp
@@ -34,12 +34,13 @@
     }
 
     void no_call_starves() {
-        // A low call behind an endless stream of high ones is served within the bound.
+        // A call of low priority is served within the bound despite a constant stream of higher
+        // priority.
         call_queue queue;
         queue.push(call(1, "low", 0, 1e9));
         ticket next = 2;
         std::uint64_t served = 0;
-        for (; served <= call_queue::oldest_every; ++served) {
+        for (; served <= call_queue::oldest_first_interval; ++served) {
             queue.push(call(next, "high", 10, 0));
             ++next;
             const ticket first = queue.next(1).front();
@@ -48,7 +49,7 @@
                 break;
             }
         }
-        CPPUNIT_ASSERT(served <= call_queue::oldest_every);
+        CPPUNIT_ASSERT(served <= call_queue::oldest_first_interval);
     }
 
     void tenants_share_by_weight() {
