--- a/src/tallyfold/plane/decisions/backend_selection.cpp
+++ b/src/tallyfold/plane/decisions/backend_selection.cpp
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-std::optional<chosen_backend> backend_selector::select(const backend_question& question,
+std::optional<chosen_backend> backend_selector::select(const selection_request& question,
                                                        const selection_state& state,
                                                        random_source& random, instant now) {
     const bool first_send = question.tried.empty();
@@ -73,7 +73,7 @@
     return chosen_backend{chosen.member.name, chosen.member.address, 0, rule, accepted};
 }
 
-std::optional<chosen_backend> backend_selector::place(const backend_question& question,
+std::optional<chosen_backend> backend_selector::place(const selection_request& question,
                                                       const selection_state& state, instant now) {
     scheduling::placement_request request;
     request.zone = zone_;
@@ -102,7 +102,7 @@
 }
 
 std::pair<backend_selector::backend_list, backend_eligibility> backend_selector::candidates(
-    const backend_question& question, const selection_state& state, instant now) const {
+    const selection_request& question, const selection_state& state, instant now) const {
     const bool whole_service =
         uses_object_affinity(question) || is_disabled(settings::mechanism::backend_subset);
     const bool must_run_once = !question.repeatable;
@@ -122,11 +122,9 @@
     return {eligible_backends(last_resort, question, state, true, now), last_resort};
 }
 
-backend_selector::backend_list backend_selector::eligible_backends(backend_eligibility worst,
-                                                                   const backend_question& question,
-                                                                   const selection_state& state,
-                                                                   bool whole_service,
-                                                                   instant now) const {
+backend_selector::backend_list backend_selector::eligible_backends(
+    backend_eligibility worst, const selection_request& question, const selection_state& state,
+    bool whole_service, instant now) const {
     const auto is_candidate = [&](const backend_state& backend) {
         return !question.tried.contains(backend.member.name) &&
                eligibility_of(backend, state.pool, state.reported, now) <= worst;
@@ -143,7 +141,7 @@
     return chosen;
 }
 
-bool backend_selector::uses_object_affinity(const backend_question& question) const {
+bool backend_selector::uses_object_affinity(const selection_request& question) const {
     return !question.object.empty() && !is_disabled(settings::mechanism::object_affinity);
 }
 
--- a/src/tallyfold/plane/decisions/backend_selection.hpp
+++ b/src/tallyfold/plane/decisions/backend_selection.hpp
@@ -38,7 +38,7 @@
 namespace tallyfold::forwarding {
 
 /// Properties of a call that determine the selection.
-struct backend_question {
+struct selection_request {
     std::string service;
     bool is_engine = false;
     /// False if the request must run at most once.
@@ -88,7 +88,7 @@
         : zone_(std::move(zone)), placement_(strategy), off_(std::move(off)) {}
 
     /// @return nothing when no back end of the service is eligible
-    std::optional<chosen_backend> select(const backend_question& question,
+    std::optional<chosen_backend> select(const selection_request& question,
                                          const selection_state& state, random_source& random,
                                          instant now);
 
@@ -96,19 +96,19 @@
     using backend_list = std::vector<const scheduling::backend_state*>;
 
     /// Applies rule 1.
-    std::optional<chosen_backend> place(const backend_question& question,
+    std::optional<chosen_backend> place(const selection_request& question,
                                         const selection_state& state, instant now);
     /// Lists a to c. @return the candidates, and the most restricted eligibility that their list
     /// admits
     [[nodiscard]] std::pair<backend_list, backend_eligibility> candidates(
-        const backend_question& question, const selection_state& state, instant now) const;
+        const selection_request& question, const selection_state& state, instant now) const;
     /// Untried back ends that are at most as restricted as `worst`: of the subset of this node, or
     /// of the whole service for calls with object affinity.
     [[nodiscard]] backend_list eligible_backends(backend_eligibility worst,
-                                                 const backend_question& question,
+                                                 const selection_request& question,
                                                  const selection_state& state, bool whole_service,
                                                  instant now) const;
-    [[nodiscard]] bool uses_object_affinity(const backend_question& question) const;
+    [[nodiscard]] bool uses_object_affinity(const selection_request& question) const;
     [[nodiscard]] bool is_disabled(settings::mechanism mechanism) const {
         return off_.contains(mechanism);
     }
--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -42,7 +42,7 @@
     return true;
 }
 
-std::optional<chosen_backend> backend_registry::choose(const backend_question& question,
+std::optional<chosen_backend> backend_registry::choose(const selection_request& question,
                                                        instant now) {
     const service_state& service = state_of(question.service);
     const selection_state state{service.pool, service.subset, reported_, service.pace, cache_};
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -40,7 +40,7 @@
     bool update(const std::vector<discovery::listed_backend>& backends, instant now);
     /// Selects a back end for a call by the rules of backend_selection.
     /// @return nothing when no back end of the service is eligible
-    std::optional<chosen_backend> choose(const backend_question& question, instant now);
+    std::optional<chosen_backend> choose(const selection_request& question, instant now);
 
     /// Registers a call at the chosen back end. The uncached part of its prompt counts as pending
     /// prefill work there until the first byte.
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -34,9 +34,9 @@
     }
 }
 
-backend_question send_loop::make_backend_question() const {
+selection_request send_loop::make_selection_request() const {
     const request_facts& facts = request_.facts;
-    backend_question question;
+    selection_request question;
     question.service = request_.service.name;
     question.is_engine = request_.service.is_engine;
     question.repeatable = policy_.repeatable();
@@ -62,7 +62,7 @@
 }
 
 asio::awaitable<request_end> send_loop::run() {
-    backend_question question = make_backend_question();
+    selection_request question = make_selection_request();
     statistics_.urgency = urgency_of(question.call);
     co_await wait_for_admission(question.call);
     attempt_result last;
--- a/src/tallyfold/plane/forwarding/send_loop_shell.hpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.hpp
@@ -33,7 +33,7 @@
     [[nodiscard]] const send_statistics& statistics() const { return statistics_; }
 
   private:
-    [[nodiscard]] backend_question make_backend_question() const;
+    [[nodiscard]] selection_request make_selection_request() const;
     [[nodiscard]] std::int32_t urgency_of(const scheduling::call_features& call) const;
     asio::awaitable<void> wait_for_admission(const scheduling::call_features& call);
     /// Pauses before full back ends are tried again, and re-enters admission. @return false when
--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -38,7 +38,7 @@
             pool.update(members);
             subset.update(members);
         }
-        std::optional<chosen_backend> select(const backend_question& question) {
+        std::optional<chosen_backend> select(const selection_request& question) {
             const selection_state state{pool, subset, reported, pace, cache};
             return selector.select(question, state, random, now);
         }
@@ -53,14 +53,14 @@
         backend_selector selector;
     };
 
-    static backend_question engine_call() {
-        backend_question question;
+    static selection_request engine_call() {
+        selection_request question;
         question.is_engine = true;
         question.program = "program";
         return question;
     }
-    static backend_question plain_call(bool repeatable) {
-        backend_question question;
+    static selection_request plain_call(bool repeatable) {
+        selection_request question;
         question.repeatable = repeatable;
         return question;
     }
@@ -75,7 +75,7 @@
 
     void a_retry_selects_an_untried_back_end_by_load() {
         service engines;
-        backend_question question = engine_call();
+        selection_request question = engine_call();
         question.tried = {"b0", "b2", "b3"};
         const chosen_backend chosen = *engines.select(question);
         CPPUNIT_ASSERT(chosen.rule == selection_rule::less_loaded_of_two);
@@ -94,7 +94,7 @@
 
     void an_object_is_sent_to_its_affinity_target() {
         service plain;
-        backend_question question = plain_call(true);
+        selection_request question = plain_call(true);
         question.object = "object";
         const chosen_backend chosen = *plain.select(question);
         CPPUNIT_ASSERT(chosen.rule == selection_rule::affinity_target);
@@ -109,7 +109,7 @@
         settings::switched_off off;
         off.add("object_home");
         service plain(off);
-        backend_question question = plain_call(true);
+        selection_request question = plain_call(true);
         question.object = "object";
         CPPUNIT_ASSERT(plain.select(question)->rule == selection_rule::less_loaded_of_two);
     }
@@ -130,7 +130,7 @@
     void at_most_once_calls_fall_back_to_distrusted_back_ends() {
         service plain;
         plain.reported.note("b0", now);
-        backend_question question = plain_call(false);
+        selection_request question = plain_call(false);
         question.tried = {"b1", "b2", "b3"};
         const chosen_backend chosen = *plain.select(question);
         CPPUNIT_ASSERT_EQUAL(std::string("b0"), chosen.name);
@@ -140,7 +140,7 @@
     void ejected_back_ends_are_selected_last() {
         service plain;
         plain.pool.unreachable("b0", now);
-        backend_question question = plain_call(true);
+        selection_request question = plain_call(true);
         for (int count = 0; count < 50; ++count) {
             CPPUNIT_ASSERT(plain.select(question)->name != "b0");
         }
@@ -153,7 +153,7 @@
     void excluded_back_ends_are_never_selected() {
         service plain;
         plain.pool.set_drained("b0", true);
-        backend_question question = plain_call(true);
+        selection_request question = plain_call(true);
         question.tried = {"b1", "b2", "b3"};
         CPPUNIT_ASSERT(!plain.select(question));
     }
--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -41,7 +41,7 @@
 
     static std::map<std::string, int> count_choices(backend_registry& registry, bool repeatable,
                                                     instant now) {
-        backend_question question;
+        selection_request question;
         question.service = "s";
         question.repeatable = repeatable;
         std::map<std::string, int> counts;
@@ -75,7 +75,7 @@
         // Objects keep their home back ends, too.
         std::set<std::string> homes;
         for (int number = 0; number < 60; ++number) {
-            backend_question question;
+            selection_request question;
             question.service = "s";
             question.object = std::to_string(number);
             homes.insert(registry.choose(question, now)->name);
@@ -91,7 +91,7 @@
         second_node.update(engines(8), now);
         std::set<std::string> used;
         for (int number = 0; number < 60; ++number) {
-            backend_question question;
+            selection_request question;
             question.service = "s";
             question.object = std::to_string(number);
             const chosen_backend home = *first_node.choose(question, now);
@@ -136,7 +136,7 @@
         std::vector<discovery::listed_backend> listed = engines(2);
         listed[0].member.leaving = true;
         registry.update(listed, instant{});
-        backend_question question;
+        selection_request question;
         question.service = "s";
         for (int count = 0; count < 50; ++count) {
             CPPUNIT_ASSERT_EQUAL(std::string("b1"), registry.choose(question, instant{})->name);
@@ -150,9 +150,9 @@
     static std::vector<scheduling::prefix_point> prompt_of_program(int number) {
         return {{1, 512}, {100 + std::uint64_t(number), 900}};
     }
-    static backend_question first_turn_of(int number,
-                                          const std::vector<scheduling::prefix_point>& prompt) {
-        backend_question question;
+    static selection_request first_turn_of(int number,
+                                           const std::vector<scheduling::prefix_point>& prompt) {
+        selection_request question;
         question.service = "s";
         question.is_engine = true;
         question.program = "program-" + std::to_string(number);
@@ -170,7 +170,7 @@
         std::set<std::string> used;
         for (int number = 0; number < 40; ++number) {
             const auto prompt = prompt_of_program(number);
-            const backend_question question = first_turn_of(number, prompt);
+            const selection_request question = first_turn_of(number, prompt);
             const auto first = first_node.choose(question, instant{});
             const auto second_choice = second_node.choose(question, instant{});
             CPPUNIT_ASSERT(first.has_value() && second_choice.has_value());
@@ -187,7 +187,7 @@
         for (int node = 0; node < nodes; ++node) {
             backend_registry registry("zone", stable_hash("node-" + std::to_string(node)));
             registry.update(engines(20), instant{});
-            backend_question question;
+            selection_request question;
             question.service = "s";
             question.is_engine = true;
             ++calls[registry.choose(question, instant{})->name];
@@ -209,7 +209,7 @@
             registry.update(engines(20), instant{});
             registry.record_cached("b3", shared);
             const auto prompt = prompt_of_program(number);
-            const backend_question question = first_turn_of(number, prompt);
+            const selection_request question = first_turn_of(number, prompt);
             ++calls[registry.choose(question, instant{})->name];
         }
         CPPUNIT_ASSERT_MESSAGE(std::to_string(calls["b3"]), calls["b3"] < 20);
@@ -219,7 +219,7 @@
         backend_registry registry("zone", 1);
         registry.update(engines(3), instant{});
         registry.unreachable("s", "b0", instant{});
-        backend_question question;
+        selection_request question;
         question.service = "s";
         for (int count = 0; count < 50; ++count) {
             CPPUNIT_ASSERT(registry.choose(question, instant{})->name != "b0");
@@ -231,7 +231,7 @@
         std::set<std::string> chosen;
         for (int node = 0; node < 20; ++node) {
             backend_registry registry("zone", stable_hash("node-" + std::to_string(node)));
-            backend_question question;
+            selection_request question;
             question.service = "s";
             question.is_engine = true;
             registry.update(engines(20), instant{});
@@ -262,7 +262,7 @@
         CPPUNIT_ASSERT(registry.suspect_silent(at(700)).empty());
         const std::vector<std::string> suspected = registry.suspect_silent(at(900));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, suspected.size());
-        backend_question question;
+        selection_request question;
         question.service = "s";
         for (int count = 0; count < 50; ++count) {
             CPPUNIT_ASSERT(registry.choose(question, at(900))->name != "b0");
@@ -281,8 +281,8 @@
     static constexpr token_count shared_tokens = 12'000;
 
     /// Question for a turn of a program with this prompt.
-    static backend_question turn_question(const std::vector<scheduling::prefix_point>& prompt) {
-        backend_question question;
+    static selection_request turn_question(const std::vector<scheduling::prefix_point>& prompt) {
+        selection_request question;
         question.service = "s";
         question.is_engine = true;
         question.program = "program";
