--- a/src/tallyfold/plane/decisions/own_answer.cpp
+++ b/src/tallyfold/plane/decisions/own_answer.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-own_answer answer_to(refusal why) {
+local_answer answer_to(refusal why) {
     const auto never = retry_after::never();
     const auto recovery = retry_after::after_recovery();
     switch (why) {
@@ -38,8 +38,8 @@
     return {503, "no configuration is known yet", recovery};
 }
 
-own_answer answer_without_permit(const tenants::permit_decision& decision) {
-    own_answer answer;
+local_answer answer_without_permit(const tenants::permit_decision& decision) {
+    local_answer answer;
     answer.retry = retry_after{decision.retry_after};
     if (decision.state == tenants::permit_state::over_limit) {
         answer.status = 429;
@@ -88,7 +88,7 @@
     if (last.answer_started) {
         return {request_outcome::broken_off, reason, std::nullopt};
     }
-    own_answer answer;
+    local_answer answer;
     answer.reason = reason;
     if (last.may_have_run) {
         // A 503 or a Retry-After would state that the request has not run.
--- a/src/tallyfold/plane/decisions/own_answer.hpp
+++ b/src/tallyfold/plane/decisions/own_answer.hpp
@@ -39,7 +39,7 @@
     store_timeout,
 };
 
-struct own_answer {
+struct local_answer {
     unsigned status = 0;
     std::string reason;
     retry_after retry;
@@ -47,9 +47,9 @@
     request_outcome outcome = request_outcome::refused;
 };
 
-[[nodiscard]] own_answer answer_to(refusal why);
+[[nodiscard]] local_answer answer_to(refusal why);
 /// @param decision a decision that grants no permit
-[[nodiscard]] own_answer answer_without_permit(const tenants::permit_decision& decision);
+[[nodiscard]] local_answer answer_without_permit(const tenants::permit_decision& decision);
 
 /// A route or key that this node does not have may exist in a newer configuration, so it is
 /// reported as unknown only if the configuration is confirmed.
@@ -83,7 +83,7 @@
     /// Reason for the log; may be empty.
     std::string reason;
     /// Generated answer; nothing if the caller already has an answer or has disconnected.
-    std::optional<own_answer> answer;
+    std::optional<local_answer> answer;
 };
 
 [[nodiscard]] request_end end_after(const last_attempt& last);
--- a/src/tallyfold/plane/forwarding/answer_rendering.cpp
+++ b/src/tallyfold/plane/forwarding/answer_rendering.cpp
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-std::string render_own_answer(unsigned status, const std::string& reason, retry_after retry,
-                              bool keep_alive) {
+std::string render_local_answer(unsigned status, const std::string& reason, retry_after retry,
+                                bool keep_alive) {
     http::endpoint_response response;
     response.status = status;
     response.body = nlohmann::json{{"error", reason}}.dump();
--- a/src/tallyfold/plane/forwarding/answer_rendering.hpp
+++ b/src/tallyfold/plane/forwarding/answer_rendering.hpp
@@ -14,8 +14,8 @@
 /// Renders a complete answer of the forwarder with the reason as JSON body.
 /// @param retry value of Retry-After, in seconds with decimals; omitted for never()
 /// @param keep_alive false adds Connection: close
-std::string render_own_answer(unsigned status, const std::string& reason, retry_after retry,
-                              bool keep_alive);
+std::string render_local_answer(unsigned status, const std::string& reason, retry_after retry,
+                                bool keep_alive);
 
 /// Framing of the body of a relayed answer.
 struct relayed_framing {
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -18,12 +18,12 @@
                                    const request_facts& facts)
     : context_(context), head_(head), facts_(facts) {}
 
-asio::awaitable<std::optional<own_answer>> caller_admission::identify() {
+asio::awaitable<std::optional<local_answer>> caller_admission::identify() {
     table_ = context_.routes;
     if (!table_) {
         co_return answer_to(refusal::no_configuration);
     }
-    std::optional<own_answer> refused = co_await find_route();
+    std::optional<local_answer> refused = co_await find_route();
     if (!refused) {
         refused = co_await find_tenant();
     }
@@ -41,7 +41,7 @@
     return table_->find(host != nullptr ? *host : std::string{}, head_.path());
 }
 
-asio::awaitable<std::optional<own_answer>> caller_admission::find_route() {
+asio::awaitable<std::optional<local_answer>> caller_admission::find_route() {
     route_ = lookup_route();
     if (route_ != nullptr) {
         co_return std::nullopt;
@@ -52,20 +52,20 @@
     if (route_ != nullptr) {
         co_return std::nullopt;
     }
-    const own_answer refused = answer_to(refusal_of_unknown_route(confirmed));
+    const local_answer refused = answer_to(refusal_of_unknown_route(confirmed));
     logging::write_event(logging::event_id::route_unknown,
                          "request=" + facts_.request + " status=" + std::to_string(refused.status) +
                              " " + describe_proof(http::steady_now() - refresh_started));
     co_return refused;
 }
 
-asio::awaitable<std::optional<own_answer>> caller_admission::find_tenant() {
+asio::awaitable<std::optional<local_answer>> caller_admission::find_tenant() {
     if (!table_->keys().required() || route_->is_public) {
         co_return std::nullopt;
     }
     const settings::node_settings& settings = context_.process.settings();
     if (settings.refuses_stale_keys && keys_are_stale(proof_age(), settings.revocation)) {
-        const own_answer refused = answer_to(refusal::stale_keys);
+        const local_answer refused = answer_to(refusal::stale_keys);
         log_refusal(refused, duration::zero());
         co_return refused;
     }
@@ -76,7 +76,7 @@
     const instant refresh_started = http::steady_now();
     const bool confirmed = co_await refresh_table();
     // The refresh may have changed or removed the route.
-    std::optional<own_answer> without_route = co_await find_route();
+    std::optional<local_answer> without_route = co_await find_route();
     if (without_route) {
         co_return without_route;
     }
@@ -84,12 +84,12 @@
     if (tenant_ != nullptr || !table_->keys().required() || route_->is_public) {
         co_return std::nullopt;
     }
-    const own_answer refused = answer_to(refusal_of_unknown_key(confirmed));
+    const local_answer refused = answer_to(refusal_of_unknown_key(confirmed));
     log_refusal(refused, http::steady_now() - refresh_started);
     co_return refused;
 }
 
-asio::awaitable<std::optional<own_answer>> caller_admission::take_permit(
+asio::awaitable<std::optional<local_answer>> caller_admission::take_permit(
     tenants::permit_need need) {
     if (tenant_ == nullptr || !tenant_->is_limited()) {
         co_return std::nullopt;
@@ -100,7 +100,7 @@
         permit_acquired_at_ = decision.taken;
         co_return std::nullopt;
     }
-    const own_answer refused = answer_without_permit(decision);
+    const local_answer refused = answer_without_permit(decision);
     log_refusal(refused, decision.waited);
     co_return refused;
 }
@@ -132,7 +132,7 @@
            " proof_age_ms=" + (proved ? std::to_string(to_milliseconds(proof_age())) : "-");
 }
 
-void caller_admission::log_refusal(const own_answer& answer, duration waited) const {
+void caller_admission::log_refusal(const local_answer& answer, duration waited) const {
     logging::write_event(logging::event_id::caller_refused,
                          "request=" + facts_.request + " status=" + std::to_string(answer.status) +
                              " reason=" + answer.reason +
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
 /// First stage of a request: finds its route and tenant and enforces the tenant's rate limit.
-/// Queries the directory and the quota service; decisions/own_answer defines the answers to refused
-/// requests. Used on the loop thread only.
+/// Queries the directory and the quota service; decisions/local_answer defines the answers to
+/// refused requests. Used on the loop thread only.
 
 #include <asio/awaitable.hpp>
 #include <memory>
@@ -21,9 +21,9 @@
                      const request_facts& facts);
 
     /// Finds the route and the tenant. @return the answer when the request is refused
-    asio::awaitable<std::optional<own_answer>> identify();
+    asio::awaitable<std::optional<local_answer>> identify();
     /// Acquires a permit if the tenant is limited. @return the answer when the request is refused
-    asio::awaitable<std::optional<own_answer>> take_permit(tenants::permit_need need);
+    asio::awaitable<std::optional<local_answer>> take_permit(tenants::permit_need need);
     /// Returns the permit of a request that did not run on any back end.
     void return_permit();
 
@@ -37,8 +37,8 @@
     [[nodiscard]] const routing::tenant* tenant() const { return tenant_; }
 
   private:
-    asio::awaitable<std::optional<own_answer>> find_route();
-    asio::awaitable<std::optional<own_answer>> find_tenant();
+    asio::awaitable<std::optional<local_answer>> find_route();
+    asio::awaitable<std::optional<local_answer>> find_tenant();
     /// Requests a newer configuration from the directory and applies it. @return false when the
     /// directory did not respond, so that an unknown route or key may exist in a newer
     /// configuration
@@ -50,7 +50,7 @@
     /// Log fields of the configuration version and of its last confirmation.
     [[nodiscard]] std::string describe_proof(duration waited) const;
     /// Logs a refused caller. @param waited time spent on the directory or the quota service
-    void log_refusal(const own_answer& answer, duration waited) const;
+    void log_refusal(const local_answer& answer, duration waited) const;
 
     forwarder_context& context_;
     const http::message_head& head_;
--- a/src/tallyfold/plane/forwarding/caller_channel_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_channel_shell.cpp
@@ -28,12 +28,13 @@
     co_return written.has_value();
 }
 
-asio::awaitable<void> caller_channel::write_answer(const own_answer& answer) {
+asio::awaitable<void> caller_channel::write_answer(const local_answer& answer) {
     if (disconnected_) {
         co_return;
     }
     const retry_after retry = answer.retry.with_jitter(context_.backends.draw_jitter());
-    std::string bytes = render_own_answer(answer.status, answer.reason, retry, keeps_connection());
+    std::string bytes =
+        render_local_answer(answer.status, answer.reason, retry, keeps_connection());
     co_await write(std::move(bytes));
 }
 
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -165,7 +165,7 @@
     logging::write_event(logging::event_id::call_refused,
                          "status=" + std::to_string(status) + " reason=\"" + reason + "\"");
     context_.metrics.finished("rejected", duration::zero());
-    std::string bytes = render_own_answer(status, reason, retry_after::never(), false);
+    std::string bytes = render_local_answer(status, reason, retry_after::never(), false);
     const instant limit = http::steady_now() + write_timeout;
     co_await caller->write(std::move(bytes), limit);
     caller->close();
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -35,7 +35,7 @@
 asio::awaitable<bool> request_relay::serve() {
     const auto self = shared_from_this();
     co_await wait_until_ready();
-    const std::optional<own_answer> refused = co_await admission_.identify();
+    const std::optional<local_answer> refused = co_await admission_.identify();
     if (refused) {
         co_await refuse(*refused);
     } else {
@@ -68,7 +68,7 @@
 asio::awaitable<void> request_relay::serve_admitted() {
     forwarded_.emplace(make_forwarded_request());
     watch_caller();
-    const std::optional<own_answer> refused = co_await begin_turn_and_take_permit();
+    const std::optional<local_answer> refused = co_await begin_turn_and_take_permit();
     if (refused) {
         co_await refuse(*refused);
     } else {
@@ -115,9 +115,9 @@
     return !facts_.program.empty() && route.streaming && (facts_.budget > 0 || route.keeps_history);
 }
 
-asio::awaitable<std::optional<own_answer>> request_relay::begin_turn_and_take_permit() {
+asio::awaitable<std::optional<local_answer>> request_relay::begin_turn_and_take_permit() {
     if (is_turn()) {
-        std::optional<own_answer> refused = co_await begin_turn();
+        std::optional<local_answer> refused = co_await begin_turn();
         if (refused) {
             co_return refused;
         }
@@ -126,11 +126,11 @@
     const bool is_new_program = turn_ && turn_->used_tokens() == 0;
     const auto need =
         is_new_program ? tenants::permit_need::new_program : tenants::permit_need::under_way;
-    std::optional<own_answer> refused = co_await admission_.take_permit(need);
+    std::optional<local_answer> refused = co_await admission_.take_permit(need);
     co_return refused;
 }
 
-asio::awaitable<std::optional<own_answer>> request_relay::begin_turn() {
+asio::awaitable<std::optional<local_answer>> request_relay::begin_turn() {
     if (!context_.turns.has_store_table()) {
         co_return answer_to(refusal::no_store);
     }
@@ -158,7 +158,7 @@
     send_loop_->leave_admission();
 }
 
-asio::awaitable<void> request_relay::refuse(const own_answer& answer) {
+asio::awaitable<void> request_relay::refuse(const local_answer& answer) {
     end_ = {answer.outcome, answer.reason, answer};
     co_await caller_.write_answer(answer);
 }
--- a/src/tallyfold/plane/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -53,11 +53,11 @@
     void on_client_disconnected();
     /// Begins the turn and acquires the tenant's permit.
     /// @return the answer when the request is refused
-    asio::awaitable<std::optional<own_answer>> begin_turn_and_take_permit();
-    asio::awaitable<std::optional<own_answer>> begin_turn();
+    asio::awaitable<std::optional<local_answer>> begin_turn_and_take_permit();
+    asio::awaitable<std::optional<local_answer>> begin_turn();
     [[nodiscard]] bool is_turn() const;
     asio::awaitable<void> send();
-    asio::awaitable<void> refuse(const own_answer& answer);
+    asio::awaitable<void> refuse(const local_answer& answer);
     /// Returns the permit of a request that did not run, and settles a turn that is still open.
     void release_reservations();
     void log_finish() const;
--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/own_answer_test.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     static void assert_answer(unsigned status, request_outcome outcome, bool retries,
-                              const own_answer& answer) {
+                              const local_answer& answer) {
         CPPUNIT_ASSERT_EQUAL(status, answer.status);
         CPPUNIT_ASSERT(answer.outcome == outcome);
         CPPUNIT_ASSERT_EQUAL(retries, answer.retry.after.has_value());
@@ -41,7 +41,7 @@
         for (const refusal why :
              {refusal::no_configuration, refusal::unconfirmed_route, refusal::stale_keys,
               refusal::unconfirmed_key, refusal::no_store, refusal::store_timeout}) {
-            const own_answer answer = answer_to(why);
+            const local_answer answer = answer_to(why);
             assert_answer(503, request_outcome::refused, true, answer);
             CPPUNIT_ASSERT(answer.retry.after == retry_after::after_recovery().after);
         }
@@ -53,12 +53,12 @@
         tenants::permit_decision decision;
         decision.retry_after = std::chrono::milliseconds(130);
         decision.state = tenants::permit_state::over_limit;
-        const own_answer over = answer_without_permit(decision);
+        const local_answer over = answer_without_permit(decision);
         assert_answer(429, request_outcome::refused, true, over);
         CPPUNIT_ASSERT_EQUAL(std::string("over_limit"), over.reason);
         CPPUNIT_ASSERT(over.retry.after == decision.retry_after);
         decision.state = tenants::permit_state::unknown;
-        const own_answer unknown = answer_without_permit(decision);
+        const local_answer unknown = answer_without_permit(decision);
         assert_answer(503, request_outcome::refused, true, unknown);
         CPPUNIT_ASSERT_EQUAL(std::string("limit_unknown"), unknown.reason);
         CPPUNIT_ASSERT(unknown.retry.after == decision.retry_after);
--- a/tests/plane/forwarding/answer_rendering_test.cpp
+++ b/tests/plane/forwarding/answer_rendering_test.cpp
@@ -18,10 +18,10 @@
     }
 
     void refusal_has_retry_after() {
-        const std::string soon = render_own_answer(503, "full", retry_after::soon(), true);
+        const std::string soon = render_local_answer(503, "full", retry_after::soon(), true);
         CPPUNIT_ASSERT(soon.starts_with("HTTP/1.1 503 "));
         CPPUNIT_ASSERT(contains(soon, "Retry-After: 0.2\r\n"));
-        const std::string never = render_own_answer(404, "no route", retry_after::never(), true);
+        const std::string never = render_local_answer(404, "no route", retry_after::never(), true);
         CPPUNIT_ASSERT(!contains(never, "Retry-After"));
     }
 
