--- a/src/tallyfold/plane/decisions/own_answer.cpp
+++ b/src/tallyfold/plane/decisions/local_answer.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/decisions/own_answer.hpp"
+#include "tallyfold/plane/decisions/local_answer.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/plane/forwarding/caller_channel_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_channel_shell.hpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <string>
 
-#include "tallyfold/plane/decisions/own_answer.hpp"
+#include "tallyfold/plane/decisions/local_answer.hpp"
 #include "tallyfold/plane/forwarding/forwarder_context.hpp"
 
 namespace tallyfold::forwarding {
--- a/src/tallyfold/plane/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-#include "tallyfold/plane/decisions/own_answer.hpp"
+#include "tallyfold/plane/decisions/local_answer.hpp"
 #include "tallyfold/plane/forwarding/answer_relay_shell.hpp"
 #include "tallyfold/plane/forwarding/answer_rendering.hpp"
 #include "tallyfold/plane/forwarding/caller_admission_shell.hpp"
--- a/src/tallyfold/plane/forwarding/send_loop_shell.hpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.hpp
@@ -7,7 +7,7 @@
 #include <asio/awaitable.hpp>
 #include <optional>
 
-#include "tallyfold/plane/decisions/own_answer.hpp"
+#include "tallyfold/plane/decisions/local_answer.hpp"
 #include "tallyfold/plane/decisions/retry_policy.hpp"
 #include "tallyfold/plane/forwarding/answer_relay_shell.hpp"
 #include "tallyfold/plane/forwarding/backend_attempt_shell.hpp"
--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/local_answer_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/decisions/own_answer.hpp"
+#include "tallyfold/plane/decisions/local_answer.hpp"
 
 #include "tests/support/suite.hpp"
 
@@ -6,8 +6,8 @@
 
 using namespace forwarding;
 
-class own_answer_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(own_answer_test);
+class local_answer_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(local_answer_test);
     CPPUNIT_TEST(unconfirmed_routes_and_keys_are_answered_503);
     CPPUNIT_TEST(temporary_refusals_have_retry_after);
     CPPUNIT_TEST(a_call_without_permit_gets_the_retry_after_of_the_decision);
@@ -142,6 +142,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(own_answer_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(local_answer_test);
 
 }  // namespace tallyfold::tests
