--- a/src/tallyfold/plane/decisions/local_answer.cpp
+++ b/src/tallyfold/plane/decisions/local_answer.cpp
@@ -77,7 +77,7 @@
     return refusal::store_timeout;
 }
 
-request_end end_after(const last_attempt& last) {
+request_result result_after(const last_attempt& last) {
     if (last.answered) {
         return {request_outcome::answered, {}, std::nullopt};
     }
--- a/src/tallyfold/plane/decisions/local_answer.hpp
+++ b/src/tallyfold/plane/decisions/local_answer.hpp
@@ -78,7 +78,7 @@
 };
 
 /// Outcome of a request for which sending was attempted.
-struct request_end {
+struct request_result {
     request_outcome outcome = request_outcome::unknown;
     /// Reason for the log; may be empty.
     std::string reason;
@@ -86,6 +86,6 @@
     std::optional<local_answer> answer;
 };
 
-[[nodiscard]] request_end end_after(const last_attempt& last);
+[[nodiscard]] request_result result_after(const last_attempt& last);
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -72,7 +72,7 @@
     std::optional<turn_session> turn_;
     std::optional<answer_relay> answer_;
     std::optional<send_loop> send_loop_;
-    request_end end_;
+    request_result end_;
 };
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -61,7 +61,7 @@
                                                               : context_.ranking.urgency_of(call);
 }
 
-asio::awaitable<request_end> send_loop::run() {
+asio::awaitable<request_result> send_loop::run() {
     selection_request question = make_selection_request();
     statistics_.urgency = urgency_of(question.call);
     co_await wait_for_admission(question.call);
@@ -95,7 +95,7 @@
             resumed = backend;
         }
     }
-    co_return make_request_end(last);
+    co_return make_request_result(last);
 }
 
 asio::awaitable<attempt_result> send_loop::attempt(chosen_backend backend) {
@@ -124,7 +124,7 @@
     return policy_.after({failed.end, failed.broke_off, answer_.progress(), time_left});
 }
 
-request_end send_loop::make_request_end(const attempt_result& last) const {
+request_result send_loop::make_request_result(const attempt_result& last) const {
     last_attempt ended;
     ended.answered = last.end == attempt_end::answered;
     ended.client_disconnected = caller_.disconnected();
@@ -132,7 +132,7 @@
     ended.may_have_run = policy_.may_have_run();
     ended.failure = last.failure;
     ended.timed_out = last.timed_out;
-    return end_after(ended);
+    return result_after(ended);
 }
 
 asio::awaitable<void> send_loop::wait_for_admission(const scheduling::call_features& call) {
--- a/src/tallyfold/plane/forwarding/send_loop_shell.hpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.hpp
@@ -23,7 +23,7 @@
 
     /// Must be called at most once, and be followed by leave_admission().
     /// @return the outcome, and the answer to write if none was relayed
-    asio::awaitable<request_end> run();
+    asio::awaitable<request_result> run();
     /// Cancels the current attempt.
     void abort_attempt();
     /// Releases the admission slot, if held, so that the next waiting call can be sent.
@@ -42,7 +42,7 @@
     asio::awaitable<attempt_result> attempt(chosen_backend backend);
     /// Logs a failed attempt and determines the next step.
     next_step handle_failure(const chosen_backend& backend, const attempt_result& failed);
-    [[nodiscard]] request_end make_request_end(const attempt_result& last) const;
+    [[nodiscard]] request_result make_request_result(const attempt_result& last) const;
 
     forwarder_context& context_;
     const forwarded_request& request_;
--- a/tests/plane/decisions/local_answer_test.cpp
+++ b/tests/plane/decisions/local_answer_test.cpp
@@ -84,7 +84,7 @@
         last.answered = true;
         last.client_disconnected = true;
         last.may_have_run = true;
-        const request_end end = end_after(last);
+        const request_result end = result_after(last);
         CPPUNIT_ASSERT(end.outcome == request_outcome::answered);
         CPPUNIT_ASSERT(!end.answer);
         CPPUNIT_ASSERT(end.reason.empty());
@@ -94,13 +94,13 @@
         last_attempt last;
         last.failure = {failure_kind::answer_head, "broken"};
         last.may_have_run = true;
-        const request_end failed = end_after(last);
+        const request_result failed = result_after(last);
         assert_answer(502, request_outcome::failed, false, *failed.answer);
         CPPUNIT_ASSERT_EQUAL(std::string("answer_broken"), failed.answer->reason);
         last.timed_out = true;
-        assert_answer(504, request_outcome::failed, false, *end_after(last).answer);
+        assert_answer(504, request_outcome::failed, false, *result_after(last).answer);
         last.may_have_run = false;
-        const request_end refused = end_after(last);
+        const request_result refused = result_after(last);
         assert_answer(503, request_outcome::refused, true, *refused.answer);
         CPPUNIT_ASSERT(refused.answer->retry.after == retry_after::soon().after);
     }
@@ -110,13 +110,13 @@
         last.answer_started = true;
         last.may_have_run = true;
         last.failure = {failure_kind::event_missing};
-        const request_end end = end_after(last);
+        const request_result end = result_after(last);
         CPPUNIT_ASSERT(end.outcome == request_outcome::broken_off);
         CPPUNIT_ASSERT(!end.answer);
         CPPUNIT_ASSERT_EQUAL(std::string("event_missing"), end.reason);
         last.client_disconnected = true;
-        CPPUNIT_ASSERT(end_after(last).outcome == request_outcome::client_disconnected);
-        CPPUNIT_ASSERT(end_after(last).reason.empty());
+        CPPUNIT_ASSERT(result_after(last).outcome == request_outcome::client_disconnected);
+        CPPUNIT_ASSERT(result_after(last).reason.empty());
     }
 
     void status_503_and_retry_after_mean_not_run() {
@@ -128,7 +128,7 @@
             last.may_have_run = *rc::gen::arbitrary<bool>();
             last.timed_out = *rc::gen::arbitrary<bool>();
             last.failure.kind = failure_kind::no_backend;
-            const request_end end = end_after(last);
+            const request_result end = result_after(last);
             RC_ASSERT(end.outcome != request_outcome::unknown);
             const bool no_answer_expected =
                 last.answered || last.client_disconnected || last.answer_started;
