--- a/src/tallyfold/plane/decisions/local_answer.cpp
+++ b/src/tallyfold/plane/decisions/local_answer.cpp
@@ -77,7 +77,7 @@
     return refusal::store_timeout;
 }
 
-request_result result_after(const last_attempt& last) {
+request_result result_after(const final_request_state& last) {
     if (last.answered) {
         return {request_outcome::answered, {}, std::nullopt};
     }
--- a/src/tallyfold/plane/decisions/local_answer.hpp
+++ b/src/tallyfold/plane/decisions/local_answer.hpp
@@ -64,7 +64,7 @@
 [[nodiscard]] std::optional<refusal> refusal_of(turns::begin_result begun);
 
 /// State of a request after its last attempt.
-struct last_attempt {
+struct final_request_state {
     /// A complete answer of a back end was relayed.
     bool answered = false;
     bool client_disconnected = false;
@@ -86,6 +86,6 @@
     std::optional<local_answer> answer;
 };
 
-[[nodiscard]] request_result result_after(const last_attempt& last);
+[[nodiscard]] request_result result_after(const final_request_state& last);
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -125,7 +125,7 @@
 }
 
 request_result send_loop::make_request_result(const attempt_result& last) const {
-    last_attempt ended;
+    final_request_state ended;
     ended.answered = last.end == attempt_end::answered;
     ended.client_disconnected = caller_.disconnected();
     ended.answer_started = answer_.progress() != answer_progress::none;
--- a/tests/plane/decisions/local_answer_test.cpp
+++ b/tests/plane/decisions/local_answer_test.cpp
@@ -80,7 +80,7 @@
     }
 
     void an_answered_request_gets_no_own_answer() {
-        last_attempt last;
+        final_request_state last;
         last.answered = true;
         last.client_disconnected = true;
         last.may_have_run = true;
@@ -91,7 +91,7 @@
     }
 
     void a_request_that_may_have_run_is_never_refused() {
-        last_attempt last;
+        final_request_state last;
         last.failure = {failure_kind::answer_head, "broken"};
         last.may_have_run = true;
         const request_result failed = result_after(last);
@@ -106,7 +106,7 @@
     }
 
     void a_started_answer_gets_no_own_answer() {
-        last_attempt last;
+        final_request_state last;
         last.answer_started = true;
         last.may_have_run = true;
         last.failure = {failure_kind::event_missing};
@@ -121,7 +121,7 @@
 
     void status_503_and_retry_after_mean_not_run() {
         check_property("503 and Retry-After are sent exactly for requests that have not run", [] {
-            last_attempt last;
+            final_request_state last;
             last.answered = *rc::gen::arbitrary<bool>();
             last.client_disconnected = *rc::gen::arbitrary<bool>();
             last.answer_started = *rc::gen::arbitrary<bool>();
