--- a/src/tallyfold/plane/decisions/attempt_failure.cpp
+++ b/src/tallyfold/plane/decisions/attempt_failure.cpp
@@ -23,13 +23,13 @@
             return "continuation_refused";
         case failure_kind::unsigned_answer:
             return "unsigned_answer";
-        case failure_kind::surplus_answer:
+        case failure_kind::unmatched_answer_incomplete:
             return "surplus_answer";
-        case failure_kind::surplus_answers:
+        case failure_kind::too_many_unmatched_answers:
             return "surplus_answers";
         case failure_kind::event_missing:
             return "event_missing";
-        case failure_kind::unsettled:
+        case failure_kind::turn_end_unconfirmed:
             return "unsettled";
         case failure_kind::client_disconnected:
             return "caller_left";
--- a/src/tallyfold/plane/decisions/attempt_failure.hpp
+++ b/src/tallyfold/plane/decisions/attempt_failure.hpp
@@ -27,13 +27,13 @@
     /// A successful answer lacked the signature of the back end.
     unsigned_answer,
     /// An answer to another request preceded the expected one and was incomplete.
-    surplus_answer,
+    unmatched_answer_incomplete,
     /// Too many answers to other requests preceded the expected one.
-    surplus_answers,
+    too_many_unmatched_answers,
     /// An event is missing from the stream.
     event_missing,
     /// No majority of the stores confirmed the end of the turn.
-    unsettled,
+    turn_end_unconfirmed,
     /// The client disconnected while its answer was being relayed.
     client_disconnected,
     /// A process other than the selected incarnation answered; it did not run the request.
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -142,7 +142,7 @@
         if (complete && success) {
             const bool settled = co_await settle_turn(backend);
             if (!settled) {
-                co_return relay_failure(failure_kind::unsettled);
+                co_return relay_failure(failure_kind::turn_end_unconfirmed);
             }
         }
         outgoing += render_piece(*piece, complete);
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -134,12 +134,12 @@
         }
         // Skips an answer to another request.
         if (!co_await drain_body(until)) {
-            result.failure.kind = failure_kind::surplus_answer;
+            result.failure.kind = failure_kind::unmatched_answer_incomplete;
             co_return false;
         }
         connection_->next_message();
     }
-    result.failure.kind = failure_kind::surplus_answers;
+    result.failure.kind = failure_kind::too_many_unmatched_answers;
     co_return false;
 }
 
--- a/tests/plane/decisions/request_texts_test.cpp
+++ b/tests/plane/decisions/request_texts_test.cpp
@@ -40,10 +40,10 @@
             {failure_kind::no_time_left, "no_time_left"},
             {failure_kind::resume_refused, "continuation_refused"},
             {failure_kind::unsigned_answer, "unsigned_answer"},
-            {failure_kind::surplus_answer, "surplus_answer"},
-            {failure_kind::surplus_answers, "surplus_answers"},
+            {failure_kind::unmatched_answer_incomplete, "surplus_answer"},
+            {failure_kind::too_many_unmatched_answers, "surplus_answers"},
             {failure_kind::event_missing, "event_missing"},
-            {failure_kind::unsettled, "unsettled"},
+            {failure_kind::turn_end_unconfirmed, "unsettled"},
             {failure_kind::client_disconnected, "caller_left"},
             {failure_kind::other_incarnation, "other_incarnation"},
             {failure_kind::not_executed, "not_executed"}};
