--- a/src/tallyfold/plane/decisions/retry_policy.cpp
+++ b/src/tallyfold/plane/decisions/retry_policy.cpp
@@ -32,7 +32,7 @@
     ++sends_;
     ++sends_since_back_off_;
     if (failed.end == attempt_end::may_have_run) {
-        const bool resumes = resumable_ && failed.broke_off && resumes_ < max_resumes;
+        const bool resumes = resumable_ && failed.connection_closed && resumes_ < max_resumes;
         if (resumes && failed.time_left >= min_attempt_time) {
             ++resumes_;
             return next_step::resume;
--- a/src/tallyfold/plane/decisions/retry_policy.hpp
+++ b/src/tallyfold/plane/decisions/retry_policy.hpp
@@ -38,7 +38,7 @@
 struct failed_attempt {
     attempt_end end = attempt_end::not_sent;
     /// The connection was closed, so the back end has stopped working on the request.
-    bool broke_off = false;
+    bool connection_closed = false;
     answer_progress answer = answer_progress::none;
     /// Time until the deadline of the request.
     duration time_left{};
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -129,7 +129,7 @@
         auto piece = co_await connection->read_body_piece(request_.budget.deadline());
         if (!piece) {
             attempt_result result = body_failure(piece.error());
-            result.broke_off = resumable_stream && !result.timed_out;
+            result.connection_closed = resumable_stream && !result.timed_out;
             co_return result;
         }
         complete = connection->message_complete();
--- a/src/tallyfold/plane/forwarding/attempt_result.hpp
+++ b/src/tallyfold/plane/forwarding/attempt_result.hpp
@@ -14,7 +14,7 @@
     /// The attempt reached its deadline; the back end may still be processing the request.
     bool timed_out = false;
     /// The back end closed the connection, so it no longer processes the request.
-    bool broke_off = false;
+    bool connection_closed = false;
 };
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -229,8 +229,8 @@
 }
 
 void backend_attempt::discard_connection(attempt_result& result) {
-    result.broke_off = !result.timed_out;
-    if (result.broke_off && !caller_.disconnected()) {
+    result.connection_closed = !result.timed_out;
+    if (result.connection_closed && !caller_.disconnected()) {
         const std::string& name = parameters_.backend.name;
         const std::string address =
             context_.backends.record_broken_connection(name, http::steady_now());
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -121,7 +121,7 @@
                              " reason=" + reason +
                              " end=" + std::to_string(static_cast<int>(failed.end)) +
                              " time_left_ms=" + std::to_string(to_milliseconds(time_left)));
-    return policy_.after({failed.end, failed.broke_off, answer_.progress(), time_left});
+    return policy_.after({failed.end, failed.connection_closed, answer_.progress(), time_left});
 }
 
 request_result send_loop::make_request_result(const attempt_result& last) const {
--- a/tests/plane/decisions/retry_policy_test.cpp
+++ b/tests/plane/decisions/retry_policy_test.cpp
@@ -25,8 +25,9 @@
     static constexpr duration second = std::chrono::seconds(1);
 
     static next_step after(retry_policy& policy, attempt_end end, duration time_left = second,
-                           bool broke_off = false, answer_progress answer = answer_progress::none) {
-        return policy.after({end, broke_off, answer, time_left});
+                           bool connection_closed = false,
+                           answer_progress answer = answer_progress::none) {
+        return policy.after({end, connection_closed, answer, time_left});
     }
 
     static void assert_refuses(const retry_policy& policy, next_step step) {
@@ -101,9 +102,9 @@
     }
 
     void a_started_answer_is_continued_only_if_resumable() {
-        const auto step = [](attempt_end end, answer_progress answer, bool broke_off) {
+        const auto step = [](attempt_end end, answer_progress answer, bool connection_closed) {
             retry_policy policy(true, 3, true);
-            return after(policy, end, second, broke_off, answer);
+            return after(policy, end, second, connection_closed, answer);
         };
         for (const attempt_end end :
              {attempt_end::not_sent, attempt_end::not_run, attempt_end::may_have_run}) {
