--- a/src/tallyfold/plane/decisions/backend_distrust.hpp
+++ b/src/tallyfold/plane/decisions/backend_distrust.hpp
@@ -5,7 +5,7 @@
 ///
 /// - **Outlier ejection** (scheduling/outlier_ejection): the failure score exceeds its threshold,
 ///   or connections are not accepted. Unavailable for 1 s, doubling up to 32 s.
-/// - **Silence suspicion** (silence_suspicion, then outlier_ejection): a call has received no byte
+/// - **Silence suspicion** (silence_detector, then outlier_ejection): a call has received no byte
 ///   for more than 0.7 s and more than five times the mean. Same effect.
 /// - **Reported failures** (reported_failures): any node saw a call broken off before its first
 ///   byte. For 2 s, doubling up to 8 s, no calls that must run at most once.
--- a/src/tallyfold/plane/decisions/silence_suspicion.cpp
+++ b/src/tallyfold/plane/decisions/silence_suspicion.cpp
@@ -16,17 +16,17 @@
 
 }  // namespace
 
-void silence_suspicion::call_started(const backend_name& name, instant at) {
+void silence_detector::call_started(const backend_name& name, instant at) {
     waiting_since_[name].insert(at);
 }
 
-void silence_suspicion::first_byte_came(const backend_name& name, instant started, instant now) {
+void silence_detector::first_byte_came(const backend_name& name, instant started, instant now) {
     const duration first_byte_time = now - started;
     mean_first_byte_time_ += (first_byte_time - mean_first_byte_time_) / averaging_window;
     call_ended(name, started);
 }
 
-void silence_suspicion::call_ended(const backend_name& name, instant started) {
+void silence_detector::call_ended(const backend_name& name, instant started) {
     const auto calls = waiting_since_.find(name);
     if (calls == waiting_since_.end()) {
         return;
@@ -39,11 +39,11 @@
     }
 }
 
-duration silence_suspicion::limit() const {
+duration silence_detector::limit() const {
     return std::max(min_limit, mean_first_byte_time_ * limit_factor);
 }
 
-std::vector<backend_name> silence_suspicion::silent(instant now) const {
+std::vector<backend_name> silence_detector::silent(instant now) const {
     std::vector<backend_name> found;
     for (const auto& [name, since] : waiting_since_) {
         if (now - *since.begin() > limit()) {
--- a/src/tallyfold/plane/decisions/silence_suspicion.hpp
+++ b/src/tallyfold/plane/decisions/silence_suspicion.hpp
@@ -16,7 +16,7 @@
 
 namespace tallyfold::forwarding {
 
-class silence_suspicion {
+class silence_detector {
   public:
     /// Records that a call was sent to the back end.
     void call_started(const backend_name& name, instant at);
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -90,7 +90,7 @@
         /// Subset of the back ends that this node prefers.
         backend_subset subset;
         scheduling::engine_pace pace;
-        silence_suspicion silence;
+        silence_detector silence;
     };
 
     service_state& state_of(const std::string& service);
--- a/tests/plane/decisions/silence_suspicion_test.cpp
+++ b/tests/plane/decisions/silence_suspicion_test.cpp
@@ -20,8 +20,8 @@
 
     /// A detector with enough answers of the given time to the first byte for the average to
     /// converge.
-    static silence_suspicion with_mean_first_byte_time(int milliseconds) {
-        silence_suspicion calls;
+    static silence_detector with_mean_first_byte_time(int milliseconds) {
+        silence_detector calls;
         for (int count = 0; count < 200; ++count) {
             calls.call_started("usual", at(0));
             calls.first_byte_came("usual", at(0), at(milliseconds));
@@ -34,7 +34,7 @@
     }
 
     void the_limit_follows_the_mean_first_byte_time() {
-        silence_suspicion calls = with_mean_first_byte_time(400);
+        silence_detector calls = with_mean_first_byte_time(400);
         CPPUNIT_ASSERT(calls.limit() > std::chrono::milliseconds(1'900));
         CPPUNIT_ASSERT(calls.limit() <= std::chrono::milliseconds(2'000));
         calls.call_started("b", at(0));
@@ -43,7 +43,7 @@
     }
 
     void the_oldest_call_without_a_byte_decides() {
-        silence_suspicion calls;
+        silence_detector calls;
         calls.call_started("b", at(0));
         calls.call_started("b", at(600));
         CPPUNIT_ASSERT(calls.silent(at(700)).empty());
@@ -54,7 +54,7 @@
     }
 
     void ended_calls_are_not_counted() {
-        silence_suspicion calls;
+        silence_detector calls;
         calls.call_started("b", at(0));
         calls.call_started("b", at(0));
         calls.call_ended("b", at(0));
