--- a/src/tallyfold/plane/decisions/silence_suspicion.cpp
+++ b/src/tallyfold/plane/decisions/silence_detector.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/decisions/silence_suspicion.hpp"
+#include "tallyfold/plane/decisions/silence_detector.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -11,7 +11,7 @@
 
 #include "tallyfold/base/common/random.hpp"
 #include "tallyfold/plane/decisions/backend_selection.hpp"
-#include "tallyfold/plane/decisions/silence_suspicion.hpp"
+#include "tallyfold/plane/decisions/silence_detector.hpp"
 #include "tallyfold/plane/discovery/types.hpp"
 #include "tallyfold/plane/process/mechanisms.hpp"
 #include "tallyfold/scheduling/engine_pace.hpp"
--- a/tests/plane/decisions/silence_suspicion_test.cpp
+++ b/tests/plane/decisions/silence_detector_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/decisions/silence_suspicion.hpp"
+#include "tallyfold/plane/decisions/silence_detector.hpp"
 
 #include "tests/support/suite.hpp"
 
@@ -6,8 +6,8 @@
 
 using namespace forwarding;
 
-class silence_suspicion_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(silence_suspicion_test);
+class silence_detector_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(silence_detector_test);
     CPPUNIT_TEST(short_first_byte_times_use_the_minimum_limit);
     CPPUNIT_TEST(the_limit_follows_the_mean_first_byte_time);
     CPPUNIT_TEST(the_oldest_call_without_a_byte_decides);
@@ -67,6 +67,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(silence_suspicion_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(silence_detector_test);
 
 }  // namespace tallyfold::tests
