--- a/src/tallyfold/plane/decisions/silence_detector.cpp
+++ b/src/tallyfold/plane/decisions/silence_detector.cpp
@@ -20,7 +20,7 @@
     waiting_since_[name].insert(at);
 }
 
-void silence_detector::first_byte_came(const backend_name& name, instant started, instant now) {
+void silence_detector::first_byte_received(const backend_name& name, instant started, instant now) {
     const duration first_byte_time = now - started;
     mean_first_byte_time_ += (first_byte_time - mean_first_byte_time_) / averaging_window;
     call_ended(name, started);
--- a/src/tallyfold/plane/decisions/silence_detector.hpp
+++ b/src/tallyfold/plane/decisions/silence_detector.hpp
@@ -21,7 +21,7 @@
     /// Records that a call was sent to the back end.
     void call_started(const backend_name& name, instant at);
     /// Records the first byte of the answer to a call that was sent at `started`.
-    void first_byte_came(const backend_name& name, instant started, instant now);
+    void first_byte_received(const backend_name& name, instant started, instant now);
     /// Records that a call sent at `started` ended without a byte of an answer.
     void call_ended(const backend_name& name, instant started);
 
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -192,7 +192,7 @@
         co_return result;
     }
     const instant now = http::steady_now();
-    context_.backends.first_byte_came(call_, now);
+    context_.backends.first_byte_received(call_, now);
     answer_.record_first_byte(status, now);
     record_cached_prompt();
     result = co_await answer_.relay(connection_, parameters_.backend.name, until);
--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -77,9 +77,9 @@
     return {service, chosen.name, now, uncached, true};
 }
 
-void backend_registry::first_byte_came(backend_call& call, instant now) {
+void backend_registry::first_byte_received(backend_call& call, instant now) {
     service_state& state = state_of(call.service);
-    state.silence.first_byte_came(call.backend, call.started_at, now);
+    state.silence.first_byte_received(call.backend, call.started_at, now);
     state.pace.prompt_read(call.uncached_tokens, now - call.started_at);
     state.pool.prefilled(call.backend, call.uncached_tokens);
     call.awaits_first_byte = false;
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -47,7 +47,7 @@
     backend_call started(const std::string& service, const chosen_backend& chosen,
                          token_count prompt_tokens, instant now);
     /// Records the first byte of the call's answer.
-    void first_byte_came(backend_call& call, instant now);
+    void first_byte_received(backend_call& call, instant now);
     /// Records the end of the call, whether it succeeded or failed.
     void finished(backend_call& call);
     /// Ejects back ends by silence suspicion. @return the newly ejected ones
--- a/tests/plane/decisions/silence_detector_test.cpp
+++ b/tests/plane/decisions/silence_detector_test.cpp
@@ -24,7 +24,7 @@
         silence_detector calls;
         for (int count = 0; count < 200; ++count) {
             calls.call_started("usual", at(0));
-            calls.first_byte_came("usual", at(0), at(milliseconds));
+            calls.first_byte_received("usual", at(0), at(milliseconds));
         }
         return calls;
     }
@@ -49,7 +49,7 @@
         CPPUNIT_ASSERT(calls.silent(at(700)).empty());
         CPPUNIT_ASSERT_EQUAL(std::string("b"), calls.silent(at(701)).at(0));
         // The oldest call has received a byte, the other still waits.
-        calls.first_byte_came("b", at(0), at(701));
+        calls.first_byte_received("b", at(0), at(701));
         CPPUNIT_ASSERT(calls.silent(at(701)).empty());
     }
 
--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -250,7 +250,7 @@
         registry.update(engines(4), at(0));
         for (int count = 0; count < 100; ++count) {
             backend_call call = registry.started("s", {"b1", {}, 0}, 0, at(0));
-            registry.first_byte_came(call, at(milliseconds));
+            registry.first_byte_received(call, at(milliseconds));
             registry.finished(call);
         }
     }
@@ -301,7 +301,7 @@
         const auto chosen = registry.choose(turn_question(prompt), at(0));
         CPPUNIT_ASSERT(chosen.has_value());
         backend_call call = registry.started("s", *chosen, prompt.back().tokens, at(0));
-        registry.first_byte_came(call, at(50));
+        registry.first_byte_received(call, at(50));
         registry.record_cached(chosen->name, prompt);
         registry.finished(call);
         return *chosen;
