--- a/src/tallyfold/plane/decisions/stop_sequence.cpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.cpp
@@ -4,26 +4,26 @@
 
 namespace tallyfold::forwarding {
 
-stop_sequence::stop_sequence(instant requested_at, duration grace, duration longest_request)
+shutdown_sequence::shutdown_sequence(instant requested_at, duration grace, duration longest_request)
     : cut_off_at_(requested_at + grace - reserve_before_kill) {
     // The last accepted request must be able to end before the cut-off.
     const duration spare = grace - reserve_before_kill - longest_request;
     accept_until_ = requested_at + std::clamp(spare, min_accept_time, max_accept_time);
 }
 
-stop_step stop_sequence::next(instant now, const work_left& left) {
+shutdown_step shutdown_sequence::next(instant now, const remaining_work& left) {
     if (finished_) {
-        return stop_step::wait;
+        return shutdown_step::wait;
     }
     if (accepting_ && now >= accept_until_) {
         accepting_ = false;
-        return stop_step::take_no_more;
+        return shutdown_step::take_no_more;
     }
     if (accepting_ || (!left.empty() && now < cut_off_at_)) {
-        return stop_step::wait;
+        return shutdown_step::wait;
     }
     finished_ = true;
-    return stop_step::finish;
+    return shutdown_step::finish;
 }
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/decisions/stop_sequence.hpp
+++ b/src/tallyfold/plane/decisions/stop_sequence.hpp
@@ -10,7 +10,7 @@
 namespace tallyfold::forwarding {
 
 /// Pending work of a forwarder that is shutting down.
-struct work_left {
+struct remaining_work {
     /// Number of requests that are being read or served.
     std::size_t requests = 0;
     /// Number of ends of turns that the stores have not confirmed.
@@ -19,7 +19,7 @@
     [[nodiscard]] bool empty() const { return requests == 0 && settlements == 0; }
 };
 
-enum class stop_step : std::uint8_t {
+enum class shutdown_step : std::uint8_t {
     wait,
     /// Close the listener and all connections without a pending request.
     take_no_more,
@@ -27,7 +27,7 @@
     finish,
 };
 
-class stop_sequence {
+class shutdown_sequence {
   public:
     /// Time before the kill at which pending work is cut off, so that ends of turns can be written
     /// and connections closed.
@@ -40,10 +40,10 @@
 
     /// @param grace time from the stop request to the kill
     /// @param longest_request maximum duration of a request in the active configuration
-    stop_sequence(instant requested_at, duration grace, duration longest_request);
+    shutdown_sequence(instant requested_at, duration grace, duration longest_request);
 
     /// To be called periodically; returns each step except `wait` once.
-    stop_step next(instant now, const work_left& left);
+    shutdown_step next(instant now, const remaining_work& left);
     /// False once no further request may be read.
     [[nodiscard]] bool accepts_requests() const { return accepting_; }
 
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -25,7 +25,7 @@
 /// connection_pool closes them early.
 constexpr duration housekeeping_interval = std::chrono::milliseconds(500);
 /// Interval at which a shutdown checks for remaining work; small against the 600 ms that
-/// stop_sequence reserves before the process is killed.
+/// shutdown_sequence reserves before the process is killed.
 constexpr duration stop_check_interval = std::chrono::milliseconds(50);
 /// Number of key freshness checks within the key revocation time, when stale keys are refused.
 /// Requests are refused only if all of them fail.
@@ -83,7 +83,7 @@
     http::endpoint_server readiness_;
     std::uint64_t logged_policy_failures_ = 0;
     /// Set while the node is shutting down.
-    std::optional<stop_sequence> stop_;
+    std::optional<shutdown_sequence> stop_;
 };
 
 forwarder_node::forwarder_node(const settings::node_settings& settings, const request_codec& codec,
@@ -211,16 +211,16 @@
 }
 
 void forwarder_node::continue_stop() {
-    const work_left remaining{callers_.active_request_count(), turns_.settling()};
+    const remaining_work remaining{callers_.active_request_count(), turns_.settling()};
     switch (stop_->next(http::steady_now(), remaining)) {
-        case stop_step::take_no_more:
+        case shutdown_step::take_no_more:
             callers_.take_no_more();
             break;
-        case stop_step::finish:
+        case shutdown_step::finish:
             callers_.abort_requests();
             process_.after(stop_check_interval, [this] { process_.finish(); });
             return;
-        case stop_step::wait:
+        case shutdown_step::wait:
             break;
     }
     process_.after(stop_check_interval, [this] { continue_stop(); });
--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/stop_sequence_test.cpp
@@ -19,59 +19,63 @@
     static constexpr duration grace = std::chrono::seconds(8);
     static constexpr duration longest_request = std::chrono::seconds(4);
     static constexpr duration tick = std::chrono::milliseconds(50);
-    static constexpr work_left pending_work{3, 1};
+    static constexpr remaining_work pending_work{3, 1};
 
     void requests_are_accepted_until_the_platform_has_seen_the_stop() {
-        stop_sequence stop(requested_at, grace, longest_request);
-        CPPUNIT_ASSERT(stop.next(requested_at, {}) == stop_step::wait);
-        CPPUNIT_ASSERT(stop.next(requested_at + stop_sequence::min_accept_time - tick, {}) ==
-                       stop_step::wait);
+        shutdown_sequence stop(requested_at, grace, longest_request);
+        CPPUNIT_ASSERT(stop.next(requested_at, {}) == shutdown_step::wait);
+        CPPUNIT_ASSERT(stop.next(requested_at + shutdown_sequence::min_accept_time - tick, {}) ==
+                       shutdown_step::wait);
         CPPUNIT_ASSERT(stop.accepts_requests());
-        CPPUNIT_ASSERT(stop.next(requested_at + stop_sequence::max_accept_time, pending_work) ==
-                       stop_step::take_no_more);
+        CPPUNIT_ASSERT(stop.next(requested_at + shutdown_sequence::max_accept_time, pending_work) ==
+                       shutdown_step::take_no_more);
         CPPUNIT_ASSERT(!stop.accepts_requests());
     }
 
     void the_last_accepted_request_can_end_before_the_cut_off() {
-        stop_sequence stop(requested_at, grace, longest_request);
+        shutdown_sequence stop(requested_at, grace, longest_request);
         instant now = requested_at;
         while (stop.accepts_requests()) {
             now += tick;
             stop.next(now, pending_work);
         }
         // A request that was read last has its whole time before the cut-off.
-        CPPUNIT_ASSERT(stop.next(now + longest_request - tick, pending_work) == stop_step::wait);
+        CPPUNIT_ASSERT(stop.next(now + longest_request - tick, pending_work) ==
+                       shutdown_step::wait);
     }
 
     void it_finishes_as_soon_as_no_work_is_pending() {
-        stop_sequence stop(requested_at, grace, longest_request);
-        stop.next(requested_at + stop_sequence::max_accept_time, pending_work);
+        shutdown_sequence stop(requested_at, grace, longest_request);
+        stop.next(requested_at + shutdown_sequence::max_accept_time, pending_work);
         CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(4), {0, 1}) ==
-                       stop_step::wait);
-        CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(5), {}) == stop_step::finish);
-        CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(6), {}) == stop_step::wait);
+                       shutdown_step::wait);
+        CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(5), {}) ==
+                       shutdown_step::finish);
+        CPPUNIT_ASSERT(stop.next(requested_at + std::chrono::seconds(6), {}) ==
+                       shutdown_step::wait);
     }
 
     void unfinished_work_is_cut_off_before_the_kill() {
-        stop_sequence stop(requested_at, grace, longest_request);
-        stop.next(requested_at + stop_sequence::max_accept_time, pending_work);
+        shutdown_sequence stop(requested_at, grace, longest_request);
+        stop.next(requested_at + shutdown_sequence::max_accept_time, pending_work);
         const instant kill = requested_at + grace;
-        CPPUNIT_ASSERT(stop.next(kill - stop_sequence::reserve_before_kill, pending_work) ==
-                       stop_step::finish);
+        CPPUNIT_ASSERT(stop.next(kill - shutdown_sequence::reserve_before_kill, pending_work) ==
+                       shutdown_step::finish);
     }
 
     void the_listener_closes_before_the_sequence_finishes() {
         check_property("the listener closes before the sequence finishes",
                        [](std::uint16_t grace_ms, std::uint16_t longest_ms) {
-                           stop_sequence stop(requested_at, std::chrono::milliseconds(grace_ms),
-                                              std::chrono::milliseconds(longest_ms));
+                           shutdown_sequence stop(requested_at, std::chrono::milliseconds(grace_ms),
+                                                  std::chrono::milliseconds(longest_ms));
                            bool listener_closed = false;
                            for (instant now = requested_at;
                                 now < requested_at + std::chrono::seconds(80); now += tick) {
-                               const stop_step step = stop.next(now, pending_work);
-                               RC_ASSERT(step != stop_step::finish || listener_closed);
-                               listener_closed = listener_closed || step == stop_step::take_no_more;
-                               if (step == stop_step::finish) {
+                               const shutdown_step step = stop.next(now, pending_work);
+                               RC_ASSERT(step != shutdown_step::finish || listener_closed);
+                               listener_closed =
+                                   listener_closed || step == shutdown_step::take_no_more;
+                               if (step == shutdown_step::finish) {
                                    return;
                                }
                            }
