--- a/src/tallyfold/plane/decisions/stop_sequence.cpp
+++ b/src/tallyfold/plane/decisions/shutdown_sequence.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/decisions/stop_sequence.hpp"
+#include "tallyfold/plane/decisions/shutdown_sequence.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -6,7 +6,7 @@
 #include "tallyfold/base/common/hash.hpp"
 #include "tallyfold/base/logging/event_log.hpp"
 #include "tallyfold/base/net/tcp_sockets_shell.hpp"
-#include "tallyfold/plane/decisions/stop_sequence.hpp"
+#include "tallyfold/plane/decisions/shutdown_sequence.hpp"
 #include "tallyfold/plane/directory/directory_client_shell.hpp"
 #include "tallyfold/plane/discovery/list_poller_shell.hpp"
 #include "tallyfold/plane/discovery/poller_election.hpp"
--- a/tests/plane/decisions/stop_sequence_test.cpp
+++ b/tests/plane/decisions/shutdown_sequence_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/decisions/stop_sequence.hpp"
+#include "tallyfold/plane/decisions/shutdown_sequence.hpp"
 
 #include "tests/support/suite.hpp"
 
@@ -6,8 +6,8 @@
 
 using namespace forwarding;
 
-class stop_sequence_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(stop_sequence_test);
+class shutdown_sequence_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(shutdown_sequence_test);
     CPPUNIT_TEST(requests_are_accepted_until_the_platform_has_seen_the_stop);
     CPPUNIT_TEST(the_last_accepted_request_can_end_before_the_cut_off);
     CPPUNIT_TEST(it_finishes_as_soon_as_no_work_is_pending);
@@ -84,6 +84,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(stop_sequence_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(shutdown_sequence_test);
 
 }  // namespace tallyfold::tests
