--- a/src/tallyfold/plane/decisions/shutdown_sequence.cpp
+++ b/src/tallyfold/plane/decisions/shutdown_sequence.cpp
@@ -17,7 +17,7 @@
     }
     if (accepting_ && now >= accept_until_) {
         accepting_ = false;
-        return shutdown_step::take_no_more;
+        return shutdown_step::stop_accepting;
     }
     if (accepting_ || (!left.empty() && now < cut_off_at_)) {
         return shutdown_step::wait;
--- a/src/tallyfold/plane/decisions/shutdown_sequence.hpp
+++ b/src/tallyfold/plane/decisions/shutdown_sequence.hpp
@@ -22,7 +22,7 @@
 enum class shutdown_step : std::uint8_t {
     wait,
     /// Close the listener and all connections without a pending request.
-    take_no_more,
+    stop_accepting,
     /// No work is pending, or the time is over.
     finish,
 };
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -27,7 +27,7 @@
     return problem;
 }
 
-void caller_listener::take_no_more() {
+void caller_listener::stop_accepting() {
     accepting_ = false;
     std::error_code ignored;
     acceptor_.close(ignored);
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.hpp
@@ -26,7 +26,7 @@
     std::string start(const std::string& address);
     /// Closes the listening socket and all idle connections. Connections with an active request
     /// close after its answer.
-    void take_no_more();
+    void stop_accepting();
     /// Aborts all active requests without answering them.
     void abort_requests();
     /// Number of requests being read or served.
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -213,8 +213,8 @@
 void forwarder_node::continue_stop() {
     const remaining_work remaining{callers_.active_request_count(), turns_.settling()};
     switch (stop_->next(http::steady_now(), remaining)) {
-        case shutdown_step::take_no_more:
-            callers_.take_no_more();
+        case shutdown_step::stop_accepting:
+            callers_.stop_accepting();
             break;
         case shutdown_step::finish:
             callers_.abort_requests();
--- a/tests/plane/decisions/shutdown_sequence_test.cpp
+++ b/tests/plane/decisions/shutdown_sequence_test.cpp
@@ -28,7 +28,7 @@
                        shutdown_step::wait);
         CPPUNIT_ASSERT(stop.accepts_requests());
         CPPUNIT_ASSERT(stop.next(requested_at + shutdown_sequence::max_accept_time, pending_work) ==
-                       shutdown_step::take_no_more);
+                       shutdown_step::stop_accepting);
         CPPUNIT_ASSERT(!stop.accepts_requests());
     }
 
@@ -74,7 +74,7 @@
                                const shutdown_step step = stop.next(now, pending_work);
                                RC_ASSERT(step != shutdown_step::finish || listener_closed);
                                listener_closed =
-                                   listener_closed || step == shutdown_step::take_no_more;
+                                   listener_closed || step == shutdown_step::stop_accepting;
                                if (step == shutdown_step::finish) {
                                    return;
                                }
