--- a/src/tallyfold/plane/decisions/reported_failures.cpp
+++ b/src/tallyfold/plane/decisions/reported_failures.cpp
@@ -7,7 +7,7 @@
 bool reported_failures::note(const backend_name& name, instant at) {
     const auto found = entries_.find(name);
     if (found == entries_.end()) {
-        entries_[name] = {at, at + first_distrust, 1};
+        entries_[name] = {at, at + initial_distrust, 1};
         return true;
     }
     entry& known = found->second;
@@ -15,7 +15,7 @@
         return false;
     }
     known.last_failure = at;
-    known.distrusted_until = at + first_distrust * (1U << known.doublings);
+    known.distrusted_until = at + initial_distrust * (1U << known.doublings);
     known.doublings = std::min(known.doublings + 1, max_doublings);
     return true;
 }
--- a/src/tallyfold/plane/decisions/reported_failures.hpp
+++ b/src/tallyfold/plane/decisions/reported_failures.hpp
@@ -20,7 +20,7 @@
 class reported_failures {
   public:
     /// Duration of the distrust after a first failure; covers a typical restart.
-    static constexpr duration first_distrust = std::chrono::seconds(2);
+    static constexpr duration initial_distrust = std::chrono::seconds(2);
     /// Maximum number of doublings; each further failure within `failure_expiry` doubles the
     /// distrust, up to 8 s.
     static constexpr std::uint32_t max_doublings = 2;
--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -86,8 +86,8 @@
         CPPUNIT_ASSERT(!most_have_reported_failures(pool, reported, now));
         reported.note("b2", now);
         CPPUNIT_ASSERT(most_have_reported_failures(pool, reported, now));
-        CPPUNIT_ASSERT(
-            !most_have_reported_failures(pool, reported, now + reported_failures::first_distrust));
+        CPPUNIT_ASSERT(!most_have_reported_failures(pool, reported,
+                                                    now + reported_failures::initial_distrust));
     }
 
     void repeated_failures_double_the_distrust_time() {
--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -60,7 +60,7 @@
         CPPUNIT_ASSERT(!count_choices(registry, false, now).contains(broken));
         // Repeatable calls may still use it.
         CPPUNIT_ASSERT(count_choices(registry, true, now).contains(broken));
-        CPPUNIT_ASSERT(count_choices(registry, false, now + reported_failures::first_distrust)
+        CPPUNIT_ASSERT(count_choices(registry, false, now + reported_failures::initial_distrust)
                            .contains(broken));
     }
 
