--- a/src/tallyfold/plane/decisions/reported_failures.cpp
+++ b/src/tallyfold/plane/decisions/reported_failures.cpp
@@ -4,7 +4,7 @@
 
 namespace tallyfold::forwarding {
 
-bool reported_failures::note(const backend_name& name, instant at) {
+bool reported_failures::record(const backend_name& name, instant at) {
     const auto found = entries_.find(name);
     if (found == entries_.end()) {
         entries_[name] = {at, at + initial_distrust, 1};
--- a/src/tallyfold/plane/decisions/reported_failures.hpp
+++ b/src/tallyfold/plane/decisions/reported_failures.hpp
@@ -31,7 +31,7 @@
     /// Records a failure at a back end, seen by this node or reported by another one.
     /// @return true if it is a new failure: idle connections from before it are stale, and a
     ///   failure seen by this node must be reported
-    bool note(const backend_name& name, instant at);
+    bool record(const backend_name& name, instant at);
     /// True while only repeatable calls should be sent to the back end.
     [[nodiscard]] bool is_distrusted(const backend_name& name, instant now) const;
     /// Removes expired failures.
--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -64,7 +64,7 @@
         return {};
     }
     reported_.expire(at);
-    return reported_.note(name, at) ? failed->member.address : std::string{};
+    return reported_.record(name, at) ? failed->member.address : std::string{};
 }
 
 backend_call backend_registry::started(const std::string& service, const chosen_backend& chosen,
--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_distrust_test.cpp
@@ -46,7 +46,7 @@
 
     void a_reported_failure_makes_a_back_end_distrusted() {
         reported_failures reported;
-        reported.note("b0", now);
+        reported.record("b0", now);
         CPPUNIT_ASSERT(eligibility(pool_of(4), reported) == backend_eligibility::distrusted);
     }
 
@@ -71,7 +71,7 @@
     void the_strictest_rule_decides() {
         backend_pool pool = pool_of(4);
         reported_failures reported;
-        reported.note("b0", now);
+        reported.record("b0", now);
         pool.unreachable("b0", now);
         CPPUNIT_ASSERT(eligibility(pool, reported) == backend_eligibility::unavailable);
         pool.set_drained("b0", true);
@@ -81,10 +81,10 @@
     void more_than_half_of_the_pool_counts_as_most() {
         const backend_pool pool = pool_of(4);
         reported_failures reported;
-        reported.note("b0", now);
-        reported.note("b1", now);
+        reported.record("b0", now);
+        reported.record("b1", now);
         CPPUNIT_ASSERT(!most_have_reported_failures(pool, reported, now));
-        reported.note("b2", now);
+        reported.record("b2", now);
         CPPUNIT_ASSERT(most_have_reported_failures(pool, reported, now));
         CPPUNIT_ASSERT(!most_have_reported_failures(pool, reported,
                                                     now + reported_failures::initial_distrust));
@@ -94,15 +94,15 @@
         reported_failures reported;
         instant at = now;
         for (const int seconds : {2, 4, 8, 8}) {
-            CPPUNIT_ASSERT(reported.note("b", at));
+            CPPUNIT_ASSERT(reported.record("b", at));
             const instant end = at + std::chrono::seconds(seconds);
             CPPUNIT_ASSERT(reported.is_distrusted("b", end - duration(1)));
             CPPUNIT_ASSERT(!reported.is_distrusted("b", end));
             at = end;
         }
         // A report of the same failure by another node does not count again.
-        CPPUNIT_ASSERT(reported.note("b", at));
-        CPPUNIT_ASSERT(!reported.note("b", at + std::chrono::milliseconds(299)));
+        CPPUNIT_ASSERT(reported.record("b", at));
+        CPPUNIT_ASSERT(!reported.record("b", at + std::chrono::milliseconds(299)));
     }
 };
 
--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -116,8 +116,8 @@
 
     void at_most_once_calls_prefer_trusted_back_ends() {
         service plain;
-        plain.reported.note("b0", now);
-        plain.reported.note("b1", now);
+        plain.reported.record("b0", now);
+        plain.reported.record("b1", now);
         for (int count = 0; count < 50; ++count) {
             const chosen_backend chosen = *plain.select(plain_call(false));
             CPPUNIT_ASSERT(chosen.name == "b2" || chosen.name == "b3");
@@ -129,7 +129,7 @@
 
     void at_most_once_calls_fall_back_to_distrusted_back_ends() {
         service plain;
-        plain.reported.note("b0", now);
+        plain.reported.record("b0", now);
         selection_request question = plain_call(false);
         question.tried = {"b1", "b2", "b3"};
         const chosen_backend chosen = *plain.select(question);
--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -124,8 +124,8 @@
             !registry.record_broken_connection("b1", now + std::chrono::seconds(1)).empty());
         // A second failure soon after the first is distrusted for longer.
         reported_failures failures;
-        failures.note("b", now);
-        failures.note("b", now + std::chrono::seconds(3));
+        failures.record("b", now);
+        failures.record("b", now + std::chrono::seconds(3));
         CPPUNIT_ASSERT(failures.is_distrusted("b", now + std::chrono::seconds(6)));
         failures.expire(now + std::chrono::seconds(20));
         CPPUNIT_ASSERT(!failures.is_distrusted("b", now + std::chrono::seconds(6)));
