--- a/src/tallyfold/plane/decisions/call_ranking.cpp
+++ b/src/tallyfold/plane/decisions/call_ranking.cpp
@@ -17,7 +17,7 @@
 
 tl::expected<policy_change, scheduling::policy_error> call_ranking::use(const std::string& text) {
     if (text == text_) {
-        return policy_change::none;
+        return policy_change::unchanged;
     }
     text_ = text;
     if (text.empty()) {
@@ -30,7 +30,7 @@
     }
     policy_ = std::move(*compiled);
     failures_ = 0;
-    return policy_change::in_force;
+    return policy_change::activated;
 }
 
 double call_ranking::order_of(const scheduling::call_features& call) {
--- a/src/tallyfold/plane/decisions/call_ranking.hpp
+++ b/src/tallyfold/plane/decisions/call_ranking.hpp
@@ -14,7 +14,7 @@
 namespace tallyfold::forwarding {
 
 /// Result of setting the text of the policy.
-enum class policy_change : std::uint8_t { none, in_force, removed };
+enum class policy_change : std::uint8_t { unchanged, activated, removed };
 
 class call_ranking {
   public:
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -153,7 +153,7 @@
         logging::write_event(logging::event_id::policy_failed,
                              "policy=" + path + " line=" + std::to_string(change.error().line) +
                                  " reason=\"" + change.error().reason + "\"");
-    } else if (*change != policy_change::none) {
+    } else if (*change != policy_change::unchanged) {
         const bool removed = *change == policy_change::removed;
         logging::write_event(logging::event_id::policy_applied,
                              "policy=" + (removed ? std::string("-") : path));
--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -48,7 +48,7 @@
         call_ranking ranking;
         const auto used = ranking.use(policy_with(
             "function urgency(call) if call.time_left_ms < 500 then return 2 end return 70 end"));
-        CPPUNIT_ASSERT(used.has_value() && *used == policy_change::in_force);
+        CPPUNIT_ASSERT(used.has_value() && *used == policy_change::activated);
         CPPUNIT_ASSERT_EQUAL(2, ranking.urgency_of(call_with(0, 499)));
         CPPUNIT_ASSERT_EQUAL(call_ranking::least_urgent, ranking.urgency_of(call_with(0, 500)));
         CPPUNIT_ASSERT(ranking.placement() != nullptr);
