--- a/src/tallyfold/plane/decisions/backend_distrust.cpp
+++ b/src/tallyfold/plane/decisions/backend_eligibility.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/decisions/backend_distrust.hpp"
+#include "tallyfold/plane/decisions/backend_eligibility.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/plane/decisions/backend_selection.hpp
+++ b/src/tallyfold/plane/decisions/backend_selection.hpp
@@ -30,7 +30,7 @@
 #include <vector>
 
 #include "tallyfold/base/common/random.hpp"
-#include "tallyfold/plane/decisions/backend_distrust.hpp"
+#include "tallyfold/plane/decisions/backend_eligibility.hpp"
 #include "tallyfold/plane/decisions/backend_subset.hpp"
 #include "tallyfold/plane/process/mechanisms.hpp"
 #include "tallyfold/scheduling/placement.hpp"
--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_eligibility_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/decisions/backend_distrust.hpp"
+#include "tallyfold/plane/decisions/backend_eligibility.hpp"
 
 #include "tests/support/suite.hpp"
 
@@ -8,8 +8,8 @@
 using scheduling::backend_member;
 using scheduling::backend_pool;
 
-class backend_distrust_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(backend_distrust_test);
+class backend_eligibility_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(backend_eligibility_test);
     CPPUNIT_TEST(without_a_fault_a_back_end_is_trusted);
     CPPUNIT_TEST(a_reported_failure_makes_a_back_end_distrusted);
     CPPUNIT_TEST(an_ejected_back_end_is_unavailable);
@@ -106,6 +106,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(backend_distrust_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(backend_eligibility_test);
 
 }  // namespace tallyfold::tests
