--- a/src/tallyfold/plane/decisions/call_ranking.cpp
+++ b/src/tallyfold/plane/decisions/call_ranking.cpp
@@ -15,7 +15,8 @@
 
 }  // namespace
 
-tl::expected<policy_change, scheduling::policy_error> call_ranking::use(const std::string& text) {
+tl::expected<policy_change, scheduling::policy_error> call_ranking::set_policy(
+    const std::string& text) {
     if (text == text_) {
         return policy_change::unchanged;
     }
--- a/src/tallyfold/plane/decisions/call_ranking.hpp
+++ b/src/tallyfold/plane/decisions/call_ranking.hpp
@@ -23,7 +23,7 @@
     static constexpr std::int32_t least_urgent = 9;
 
     /// Sets the policy; an empty text removes it. After an error the previous policy stays active.
-    tl::expected<policy_change, scheduling::policy_error> use(const std::string& text);
+    tl::expected<policy_change, scheduling::policy_error> set_policy(const std::string& text);
     /// Urgency level of the call at the engines.
     std::int32_t urgency_of(const scheduling::call_features& call);
     /// Rank among the waiting calls of this node; lower goes first.
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -148,7 +148,7 @@
 
 void forwarder_node::reload_policy() {
     const std::string& path = process_.settings().policy_file;
-    const auto change = ranking_.use(path.empty() ? std::string{} : net::file_text(path));
+    const auto change = ranking_.set_policy(path.empty() ? std::string{} : net::file_text(path));
     if (!change) {
         logging::write_event(logging::event_id::policy_failed,
                              "policy=" + path + " line=" + std::to_string(change.error().line) +
--- a/tests/plane/decisions/call_ranking_test.cpp
+++ b/tests/plane/decisions/call_ranking_test.cpp
@@ -46,7 +46,7 @@
 
     void a_policy_sets_urgency_by_time_left() {
         call_ranking ranking;
-        const auto used = ranking.use(policy_with(
+        const auto used = ranking.set_policy(policy_with(
             "function urgency(call) if call.time_left_ms < 500 then return 2 end return 70 end"));
         CPPUNIT_ASSERT(used.has_value() && *used == policy_change::activated);
         CPPUNIT_ASSERT_EQUAL(2, ranking.urgency_of(call_with(0, 499)));
@@ -56,21 +56,22 @@
 
     void priority_sets_urgency_without_an_urgency_function() {
         call_ranking ranking;
-        CPPUNIT_ASSERT(ranking.use(policy_with("")).has_value());
+        CPPUNIT_ASSERT(ranking.set_policy(policy_with("")).has_value());
         CPPUNIT_ASSERT_EQUAL(3, ranking.urgency_of(call_with(3, 50)));
     }
 
     void an_invalid_policy_keeps_the_previous_one() {
         call_ranking ranking;
-        CPPUNIT_ASSERT(ranking.use(policy_with("function urgency(call) return 6 end")));
-        CPPUNIT_ASSERT(!ranking.use("function order(call"));
-        CPPUNIT_ASSERT(!ranking.use(policy_with("function urgency(call) return 'soon' end")));
+        CPPUNIT_ASSERT(ranking.set_policy(policy_with("function urgency(call) return 6 end")));
+        CPPUNIT_ASSERT(!ranking.set_policy("function order(call"));
+        CPPUNIT_ASSERT(
+            !ranking.set_policy(policy_with("function urgency(call) return 'soon' end")));
         CPPUNIT_ASSERT_EQUAL(6, ranking.urgency_of(call_with(0, 50)));
     }
 
     void a_failed_evaluation_is_counted_and_falls_back_to_priority() {
         call_ranking ranking;
-        CPPUNIT_ASSERT(ranking.use(policy_with(
+        CPPUNIT_ASSERT(ranking.set_policy(policy_with(
             "function urgency(call) if call.time_left_ms < 0 then return nil end return 5 end")));
         CPPUNIT_ASSERT_EQUAL(1, ranking.urgency_of(call_with(1, -1)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, ranking.failures());
@@ -78,8 +79,8 @@
 
     void an_empty_text_removes_the_policy() {
         call_ranking ranking;
-        CPPUNIT_ASSERT(ranking.use(policy_with("")));
-        CPPUNIT_ASSERT(*ranking.use("") == policy_change::removed);
+        CPPUNIT_ASSERT(ranking.set_policy(policy_with("")));
+        CPPUNIT_ASSERT(*ranking.set_policy("") == policy_change::removed);
         CPPUNIT_ASSERT(ranking.placement() == nullptr);
     }
 
@@ -90,7 +91,7 @@
 
     void the_shipped_policy_puts_the_least_time_left_first() {
         call_ranking ranking;
-        CPPUNIT_ASSERT(ranking.use(shipped_policy()).has_value());
+        CPPUNIT_ASSERT(ranking.set_policy(shipped_policy()).has_value());
         std::int32_t previous_level = call_ranking::most_urgent;
         for (const double left : {100.0, 500.0, 1'500.0, 3'000.0, 9'000.0}) {
             const std::int32_t level = ranking.urgency_of(call_with(1, left));
@@ -106,7 +107,7 @@
 
     void the_shipped_policy_orders_late_programs_last() {
         call_ranking ranking;
-        CPPUNIT_ASSERT(ranking.use(shipped_policy()).has_value());
+        CPPUNIT_ASSERT(ranking.set_policy(shipped_policy()).has_value());
         const auto rank = [&ranking](double time_left_ms) {
             scheduling::call_features call = call_with(0, time_left_ms);
             call.call_ms = 400;
@@ -121,10 +122,10 @@
         call_ranking ranking;
         CPPUNIT_ASSERT(
             ranking
-                .use("function order(call) if call.time_left_ms == 70 then error('no') end "
-                     "return 1 end\n"
-                     "function place(call, engine) return 1 end\n"
-                     "function retain(program) return 1 end\n")
+                .set_policy("function order(call) if call.time_left_ms == 70 then error('no') end "
+                            "return 1 end\n"
+                            "function place(call, engine) return 1 end\n"
+                            "function retain(program) return 1 end\n")
                 .has_value());
         CPPUNIT_ASSERT_EQUAL(1.0, ranking.order_of(call_with(0, 50)));
         CPPUNIT_ASSERT_EQUAL(70.0, ranking.order_of(call_with(0, 70)));
