--- a/src/tallyfold/plane/decisions/silence_detector.cpp
+++ b/src/tallyfold/plane/decisions/silence_detector.cpp
@@ -43,7 +43,7 @@
     return std::max(min_limit, mean_first_byte_time_ * limit_factor);
 }
 
-std::vector<backend_name> silence_detector::silent(instant now) const {
+std::vector<backend_name> silence_detector::overdue_backends(instant now) const {
     std::vector<backend_name> found;
     for (const auto& [name, since] : waiting_since_) {
         if (now - *since.begin() > limit()) {
--- a/src/tallyfold/plane/decisions/silence_detector.hpp
+++ b/src/tallyfold/plane/decisions/silence_detector.hpp
@@ -26,7 +26,7 @@
     void call_ended(const backend_name& name, instant started);
 
     /// Back ends whose oldest call without a byte has waited longer than limit().
-    [[nodiscard]] std::vector<backend_name> silent(instant now) const;
+    [[nodiscard]] std::vector<backend_name> overdue_backends(instant now) const;
     /// Time without a byte after which a back end is suspected.
     [[nodiscard]] duration limit() const;
 
--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -101,7 +101,7 @@
         return suspected;
     }
     for (auto& [service, state] : services_) {
-        for (const backend_name& name : state.silence.silent(now)) {
+        for (const backend_name& name : state.silence.overdue_backends(now)) {
             const backend_state* backend = state.pool.find(name);
             if (backend != nullptr && state.pool.available(*backend, now)) {
                 state.pool.unreachable(name, now);
--- a/tests/plane/decisions/silence_detector_test.cpp
+++ b/tests/plane/decisions/silence_detector_test.cpp
@@ -38,19 +38,19 @@
         CPPUNIT_ASSERT(calls.limit() > std::chrono::milliseconds(1'900));
         CPPUNIT_ASSERT(calls.limit() <= std::chrono::milliseconds(2'000));
         calls.call_started("b", at(0));
-        CPPUNIT_ASSERT(calls.silent(at(1'900)).empty());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, calls.silent(at(2'001)).size());
+        CPPUNIT_ASSERT(calls.overdue_backends(at(1'900)).empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, calls.overdue_backends(at(2'001)).size());
     }
 
     void the_oldest_call_without_a_byte_decides() {
         silence_detector calls;
         calls.call_started("b", at(0));
         calls.call_started("b", at(600));
-        CPPUNIT_ASSERT(calls.silent(at(700)).empty());
-        CPPUNIT_ASSERT_EQUAL(std::string("b"), calls.silent(at(701)).at(0));
+        CPPUNIT_ASSERT(calls.overdue_backends(at(700)).empty());
+        CPPUNIT_ASSERT_EQUAL(std::string("b"), calls.overdue_backends(at(701)).at(0));
         // The oldest call has received a byte, the other still waits.
         calls.first_byte_received("b", at(0), at(701));
-        CPPUNIT_ASSERT(calls.silent(at(701)).empty());
+        CPPUNIT_ASSERT(calls.overdue_backends(at(701)).empty());
     }
 
     void ended_calls_are_not_counted() {
@@ -58,12 +58,12 @@
         calls.call_started("b", at(0));
         calls.call_started("b", at(0));
         calls.call_ended("b", at(0));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, calls.silent(at(5'000)).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, calls.overdue_backends(at(5'000)).size());
         calls.call_ended("b", at(0));
-        CPPUNIT_ASSERT(calls.silent(at(5'000)).empty());
+        CPPUNIT_ASSERT(calls.overdue_backends(at(5'000)).empty());
         // Ending a call twice has no effect.
         calls.call_ended("b", at(0));
-        CPPUNIT_ASSERT(calls.silent(at(5'000)).empty());
+        CPPUNIT_ASSERT(calls.overdue_backends(at(5'000)).empty());
     }
 };
 
