--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -55,7 +55,7 @@
     status_ = status;
     if (!started_) {
         first_byte_ = now - request_.received;
-        context_.metrics.first_byte(first_byte_);
+        context_.metrics.record_first_byte_time(first_byte_);
     }
 }
 
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -59,7 +59,7 @@
                                            http::message_kind::response, max_answer_head_bytes);
     // Set before connecting, so that abort() cancels a pending connect.
     connection_ = opened;
-    context_.metrics.connected();
+    context_.metrics.count_connection();
     const instant limit = request_.budget.connect_deadline(now);
     const auto connected = co_await opened->connect(address, limit);
     if (!connected) {
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -95,7 +95,7 @@
         co_return std::nullopt;
     }
     const tenants::permit_decision decision = co_await context_.quotas.acquire(tenant_->name, need);
-    context_.metrics.permitted(decision);
+    context_.metrics.count_permit_decision(decision);
     if (decision.state == tenants::permit_state::granted) {
         permit_acquired_at_ = decision.taken;
         co_return std::nullopt;
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -164,7 +164,7 @@
                                               std::string reason) {
     logging::write_event(logging::event_id::call_refused,
                          "status=" + std::to_string(status) + " reason=\"" + reason + "\"");
-    context_.metrics.finished("rejected", duration::zero());
+    context_.metrics.record_request("rejected", duration::zero());
     std::string bytes = render_local_answer(status, reason, retry_after::never(), false);
     const instant limit = http::steady_now() + write_timeout;
     co_await caller->write(std::move(bytes), limit);
--- a/src/tallyfold/plane/forwarding/forwarder_metrics.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_metrics.cpp
@@ -47,19 +47,19 @@
       waiting_(net::add_gauge(registry, "tallyfold_forwarder_waiting_calls",
                               "Calls that wait here for a place at the engines")) {}
 
-void forwarder_metrics::permitted(const tenants::permit_decision& decision) {
+void forwarder_metrics::count_permit_decision(const tenants::permit_decision& decision) {
     const char* outcome = decision.state == tenants::permit_state::granted      ? "granted"
                           : decision.state == tenants::permit_state::over_limit ? "over_limit"
                                                                                 : "unknown";
     permits_.Add({{"outcome", outcome}, {"asked", decision.asked ? "yes" : "no"}}).Increment();
 }
 
-void forwarder_metrics::finished(const std::string& outcome, duration elapsed) {
+void forwarder_metrics::record_request(const std::string& outcome, duration elapsed) {
     requests_.Add({{"outcome", outcome}}).Increment();
     total_.Observe(seconds(elapsed));
 }
 
-void forwarder_metrics::attempt_failed(const std::string& reason) {
+void forwarder_metrics::count_attempt_failure(const std::string& reason) {
     failures_.Add({{"reason", reason}}).Increment();
 }
 
--- a/src/tallyfold/plane/forwarding/forwarder_metrics.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_metrics.hpp
@@ -20,29 +20,29 @@
 
     /// Records the end of a request.
     /// @param outcome text of the request_finished event's outcome
-    void finished(const std::string& outcome, duration elapsed);
+    void record_request(const std::string& outcome, duration elapsed);
     /// Records the time from the request's last byte to the answer's first byte.
-    void first_byte(duration elapsed) { first_byte_.Observe(seconds(elapsed)); }
+    void record_first_byte_time(duration elapsed) { first_byte_.Observe(seconds(elapsed)); }
     /// Records the time that the stores took to begin or settle a turn.
-    void stored(duration elapsed) { store_.Observe(seconds(elapsed)); }
+    void record_store_time(duration elapsed) { store_.Observe(seconds(elapsed)); }
     /// Sets the gauges of engine load.
     /// @param slowdown of the slowest service's engines, relative to idle
     /// @param waiting number of calls in all admission queues
-    void paced(double slowdown, std::size_t waiting) {
+    void set_engine_pace(double slowdown, std::size_t waiting) {
         slowdown_.Set(slowdown);
         waiting_.Set(static_cast<double>(waiting));
     }
     /// Records the time that a call spent in the admission queue.
-    void waited(duration elapsed) { wait_.Observe(seconds(elapsed)); }
+    void record_admission_wait(duration elapsed) { wait_.Observe(seconds(elapsed)); }
     /// Counts a new connection to a back end.
-    void connected() { connections_.Increment(); }
+    void count_connection() { connections_.Increment(); }
     /// Counts a turn that continues a conversation history stored by another store group.
-    void adopted() { adopted_.Increment(); }
+    void count_adopted_history() { adopted_.Increment(); }
     /// Counts a failed attempt.
     /// @param reason as in the attempt_failed event
-    void attempt_failed(const std::string& reason);
+    void count_attempt_failure(const std::string& reason);
     /// Counts a permit decision of a call.
-    void permitted(const tenants::permit_decision& decision);
+    void count_permit_decision(const tenants::permit_decision& decision);
 
   private:
     static double seconds(duration value) { return std::chrono::duration<double>(value).count(); }
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -192,7 +192,7 @@
                     " waiting=" + std::to_string(queue.waiting()));
         }
     }
-    metrics_.paced(max_slowdown, waiting);
+    metrics_.set_engine_pace(max_slowdown, waiting);
 }
 
 void forwarder_node::eject_silent_backends() {
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -207,7 +207,7 @@
         finished.turn = finished_turn{turn_->log_fields(), facts_.program_time_left,
                                       answer_ ? answer_->events() : 0};
     }
-    context_.metrics.finished(std::string(text_of(end_.outcome)), finished.total);
+    context_.metrics.record_request(std::string(text_of(end_.outcome)), finished.total);
     logging::write_event(logging::event_id::request_finished, render_finished_request(finished));
 }
 
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -115,7 +115,7 @@
 next_step send_loop::handle_failure(const chosen_backend& backend, const attempt_result& failed) {
     const std::string reason = text_of(failed.failure);
     const duration time_left = request_.budget.left(http::steady_now());
-    context_.metrics.attempt_failed(reason);
+    context_.metrics.count_attempt_failure(reason);
     logging::write_event(logging::event_id::attempt_failed,
                          "request=" + request_.facts.request + " backend=" + backend.name +
                              " reason=" + reason +
@@ -146,7 +146,7 @@
     const duration max_wait = request_.budget.admission_wait(http::steady_now());
     admitted_ = true;
     const duration waited = co_await queue.enter(priority, max_wait);
-    context_.metrics.waited(waited);
+    context_.metrics.record_admission_wait(waited);
     statistics_.waited += waited;
 }
 
--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -51,7 +51,7 @@
     used_tokens_ = begun.used_tokens;
     store_group_ = begun.group;
     store_epoch_ = begun.epoch;
-    context_.metrics.stored(store_time_);
+    context_.metrics.record_store_time(store_time_);
     for (const scheduling::cached_prefix& holder : begun.holders) {
         context_.backends.record_cached(holder.engine, {{holder.hash, holder.tokens}});
     }
@@ -65,7 +65,7 @@
     if (begun.adopted) {
         adopted_history_ = begun.history;
         adopted_turns_ = adopted_history_.size();
-        context_.metrics.adopted();
+        context_.metrics.count_adopted_history();
     }
     co_return begun.result;
 }
@@ -95,7 +95,7 @@
     const instant started = http::steady_now();
     const bool settled = co_await context_.turns.settle(std::move(ended), std::move(cached),
                                                         started + settle_timeout);
-    context_.metrics.stored(http::steady_now() - started);
+    context_.metrics.record_store_time(http::steady_now() - started);
     co_return settled;
 }
 
