--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -95,7 +95,7 @@
     state.pool.finished(call.backend);
 }
 
-std::vector<backend_name> backend_registry::suspect_silent(instant now) {
+std::vector<backend_name> backend_registry::eject_silent(instant now) {
     std::vector<backend_name> suspected;
     if (is_disabled(settings::mechanism::silence)) {
         return suspected;
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -51,7 +51,7 @@
     /// Records the end of the call, whether it succeeded or failed.
     void finished(backend_call& call);
     /// Ejects back ends by silence suspicion. @return the newly ejected ones
-    std::vector<backend_name> suspect_silent(instant now);
+    std::vector<backend_name> eject_silent(instant now);
     /// Input to outlier ejection: a call succeeded, failed, or could not connect.
     void succeeded(const std::string& service, const backend_name& name);
     void failed(const std::string& service, const backend_name& name, instant now);
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -196,7 +196,7 @@
 }
 
 void forwarder_node::eject_silent_backends() {
-    for (const backend_name& name : backends_.suspect_silent(http::steady_now())) {
+    for (const backend_name& name : backends_.eject_silent(http::steady_now())) {
         logging::write_event(logging::event_id::backend_ejected,
                              "backend=" + name + " reason=silent");
     }
--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -259,8 +259,8 @@
         backend_registry registry("zone", 1);
         answer_calls(registry, 60);
         backend_call call = registry.started("s", {"b0", {}, 0}, 0, at(100));
-        CPPUNIT_ASSERT(registry.suspect_silent(at(700)).empty());
-        const std::vector<std::string> suspected = registry.suspect_silent(at(900));
+        CPPUNIT_ASSERT(registry.eject_silent(at(700)).empty());
+        const std::vector<std::string> suspected = registry.eject_silent(at(900));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, suspected.size());
         selection_request question;
         question.service = "s";
@@ -268,14 +268,14 @@
             CPPUNIT_ASSERT(registry.choose(question, at(900))->name != "b0");
         }
         registry.finished(call);
-        CPPUNIT_ASSERT(registry.suspect_silent(at(5000)).empty());
+        CPPUNIT_ASSERT(registry.eject_silent(at(5000)).empty());
     }
 
     void uniform_slowness_ejects_no_back_end() {
         backend_registry registry("zone", 1);
         answer_calls(registry, 400);
         registry.started("s", {"b0", {}, 0}, 0, at(0));
-        CPPUNIT_ASSERT(registry.suspect_silent(at(1500)).empty());
+        CPPUNIT_ASSERT(registry.eject_silent(at(1500)).empty());
     }
 
     static constexpr token_count shared_tokens = 12'000;
