--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -195,8 +195,8 @@
 void answer_relay::record_events(const std::string& piece, const backend_name& backend) {
     events_.feed(piece);
     if (request_.service.is_engine) {
-        pace_.events_came(context_.backends.pace_of(request_.service.name), backend,
-                          events_.events(), http::steady_now());
+        pace_.record_events(context_.backends.pace_of(request_.service.name), backend,
+                            events_.events(), http::steady_now());
     }
 }
 
--- a/src/tallyfold/plane/forwarding/stream_pace.cpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.cpp
@@ -9,15 +9,15 @@
 
 }  // namespace
 
-void stream_pace::events_came(scheduling::engine_pace& pace, const backend_name& engine,
-                              std::uint64_t events, instant now) {
+void stream_pace::record_events(scheduling::engine_pace& pace, const backend_name& engine,
+                                std::uint64_t events, instant now) {
     if (events <= event_count_) {
         return;
     }
     if (event_count_ == 0) {
         first_event_at_ = now;
     } else {
-        pace.events_came(engine, events - event_count_, now - latest_event_at_, now);
+        pace.record_events(engine, events - event_count_, now - latest_event_at_, now);
     }
     event_count_ = events;
     latest_event_at_ = now;
--- a/src/tallyfold/plane/forwarding/stream_pace.hpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.hpp
@@ -14,8 +14,8 @@
   public:
     /// To be called for each piece of the stream.
     /// @param events total number of events up to `now`, over all attempts
-    void events_came(scheduling::engine_pace& pace, const backend_name& engine,
-                     std::uint64_t events, instant now);
+    void record_events(scheduling::engine_pace& pace, const backend_name& engine,
+                       std::uint64_t events, instant now);
     /// Records the end of a completely answered call. Streams of fewer than three events don't
     /// contribute a mean gap.
     void record_call_end(scheduling::engine_pace& pace, instant sent_at, instant now) const;
--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -39,8 +39,8 @@
     }
 }
 
-void engine_pace::events_came(const backend_name& engine, std::size_t events, duration took,
-                              instant now) {
+void engine_pace::record_events(const backend_name& engine, std::size_t events, duration took,
+                                instant now) {
     if (events == 0 || took < duration::zero()) {
         return;
     }
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -26,7 +26,7 @@
     /// after `took`.
     void prompt_read(token_count tokens, duration took);
     /// Records `events` events of one stream, received within `took`, the last of them at `now`.
-    void events_came(const backend_name& engine, std::size_t events, duration took, instant now);
+    void record_events(const backend_name& engine, std::size_t events, duration took, instant now);
     /// Records the end of a stream, with the mean time between its events after the first.
     void stream_ended(duration mean_gap);
     /// Records a call that was answered `took` after it was sent.
--- a/tests/scheduling/engine_pace_test.cpp
+++ b/tests/scheduling/engine_pace_test.cpp
@@ -28,7 +28,7 @@
                               double gap, instant now) {
         for (int count = 0; count < 20; ++count) {
             for (const std::string& engine : engines) {
-                pace.events_came(engine, 1, ms(gap), now);
+                pace.record_events(engine, 1, ms(gap), now);
                 pace.stream_ended(ms(gap));
             }
         }
@@ -66,7 +66,7 @@
     void expired_samples_are_ignored() {
         engine_pace pace;
         record_events(pace, {"a", "b", "c"}, 20, at(1000));
-        pace.events_came("a", 1, ms(500), at(1100));
+        pace.record_events("a", 1, ms(500), at(1100));
         const instant later = at(1100) + engine_pace::sample_lifetime;
         CPPUNIT_ASSERT_DOUBLES_EQUAL(20, pace.gap_ms("a", later), 5);
         CPPUNIT_ASSERT_EQUAL(1.0, pace.slowdown(later));
@@ -80,7 +80,7 @@
                 now += std::chrono::milliseconds(*rc::gen::inRange(0, 500));
                 const duration took = std::chrono::milliseconds(*rc::gen::inRange(-10, 1'000'000));
                 pace.prompt_read(*rc::gen::arbitrary<std::uint32_t>(), took);
-                pace.events_came("a", *rc::gen::inRange<std::size_t>(0, 1000), took, now);
+                pace.record_events("a", *rc::gen::inRange<std::size_t>(0, 1000), took, now);
                 pace.stream_ended(took);
                 pace.call_ended(took);
                 RC_ASSERT(std::isfinite(pace.slowdown(now)) && pace.slowdown(now) >= 1);
