--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -221,7 +221,7 @@
 
 void backend_attempt::keep_connection(const answer_facts& facts) {
     if (connection_->head().keep_alive && connection_->message_complete()) {
-        context_.connections.put(parameters_.backend.address, connection_, facts.idle_limit,
+        context_.connections.put(parameters_.backend.address, connection_, facts.idle_timeout,
                                  http::steady_now());
     } else {
         connection_->close();
--- a/src/tallyfold/plane/forwarding/request_codec.hpp
+++ b/src/tallyfold/plane/forwarding/request_codec.hpp
@@ -72,7 +72,7 @@
     /// The answer comes from another incarnation than the requested one.
     bool wrong_incarnation = false;
     /// Idle timeout of the connection announced by the back end, if any.
-    std::optional<duration> idle_limit;
+    std::optional<duration> idle_timeout;
 };
 
 class request_codec {
--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -174,12 +174,12 @@
         http::message_head head;
         head.status = 200;
         const forwarding::answer_facts bare = replica_calls().read_answer(head);
-        CPPUNIT_ASSERT(bare.request.empty() && !bare.idle_limit);
+        CPPUNIT_ASSERT(bare.request.empty() && !bare.idle_timeout);
         CPPUNIT_ASSERT(!bare.is_signed && !bare.not_run && !bare.wrong_incarnation);
         head.headers.add("X-Request-Id", "request-6");
         head.headers.add("Keep-Alive", "max=9, timeout=5");
         CPPUNIT_ASSERT_EQUAL(std::string("request-6"), replica_calls().read_answer(head).request);
-        CPPUNIT_ASSERT(replica_calls().read_answer(head).idle_limit ==
+        CPPUNIT_ASSERT(replica_calls().read_answer(head).idle_timeout ==
                        duration(milliseconds(5000)));
         head.headers.add("X-Response-Signature", "s");
         CPPUNIT_ASSERT(replica_calls().read_answer(head).is_signed);
