--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -105,7 +105,7 @@
         discard_connection(result);
         co_return result;
     }
-    answer_facts facts;
+    answer_metadata facts;
     if (!co_await read_matching_head(until, facts, result)) {
         if (!caller_.disconnected()) {
             record_failure();
@@ -119,7 +119,7 @@
     co_return co_await handle_answer(facts, until);
 }
 
-asio::awaitable<bool> backend_attempt::read_matching_head(instant until, answer_facts& facts,
+asio::awaitable<bool> backend_attempt::read_matching_head(instant until, answer_metadata& facts,
                                                           attempt_result& result) {
     for (int unmatched = 0; unmatched <= max_unmatched_answers; ++unmatched) {
         const auto head = co_await connection_->read_head(until);
@@ -153,7 +153,7 @@
     co_return true;
 }
 
-asio::awaitable<attempt_result> backend_attempt::handle_rejection(answer_facts facts) {
+asio::awaitable<attempt_result> backend_attempt::handle_rejection(answer_metadata facts) {
     attempt_result result;
     result.end = attempt_end::not_run;
     if (facts.wrong_incarnation) {
@@ -174,7 +174,8 @@
     co_return result;
 }
 
-asio::awaitable<attempt_result> backend_attempt::handle_answer(answer_facts facts, instant until) {
+asio::awaitable<attempt_result> backend_attempt::handle_answer(answer_metadata facts,
+                                                               instant until) {
     attempt_result result;
     result.end = attempt_end::may_have_run;
     const unsigned status = connection_->head().status;
@@ -207,7 +208,7 @@
     co_return result;
 }
 
-void backend_attempt::finish_answered(const answer_facts& facts) {
+void backend_attempt::finish_answered(const answer_metadata& facts) {
     const bool server_error = connection_->head().status / 100 == 5;
     if (server_error) {
         record_failure();
@@ -219,7 +220,7 @@
     keep_connection(facts);
 }
 
-void backend_attempt::keep_connection(const answer_facts& facts) {
+void backend_attempt::keep_connection(const answer_metadata& facts) {
     if (connection_->head().keep_alive && connection_->message_complete()) {
         context_.connections.put(parameters_.backend.address, connection_, facts.idle_timeout,
                                  http::steady_now());
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.hpp
@@ -43,17 +43,17 @@
     [[nodiscard]] std::string render_request(duration time_left) const;
     /// Reads answer heads until one matches this request. @return false when none did; `result`
     /// holds the reason
-    asio::awaitable<bool> read_matching_head(instant until, answer_facts& facts,
+    asio::awaitable<bool> read_matching_head(instant until, answer_metadata& facts,
                                              attempt_result& result);
     /// Reads and discards the rest of an answer. @return false when reading failed
     asio::awaitable<bool> drain_body(instant until);
     /// Handles an answer which proves that the back end did not run the request.
-    asio::awaitable<attempt_result> handle_rejection(answer_facts facts);
+    asio::awaitable<attempt_result> handle_rejection(answer_metadata facts);
     /// Relays an answer to a request that may have run.
-    asio::awaitable<attempt_result> handle_answer(answer_facts facts, instant until);
-    void finish_answered(const answer_facts& facts);
+    asio::awaitable<attempt_result> handle_answer(answer_metadata facts, instant until);
+    void finish_answered(const answer_metadata& facts);
     /// Returns the connection to the pool if it is reusable, and closes it otherwise.
-    void keep_connection(const answer_facts& facts);
+    void keep_connection(const answer_metadata& facts);
     /// Aborts the connection after an attempt without an answer. Reports a connection that the back
     /// end closed to the directory, which relays the failure to other nodes.
     void discard_connection(attempt_result& result);
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 caller_admission::caller_admission(forwarder_context& context, const http::message_head& head,
-                                   const request_facts& facts)
+                                   const request_metadata& facts)
     : context_(context), head_(head), facts_(facts) {}
 
 asio::awaitable<std::optional<local_answer>> caller_admission::identify() {
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.hpp
@@ -18,7 +18,7 @@
   public:
     /// @param head and `facts` must outlive the admission
     caller_admission(forwarder_context& context, const http::message_head& head,
-                     const request_facts& facts);
+                     const request_metadata& facts);
 
     /// Finds the route and the tenant. @return the answer when the request is refused
     asio::awaitable<std::optional<local_answer>> identify();
@@ -54,7 +54,7 @@
 
     forwarder_context& context_;
     const http::message_head& head_;
-    const request_facts& facts_;
+    const request_metadata& facts_;
     std::shared_ptr<const routing::route_table> table_;
     const routing::route* route_ = nullptr;
     const routing::tenant* tenant_ = nullptr;
--- a/src/tallyfold/plane/forwarding/forwarded_request.hpp
+++ b/src/tallyfold/plane/forwarding/forwarded_request.hpp
@@ -15,7 +15,7 @@
 struct forwarded_request {
     /// Head of the caller's request, unmodified.
     const http::message_head& head;
-    const request_facts& facts;
+    const request_metadata& facts;
     /// When the last byte of the request was read.
     instant received;
     /// Owns the objects that `route`, `service` and `tenant` refer to.
--- a/src/tallyfold/plane/forwarding/request_codec.hpp
+++ b/src/tallyfold/plane/forwarding/request_codec.hpp
@@ -17,7 +17,7 @@
 
 /// Metadata of a caller's request from its headers. Fields that are missing or malformed are empty
 /// or 0.
-struct request_facts {
+struct request_metadata {
     /// Request identifier assigned by the caller.
     std::string request;
     /// Timeout requested by the caller, if any.
@@ -62,7 +62,7 @@
 };
 
 /// Metadata of a back end's answer from its headers.
-struct answer_facts {
+struct answer_metadata {
     /// Identifier of the answered request; empty when missing.
     std::string request;
     /// The answer is signed by the back end, so it is the result of a run.
@@ -79,12 +79,12 @@
   public:
     virtual ~request_codec() = default;
     /// Never fails: malformed fields are treated as missing.
-    [[nodiscard]] virtual request_facts read_request(const http::message_head& head) const = 0;
+    [[nodiscard]] virtual request_metadata read_request(const http::message_head& head) const = 0;
     /// Header fields for a back end, without those that frame the body. Fields reserved to the
     /// system are removed from the caller's headers.
     [[nodiscard]] virtual http::header_list backend_headers(const http::message_head& head,
                                                             const attempt_marks& marks) const = 0;
-    [[nodiscard]] virtual answer_facts read_answer(const http::message_head& head) const = 0;
+    [[nodiscard]] virtual answer_metadata read_answer(const http::message_head& head) const = 0;
 };
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -35,7 +35,7 @@
 }
 
 selection_request send_loop::make_selection_request() const {
-    const request_facts& facts = request_.facts;
+    const request_metadata& facts = request_.facts;
     selection_request question;
     question.service = request_.service.name;
     question.is_engine = request_.service.is_engine;
--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-turn_session::turn_session(forwarder_context& context, const request_facts& facts,
+turn_session::turn_session(forwarder_context& context, const request_metadata& facts,
                            const routing::route& route, const tenants::tenant_name& tenant)
     : context_(context), facts_(facts), route_(route), scope_(tenant) {}
 
--- a/src/tallyfold/plane/forwarding/turn_session_shell.hpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.hpp
@@ -23,7 +23,7 @@
 
     /// @param facts and `route` must outlive the session
     /// @param tenant owner of the turn; empty when callers need no key
-    turn_session(forwarder_context& context, const request_facts& facts,
+    turn_session(forwarder_context& context, const request_metadata& facts,
                  const routing::route& route, const tenants::tenant_name& tenant);
 
     /// Reserves the tokens that the turn may generate.
@@ -49,7 +49,7 @@
     void log_refusal(const turns::begun_turn& begun) const;
 
     forwarder_context& context_;
-    const request_facts& facts_;
+    const request_metadata& facts_;
     const routing::route& route_;
     /// Scopes program and request identifiers to the tenant.
     tenants::tenant_scope scope_;
--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -44,7 +44,7 @@
     }
 
     void each_field_of_a_request_is_read() {
-        const forwarding::request_facts facts = replica_calls().read_request(caller_head());
+        const forwarding::request_metadata facts = replica_calls().read_request(caller_head());
         CPPUNIT_ASSERT_EQUAL(std::string("request-1"), facts.request);
         CPPUNIT_ASSERT(facts.caller_timeout == duration(milliseconds(4001)));
         CPPUNIT_ASSERT_EQUAL(std::string("program-2"), facts.program);
@@ -64,7 +64,7 @@
     }
 
     void a_request_without_fields_is_read() {
-        const forwarding::request_facts facts = replica_calls().read_request({});
+        const forwarding::request_metadata facts = replica_calls().read_request({});
         CPPUNIT_ASSERT(facts.request.empty() && facts.program.empty());
         CPPUNIT_ASSERT(!facts.caller_timeout && !facts.program_time_left);
         CPPUNIT_ASSERT_EQUAL(token_count{0}, facts.budget);
@@ -173,7 +173,7 @@
     void each_field_of_an_answer_is_read() {
         http::message_head head;
         head.status = 200;
-        const forwarding::answer_facts bare = replica_calls().read_answer(head);
+        const forwarding::answer_metadata bare = replica_calls().read_answer(head);
         CPPUNIT_ASSERT(bare.request.empty() && !bare.idle_timeout);
         CPPUNIT_ASSERT(!bare.is_signed && !bare.not_run && !bare.wrong_incarnation);
         head.headers.add("X-Request-Id", "request-6");
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -74,7 +74,7 @@
         head.headers.add("Connection", "keep-alive");
         head.headers.add("X-Other", "kept");
         const replica_calls calls;
-        const forwarding::request_facts facts = calls.read_request(head);
+        const forwarding::request_metadata facts = calls.read_request(head);
         CPPUNIT_ASSERT_EQUAL(std::string("abc"), facts.request);
         CPPUNIT_ASSERT(facts.caller_timeout == duration(std::chrono::seconds(4)));
         CPPUNIT_ASSERT_EQUAL(token_count{80}, facts.max_tokens);
