--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -72,7 +72,7 @@
 }
 
 std::string backend_attempt::render_request(duration time_left) const {
-    attempt_marks marks;
+    attempt_headers marks;
     marks.time_left = time_left;
     marks.incarnation = parameters_.backend.name;
     marks.urgency = parameters_.urgency;
--- a/src/tallyfold/plane/forwarding/request_codec.hpp
+++ b/src/tallyfold/plane/forwarding/request_codec.hpp
@@ -45,7 +45,7 @@
 };
 
 /// Values that the forwarder sends to a back end in the headers of one attempt.
-struct attempt_marks {
+struct attempt_headers {
     /// Time left until the request's deadline; greater than zero.
     duration time_left{};
     /// The only incarnation that may run the request.
@@ -83,7 +83,7 @@
     /// Header fields for a back end, without those that frame the body. Fields reserved to the
     /// system are removed from the caller's headers.
     [[nodiscard]] virtual http::header_list backend_headers(const http::message_head& head,
-                                                            const attempt_marks& marks) const = 0;
+                                                            const attempt_headers& marks) const = 0;
     [[nodiscard]] virtual answer_metadata read_answer(const http::message_head& head) const = 0;
 };
 
--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -76,7 +76,7 @@
 
     /// Fields as they stand on the wire.
     static std::string sent(const http::message_head& head,
-                            const forwarding::attempt_marks& marks) {
+                            const forwarding::attempt_headers& marks) {
         std::string text;
         const http::header_list fields = replica_calls().backend_headers(head, marks);
         for (const http::header_field& field : fields.fields()) {
@@ -85,8 +85,8 @@
         return text;
     }
 
-    static forwarding::attempt_marks engine_marks() {
-        forwarding::attempt_marks marks;
+    static forwarding::attempt_headers engine_marks() {
+        forwarding::attempt_headers marks;
         marks.time_left = milliseconds(1501);
         marks.incarnation = "instance-3";
         marks.urgency = 4;
@@ -128,7 +128,7 @@
     }
 
     void another_back_end_gets_these_fields() {
-        forwarding::attempt_marks marks;
+        forwarding::attempt_headers marks;
         marks.time_left = milliseconds(1502);
         marks.incarnation = "instance-4";
         http::message_head head;
@@ -140,7 +140,7 @@
     }
 
     void a_continued_stream_begins_after_our_event() {
-        forwarding::attempt_marks marks = engine_marks();
+        forwarding::attempt_headers marks = engine_marks();
         marks.last_event = "17";
         http::message_head head;
         head.headers.add("last-event-id", "10");
@@ -153,7 +153,7 @@
     }
 
     static std::string bounded(duration time_left, std::int32_t urgency) {
-        forwarding::attempt_marks marks;
+        forwarding::attempt_headers marks;
         marks.time_left = time_left;
         marks.urgency = urgency;
         marks.is_engine = true;
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -123,7 +123,7 @@
                     head.headers.add("Connection", name);
                 }
             }
-            forwarding::attempt_marks marks;
+            forwarding::attempt_headers marks;
             marks.time_left = std::chrono::seconds(1);
             marks.incarnation = "i-1";
             marks.tenant = "hule930";
