--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -109,7 +109,7 @@
     if (!permit_acquired_at_) {
         return;
     }
-    const bool free_again = context_.quotas.give_back(tenant_->name, *permit_acquired_at_);
+    const bool free_again = context_.quotas.return_permit(tenant_->name, *permit_acquired_at_);
     const duration held = http::steady_now() - *permit_acquired_at_;
     logging::write_event(logging::event_id::permit_given_back,
                          "request=" + facts_.request + " tenant=" + tenant_->name +
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -217,7 +217,7 @@
     }
 }
 
-bool quota_client::give_back(const tenant_name& tenant, instant taken) {
+bool quota_client::return_permit(const tenant_name& tenant, instant taken) {
     return holder_.give_back(tenant, taken, http::steady_now());
 }
 
--- a/src/tallyfold/plane/tenants/quota_client_shell.hpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.hpp
@@ -33,7 +33,7 @@
     /// Returns the permit of a call that was not run.
     /// @param taken as in the permit's decision
     /// @return false when the permit has left the window, and can't be spent again
-    bool give_back(const tenant_name& tenant, instant taken);
+    bool return_permit(const tenant_name& tenant, instant taken);
 
   private:
     /// Detects an unresponsive lender; reports changes and waiting calls.
