--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -101,7 +101,7 @@
 
 void turn_session::settle_unanswered(token_count tokens) {
     open_ = false;
-    context_.turns.settle_later(settlement(tokens));
+    context_.turns.settle_in_background(settlement(tokens));
 }
 
 std::string turn_session::log_fields() const {
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -217,7 +217,7 @@
     co_return operation.done();
 }
 
-void turn_client::settle_later(turn_settlement settlement) {
+void turn_client::settle_in_background(turn_settlement settlement) {
     ++settling_;
     asio::co_spawn(
         process_.loop(),
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -36,7 +36,7 @@
     /// deadline, which is logged
     asio::awaitable<bool> settle(turn_settlement settlement, cached_prompt held, instant deadline);
     /// Settles a turn in the background, for a caller that does not wait for it.
-    void settle_later(turn_settlement settlement);
+    void settle_in_background(turn_settlement settlement);
     /// Number of settlements under way in the background.
     [[nodiscard]] std::size_t settling() const { return settling_; }
 
