--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -211,7 +211,8 @@
 }
 
 void forwarder_node::continue_stop() {
-    const remaining_work remaining{callers_.active_request_count(), turns_.settling()};
+    const remaining_work remaining{callers_.active_request_count(),
+                                   turns_.background_settlement_count()};
     switch (stop_->next(http::steady_now(), remaining)) {
         case shutdown_step::stop_accepting:
             callers_.stop_accepting();
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -218,7 +218,7 @@
 }
 
 void turn_client::settle_in_background(turn_settlement settlement) {
-    ++settling_;
+    ++background_settlement_count_;
     asio::co_spawn(
         process_.loop(),
         [this, settlement = std::move(settlement)]() mutable -> asio::awaitable<void> {
@@ -226,7 +226,7 @@
             const instant deadline = steady_now() + background_settle_timeout;
             cached_prompt no_cached_prompt;
             co_await settle(std::move(settlement), std::move(no_cached_prompt), deadline);
-            --settling_;
+            --background_settlement_count_;
         },
         asio::detached);
 }
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -38,7 +38,9 @@
     /// Settles a turn in the background, for a caller that does not wait for it.
     void settle_in_background(turn_settlement settlement);
     /// Number of settlements under way in the background.
-    [[nodiscard]] std::size_t settling() const { return settling_; }
+    [[nodiscard]] std::size_t background_settlement_count() const {
+        return background_settlement_count_;
+    }
 
   private:
     /// An operation under way, with either `begin` or `settle` set.
@@ -76,7 +78,7 @@
     std::map<store_id, store_connection> stores_;
     std::map<operation_number, std::shared_ptr<pending_operation>> operations_;
     operation_number next_operation_ = 1;
-    std::size_t settling_ = 0;
+    std::size_t background_settlement_count_ = 0;
 };
 
 }  // namespace tallyfold::turns
