--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -18,8 +18,8 @@
     CPPUNIT_TEST(call_without_first_byte_releases_its_pending_tokens);
     CPPUNIT_TEST(engine_with_longest_cached_prefix_is_chosen);
     CPPUNIT_TEST(new_input_is_not_counted_as_cached);
-    CPPUNIT_TEST(nodes_that_pass_over_a_home_spread_over_the_engines);
-    CPPUNIT_TEST(a_holder_of_what_programs_share_draws_none_from_its_home);
+    CPPUNIT_TEST(calls_without_home_spread_over_engines);
+    CPPUNIT_TEST(shared_prefix_does_not_override_home);
     CPPUNIT_TEST(non_repeatable_calls_avoid_back_end_with_broken_connection);
     CPPUNIT_TEST(failures_of_most_back_ends_are_ignored);
     CPPUNIT_TEST(all_nodes_choose_the_same_home_of_an_object);
@@ -180,7 +180,7 @@
         CPPUNIT_ASSERT(used.size() >= 6);
     }
 
-    void nodes_that_pass_over_a_home_spread_over_the_engines() {
+    void calls_without_home_spread_over_engines() {
         // Without a policy a program's calls go to its home; a call without a program has none.
         std::map<std::string, int> calls;
         constexpr int nodes = 200;
@@ -199,7 +199,7 @@
         CPPUNIT_ASSERT(calls.size() > 15);
     }
 
-    void a_holder_of_what_programs_share_draws_none_from_its_home() {
+    void shared_prefix_does_not_override_home() {
         // All nodes know the same engine as holder of the shared prefix.
         const std::vector<scheduling::prefix_point> shared{{1, 512}};
         std::map<std::string, int> calls;
