--- a/src/tallyfold/plane/decisions/backend_selection.hpp
+++ b/src/tallyfold/plane/decisions/backend_selection.hpp
@@ -84,7 +84,8 @@
   public:
     /// @param zone zone of this node
     /// @param off mechanisms that are disabled for a measurement
-    backend_selector(std::string zone, scheduling::strategy strategy, settings::switched_off off)
+    backend_selector(std::string zone, scheduling::strategy strategy,
+                     settings::disabled_mechanisms off)
         : zone_(std::move(zone)), placement_(strategy), off_(std::move(off)) {}
 
     /// @return nothing when no back end of the service is eligible
@@ -115,7 +116,7 @@
 
     std::string zone_;
     scheduling::placement placement_;
-    settings::switched_off off_;
+    settings::disabled_mechanisms off_;
 };
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -8,7 +8,8 @@
 using scheduling::backend_state;
 
 backend_registry::backend_registry(std::string zone, std::uint64_t seed,
-                                   scheduling::strategy chosen, settings::switched_off disabled)
+                                   scheduling::strategy chosen,
+                                   settings::disabled_mechanisms disabled)
     : node_key_(seed),
       random_(seed),
       disabled_(std::move(disabled)),
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -34,7 +34,7 @@
     /// @param disabled mechanisms that are switched off for measurements
     backend_registry(std::string zone, std::uint64_t seed,
                      scheduling::strategy chosen = scheduling::strategy::policy,
-                     settings::switched_off disabled = {});
+                     settings::disabled_mechanisms disabled = {});
 
     /// Replaces the list of back ends. @return true when it differs from the previous one
     bool update(const std::vector<discovery::listed_backend>& backends, instant now);
@@ -102,7 +102,7 @@
     /// Key by which this node's subsets are chosen.
     std::uint64_t node_key_;
     random_source random_;
-    settings::switched_off disabled_;
+    settings::disabled_mechanisms disabled_;
     backend_selector selector_;
     /// Current list of back ends by service.
     std::map<std::string, std::vector<scheduling::backend_member>> listed_;
--- a/src/tallyfold/plane/process/mechanisms.cpp
+++ b/src/tallyfold/plane/process/mechanisms.cpp
@@ -39,7 +39,7 @@
     return find(name) != nullptr;
 }
 
-void switched_off::add(std::string_view name) {
+void disabled_mechanisms::add(std::string_view name) {
     if (const named_mechanism* known = find(name)) {
         off_.insert(known->second);
     }
--- a/src/tallyfold/plane/process/mechanisms.hpp
+++ b/src/tallyfold/plane/process/mechanisms.hpp
@@ -47,7 +47,7 @@
 bool is_mechanism(std::string_view name);
 
 /// The mechanisms that are switched off.
-class switched_off {
+class disabled_mechanisms {
   public:
     /// @param name one for which is_mechanism() is true
     void add(std::string_view name);
--- a/tests/plane/decisions/backend_selection_test.cpp
+++ b/tests/plane/decisions/backend_selection_test.cpp
@@ -26,7 +26,7 @@
 
     /// A service of four back ends with the dependencies of the selector.
     struct service {
-        explicit service(settings::switched_off off = {})
+        explicit service(settings::disabled_mechanisms off = {})
             : selector("zone", scheduling::strategy::policy, std::move(off)) {
             members.resize(size);
             for (std::size_t index = 0; index < size; ++index) {
@@ -106,7 +106,7 @@
     }
 
     void disabled_object_affinity_selects_by_load() {
-        settings::switched_off off;
+        settings::disabled_mechanisms off;
         off.add("object_home");
         service plain(off);
         selection_request question = plain_call(true);
