--- a/src/tallyfold/plane/turns/quorum_operations.hpp
+++ b/src/tallyfold/plane/turns/quorum_operations.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// Begin and settlement of one turn at the stores of its program's group: merges their replies and
-/// decides when they suffice. Pure; turn_beginning and turn_client send the requests.
+/// decides when they suffice. Pure; begin_coordinator and turn_client send the requests.
 ///
 /// begin_rules has the rules of admission, answer_tally those of quorums.
 
--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/turn_beginning.cpp
@@ -5,8 +5,8 @@
 
 namespace tallyfold::turns {
 
-turn_beginning::turn_beginning(operation_number number, turn_question question,
-                               const store_table& table)
+begin_coordinator::begin_coordinator(operation_number number, turn_question question,
+                                     const store_table& table)
     : number_(number),
       question_(std::move(question)),
       group_(table.group_of(question_.reservation.program)),
@@ -14,8 +14,8 @@
       operation_(table.groups[group_], question_.reservation, question_.previous,
                  question_.budget) {}
 
-void turn_beginning::resend_under_newer_map(const std::vector<store_map>& maps,
-                                            const store_map* used) {
+void begin_coordinator::resend_under_newer_map(const std::vector<store_map>& maps,
+                                               const store_map* used) {
     for (const store_map& newer : maps) {
         // A store that has moved to another group replies with that group's map. It would reply the
         // same to a resend until the directory sends a map in which another store replaces it.
@@ -25,12 +25,12 @@
     }
 }
 
-void turn_beginning::on_reply(const begin_reply& reply) {
+void begin_coordinator::on_reply(const begin_reply& reply) {
     resend_under_newer_map(reply.newer_map, &operation_.map());
     operation_.on_reply(reply);
 }
 
-void turn_beginning::on_reply(const history_reply& reply) {
+void begin_coordinator::on_reply(const history_reply& reply) {
     operation_.on_history(reply);
     if (history_request_due_.has_value()) {
         // The next store is asked at once for texts that are still missing.
@@ -38,7 +38,7 @@
     }
 }
 
-void turn_beginning::on_reply(const find_reply& reply) {
+void begin_coordinator::on_reply(const find_reply& reply) {
     if (!search_.has_value()) {
         return;
     }
@@ -48,18 +48,18 @@
     search_->on_reply(reply);
 }
 
-void turn_beginning::on_store_connected(store_id store) {
+void begin_coordinator::on_store_connected(store_id store) {
     const bool searching = search_.has_value() && !search_->found();
     if (operation_.map().holds(store) || searching) {
         backoff_.resend_now();
     }
 }
 
-bool turn_beginning::previous_not_held() const {
+bool begin_coordinator::previous_not_held() const {
     return operation_.outcome() == begin_outcome::unknown_previous;
 }
 
-bool turn_beginning::undecided() const {
+bool begin_coordinator::undecided() const {
     switch (operation_.outcome()) {
         case begin_outcome::pending:
             return true;
@@ -77,14 +77,14 @@
     return false;
 }
 
-bool turn_beginning::cannot_be_decided() const {
+bool begin_coordinator::cannot_be_decided() const {
     const bool others_deny =
         only_group_ || (search_.has_value() && search_->denied_by_all_stores());
     const bool own_group_answered = !operation_.map().changing() && operation_.unanswered().empty();
     return previous_not_held() && others_deny && own_group_answered;
 }
 
-std::string turn_beginning::turn_to_search_for() const {
+std::string begin_coordinator::turn_to_search_for() const {
     if (only_group_ || !operation_.reserved()) {
         return {};
     }
@@ -96,7 +96,7 @@
     return all_own_stores_asked_ ? operation_.missing_turn() : std::string{};
 }
 
-void turn_beginning::search_other_groups(instant now, const store_table& table) {
+void begin_coordinator::search_other_groups(instant now, const store_table& table) {
     const std::string searched_turn = turn_to_search_for();
     if (searched_turn.empty()) {
         return;
@@ -114,8 +114,9 @@
     }
 }
 
-void turn_beginning::collect_store_requests(const store_table& table, const store_choice& nearest,
-                                            std::vector<store_question>& requests) {
+void begin_coordinator::collect_store_requests(const store_table& table,
+                                               const store_choice& nearest,
+                                               std::vector<store_question>& requests) {
     operation_.use_map(table.groups[group_]);
     const store_id source = nearest(operation_.map());
     for (const store_member& member : operation_.unanswered()) {
@@ -138,7 +139,7 @@
     }
 }
 
-std::vector<store_member> turn_beginning::history_sources() const {
+std::vector<store_member> begin_coordinator::history_sources() const {
     std::vector<store_member> sources;
     if (search_.has_value()) {
         sources = search_->sources();
@@ -148,7 +149,7 @@
     return sources;
 }
 
-void turn_beginning::request_history(instant now, std::vector<store_question>& requests) {
+void begin_coordinator::request_history(instant now, std::vector<store_question>& requests) {
     const std::string missing = operation_.missing_turn();
     if (!operation_.reserved() || previous_not_held() || missing.empty()) {
         history_request_due_.reset();
@@ -182,8 +183,8 @@
     history_request_due_ = now + history_resend_interval;
 }
 
-std::vector<store_question> turn_beginning::due(instant now, const store_table& table,
-                                                const store_choice& nearest) {
+std::vector<store_question> begin_coordinator::due(instant now, const store_table& table,
+                                                   const store_choice& nearest) {
     std::vector<store_question> requests;
     search_other_groups(now, table);
     if (backoff_.take_due(now)) {
@@ -193,13 +194,13 @@
     return requests;
 }
 
-instant turn_beginning::next_due() const {
+instant begin_coordinator::next_due() const {
     return history_request_due_.has_value()
                ? std::min(*history_request_due_, backoff_.next_send_at())
                : backoff_.next_send_at();
 }
 
-begun_turn turn_beginning::outcome() const {
+begun_turn begin_coordinator::outcome() const {
     begun_turn begun;
     begun.used_tokens = operation_.used_tokens();
     begun.reserved_tokens = operation_.reserved_tokens();
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/turn_beginning.hpp
@@ -67,7 +67,7 @@
     std::variant<begin_request, history_request, find_request> body;
 };
 
-class turn_beginning {
+class begin_coordinator {
   public:
     /// Time between a request for missing texts and the request to the next store. As long as
     /// resend_backoff::first_interval, so that loaded stores have time to reply.
@@ -82,7 +82,7 @@
 
     /// @param number operation number of the replies
     /// @param table must be known()
-    turn_beginning(operation_number number, turn_question question, const store_table& table);
+    begin_coordinator(operation_number number, turn_question question, const store_table& table);
 
     void on_reply(const begin_reply& reply);
     void on_reply(const history_reply& reply);
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -160,7 +160,7 @@
 
 asio::awaitable<begun_turn> turn_client::begin(turn_question question, instant deadline) {
     const operation_number number = next_operation_++;
-    turn_beginning beginning(number, std::move(question), table_);
+    begin_coordinator beginning(number, std::move(question), table_);
     const auto pending = register_operation(number);
     pending->begin = &beginning;
     const instant started = steady_now();
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -2,8 +2,8 @@
 /// @file
 /// Begins and settles turns at the stores, over the network. Runs on the loop thread.
 ///
-/// Owns one connection to each store of the table, and the operations under way. turn_beginning and
-/// settle_operation decide what is sent when, and when an operation has ended.
+/// Owns one connection to each store of the table, and the operations under way. begin_coordinator
+/// and settle_operation decide what is sent when, and when an operation has ended.
 
 #include <asio/awaitable.hpp>
 #include <asio/steady_timer.hpp>
@@ -47,9 +47,9 @@
     struct pending_operation {
         explicit pending_operation(asio::io_context& loop) : timer(loop) {}
         asio::steady_timer timer;
-        turn_beginning* begin = nullptr;
+        begin_coordinator* begin = nullptr;
         settle_operation* settle = nullptr;
-        /// Resends of a settlement; turn_beginning has its own.
+        /// Resends of a settlement; begin_coordinator has its own.
         resend_backoff backoff;
     };
     struct store_connection {
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -102,12 +102,12 @@
 
     /// Begin of a turn that continues a turn which its own group does not hold. Sets `group` to the
     /// own group.
-    static turn_beginning beginning(const store_table& table, group_number& group) {
+    static begin_coordinator beginning(const store_table& table, group_number& group) {
         turn_question question;
         question.reservation = {"program", "own", 10, 60'000};
         question.previous = "t";
         group = table.group_of("program");
-        turn_beginning begun(1, question, table);
+        begin_coordinator begun(1, question, table);
         begun.due(at(0), table, no_store);
         begun.on_reply(durable_reply(10 * group));
         begun.on_reply(durable_reply(10 * group + 1));
@@ -117,7 +117,7 @@
     void a_group_without_majority_leaves_a_turn_undecided() {
         const store_table table = three_groups();
         group_number group = 0;
-        turn_beginning begun = beginning(table, group);
+        begin_coordinator begun = beginning(table, group);
         CPPUNIT_ASSERT(begun.undecided());
         const auto requests = begun.due(at(1), table, no_store);
         // The third store of its own group, and all stores of the other two groups.
@@ -142,7 +142,7 @@
         turn_question question;
         question.reservation = {"program", "t", 1, 60'000};
         question.previous = "lost";
-        turn_beginning begun(1, question, table);
+        begin_coordinator begun(1, question, table);
         begun.on_reply(durable_reply(0));
         begun.on_reply(durable_reply(1));
         CPPUNIT_ASSERT(begun.undecided());
@@ -157,7 +157,7 @@
     void a_history_of_another_group_is_adopted() {
         const store_table table = three_groups();
         group_number group = 0;
-        turn_beginning begun = beginning(table, group);
+        begin_coordinator begun = beginning(table, group);
         begun.due(at(1), table, no_store);
         const store_id holder = 10 * ((group + 1) % 3) + 2;
         begun.on_reply(answer(holder, true));
@@ -180,7 +180,7 @@
         const store_table table = three_groups();
         turn_question question;
         question.reservation = {"program", "own", 10, 60'000};
-        turn_beginning begun(1, question, table);
+        begin_coordinator begun(1, question, table);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, begun.due(at(0), table, no_store).size());
         const group_number group = table.group_of("program");
         begin_reply moved;
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -52,7 +52,8 @@
         question.previous = begun.previous;
         question.budget = program_budget;
         begun.until = now_ + std::chrono::milliseconds(1'500);
-        begun.turn = std::make_unique<turns::turn_beginning>(++last_operation_, question, known_);
+        begun.turn =
+            std::make_unique<turns::begin_coordinator>(++last_operation_, question, known_);
         beginnings_.emplace(request, std::move(begun));
         go_on_beginning(request);
     }
@@ -101,7 +102,7 @@
     struct beginning {
         std::string program;
         std::string previous;
-        std::unique_ptr<turns::turn_beginning> turn;
+        std::unique_ptr<turns::begin_coordinator> turn;
         instant until{};
     };
 
@@ -124,7 +125,7 @@
         if (found == beginnings_.end()) {
             return;
         }
-        turns::turn_beginning& turn = *found->second.turn;
+        turns::begin_coordinator& turn = *found->second.turn;
         const auto choose = [this](const turns::store_map& map) { return nearest(map); };
         if (turn.undecided() && now_ < found->second.until) {
             for (const turns::store_question& question : turn.due(now_, known_, choose)) {
@@ -141,7 +142,7 @@
         if (found == beginnings_.end()) {
             return;
         }
-        turns::turn_beginning& turn = *found->second.turn;
+        turns::begin_coordinator& turn = *found->second.turn;
         if (const auto* begun = std::get_if<turns::begin_reply>(&body)) {
             learn(begun->newer_map);
             turns::begin_reply taken = *begun;
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -323,7 +323,7 @@
         turns::turn_question question;
         question.reservation = {program, "c-" + turn, 1, 60'000};
         question.previous = turn;
-        turns::turn_beginning checked(1, question, state_.stores());
+        turns::begin_coordinator checked(1, question, state_.stores());
         const auto choose = [this](const turns::store_map& map) { return forwarder_.nearest(map); };
         for (int round = 0; round < 60 && checked.undecided(); ++round) {
             now_ += std::chrono::milliseconds(20);
