--- a/src/tallyfold/plane/decisions/local_answer.hpp
+++ b/src/tallyfold/plane/decisions/local_answer.hpp
@@ -15,7 +15,7 @@
 #include "tallyfold/plane/decisions/request_outcome.hpp"
 #include "tallyfold/plane/decisions/retry_after.hpp"
 #include "tallyfold/plane/tenants/permit_decision.hpp"
-#include "tallyfold/plane/turns/turn_beginning.hpp"
+#include "tallyfold/plane/turns/begin_coordinator.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/plane/turns/turn_beginning.cpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/turns/turn_beginning.hpp"
+#include "tallyfold/plane/turns/begin_coordinator.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -15,7 +15,7 @@
 
 #include "tallyfold/plane/messaging/peer_link_shell.hpp"
 #include "tallyfold/plane/process/node_process_shell.hpp"
-#include "tallyfold/plane/turns/turn_beginning.hpp"
+#include "tallyfold/plane/turns/begin_coordinator.hpp"
 
 namespace tallyfold::turns {
 
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -1,6 +1,6 @@
 #include "tallyfold/plane/turns/turn_search.hpp"
 
-#include "tallyfold/plane/turns/turn_beginning.hpp"
+#include "tallyfold/plane/turns/begin_coordinator.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -9,8 +9,8 @@
 #include <set>
 #include <string>
 
+#include "tallyfold/plane/turns/begin_coordinator.hpp"
 #include "tallyfold/plane/turns/quorum_operations.hpp"
-#include "tallyfold/plane/turns/turn_beginning.hpp"
 #include "tests/support/store_fleet.hpp"
 
 namespace tallyfold::tests {
