--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -33,7 +33,7 @@
 
 asio::awaitable<turns::begin_result> turn_session::begin(instant deadline, std::string& history) {
     const instant started = http::steady_now();
-    turns::turn_question question;
+    turns::begin_parameters question;
     question.reservation.program = scope_.scoped(facts_.program);
     question.reservation.request = scope_.scoped(facts_.request);
     question.reservation.max_tokens = facts_.max_tokens;
--- a/src/tallyfold/plane/turns/begin_coordinator.cpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.cpp
@@ -5,7 +5,7 @@
 
 namespace tallyfold::turns {
 
-begin_coordinator::begin_coordinator(operation_number number, turn_question question,
+begin_coordinator::begin_coordinator(operation_number number, begin_parameters question,
                                      const store_table& table)
     : number_(number),
       question_(std::move(question)),
--- a/src/tallyfold/plane/turns/begin_coordinator.hpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.hpp
@@ -22,7 +22,7 @@
 namespace tallyfold::turns {
 
 /// Parameters of the begin of a turn.
-struct turn_question {
+struct begin_parameters {
     turn_reservation reservation;
     /// Request identifier of the turn to continue; empty for the first turn of a history.
     std::string previous;
@@ -82,7 +82,7 @@
 
     /// @param number operation number of the replies
     /// @param table must be known()
-    begin_coordinator(operation_number number, turn_question question, const store_table& table);
+    begin_coordinator(operation_number number, begin_parameters question, const store_table& table);
 
     void on_reply(const begin_reply& reply);
     void on_reply(const history_reply& reply);
@@ -119,7 +119,7 @@
     [[nodiscard]] std::vector<store_member> history_sources() const;
 
     operation_number number_;
-    turn_question question_;
+    begin_parameters question_;
     group_number group_;
     bool only_group_;
     begin_operation operation_;
--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -281,7 +281,7 @@
     static constexpr token_count shared_tokens = 12'000;
 
     /// Question for a turn of a program with this prompt.
-    static selection_request turn_question(const std::vector<scheduling::prefix_point>& prompt) {
+    static selection_request begin_parameters(const std::vector<scheduling::prefix_point>& prompt) {
         selection_request question;
         question.service = "s";
         question.is_engine = true;
@@ -298,7 +298,7 @@
     /// Completes one turn at the chosen back end. @param own tokens of the unshared part
     static chosen_backend run_turn(backend_registry& registry, token_count own) {
         const auto prompt = prompt_with(own);
-        const auto chosen = registry.choose(turn_question(prompt), at(0));
+        const auto chosen = registry.choose(begin_parameters(prompt), at(0));
         CPPUNIT_ASSERT(chosen.has_value());
         backend_call call = registry.started("s", *chosen, prompt.back().tokens, at(0));
         registry.first_byte_received(call, at(50));
@@ -314,7 +314,7 @@
         // Further turns, of which only a few hundred tokens are uncached, go to the same engine.
         for (const token_count own : {1200, 1300, 1400}) {
             const auto prompt = prompt_with(own);
-            const auto chosen = registry.choose(turn_question(prompt), at(100));
+            const auto chosen = registry.choose(begin_parameters(prompt), at(100));
             CPPUNIT_ASSERT_EQUAL(home, chosen->name);
             registry.started("s", *chosen, prompt.back().tokens, at(100));
         }
@@ -329,7 +329,7 @@
             registry.finished(call);
         }
         const auto prompt = prompt_with(1300);
-        CPPUNIT_ASSERT_EQUAL(home, registry.choose(turn_question(prompt), at(200))->name);
+        CPPUNIT_ASSERT_EQUAL(home, registry.choose(begin_parameters(prompt), at(200))->name);
     }
 
     void engine_with_longest_cached_prefix_is_chosen() {
@@ -339,7 +339,7 @@
         const std::string after = before == "b0" ? "b1" : "b0";
         registry.record_cached(after, prompt_with(9000));
         const auto prompt = prompt_with(9500);
-        const auto chosen = registry.choose(turn_question(prompt), at(100));
+        const auto chosen = registry.choose(begin_parameters(prompt), at(100));
         CPPUNIT_ASSERT_EQUAL(after, chosen->name);
         CPPUNIT_ASSERT_EQUAL(shared_tokens + 9000, chosen->cached_tokens);
     }
@@ -350,7 +350,7 @@
         run_turn(registry, 1000);
         const auto prompt = prompt_with(3000);
         CPPUNIT_ASSERT_EQUAL(shared_tokens + 1000,
-                             registry.choose(turn_question(prompt), at(100))->cached_tokens);
+                             registry.choose(begin_parameters(prompt), at(100))->cached_tokens);
     }
 };
 
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -103,7 +103,7 @@
     /// Begin of a turn that continues a turn which its own group does not hold. Sets `group` to the
     /// own group.
     static begin_coordinator beginning(const store_table& table, group_number& group) {
-        turn_question question;
+        begin_parameters question;
         question.reservation = {"program", "own", 10, 60'000};
         question.previous = "t";
         group = table.group_of("program");
@@ -139,7 +139,7 @@
         store_map map = three_groups().groups.front();
         map.after_loss = true;
         table.groups.push_back(map);
-        turn_question question;
+        begin_parameters question;
         question.reservation = {"program", "t", 1, 60'000};
         question.previous = "lost";
         begin_coordinator begun(1, question, table);
@@ -178,7 +178,7 @@
 
     void a_store_that_changed_its_group_is_not_asked_again_at_once() {
         const store_table table = three_groups();
-        turn_question question;
+        begin_parameters question;
         question.reservation = {"program", "own", 10, 60'000};
         begin_coordinator begun(1, question, table);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, begun.due(at(0), table, no_store).size());
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -47,7 +47,7 @@
             // Most programs continue their own turns.
             begun.program = random_.chance(0.6) ? chosen->second : begun.program;
         }
-        turns::turn_question question;
+        turns::begin_parameters question;
         question.reservation = {begun.program, request, 1, 60'000};
         question.previous = begun.previous;
         question.budget = program_budget;
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -320,7 +320,7 @@
     }
 
     bool continues(const std::string& turn, const std::string& program) {
-        turns::turn_question question;
+        turns::begin_parameters question;
         question.reservation = {program, "c-" + turn, 1, 60'000};
         question.previous = turn;
         turns::begin_coordinator checked(1, question, state_.stores());
