--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -44,7 +44,7 @@
         question.prompt = facts_.prompt;
     }
     const instant limit = std::min(deadline, started + begin_timeout);
-    const turns::begun_turn begun = co_await context_.turns.begin(std::move(question), limit);
+    const turns::begin_decision begun = co_await context_.turns.begin(std::move(question), limit);
     open_ = true;
     store_time_ = http::steady_now() - started;
     store_answers_ = begun.answers.answers;
@@ -70,7 +70,7 @@
     co_return begun.result;
 }
 
-void turn_session::log_refusal(const turns::begun_turn& begun) const {
+void turn_session::log_refusal(const turns::begin_decision& begun) const {
     logging::write_event(
         logging::event_id::turn_refused,
         "request=" + facts_.request + " program=" + facts_.program +
--- a/src/tallyfold/plane/forwarding/turn_session_shell.hpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.hpp
@@ -46,7 +46,7 @@
   private:
     [[nodiscard]] turns::turn_settlement settlement(token_count tokens) const;
     [[nodiscard]] std::uint32_t retention_ms() const;
-    void log_refusal(const turns::begun_turn& begun) const;
+    void log_refusal(const turns::begin_decision& begun) const;
 
     forwarder_context& context_;
     const request_metadata& facts_;
--- a/src/tallyfold/plane/turns/begin_coordinator.cpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.cpp
@@ -200,8 +200,8 @@
                : backoff_.next_send_at();
 }
 
-begun_turn begin_coordinator::outcome() const {
-    begun_turn begun;
+begin_decision begin_coordinator::outcome() const {
+    begin_decision begun;
     begun.used_tokens = operation_.used_tokens();
     begun.reserved_tokens = operation_.reserved_tokens();
     begun.answers = operation_.answers();
--- a/src/tallyfold/plane/turns/begin_coordinator.hpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.hpp
@@ -42,7 +42,7 @@
     unavailable,
 };
 
-struct begun_turn {
+struct begin_decision {
     begin_result result = begin_result::unavailable;
     /// The conversation history before the turn, oldest first. Set only with `admitted`.
     std::vector<turn_record> history;
@@ -101,7 +101,7 @@
     /// Time at which due() has to be called again even without a reply.
     [[nodiscard]] instant next_due() const;
     /// Outcome; `unavailable` while undecided.
-    [[nodiscard]] begun_turn outcome() const;
+    [[nodiscard]] begin_decision outcome() const;
 
   private:
     /// Makes a resend due when `maps` has a newer map of the same group.
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -158,7 +158,7 @@
     return pending;
 }
 
-asio::awaitable<begun_turn> turn_client::begin(begin_parameters question, instant deadline) {
+asio::awaitable<begin_decision> turn_client::begin(begin_parameters question, instant deadline) {
     const operation_number number = next_operation_++;
     begin_coordinator beginning(number, std::move(question), table_);
     const auto pending = register_operation(number);
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -31,7 +31,7 @@
 
     /// Begins a turn; requires has_store_table(). @return `unavailable` when undecided at the
     /// deadline
-    asio::awaitable<begun_turn> begin(begin_parameters question, instant deadline);
+    asio::awaitable<begin_decision> begin(begin_parameters question, instant deadline);
     /// Settles a turn. @return true once the settlement is durable at a quorum; false at the
     /// deadline, which is logged
     asio::awaitable<bool> settle(turn_settlement settlement, cached_prompt held, instant deadline);
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -169,7 +169,7 @@
         history_reply reply{1, holder, {}};
         reply.history.records = {{"t", "s", "in-t", "out-t"}, {"s", "", "in-s", "out-s"}};
         begun.on_reply(reply);
-        const begun_turn outcome = begun.outcome();
+        const begin_decision outcome = begun.outcome();
         CPPUNIT_ASSERT(outcome.result == begin_result::admitted);
         CPPUNIT_ASSERT(outcome.adopted);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, outcome.history.size());
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -164,7 +164,7 @@
     void end_beginning(const std::string& request) {
         const beginning ended = std::move(beginnings_.at(request));
         beginnings_.erase(request);
-        const turns::begun_turn begun = ended.turn->outcome();
+        const turns::begin_decision begun = ended.turn->outcome();
         if (begun.result == turns::begin_result::unknown_previous) {
             false_unknowns_ += settled_.contains(ended.previous) ? 1 : 0;
         }
