--- a/src/tallyfold/plane/turns/begin_coordinator.cpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.cpp
@@ -116,7 +116,7 @@
 
 void begin_coordinator::collect_store_requests(const store_table& table,
                                                const store_choice& nearest,
-                                               std::vector<store_question>& requests) {
+                                               std::vector<addressed_request>& requests) {
     operation_.use_map(table.groups[group_]);
     const store_id source = nearest(operation_.map());
     for (const store_member& member : operation_.unanswered()) {
@@ -149,7 +149,7 @@
     return sources;
 }
 
-void begin_coordinator::request_history(instant now, std::vector<store_question>& requests) {
+void begin_coordinator::request_history(instant now, std::vector<addressed_request>& requests) {
     const std::string missing = operation_.missing_turn();
     if (!operation_.reserved() || previous_not_held() || missing.empty()) {
         history_request_due_.reset();
@@ -183,9 +183,9 @@
     history_request_due_ = now + history_resend_interval;
 }
 
-std::vector<store_question> begin_coordinator::due(instant now, const store_table& table,
-                                                   const store_choice& nearest) {
-    std::vector<store_question> requests;
+std::vector<addressed_request> begin_coordinator::due(instant now, const store_table& table,
+                                                      const store_choice& nearest) {
+    std::vector<addressed_request> requests;
     search_other_groups(now, table);
     if (backoff_.take_due(now)) {
         collect_store_requests(table, nearest, requests);
--- a/src/tallyfold/plane/turns/begin_coordinator.hpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.hpp
@@ -62,7 +62,7 @@
 };
 
 /// A request and the store that it goes to.
-struct store_question {
+struct addressed_request {
     store_member store;
     std::variant<begin_request, history_request, find_request> body;
 };
@@ -96,8 +96,8 @@
     /// and every store has replied that it does not hold it.
     [[nodiscard]] bool cannot_be_decided() const;
     /// Returns the requests that are due, and starts their resend intervals.
-    std::vector<store_question> due(instant now, const store_table& table,
-                                    const store_choice& nearest);
+    std::vector<addressed_request> due(instant now, const store_table& table,
+                                       const store_choice& nearest);
     /// Time at which due() has to be called again even without a reply.
     [[nodiscard]] instant next_due() const;
     /// Outcome; `unavailable` while undecided.
@@ -113,8 +113,8 @@
     [[nodiscard]] std::string turn_to_search_for() const;
     void search_other_groups(instant now, const store_table& table);
     void collect_store_requests(const store_table& table, const store_choice& nearest,
-                                std::vector<store_question>& requests);
-    void request_history(instant now, std::vector<store_question>& requests);
+                                std::vector<addressed_request>& requests);
+    void request_history(instant now, std::vector<addressed_request>& requests);
     /// Stores that may hold texts of the history, most likely first.
     [[nodiscard]] std::vector<store_member> history_sources() const;
 
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -112,7 +112,7 @@
         }
     }
 
-    void ask(const std::string& request, const turns::store_question& question) {
+    void ask(const std::string& request, const turns::addressed_request& question) {
         const auto take = [this, request](const turns::store_reply& body) {
             take_begin(request, body);
         };
@@ -128,7 +128,7 @@
         turns::begin_coordinator& turn = *found->second.turn;
         const auto choose = [this](const turns::store_map& map) { return nearest(map); };
         if (turn.undecided() && now_ < found->second.until) {
-            for (const turns::store_question& question : turn.due(now_, known_, choose)) {
+            for (const turns::addressed_request& question : turn.due(now_, known_, choose)) {
                 ask(request, question);
             }
         }
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -296,7 +296,7 @@
     }
 
     /// What a store answers, with all else at rest.
-    turns::store_reply answer_of(const turns::store_question& question) {
+    turns::store_reply answer_of(const turns::addressed_request& question) {
         const store_machine& asked = fleet_.machine_at(question.store);
         const turns::turn_table& table = asked.store->turns();
         if (const auto* begin = std::get_if<turns::begin_request>(&question.body)) {
@@ -327,7 +327,8 @@
         const auto choose = [this](const turns::store_map& map) { return forwarder_.nearest(map); };
         for (int round = 0; round < 60 && checked.undecided(); ++round) {
             now_ += std::chrono::milliseconds(20);
-            for (const turns::store_question& asked : checked.due(now_, state_.stores(), choose)) {
+            for (const turns::addressed_request& asked :
+                 checked.due(now_, state_.stores(), choose)) {
                 std::visit(
                     [&](const auto& body) {
                         if constexpr (requires { checked.on_reply(body); }) {
