--- a/src/tallyfold/plane/turns/copy_client_shell.cpp
+++ b/src/tallyfold/plane/turns/copy_client_shell.cpp
@@ -43,7 +43,7 @@
 }
 
 void copy_client::request_page() {
-    const std::optional<copy_order> order = store_.next_copy();
+    const std::optional<copy_fetch> order = store_.next_copy();
     if (!order.has_value()) {
         links_.clear();
         copying_ = false;
--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -218,7 +218,7 @@
     return replies;
 }
 
-std::optional<copy_order> store_fsm::next_copy() {
+std::optional<copy_fetch> store_fsm::next_copy() {
     if (!copy_progress_.has_value()) {
         return std::nullopt;
     }
@@ -235,7 +235,7 @@
     request.map = copy_progress_->map();
     request.held = held_requests_;
     request.after = from == copy_positions_.end() ? std::string{} : from->second;
-    return copy_order{source, std::move(request)};
+    return copy_fetch{source, std::move(request)};
 }
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -40,7 +40,7 @@
 };
 
 /// A copy request and the store that it goes to.
-struct copy_order {
+struct copy_fetch {
     store_member source;
     copy_request request;
 };
@@ -76,7 +76,7 @@
 
     /// Next page to request, and its source; nothing when no copy is under way. Sources are copied
     /// one after the other, so that none sends what an earlier one has already sent.
-    [[nodiscard]] std::optional<copy_order> next_copy();
+    [[nodiscard]] std::optional<copy_fetch> next_copy();
     /// Switches to the next source after the last one timed out.
     void skip_copy_source() { ++source_offset_; }
     /// Epoch of the newest map for which this store has completed a copy; 0 for none.
--- a/tests/support/store_fleet.hpp
+++ b/tests/support/store_fleet.hpp
@@ -113,7 +113,7 @@
         if (random_.chance(0.3)) {
             machines_[number].store->skip_copy_source();
         }
-        std::optional<turns::copy_order> order = machines_[number].store->next_copy();
+        std::optional<turns::copy_fetch> order = machines_[number].store->next_copy();
         if (order.has_value()) {
             send(order->source, std::move(order->request),
                  [this, number, asking](const turns::store_reply& body) {
