--- a/src/tallyfold/plane/turns/begin_coordinator.cpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.cpp
@@ -183,8 +183,9 @@
     history_request_due_ = now + history_resend_interval;
 }
 
-std::vector<addressed_request> begin_coordinator::due(instant now, const store_table& table,
-                                                      const store_choice& nearest) {
+std::vector<addressed_request> begin_coordinator::take_due_requests(instant now,
+                                                                    const store_table& table,
+                                                                    const store_choice& nearest) {
     std::vector<addressed_request> requests;
     search_other_groups(now, table);
     if (backoff_.take_due(now)) {
--- a/src/tallyfold/plane/turns/begin_coordinator.hpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.hpp
@@ -96,8 +96,8 @@
     /// and every store has replied that it does not hold it.
     [[nodiscard]] bool cannot_be_decided() const;
     /// Returns the requests that are due, and starts their resend intervals.
-    std::vector<addressed_request> due(instant now, const store_table& table,
-                                       const store_choice& nearest);
+    std::vector<addressed_request> take_due_requests(instant now, const store_table& table,
+                                                     const store_choice& nearest);
     /// Time at which due() has to be called again even without a reply.
     [[nodiscard]] instant next_due() const;
     /// Outcome; `unavailable` while undecided.
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -170,7 +170,8 @@
         if (now >= deadline) {
             break;
         }
-        for (const addressed_request& due_request : beginning.due(now, table_, choose)) {
+        for (const addressed_request& due_request :
+             beginning.take_due_requests(now, table_, choose)) {
             std::visit([&](const auto& body) { send(due_request.store, body, started); },
                        due_request.body);
         }
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -108,7 +108,7 @@
         question.previous = "t";
         group = table.group_of("program");
         begin_coordinator begun(1, question, table);
-        begun.due(at(0), table, no_store);
+        begun.take_due_requests(at(0), table, no_store);
         begun.on_reply(durable_reply(10 * group));
         begun.on_reply(durable_reply(10 * group + 1));
         return begun;
@@ -119,7 +119,7 @@
         group_number group = 0;
         begin_coordinator begun = beginning(table, group);
         CPPUNIT_ASSERT(begun.undecided());
-        const auto requests = begun.due(at(1), table, no_store);
+        const auto requests = begun.take_due_requests(at(1), table, no_store);
         // The third store of its own group, and all stores of the other two groups.
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, requests.size());
         const group_number other = (group + 1) % 3;
@@ -158,10 +158,10 @@
         const store_table table = three_groups();
         group_number group = 0;
         begin_coordinator begun = beginning(table, group);
-        begun.due(at(1), table, no_store);
+        begun.take_due_requests(at(1), table, no_store);
         const store_id holder = 10 * ((group + 1) % 3) + 2;
         begun.on_reply(answer(holder, true));
-        const auto requests = begun.due(at(2), table, no_store);
+        const auto requests = begun.take_due_requests(at(2), table, no_store);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, requests.size());
         CPPUNIT_ASSERT_EQUAL(holder, requests.front().store.id);
         CPPUNIT_ASSERT_EQUAL(std::string("t"),
@@ -181,7 +181,8 @@
         begin_parameters question;
         question.reservation = {"program", "own", 10, 60'000};
         begin_coordinator begun(1, question, table);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, begun.due(at(0), table, no_store).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3},
+                             begun.take_due_requests(at(0), table, no_store).size());
         const group_number group = table.group_of("program");
         begin_reply moved;
         moved.operation = 1;
@@ -190,13 +191,14 @@
         elsewhere.epoch = 9;
         moved.newer_map = {elsewhere};
         begun.on_reply(moved);
-        CPPUNIT_ASSERT(begun.due(at(1), table, no_store).empty());
+        CPPUNIT_ASSERT(begun.take_due_requests(at(1), table, no_store).empty());
         // A newer map of the turn's own group makes a resend due at once.
         store_table newer = table;
         newer.groups[group].epoch = 10;
         moved.newer_map = {newer.groups[group]};
         begun.on_reply(moved);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, begun.due(at(2), newer, no_store).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3},
+                             begun.take_due_requests(at(2), newer, no_store).size());
     }
 };
 
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -128,7 +128,8 @@
         turns::begin_coordinator& turn = *found->second.turn;
         const auto choose = [this](const turns::store_map& map) { return nearest(map); };
         if (turn.undecided() && now_ < found->second.until) {
-            for (const turns::addressed_request& question : turn.due(now_, known_, choose)) {
+            for (const turns::addressed_request& question :
+                 turn.take_due_requests(now_, known_, choose)) {
                 ask(request, question);
             }
         }
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -328,7 +328,7 @@
         for (int round = 0; round < 60 && checked.undecided(); ++round) {
             now_ += std::chrono::milliseconds(20);
             for (const turns::addressed_request& asked :
-                 checked.due(now_, state_.stores(), choose)) {
+                 checked.take_due_requests(now_, state_.stores(), choose)) {
                 std::visit(
                     [&](const auto& body) {
                         if constexpr (requires { checked.on_reply(body); }) {
