--- a/src/tallyfold/plane/turns/begin_coordinator.cpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.cpp
@@ -59,7 +59,7 @@
     return operation_.outcome() == begin_outcome::unknown_previous;
 }
 
-bool begin_coordinator::undecided() const {
+bool begin_coordinator::is_undecided() const {
     switch (operation_.outcome()) {
         case begin_outcome::pending:
             return true;
@@ -209,7 +209,7 @@
     begun.group = group_;
     begun.epoch = operation_.map().epoch;
     begun.holders = operation_.holders();
-    if (undecided()) {
+    if (is_undecided()) {
         return begun;
     }
     switch (operation_.outcome()) {
--- a/src/tallyfold/plane/turns/begin_coordinator.hpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.hpp
@@ -91,14 +91,14 @@
     void on_store_connected(store_id store);
 
     /// True while the outcome is not certain.
-    [[nodiscard]] bool undecided() const;
+    [[nodiscard]] bool is_undecided() const;
     /// True when no further reply can decide the begin: the turn to continue may have been lost,
     /// and every store has replied that it does not hold it.
     [[nodiscard]] bool cannot_be_decided() const;
     /// Returns the requests that are due, and starts their resend intervals.
     std::vector<addressed_request> take_due_requests(instant now, const store_table& table,
                                                      const store_choice& nearest);
-    /// Time at which due() has to be called again even without a reply.
+    /// Time at which take_due_requests() has to be called again even without a reply.
     [[nodiscard]] instant next_due() const;
     /// Outcome; `unavailable` while undecided.
     [[nodiscard]] begin_decision outcome() const;
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -165,7 +165,7 @@
     pending->begin = &beginning;
     const instant started = steady_now();
     const auto choose = [this](const store_map& map) { return nearest(map); };
-    while (beginning.undecided() && !beginning.cannot_be_decided()) {
+    while (beginning.is_undecided() && !beginning.cannot_be_decided()) {
         const instant now = steady_now();
         if (now >= deadline) {
             break;
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -118,7 +118,7 @@
         const store_table table = three_groups();
         group_number group = 0;
         begin_coordinator begun = beginning(table, group);
-        CPPUNIT_ASSERT(begun.undecided());
+        CPPUNIT_ASSERT(begun.is_undecided());
         const auto requests = begun.take_due_requests(at(1), table, no_store);
         // The third store of its own group, and all stores of the other two groups.
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, requests.size());
@@ -127,7 +127,7 @@
         begun.on_reply(answer(10 * other, false));
         begun.on_reply(answer(10 * other + 1, false));
         begun.on_reply(answer(10 * silent, false));
-        CPPUNIT_ASSERT(begun.undecided());
+        CPPUNIT_ASSERT(begun.is_undecided());
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unavailable);
         begun.on_reply(answer(10 * silent + 2, false));
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unknown_previous);
@@ -145,11 +145,11 @@
         begin_coordinator begun(1, question, table);
         begun.on_reply(durable_reply(0));
         begun.on_reply(durable_reply(1));
-        CPPUNIT_ASSERT(begun.undecided());
+        CPPUNIT_ASSERT(begun.is_undecided());
         // The third store may hold the turn.
         CPPUNIT_ASSERT(!begun.cannot_be_decided());
         begun.on_reply(durable_reply(2));
-        CPPUNIT_ASSERT(begun.undecided());
+        CPPUNIT_ASSERT(begun.is_undecided());
         CPPUNIT_ASSERT(begun.cannot_be_decided());
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unavailable);
     }
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -127,13 +127,13 @@
         }
         turns::begin_coordinator& turn = *found->second.turn;
         const auto choose = [this](const turns::store_map& map) { return nearest(map); };
-        if (turn.undecided() && now_ < found->second.until) {
+        if (turn.is_undecided() && now_ < found->second.until) {
             for (const turns::addressed_request& question :
                  turn.take_due_requests(now_, known_, choose)) {
                 ask(request, question);
             }
         }
-        if (!turn.undecided() || now_ >= found->second.until) {
+        if (!turn.is_undecided() || now_ >= found->second.until) {
             end_beginning(request);
         }
     }
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -325,7 +325,7 @@
         question.previous = turn;
         turns::begin_coordinator checked(1, question, state_.stores());
         const auto choose = [this](const turns::store_map& map) { return forwarder_.nearest(map); };
-        for (int round = 0; round < 60 && checked.undecided(); ++round) {
+        for (int round = 0; round < 60 && checked.is_undecided(); ++round) {
             now_ += std::chrono::milliseconds(20);
             for (const turns::addressed_request& asked :
                  checked.take_due_requests(now_, state_.stores(), choose)) {
