--- a/src/tallyfold/plane/turns/answer_tally.cpp
+++ b/src/tallyfold/plane/turns/answer_tally.cpp
@@ -14,7 +14,7 @@
     return map.suffices_of_current(durable) && (!map.changing() || is_majority(map.next, durable));
 }
 
-void answer_tally::use_map(const store_map& map) {
+void quorum_tracker::use_map(const store_map& map) {
     if (map.epoch <= map_.epoch) {
         return;
     }
@@ -23,14 +23,14 @@
     durable_.clear();
 }
 
-void answer_tally::add(store_id store, bool durable) {
+void quorum_tracker::add(store_id store, bool durable) {
     answered_.insert(store);
     if (durable) {
         durable_.insert(store);
     }
 }
 
-std::vector<store_member> answer_tally::unanswered() const {
+std::vector<store_member> quorum_tracker::unanswered() const {
     std::vector<store_member> remaining;
     for (const store_member& member : map_.all()) {
         if (!durable_.contains(member.id)) {
@@ -40,7 +40,7 @@
     return remaining;
 }
 
-answer_count answer_tally::count() const {
+answer_count quorum_tracker::count() const {
     answer_count count;
     count.answers = answered_.size();
     count.changing = map_.changing();
--- a/src/tallyfold/plane/turns/answer_tally.hpp
+++ b/src/tallyfold/plane/turns/answer_tally.hpp
@@ -40,9 +40,9 @@
 /// the change.
 [[nodiscard]] bool is_write_quorum(const store_map& map, const std::set<store_id>& durable);
 
-class answer_tally {
+class quorum_tracker {
   public:
-    explicit answer_tally(store_map map) : map_(std::move(map)) {}
+    explicit quorum_tracker(store_map map) : map_(std::move(map)) {}
 
     /// Switches to a newer map and discards earlier replies. An older or equal map is ignored.
     void use_map(const store_map& map);
--- a/src/tallyfold/plane/turns/begin_coordinator.hpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.hpp
@@ -3,7 +3,7 @@
 /// Begin of one turn: which store receives which request, when requests are sent again, and the
 /// outcome. Pure; turn_client sends the requests and passes in the replies.
 ///
-/// Owns the replies received so far. Uses begin_rules for admission and refusal, answer_tally for
+/// Owns the replies received so far. Uses begin_rules for admission and refusal, quorum_tracker for
 /// quorums, turn_search for turns of programs of other groups, and resend_backoff for the times of
 /// resends.
 
--- a/src/tallyfold/plane/turns/quorum_operations.hpp
+++ b/src/tallyfold/plane/turns/quorum_operations.hpp
@@ -3,7 +3,7 @@
 /// Begin and settlement of one turn at the stores of its program's group: merges their replies and
 /// decides when they suffice. Pure; begin_coordinator and turn_client send the requests.
 ///
-/// begin_rules has the rules of admission, answer_tally those of quorums.
+/// begin_rules has the rules of admission, quorum_tracker those of quorums.
 
 #include <map>
 #include <string>
@@ -53,7 +53,7 @@
   private:
     void store_records(const history_part& part);
 
-    answer_tally tally_;
+    quorum_tracker tally_;
     turn_reservation reservation_;
     std::string previous_;
     token_count budget_;
@@ -79,7 +79,7 @@
     [[nodiscard]] answer_count answers() const { return tally_.count(); }
 
   private:
-    answer_tally tally_;
+    quorum_tracker tally_;
 };
 
 }  // namespace tallyfold::turns
