--- a/src/tallyfold/plane/turns/quorum_operations.hpp
+++ b/src/tallyfold/plane/turns/quorum_operations.hpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "tallyfold/plane/turns/answer_tally.hpp"
 #include "tallyfold/plane/turns/begin_rules.hpp"
 #include "tallyfold/plane/turns/messages.hpp"
+#include "tallyfold/plane/turns/quorum_tracker.hpp"
 
 namespace tallyfold::turns {
 
--- a/src/tallyfold/plane/turns/answer_tally.cpp
+++ b/src/tallyfold/plane/turns/quorum_tracker.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/turns/answer_tally.hpp"
+#include "tallyfold/plane/turns/quorum_tracker.hpp"
 
 namespace tallyfold::turns {
 
