--- a/src/tallyfold/plane/turns/begin_coordinator.cpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.cpp
@@ -117,7 +117,7 @@
 void begin_coordinator::collect_store_requests(const store_table& table,
                                                const store_choice& nearest,
                                                std::vector<addressed_request>& requests) {
-    operation_.use_map(table.groups[group_]);
+    operation_.switch_to_map(table.groups[group_]);
     const store_id source = nearest(operation_.map());
     for (const store_member& member : operation_.unanswered()) {
         begin_request request;
--- a/src/tallyfold/plane/turns/quorum_operations.hpp
+++ b/src/tallyfold/plane/turns/quorum_operations.hpp
@@ -24,7 +24,7 @@
                     token_count budget);
 
     /// Restarts under a newer map; earlier replies no longer count towards the quorum.
-    void use_map(const store_map& map) { tally_.use_map(map); }
+    void switch_to_map(const store_map& map) { tally_.switch_to_map(map); }
     /// Handles a reply. A reply with a newer map is ignored, since its request had no effect.
     void on_reply(const begin_reply& reply);
     void on_history(const history_reply& reply);
@@ -69,7 +69,7 @@
     explicit settle_operation(store_map map) : tally_(std::move(map)) {}
 
     /// Restarts under a newer map; earlier replies no longer count towards the quorum.
-    void use_map(const store_map& map) { tally_.use_map(map); }
+    void switch_to_map(const store_map& map) { tally_.switch_to_map(map); }
     /// Handles a reply. A reply with a newer map is ignored, since its request had no effect.
     void on_reply(const settle_reply& reply);
     [[nodiscard]] bool done() const { return tally_.reached_quorum(); }
--- a/src/tallyfold/plane/turns/quorum_tracker.cpp
+++ b/src/tallyfold/plane/turns/quorum_tracker.cpp
@@ -14,7 +14,7 @@
     return map.suffices_of_current(durable) && (!map.changing() || is_majority(map.next, durable));
 }
 
-void quorum_tracker::use_map(const store_map& map) {
+void quorum_tracker::switch_to_map(const store_map& map) {
     if (map.epoch <= map_.epoch) {
         return;
     }
--- a/src/tallyfold/plane/turns/quorum_tracker.hpp
+++ b/src/tallyfold/plane/turns/quorum_tracker.hpp
@@ -45,7 +45,7 @@
     explicit quorum_tracker(store_map map) : map_(std::move(map)) {}
 
     /// Switches to a newer map and discards earlier replies. An older or equal map is ignored.
-    void use_map(const store_map& map);
+    void switch_to_map(const store_map& map);
     /// Records a reply. @param durable true when the store has synced the change
     void add(store_id store, bool durable);
 
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -195,7 +195,7 @@
             break;
         }
         if (pending->backoff.take_due(now)) {
-            operation.use_map(table_.groups[group]);
+            operation.switch_to_map(table_.groups[group]);
             for (const store_member& member : operation.unanswered()) {
                 settle_request request;
                 request.operation = number;
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -192,7 +192,7 @@
 
     void ask_settle(const std::string& request) {
         settling& ending = settlings_.at(request);
-        ending.operation.use_map(known_.groups[known_.group_of(ending.settlement.program)]);
+        ending.operation.switch_to_map(known_.groups[known_.group_of(ending.settlement.program)]);
         for (const turns::store_member& member : ending.operation.unanswered()) {
             turns::settle_request asked;
             asked.epoch = ending.operation.map().epoch;
