--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -67,7 +67,7 @@
     bool learn_table(const store_table& table);
 
     /// True when messages or a map are queued for take_write().
-    [[nodiscard]] bool has_work() const { return !queue_.empty() || map_write_pending_; }
+    [[nodiscard]] bool has_pending_write() const { return !queue_.empty() || map_write_pending_; }
     /// Returns the queued changes and map for writing; must be followed by written().
     store_write take_write();
     /// Ends the write that take_write() returned last. @param durable false when the write failed:
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -139,7 +139,7 @@
 }
 
 void store_node::schedule_write() {
-    if (!write_scheduled_ && store_.has_work()) {
+    if (!write_scheduled_ && store_.has_pending_write()) {
         write_scheduled_ = true;
         write_after_rounds(batching_rounds);
     }
@@ -164,7 +164,7 @@
     if (durable) {
         writer_.rotate_if_grown(store_.turns());
     }
-    if (!store_.has_work()) {
+    if (!store_.has_pending_write()) {
         // All replies have been sent; the remaining requests get none.
         reply_channels_.clear();
     }
--- a/tests/support/store_fleet.hpp
+++ b/tests/support/store_fleet.hpp
@@ -73,7 +73,7 @@
 
     void flush(std::size_t number) {
         store_machine& writer = machines_[number];
-        if (!writer.store || !writer.store->has_work()) {
+        if (!writer.store || !writer.store->has_pending_write()) {
             return;
         }
         const turns::store_write write = writer.store->take_write();
