--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -121,7 +121,7 @@
     }
 }
 
-store_write store_fsm::take_write() {
+store_write store_fsm::begin_write() {
     store_write write;
     if (map_write_pending_) {
         write.map = map_;
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -66,11 +66,11 @@
     /// @return true when any was newer
     bool learn_table(const store_table& table);
 
-    /// True when messages or a map are queued for take_write().
+    /// True when messages or a map are queued for begin_write().
     [[nodiscard]] bool has_pending_write() const { return !queue_.empty() || map_write_pending_; }
     /// Returns the queued changes and map for writing; must be followed by written().
-    store_write take_write();
-    /// Ends the write that take_write() returned last. @param durable false when the write failed:
+    store_write begin_write();
+    /// Ends the write that begin_write() returned last. @param durable false when the write failed:
     /// its changes are not applied, and the requests are answered as not durable
     std::vector<addressed_reply> written(bool durable, instant now);
 
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -157,7 +157,7 @@
 }
 
 void store_node::write_queued() {
-    const store_write write = store_.take_write();
+    const store_write write = store_.begin_write();
     const bool durable = writer_.make_durable(write);
     send(store_.written(durable, steady_now()));
     bytes_.Set(static_cast<double>(store_.turns().bytes()));
--- a/tests/plane/turns/store_fsm_test.cpp
+++ b/tests/plane/turns/store_fsm_test.cpp
@@ -24,7 +24,7 @@
         request.settlement.request = "settled-at-" + engine;
         request.held = {engine, {{7, 1000}, {8, tokens}}};
         store.receive(1, request);
-        store.take_write();
+        store.begin_write();
         store.written(true, instant{});
     }
 
@@ -36,7 +36,7 @@
         request.reservation.request = "begun";
         request.prompt = prompt;
         store.receive(2, request);
-        store.take_write();
+        store.begin_write();
         const auto replies = store.written(true, instant{});
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replies.size());
         return std::get<begin_reply>(replies.front().body).holders;
@@ -115,7 +115,7 @@
         };
         // A turn that is not durable yet does not count as held.
         CPPUNIT_ASSERT(!held("t"));
-        asked.take_write();
+        asked.begin_write();
         asked.written(true, instant{});
         CPPUNIT_ASSERT(held("t"));
         CPPUNIT_ASSERT(!held("u"));
--- a/tests/support/store_fleet.hpp
+++ b/tests/support/store_fleet.hpp
@@ -76,7 +76,7 @@
         if (!writer.store || !writer.store->has_pending_write()) {
             return;
         }
-        const turns::store_write write = writer.store->take_write();
+        const turns::store_write write = writer.store->begin_write();
         if (write.map.has_value()) {
             writer.kept = *write.map;
         }
