--- a/src/tallyfold/plane/turns/store_folder_shell.cpp
+++ b/src/tallyfold/plane/turns/store_folder_shell.cpp
@@ -33,7 +33,7 @@
 /// Reads the stored map. A damaged one counts as none, since the directory sends the map in force.
 /// @return nothing when this build cannot read the map's format
 std::optional<store_map> read_map(const turn_log& log) {
-    const auto kept = log.kept_map();
+    const auto kept = log.load_map();
     if (kept) {
         return *kept;
     }
--- a/src/tallyfold/plane/turns/store_writer_shell.cpp
+++ b/src/tallyfold/plane/turns/store_writer_shell.cpp
@@ -32,7 +32,7 @@
     }
     tl::expected<void, storage::storage_error> written;
     if (write.map.has_value()) {
-        written = log_.keep_map(*write.map);
+        written = log_.save_map(*write.map);
     }
     if (written && !write.changes.empty()) {
         syncs_.Increment();
--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -82,12 +82,12 @@
     return log_.append(storage::single_record(protocol::encode(changes)));
 }
 
-tl::expected<void, storage_error> turn_log::keep_map(const store_map& map) {
+tl::expected<void, storage_error> turn_log::save_map(const store_map& map) {
     return storage::replace_file(folder_ + "/" + std::string(map_file_name),
                                  storage::single_record(protocol::encode_stored(map)));
 }
 
-tl::expected<store_map, storage_error> turn_log::kept_map() const {
+tl::expected<store_map, storage_error> turn_log::load_map() const {
     const std::string path = folder_ + "/" + std::string(map_file_name);
     if (!fs::exists(path)) {
         return store_map{};
--- a/src/tallyfold/plane/turns/turn_log.hpp
+++ b/src/tallyfold/plane/turns/turn_log.hpp
@@ -38,9 +38,9 @@
     tl::expected<void, storage::storage_error> rotate(const page_reader& read_page);
     /// Stores the map in force. Once it is synced, requests under older maps stay refused after a
     /// restart.
-    tl::expected<void, storage::storage_error> keep_map(const store_map& map);
+    tl::expected<void, storage::storage_error> save_map(const store_map& map);
     /// Reads the stored map; its epoch is 0 when there is none.
-    [[nodiscard]] tl::expected<store_map, storage::storage_error> kept_map() const;
+    [[nodiscard]] tl::expected<store_map, storage::storage_error> load_map() const;
     /// True when the segment has grown well beyond its initial size.
     [[nodiscard]] bool needs_rotation() const { return log_.wants_rewrite(); }
     [[nodiscard]] bool failed() const { return log_.failed(); }
--- a/tests/plane/turns/store_folder_test.cpp
+++ b/tests/plane/turns/store_folder_test.cpp
@@ -48,7 +48,7 @@
     static store_id create_used_folder(const temporary_path& folder) {
         auto opened = open_store(folder.text());
         CPPUNIT_ASSERT(opened.has_value());
-        CPPUNIT_ASSERT(opened->log.keep_map(map_of_one()).has_value());
+        CPPUNIT_ASSERT(opened->log.save_map(map_of_one()).has_value());
         CPPUNIT_ASSERT(
             opened->log.append({turn_reservation{"program", "request", 1, 1'000}}).has_value());
         return opened->log.identity();
