--- a/src/tallyfold/consensus/log_store.cpp
+++ b/src/tallyfold/consensus/log_store.cpp
@@ -115,7 +115,7 @@
                 storage_error{storage_failure::damaged, snapshot_path(group, index) + ": missing"});
         }
     }
-    recovered_.cut_bytes = log_.cut_bytes();
+    recovered_.truncated_bytes = log_.truncated_bytes();
     return {};
 }
 
--- a/src/tallyfold/consensus/persistence.hpp
+++ b/src/tallyfold/consensus/persistence.hpp
@@ -33,7 +33,7 @@
     replica_id identity = no_replica;
     std::map<group_id, recovered_state> groups;
     /// Bytes of a half-written last record that were cut off.
-    std::uint64_t cut_bytes = 0;
+    std::uint64_t truncated_bytes = 0;
 };
 
 /// In-memory picture of one group's durable state, used for recovery and for compaction.
--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -95,7 +95,7 @@
     const consensus::recovered_node& recovered = store_->recovered();
     logging::write_event(logging::event_id::storage_opened,
                          "identity=" + std::to_string(recovered.identity) +
-                             " cut_bytes=" + std::to_string(recovered.cut_bytes));
+                             " cut_bytes=" + std::to_string(recovered.truncated_bytes));
     const auto group = recovered.groups.find(configuration_group);
     const bool is_empty = group == recovered.groups.end();
     core_ = std::make_unique<directory_core>(
--- a/src/tallyfold/plane/turns/store_folder_shell.cpp
+++ b/src/tallyfold/plane/turns/store_folder_shell.cpp
@@ -69,7 +69,7 @@
     store_fsm state(opened->identity(), *map, std::move(recovered));
     log_opened(*opened, state.turns(),
                "programs=" + std::to_string(state.turns().program_count()) +
-                   " cut_bytes=" + std::to_string(opened->cut_bytes()));
+                   " cut_bytes=" + std::to_string(opened->truncated_bytes()));
     return opened_store{std::move(*opened), std::move(state)};
 }
 
--- a/src/tallyfold/plane/turns/turn_log.hpp
+++ b/src/tallyfold/plane/turns/turn_log.hpp
@@ -47,7 +47,7 @@
 
     [[nodiscard]] store_id identity() const { return identity_; }
     /// Size of the partial record that was removed at the end of the log, in bytes.
-    [[nodiscard]] std::uint64_t cut_bytes() const { return log_.cut_bytes(); }
+    [[nodiscard]] std::uint64_t truncated_bytes() const { return log_.truncated_bytes(); }
 
   private:
     turn_log(std::string folder, std::uint64_t segment_bytes);
--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -368,9 +368,9 @@
         return static_cast<int>(settings::exit_code::storage);
     }
     logging::write_event(event_id::storage_opened, "folder=" + settings.data_folder);
-    if (store->recovered().cut_bytes > 0) {
+    if (store->recovered().truncated_bytes > 0) {
         logging::write_event(event_id::storage_tail_cut,
-                             "bytes=" + std::to_string(store->recovered().cut_bytes));
+                             "bytes=" + std::to_string(store->recovered().truncated_bytes));
     }
     return control_process_runtime(settings, std::move(*store)).run(stop);
 }
--- a/tests/plane/turns/turn_log_test.cpp
+++ b/tests/plane/turns/turn_log_test.cpp
@@ -77,7 +77,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{301}, read_back.turn_count());
         CPPUNIT_ASSERT_EQUAL(table.ledger_of("other").size(), read_back.ledger_of("other").size());
         CPPUNIT_ASSERT(read_back.holds_turn("late"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, log.cut_bytes());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, log.truncated_bytes());
     }
 
     const temporary_path folder_{"turns"};
