--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -236,7 +236,7 @@
             logging::write_event(logging::event_id::store_map_changed,
                                  "epoch=" + std::to_string(stores.epoch) +
                                      " groups=" + std::to_string(stores.groups.size()));
-            turns_.use_stores(stores);
+            turns_.update_stores(stores);
         },
         {});
     quotas_.start();
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -25,7 +25,7 @@
                          std::function<void(const store_map&)> on_newer_map)
     : process_(process), newer_map_handler_(std::move(on_newer_map)) {}
 
-void turn_client::use_stores(const store_table& stores) {
+void turn_client::update_stores(const store_table& stores) {
     if (!table_.take(stores)) {
         return;
     }
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -26,7 +26,7 @@
     turn_client(net::node_process& process, std::function<void(const store_map&)> on_newer_map);
 
     /// Adopts the newer maps of the table, and connects to its stores.
-    void use_stores(const store_table& stores);
+    void update_stores(const store_table& stores);
     [[nodiscard]] bool has_store_table() const { return table_.known(); }
 
     /// Begins a turn; requires has_store_table(). @return `unavailable` when undecided at the
