--- a/src/tallyfold/plane/directory/group_recovery.cpp
+++ b/src/tallyfold/plane/directory/group_recovery.cpp
@@ -65,8 +65,7 @@
             may_answer.insert(member.id);
         }
     }
-    return any_lost && !map.suffices_of_current(may_answer) &&
-           !map.suffices_of_current(unreachable);
+    return any_lost && !map.has_current_quorum(may_answer) && !map.has_current_quorum(unreachable);
 }
 
 std::optional<store_map> recover_from_survivors(const store_view& view, const store_map& map) {
--- a/src/tallyfold/plane/turns/quorum_tracker.cpp
+++ b/src/tallyfold/plane/turns/quorum_tracker.cpp
@@ -11,7 +11,7 @@
 }
 
 bool is_write_quorum(const store_map& map, const std::set<store_id>& durable) {
-    return map.suffices_of_current(durable) && (!map.changing() || is_majority(map.next, durable));
+    return map.has_current_quorum(durable) && (!map.changing() || is_majority(map.next, durable));
 }
 
 void quorum_tracker::switch_to_map(const store_map& map) {
--- a/src/tallyfold/plane/turns/turn_search.cpp
+++ b/src/tallyfold/plane/turns/turn_search.cpp
@@ -55,7 +55,7 @@
 bool turn_search::held_by_no_group() const {
     const auto denied_by_quorum = [](const auto& entry) {
         const searched_group& searched = entry.second;
-        return !searched.map.after_loss && searched.map.suffices_of_current(searched.denials);
+        return !searched.map.after_loss && searched.map.has_current_quorum(searched.denials);
     };
     return !found() && std::all_of(groups_.begin(), groups_.end(), denied_by_quorum);
 }
--- a/src/tallyfold/plane/turns/types.cpp
+++ b/src/tallyfold/plane/turns/types.cpp
@@ -46,7 +46,7 @@
     return members;
 }
 
-bool store_map::suffices_of_current(const std::set<store_id>& answered) const {
+bool store_map::has_current_quorum(const std::set<store_id>& answered) const {
     if (after_loss && changing()) {
         return !current.empty() &&
                std::all_of(current.begin(), current.end(), [&](const store_member& member) {
--- a/src/tallyfold/plane/turns/types.hpp
+++ b/src/tallyfold/plane/turns/types.hpp
@@ -141,7 +141,7 @@
     [[nodiscard]] std::vector<store_member> all() const;
     /// True when `answered` contains a quorum of `current`: a majority, or all of them while a
     /// change after a loss of disks is under way.
-    [[nodiscard]] bool suffices_of_current(const std::set<store_id>& answered) const;
+    [[nodiscard]] bool has_current_quorum(const std::set<store_id>& answered) const;
     /// Number of members of `current` from which a store has to copy to hold every acknowledged
     /// write: every quorum of `current` includes one of them.
     [[nodiscard]] std::size_t copies_needed() const;
--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -159,8 +159,8 @@
         CPPUNIT_ASSERT(map->current == survivors);
         CPPUNIT_ASSERT(map->next == survivors);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->copies_needed());
-        CPPUNIT_ASSERT(!map->suffices_of_current({2, 10}));
-        CPPUNIT_ASSERT(map->suffices_of_current({2, 10, 30}));
+        CPPUNIT_ASSERT(!map->has_current_quorum({2, 10}));
+        CPPUNIT_ASSERT(map->has_current_quorum({2, 10, 30}));
     }
 
     /// Guards against nodes of an older build that would count a majority of the survivors as
