--- a/src/tallyfold/plane/turns/copy_progress.cpp
+++ b/src/tallyfold/plane/turns/copy_progress.cpp
@@ -33,7 +33,7 @@
 }
 
 bool copy_progress::complete() const {
-    return completed_sources_.size() >= map_.copies_needed();
+    return completed_sources_.size() >= map_.required_copy_count();
 }
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/copy_progress.hpp
+++ b/src/tallyfold/plane/turns/copy_progress.hpp
@@ -2,7 +2,7 @@
 /// @file
 /// Tracks which sources a joining store has copied, and whether its copy is complete. Pure.
 ///
-/// store_map::copies_needed gives the number of sources that are required.
+/// store_map::required_copy_count gives the number of sources that are required.
 
 #include <set>
 
--- a/src/tallyfold/plane/turns/types.cpp
+++ b/src/tallyfold/plane/turns/types.cpp
@@ -56,7 +56,7 @@
     return !current.empty() && is_majority(current, answered);
 }
 
-std::size_t store_map::copies_needed() const {
+std::size_t store_map::required_copy_count() const {
     const std::size_t majority = current.size() / 2 + 1;
     return after_loss && changing() ? current.size() : current.size() - majority + 1;
 }
--- a/src/tallyfold/plane/turns/types.hpp
+++ b/src/tallyfold/plane/turns/types.hpp
@@ -144,7 +144,7 @@
     [[nodiscard]] bool has_current_quorum(const std::set<store_id>& answered) const;
     /// Number of members of `current` from which a store has to copy to hold every acknowledged
     /// write: every quorum of `current` includes one of them.
-    [[nodiscard]] std::size_t copies_needed() const;
+    [[nodiscard]] std::size_t required_copy_count() const;
 
     bool operator==(const store_map&) const = default;
     template <class Archive>
--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -158,7 +158,7 @@
                                                   member(30, "3")};
         CPPUNIT_ASSERT(map->current == survivors);
         CPPUNIT_ASSERT(map->next == survivors);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->copies_needed());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->required_copy_count());
         CPPUNIT_ASSERT(!map->has_current_quorum({2, 10}));
         CPPUNIT_ASSERT(map->has_current_quorum({2, 10, 30}));
     }
@@ -280,7 +280,7 @@
         report(planner, three_stores()[0], at(3000));
         const auto map = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss && map->changing());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, map->copies_needed());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, map->required_copy_count());
         CPPUNIT_ASSERT(map->holds(1));
         CPPUNIT_ASSERT(map->absent.empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->next.size());
