--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -64,7 +64,7 @@
 store_list candidates_for(const store_view& view, const store_map& map, const store_list& members) {
     store_list candidates;
     for (const store_member& store : view.live_stores()) {
-        const bool is_in_other_group = view.is_in_a_group(store.id) && !map.holds(store.id);
+        const bool is_in_other_group = view.is_in_a_group(store.id) && !map.contains(store.id);
         const bool is_excluded = view.is_retired(store.id) || view.is_replaced(store);
         if (!is_in_other_group && !is_excluded && !has_id(members, store.id)) {
             candidates.push_back(store);
--- a/src/tallyfold/plane/directory/store_view.cpp
+++ b/src/tallyfold/plane/directory/store_view.cpp
@@ -51,7 +51,7 @@
 }
 
 bool store_view::is_in_a_group(store_id id) const {
-    return state_.stores().holds(id);
+    return state_.stores().contains(id);
 }
 
 bool store_view::has_copied(const store_member& member, const store_map& map) const {
--- a/src/tallyfold/plane/turns/begin_coordinator.cpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.cpp
@@ -50,7 +50,7 @@
 
 void begin_coordinator::on_store_connected(store_id store) {
     const bool searching = search_.has_value() && !search_->found();
-    if (operation_.map().holds(store) || searching) {
+    if (operation_.map().contains(store) || searching) {
         backoff_.resend_now();
     }
 }
--- a/src/tallyfold/plane/turns/quorum_tracker.cpp
+++ b/src/tallyfold/plane/turns/quorum_tracker.cpp
@@ -46,7 +46,7 @@
     count.changing = map_.changing();
     count.after_loss = map_.after_loss;
     for (const store_id store : answered_) {
-        const bool listed = map_.holds(store);
+        const bool listed = map_.contains(store);
         count.durable += listed && durable_.contains(store) ? 1 : 0;
         count.unlisted += listed ? 0 : 1;
     }
--- a/src/tallyfold/plane/turns/store_rules.hpp
+++ b/src/tallyfold/plane/turns/store_rules.hpp
@@ -28,7 +28,7 @@
 [[nodiscard]] inline bool concerns_store(const store_map& map, store_id self,
                                          const store_map& known_map) {
     const bool was_member = known_map.epoch > 0 && map.group == known_map.group;
-    return map.holds(self) || was_member;
+    return map.contains(self) || was_member;
 }
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -29,7 +29,7 @@
     if (!table_.take(stores)) {
         return;
     }
-    std::erase_if(stores_, [&](const auto& entry) { return !table_.holds(entry.first); });
+    std::erase_if(stores_, [&](const auto& entry) { return !table_.contains(entry.first); });
     for (const store_member& member : table_.all()) {
         store_connection& store = stores_[member.id];
         if (store.link && store.link->address() == member.address) {
@@ -55,7 +55,7 @@
         if (pending->begin != nullptr) {
             pending->begin->on_store_connected(store);
             pending->timer.cancel();
-        } else if (pending->settle != nullptr && pending->settle->map().holds(store)) {
+        } else if (pending->settle != nullptr && pending->settle->map().contains(store)) {
             pending->backoff.resend_now();
             pending->timer.cancel();
         }
--- a/src/tallyfold/plane/turns/types.cpp
+++ b/src/tallyfold/plane/turns/types.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-bool store_map::holds(store_id id) const {
+bool store_map::contains(store_id id) const {
     return contains_member(current, id) || contains_member(next, id);
 }
 
@@ -65,9 +65,9 @@
     return static_cast<group_number>(stable_hash(program) % groups.size());
 }
 
-bool store_table::holds(store_id id) const {
+bool store_table::contains(store_id id) const {
     return std::any_of(groups.begin(), groups.end(),
-                       [id](const store_map& map) { return map.holds(id); });
+                       [id](const store_map& map) { return map.contains(id); });
 }
 
 std::vector<store_member> store_table::all() const {
--- a/src/tallyfold/plane/turns/types.hpp
+++ b/src/tallyfold/plane/turns/types.hpp
@@ -136,7 +136,7 @@
     /// True while members are being replaced.
     [[nodiscard]] bool changing() const { return !next.empty(); }
     /// True when either list contains the store.
-    [[nodiscard]] bool holds(store_id id) const;
+    [[nodiscard]] bool contains(store_id id) const;
     /// Members of both lists, each once.
     [[nodiscard]] std::vector<store_member> all() const;
     /// True when `answered` contains a quorum of `current`: a majority, or all of them while a
@@ -169,7 +169,7 @@
     [[nodiscard]] bool known() const { return epoch > 0 && !groups.empty(); }
     /// Group that stores the program's turns and its ledger. Requires known().
     [[nodiscard]] group_number group_of(const std::string& program) const;
-    [[nodiscard]] bool holds(store_id id) const;
+    [[nodiscard]] bool contains(store_id id) const;
     /// Members of all groups, each once.
     [[nodiscard]] std::vector<store_member> all() const;
     /// Adopts one group's map when it is newer. `epoch` stays, since other groups may have changed
--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -246,7 +246,7 @@
         CPPUNIT_ASSERT(map.after_loss && map.changing());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map.current.size());
         CPPUNIT_ASSERT(map.absent == std::vector<store_member>{three_stores()[0]});
-        CPPUNIT_ASSERT(!map.holds(1));
+        CPPUNIT_ASSERT(!map.contains(1));
     }
 
     void recovery_waits_for_unreachable_member() {
@@ -261,7 +261,7 @@
             }
             CPPUNIT_ASSERT(!state.stores().groups.front().after_loss);
         }
-        CPPUNIT_ASSERT(state.stores().groups.front().holds(1));
+        CPPUNIT_ASSERT(state.stores().groups.front().contains(1));
     }
 
     void returning_member_is_readmitted_as_copy_source() {
@@ -281,7 +281,7 @@
         const auto map = planned_map(planner, state, at(3000));
         CPPUNIT_ASSERT(map.has_value() && map->after_loss && map->changing());
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, map->required_copy_count());
-        CPPUNIT_ASSERT(map->holds(1));
+        CPPUNIT_ASSERT(map->contains(1));
         CPPUNIT_ASSERT(map->absent.empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, map->next.size());
     }
@@ -454,8 +454,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, map.next.size());
         for (const store_member& member : map.next) {
             CPPUNIT_ASSERT(member != lost);
-            const bool stays = map.holds(member.id) && state.stores().groups[2].holds(member.id);
-            CPPUNIT_ASSERT(stays || !state.stores().holds(member.id));
+            const bool stays =
+                map.contains(member.id) && state.stores().groups[2].contains(member.id);
+            CPPUNIT_ASSERT(stays || !state.stores().contains(member.id));
         }
     }
 
@@ -501,7 +502,7 @@
         directory_state state = state_with_formed_groups(planner, at(1600));
         const auto spare = std::find_if(
             stores.begin(), stores.end(),
-            [&](const store_member& store) { return !state.stores().holds(store.id); });
+            [&](const store_member& store) { return !state.stores().contains(store.id); });
         CPPUNIT_ASSERT(planner.may_retire(state, spare->node));
         const auto disks = planner.disks_of(state, spare->node);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, disks.size());
--- a/tests/plane/turns/store_table_test.cpp
+++ b/tests/plane/turns/store_table_test.cpp
@@ -41,13 +41,13 @@
         CPPUNIT_ASSERT(table.take(map_of(1, 5, {4, 5, 7})));
         // Epoch 4 may have changed the other group, so updates are still requested from epoch 3 on.
         CPPUNIT_ASSERT_EQUAL(map_epoch{3}, table.epoch);
-        CPPUNIT_ASSERT(table.holds(7) && !table.holds(6));
+        CPPUNIT_ASSERT(table.contains(7) && !table.contains(6));
         store_table newer = two_groups();
         newer.epoch = 5;
         newer.groups[0] = map_of(0, 4, {1, 2, 8});
         CPPUNIT_ASSERT(table.take(newer));
         CPPUNIT_ASSERT_EQUAL(map_epoch{5}, table.epoch);
-        CPPUNIT_ASSERT(table.holds(8) && table.holds(7));
+        CPPUNIT_ASSERT(table.contains(8) && table.contains(7));
     }
 
     void a_group_number_out_of_range_is_refused() {
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -220,7 +220,7 @@
         for (std::size_t number = 0; number < fleet_.size(); ++number) {
             store_machine& emptied = fleet_.machine(number);
             const bool done = state_.retired().contains(emptied.identity) &&
-                              !state_.stores().holds(emptied.identity);
+                              !state_.stores().contains(emptied.identity);
             if (done && !emptied.taken_away) {
                 emptied.taken_away = true;
                 emptied.store.reset();
