--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -201,7 +201,7 @@
 
 void directory_client::learn_stores_and_list(const node_report_answer& answer) {
     for (const turns::store_table& stores : answer.newer_stores) {
-        if (stores_.take(stores)) {
+        if (stores_.merge_newer(stores)) {
             on_stores_(stores_);
         }
     }
@@ -292,7 +292,7 @@
 }
 
 void directory_client::learn_map(const turns::store_map& map) {
-    if (stores_.take(map)) {
+    if (stores_.merge_newer(map)) {
         on_stores_(stores_);
     }
 }
--- a/src/tallyfold/plane/directory/directory_state.cpp
+++ b/src/tallyfold/plane/directory/directory_state.cpp
@@ -29,7 +29,7 @@
         }
     }
     for (const turns::store_map& map : change.maps) {
-        stores_.take(map);
+        stores_.merge_newer(map);
     }
     stores_.epoch = expected;
 }
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -26,7 +26,7 @@
     : process_(process), newer_map_handler_(std::move(on_newer_map)) {}
 
 void turn_client::update_stores(const store_table& stores) {
-    if (!table_.take(stores)) {
+    if (!table_.merge_newer(stores)) {
         return;
     }
     std::erase_if(stores_, [&](const auto& entry) { return !table_.contains(entry.first); });
--- a/src/tallyfold/plane/turns/types.cpp
+++ b/src/tallyfold/plane/turns/types.cpp
@@ -82,7 +82,7 @@
     return members;
 }
 
-bool store_table::take(const store_map& map) {
+bool store_table::merge_newer(const store_map& map) {
     if (map.group >= max_groups) {
         return false;
     }
@@ -96,11 +96,11 @@
     return true;
 }
 
-bool store_table::take(const store_table& other) {
+bool store_table::merge_newer(const store_table& other) {
     bool newer = other.epoch > epoch;
     epoch = std::max(epoch, other.epoch);
     for (const store_map& map : other.groups) {
-        newer = take(map) || newer;
+        newer = merge_newer(map) || newer;
     }
     return newer;
 }
--- a/src/tallyfold/plane/turns/types.hpp
+++ b/src/tallyfold/plane/turns/types.hpp
@@ -174,9 +174,9 @@
     [[nodiscard]] std::vector<store_member> all() const;
     /// Adopts one group's map when it is newer. `epoch` stays, since other groups may have changed
     /// too. @return true when the map was newer and its group number is below max_groups
-    bool take(const store_map& map);
+    bool merge_newer(const store_map& map);
     /// Adopts the newer maps of another table. @return true when anything was newer
-    bool take(const store_table& other);
+    bool merge_newer(const store_table& other);
 
     bool operator==(const store_table&) const = default;
     template <class Archive>
--- a/tests/plane/turns/store_table_test.cpp
+++ b/tests/plane/turns/store_table_test.cpp
@@ -31,28 +31,28 @@
 
     void an_older_map_changes_nothing() {
         store_table table = two_groups();
-        CPPUNIT_ASSERT(!table.take(map_of(1, 2, {9})));
-        CPPUNIT_ASSERT(!table.take(map_of(1, 3, {9})));
+        CPPUNIT_ASSERT(!table.merge_newer(map_of(1, 2, {9})));
+        CPPUNIT_ASSERT(!table.merge_newer(map_of(1, 3, {9})));
         CPPUNIT_ASSERT(table == two_groups());
     }
 
     void a_single_newer_map_does_not_advance_the_table_epoch() {
         store_table table = two_groups();
-        CPPUNIT_ASSERT(table.take(map_of(1, 5, {4, 5, 7})));
+        CPPUNIT_ASSERT(table.merge_newer(map_of(1, 5, {4, 5, 7})));
         // Epoch 4 may have changed the other group, so updates are still requested from epoch 3 on.
         CPPUNIT_ASSERT_EQUAL(map_epoch{3}, table.epoch);
         CPPUNIT_ASSERT(table.contains(7) && !table.contains(6));
         store_table newer = two_groups();
         newer.epoch = 5;
         newer.groups[0] = map_of(0, 4, {1, 2, 8});
-        CPPUNIT_ASSERT(table.take(newer));
+        CPPUNIT_ASSERT(table.merge_newer(newer));
         CPPUNIT_ASSERT_EQUAL(map_epoch{5}, table.epoch);
         CPPUNIT_ASSERT(table.contains(8) && table.contains(7));
     }
 
     void a_group_number_out_of_range_is_refused() {
         store_table table = two_groups();
-        CPPUNIT_ASSERT(!table.take(map_of(max_groups, 9, {1})));
+        CPPUNIT_ASSERT(!table.merge_newer(map_of(max_groups, 9, {1})));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.groups.size());
     }
 
@@ -63,7 +63,7 @@
             const std::string program = "program-" + std::to_string(number);
             const group_number before = table.group_of(program);
             store_table changed = table;
-            changed.take(map_of(0, 9, {11, 12, 13}));
+            changed.merge_newer(map_of(0, 9, {11, 12, 13}));
             CPPUNIT_ASSERT_EQUAL(before, changed.group_of(program));
             used.insert(before);
         }
@@ -82,8 +82,8 @@
             store_table forward = two_groups();
             store_table backward = two_groups();
             for (std::size_t index = 0; index < maps.size(); ++index) {
-                forward.take(maps[index]);
-                backward.take(maps[maps.size() - 1 - index]);
+                forward.merge_newer(maps[index]);
+                backward.merge_newer(maps[maps.size() - 1 - index]);
             }
             RC_ASSERT(forward == backward);
         });
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -34,7 +34,7 @@
         : fleet_(fleet), fault_(fault), random_(random), now_(now) {}
 
     /// Takes over what is newer in the directory's table.
-    void learn_table(const turns::store_table& table) { known_.take(table); }
+    void learn_table(const turns::store_table& table) { known_.merge_newer(table); }
 
     void begin_turn() {
         const std::string request = "t" + std::to_string(++last_turn_);
@@ -108,7 +108,7 @@
 
     void learn(const std::vector<turns::store_map>& newer) {
         for (const turns::store_map& map : newer) {
-            known_.take(map);
+            known_.merge_newer(map);
         }
     }
 
