--- a/src/tallyfold/plane/turns/quorum_operations.hpp
+++ b/src/tallyfold/plane/turns/quorum_operations.hpp
@@ -72,7 +72,7 @@
     void switch_to_map(const store_map& map) { tally_.switch_to_map(map); }
     /// Handles a reply. A reply with a newer map is ignored, since its request had no effect.
     void on_reply(const settle_reply& reply);
-    [[nodiscard]] bool done() const { return tally_.reached_quorum(); }
+    [[nodiscard]] bool is_durable() const { return tally_.reached_quorum(); }
     /// Stores that have not made the settlement durable yet.
     [[nodiscard]] std::vector<store_member> unanswered() const { return tally_.unanswered(); }
     [[nodiscard]] const store_map& map() const { return tally_.map(); }
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -189,7 +189,7 @@
     const auto pending = register_operation(number);
     pending->settle = &operation;
     const instant started = steady_now();
-    while (!operation.done()) {
+    while (!operation.is_durable()) {
         const instant now = steady_now();
         if (now >= deadline) {
             break;
@@ -208,14 +208,14 @@
         co_await wait(pending, std::min(deadline, pending->backoff.next_send_at()));
     }
     operations_.erase(number);
-    if (!operation.done()) {
+    if (!operation.is_durable()) {
         logging::write_event(logging::event_id::turn_unsettled,
                              "request=" + settlement.request + " program=" + settlement.program +
                                  " " + describe(operation.answers()) +
                                  " group=" + std::to_string(group) +
                                  " epoch=" + std::to_string(operation.map().epoch));
     }
-    co_return operation.done();
+    co_return operation.is_durable();
 }
 
 void turn_client::settle_in_background(turn_settlement settlement) {
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -210,7 +210,7 @@
             return;
         }
         found->second.operation.on_reply(reply);
-        if (found->second.operation.done()) {
+        if (found->second.operation.is_durable()) {
             settled_.emplace(request, found->second.settlement.program);
             settlings_.erase(found);
         }
