--- a/src/tallyfold/base/storage/segmented_log.cpp
+++ b/src/tallyfold/base/storage/segmented_log.cpp
@@ -98,7 +98,7 @@
     return written;
 }
 
-bool segmented_log::wants_rewrite() const {
+bool segmented_log::needs_rewrite() const {
     return file_.has_value() && file_->size() > segment_bytes_ && file_->size() > 2 * start_bytes_;
 }
 
--- a/src/tallyfold/base/storage/segmented_log.hpp
+++ b/src/tallyfold/base/storage/segmented_log.hpp
@@ -38,7 +38,7 @@
     tl::expected<void, storage_error> rewrite(const segment_pages& pages);
     /// True when the segment is large, and at least twice what it began with: the live records
     /// alone may be larger than `segment_bytes`, and writing them anew has to pay.
-    [[nodiscard]] bool wants_rewrite() const;
+    [[nodiscard]] bool needs_rewrite() const;
     [[nodiscard]] bool failed() const { return failed_; }
 
     /// Bytes of a half-written tail that open() left out.
--- a/src/tallyfold/consensus/log_store.cpp
+++ b/src/tallyfold/consensus/log_store.cpp
@@ -191,7 +191,7 @@
     for (const group_write& write : batch) {
         groups_[write.group].apply(write);
     }
-    if (log_.wants_rewrite()) {
+    if (log_.needs_rewrite()) {
         return rewrite_log();
     }
     if (has_snapshot) {
--- a/src/tallyfold/plane/turns/turn_log.hpp
+++ b/src/tallyfold/plane/turns/turn_log.hpp
@@ -42,7 +42,7 @@
     /// Reads the stored map; its epoch is 0 when there is none.
     [[nodiscard]] tl::expected<store_map, storage::storage_error> load_map() const;
     /// True when the segment has grown well beyond its initial size.
-    [[nodiscard]] bool needs_rotation() const { return log_.wants_rewrite(); }
+    [[nodiscard]] bool needs_rotation() const { return log_.needs_rewrite(); }
     [[nodiscard]] bool failed() const { return log_.failed(); }
 
     [[nodiscard]] store_id identity() const { return identity_; }
