--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -193,7 +193,7 @@
     }
 }
 
-std::vector<addressed_reply> store_fsm::written(bool durable, instant now) {
+std::vector<addressed_reply> store_fsm::finish_write(bool durable, instant now) {
     const std::vector<queued_message> batch = std::move(write_batch_);
     write_batch_.clear();
     if (durable) {
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -30,7 +30,7 @@
     store_reply body;
 };
 
-/// Data to make durable before written() is called.
+/// Data to make durable before finish_write() is called.
 struct store_write {
     /// Map to store; written before the changes.
     std::optional<store_map> map;
@@ -51,7 +51,8 @@
     /// @param recovered the turns and ledgers read from the disk
     store_fsm(store_id self, const store_map& stored_map, turn_table recovered);
 
-    /// Handles a request. @return replies that depend on no write; written() returns the others
+    /// Handles a request. @return replies that depend on no write; finish_write() returns the
+    /// others
     std::vector<addressed_reply> receive(peer_token from, const begin_request& request);
     std::vector<addressed_reply> receive(peer_token from, const settle_request& request);
     std::vector<addressed_reply> receive(peer_token from, const history_request& request) const;
@@ -68,11 +69,11 @@
 
     /// True when messages or a map are queued for begin_write().
     [[nodiscard]] bool has_pending_write() const { return !queue_.empty() || map_write_pending_; }
-    /// Returns the queued changes and map for writing; must be followed by written().
+    /// Returns the queued changes and map for writing; must be followed by finish_write().
     store_write begin_write();
     /// Ends the write that begin_write() returned last. @param durable false when the write failed:
     /// its changes are not applied, and the requests are answered as not durable
-    std::vector<addressed_reply> written(bool durable, instant now);
+    std::vector<addressed_reply> finish_write(bool durable, instant now);
 
     /// Next page to request, and its source; nothing when no copy is under way. Sources are copied
     /// one after the other, so that none sends what an earlier one has already sent.
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -159,7 +159,7 @@
 void store_node::write_queued() {
     const store_write write = store_.begin_write();
     const bool durable = writer_.make_durable(write);
-    send(store_.written(durable, steady_now()));
+    send(store_.finish_write(durable, steady_now()));
     bytes_.Set(static_cast<double>(store_.turns().bytes()));
     if (durable) {
         writer_.rotate_if_grown(store_.turns());
--- a/tests/plane/turns/store_fsm_test.cpp
+++ b/tests/plane/turns/store_fsm_test.cpp
@@ -25,7 +25,7 @@
         request.held = {engine, {{7, 1000}, {8, tokens}}};
         store.receive(1, request);
         store.begin_write();
-        store.written(true, instant{});
+        store.finish_write(true, instant{});
     }
 
     /// Engines in the reply to a begin with this prompt.
@@ -37,7 +37,7 @@
         request.prompt = prompt;
         store.receive(2, request);
         store.begin_write();
-        const auto replies = store.written(true, instant{});
+        const auto replies = store.finish_write(true, instant{});
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replies.size());
         return std::get<begin_reply>(replies.front().body).holders;
     }
@@ -116,7 +116,7 @@
         // A turn that is not durable yet does not count as held.
         CPPUNIT_ASSERT(!held("t"));
         asked.begin_write();
-        asked.written(true, instant{});
+        asked.finish_write(true, instant{});
         CPPUNIT_ASSERT(held("t"));
         CPPUNIT_ASSERT(!held("u"));
     }
--- a/tests/support/store_fleet.hpp
+++ b/tests/support/store_fleet.hpp
@@ -81,7 +81,7 @@
             writer.kept = *write.map;
         }
         writer.disk.insert(writer.disk.end(), write.changes.begin(), write.changes.end());
-        for (turns::addressed_reply& reply : writer.store->written(true, now_)) {
+        for (turns::addressed_reply& reply : writer.store->finish_write(true, now_)) {
             deliver_reply(std::move(reply));
         }
     }
