--- a/src/tallyfold/plane/forwarding/forwarder_context.hpp
+++ b/src/tallyfold/plane/forwarding/forwarder_context.hpp
@@ -41,7 +41,7 @@
 
     /// True when a mechanism is disabled for a measurement.
     [[nodiscard]] bool is_disabled(settings::mechanism asked) const {
-        return process.settings().off.contains(asked);
+        return process.settings().disabled.contains(asked);
     }
     /// The service's queue, created on first use. Without the mechanism bounded_running, or with a
     /// `max_slowdown` of 0, it admits every call immediately.
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -93,7 +93,7 @@
       backends_(
           settings.zone, stable_hash(settings.node),
           scheduling::parse_strategy(settings.placement).value_or(scheduling::strategy::policy),
-          settings.off),
+          settings.disabled),
       directory_(process_, client_settings(settings)),
       quotas_(process_, directory_),
       turns_(process_, [this](const turns::store_map& map) { directory_.learn_map(map); }),
--- a/src/tallyfold/plane/process/node_settings.cpp
+++ b/src/tallyfold/plane/process/node_settings.cpp
@@ -99,7 +99,7 @@
         reader.real_or("most_slowdown", default_max_slowdown, 0, max_accepted_slowdown);
     for (const std::string& name : reader.text_list("switched_off")) {
         if (is_mechanism(name)) {
-            read.off.add(name);
+            read.disabled.add(name);
         } else {
             reader.problem("switched_off", "'" + name + "' is no mechanism");
         }
--- a/src/tallyfold/plane/process/node_settings.hpp
+++ b/src/tallyfold/plane/process/node_settings.hpp
@@ -47,7 +47,7 @@
     /// call go at once.
     double max_slowdown = 0;
     /// For measurements of what each mechanism is worth; nothing in service.
-    disabled_mechanisms off;
+    disabled_mechanisms disabled;
     /// How engines are chosen: by the policy, or by a baseline for measurements.
     std::string placement;
     /// Time from a stop to the process's end.
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -50,7 +50,7 @@
     : process_(process),
       directory_(directory),
       holder_(rules_of(process.settings()), process.settings().node, random_process_id()) {
-    const settings::disabled_mechanisms& off = process.settings().off;
+    const settings::disabled_mechanisms& off = process.settings().disabled;
     holder_.set_spare_permits(!off.contains(settings::mechanism::spare_permits));
     max_permit_wait_ =
         off.contains(settings::mechanism::permit_wait) ? duration::zero() : max_permit_wait;
--- a/tests/plane/process/node_settings_test.cpp
+++ b/tests/plane/process/node_settings_test.cpp
@@ -71,8 +71,8 @@
             file_.write(std::string(whole) +
                         "switched_off = [\"continuation\"]\nplacement = \"round_robin\"\n"));
         CPPUNIT_ASSERT(read.has_value());
-        CPPUNIT_ASSERT(read->off.contains(mechanism::stream_resume));
-        CPPUNIT_ASSERT(!read->off.contains(mechanism::silence));
+        CPPUNIT_ASSERT(read->disabled.contains(mechanism::stream_resume));
+        CPPUNIT_ASSERT(!read->disabled.contains(mechanism::silence));
         CPPUNIT_ASSERT_EQUAL(std::string("round_robin"), read->placement);
         const auto wrong = read_node_settings(file_.write(
             std::string(whole) + "switched_off = [\"magic\"]\nplacement = \"oracle\"\n"));
