--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -57,7 +57,7 @@
     return request;
 }
 
-std::optional<configuration_request> configuration_fetch::told(
+std::optional<configuration_request> configuration_fetch::on_version_report(
     const node_name& node, routing::configuration_version version, instant now) {
     if (version <= held_->version) {
         return std::nullopt;
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -43,10 +43,11 @@
     /// Handles a directory node's report of the version that it holds.
     /// @return the request to send to it: set when its version is newer, unless another request is
     /// pending and has not timed out
-    std::optional<configuration_request> told(const node_name& node,
-                                              routing::configuration_version version, instant now);
+    std::optional<configuration_request> on_version_report(const node_name& node,
+                                                           routing::configuration_version version,
+                                                           instant now);
     /// Handles a part. Parts from a node other than the one asked are ignored. A part that does not
-    /// fit ends the fetch; the next told() starts a new one.
+    /// fit ends the fetch; the next on_version_report() starts a new one.
     progress receive(const node_name& from, const configuration_part& part, instant now);
     /// Handles a full configuration in an answer.
     /// @return true when it is newer and now held
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -177,7 +177,7 @@
                                            const node_report_answer& answer) {
     const auto link = links_.find(from);
     if (link != links_.end() && link->second->peer_format() >= protocol::format_version::v2) {
-        fetch(from, fetch_.told(from, answer.configuration, heard_));
+        fetch(from, fetch_.on_version_report(from, answer.configuration, heard_));
         return;
     }
     // A node that knows the first form alone can't be asked for parts: its answer brings the whole.
--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -58,34 +58,37 @@
         configuration_source source;
         source.show(make_configuration(3, 3'000));
         configuration_fetch fetch;
-        const int parts = fetch_all_parts(fetch, "a", source, fetch.told("a", 3, now_));
+        const int parts =
+            fetch_all_parts(fetch, "a", source, fetch.on_version_report("a", 3, now_));
         CPPUNIT_ASSERT(parts > 1);
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(3, 3'000));
-        CPPUNIT_ASSERT(!fetch.told("b", 3, now_).has_value());
+        CPPUNIT_ASSERT(!fetch.on_version_report("b", 3, now_).has_value());
     }
 
     void fetches_difference_from_held_version() {
         configuration_source source;
         configuration_fetch fetch;
         source.show(make_configuration(3, 3'000));
-        fetch_all_parts(fetch, "a", source, fetch.told("a", 3, now_));
+        fetch_all_parts(fetch, "a", source, fetch.on_version_report("a", 3, now_));
         source.show(make_configuration(5, 3'001));
-        CPPUNIT_ASSERT_EQUAL(1, fetch_all_parts(fetch, "b", source, fetch.told("b", 5, now_)));
+        CPPUNIT_ASSERT_EQUAL(
+            1, fetch_all_parts(fetch, "b", source, fetch.on_version_report("b", 5, now_)));
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(5, 3'001));
         // The held version is older than those kept, so the full configuration is sent.
         for (routing::configuration_version version = 6; version < 12; ++version) {
             source.show(make_configuration(version, 3'000));
         }
-        CPPUNIT_ASSERT(fetch_all_parts(fetch, "c", source, fetch.told("c", 11, now_)) > 1);
+        CPPUNIT_ASSERT(fetch_all_parts(fetch, "c", source, fetch.on_version_report("c", 11, now_)) >
+                       1);
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(11, 3'000));
     }
 
     void only_one_fetch_is_pending() {
         configuration_fetch fetch;
-        CPPUNIT_ASSERT(fetch.told("a", 3, now_).has_value());
+        CPPUNIT_ASSERT(fetch.on_version_report("a", 3, now_).has_value());
         now_ += part_timeout / 2;
-        CPPUNIT_ASSERT(!fetch.told("b", 3, now_).has_value());
-        CPPUNIT_ASSERT(!fetch.told("a", 4, now_).has_value());
+        CPPUNIT_ASSERT(!fetch.on_version_report("b", 3, now_).has_value());
+        CPPUNIT_ASSERT(!fetch.on_version_report("a", 4, now_).has_value());
     }
 
     void fetch_resumes_at_another_node_after_timeout() {
@@ -94,11 +97,11 @@
         one.show(make_configuration(3, 3'000));
         other.show(make_configuration(3, 3'000));
         configuration_fetch fetch;
-        const auto first = fetch.told("a", 3, now_);
+        const auto first = fetch.on_version_report("a", 3, now_);
         const auto second = fetch.receive("a", one.answer(*first), now_).next;
         CPPUNIT_ASSERT(second->offset > 0);
         now_ += part_timeout;
-        const auto again = fetch.told("b", 3, now_);
+        const auto again = fetch.on_version_report("b", 3, now_);
         CPPUNIT_ASSERT(again.has_value());
         CPPUNIT_ASSERT_EQUAL(second->offset, again->offset);
         // A late part from the first node is ignored.
@@ -109,18 +112,18 @@
 
     void lost_connection_cancels_pending_request() {
         configuration_fetch fetch;
-        fetch.told("a", 3, now_);
+        fetch.on_version_report("a", 3, now_);
         fetch.lost("b");
-        CPPUNIT_ASSERT(!fetch.told("b", 3, now_).has_value());
+        CPPUNIT_ASSERT(!fetch.on_version_report("b", 3, now_).has_value());
         fetch.lost("a");
-        CPPUNIT_ASSERT(fetch.told("b", 3, now_).has_value());
+        CPPUNIT_ASSERT(fetch.on_version_report("b", 3, now_).has_value());
     }
 
     void newer_version_does_not_restart_fetch() {
         configuration_source source;
         source.show(make_configuration(3, 3'000));
         configuration_fetch fetch;
-        auto request = fetch.told("a", 3, now_);
+        auto request = fetch.on_version_report("a", 3, now_);
         routing::configuration_version version = 3;
         while (request) {
             // A newer version is published with each part.
@@ -128,8 +131,8 @@
             request = fetch.receive("a", source.answer(*request), now_).next;
         }
         CPPUNIT_ASSERT(fetch.version() >= 3);
-        CPPUNIT_ASSERT_EQUAL(1,
-                             fetch_all_parts(fetch, "a", source, fetch.told("a", version, now_)));
+        CPPUNIT_ASSERT_EQUAL(
+            1, fetch_all_parts(fetch, "a", source, fetch.on_version_report("a", version, now_)));
         CPPUNIT_ASSERT_EQUAL(version, fetch.version());
     }
 
@@ -137,16 +140,16 @@
         configuration_source one;
         configuration_fetch fetch;
         one.show(make_configuration(3, 10));
-        fetch_all_parts(fetch, "a", one, fetch.told("a", 3, now_));
+        fetch_all_parts(fetch, "a", one, fetch.on_version_report("a", 3, now_));
         // A different configuration with the version number that the node holds.
         configuration_source other;
         other.show(make_configuration(3, 11));
         other.show(make_configuration(4, 12));
-        const auto request = fetch.told("b", 4, now_);
+        const auto request = fetch.on_version_report("b", 4, now_);
         const auto progress = fetch.receive("b", other.answer(*request), now_);
         CPPUNIT_ASSERT(progress.problem.has_value());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{3}, fetch.version());
-        const auto whole = fetch.told("b", 4, now_);
+        const auto whole = fetch.on_version_report("b", 4, now_);
         CPPUNIT_ASSERT(whole->whole);
         fetch_all_parts(fetch, "b", other, whole);
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(4, 12));
@@ -157,7 +160,7 @@
             configuration_source source;
             source.show(make_configuration(3, 500));
             configuration_fetch fetch;
-            auto request = fetch.told("a", 3, now_);
+            auto request = fetch.on_version_report("a", 3, now_);
             for (int count = 0; count < 20; ++count) {
                 configuration_part part = source.answer(request.value_or(configuration_request{}));
                 switch (*rc::gen::inRange(0, 5)) {
@@ -178,13 +181,13 @@
                 }
                 request = fetch.receive("a", part, now_).next;
                 if (!request) {
-                    request = fetch.told("a", 3, now_);
+                    request = fetch.on_version_report("a", 3, now_);
                 }
                 RC_ASSERT(fetch.version() == 0 || *fetch.held() == *make_configuration(3, 500));
             }
             now_ += part_timeout;
-            fetch_all_parts(fetch, "b", source, fetch.told("b", 3, now_));
-            fetch_all_parts(fetch, "b", source, fetch.told("b", 3, now_));
+            fetch_all_parts(fetch, "b", source, fetch.on_version_report("b", 3, now_));
+            fetch_all_parts(fetch, "b", source, fetch.on_version_report("b", 3, now_));
             RC_ASSERT(*fetch.held() == *make_configuration(3, 500));
         });
     }
@@ -208,7 +211,7 @@
                         sources[node].show(make_configuration(published[node], 400 + newest % 7));
                         break;
                     case 1:
-                        if (auto next = fetch.told(name, published[node], now_)) {
+                        if (auto next = fetch.on_version_report(name, published[node], now_)) {
                             request = next;
                             requested_node = node;
                         }
@@ -230,7 +233,7 @@
             sources[0].show(make_configuration(++newest, 400));
             for (int count = 0; count < 3; ++count) {
                 now_ += part_timeout;
-                fetch_all_parts(fetch, "a", sources[0], fetch.told("a", newest, now_));
+                fetch_all_parts(fetch, "a", sources[0], fetch.on_version_report("a", newest, now_));
             }
             RC_ASSERT(fetch.version() == newest);
         });
--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -143,7 +143,8 @@
         }
         const routing::configuration_version version = machine.version;
         at(work_at(machine, answer_cost) + way, [this, number, asked, version] {
-            request(number, asked, forwarders_[number].fetch.told(name(asked), version, now_));
+            request(number, asked,
+                    forwarders_[number].fetch.on_version_report(name(asked), version, now_));
         });
     }
 
