--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -82,7 +82,7 @@
     return true;
 }
 
-void configuration_fetch::lost(const node_name& node) {
+void configuration_fetch::on_disconnect(const node_name& node) {
     if (pending_node_ == node) {
         pending_node_.clear();
     }
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -53,7 +53,7 @@
     /// @return true when it is newer and now held
     bool take_whole(const configuration_pointer& whole);
     /// Handles the loss of the connection to a node: cancels the request pending there.
-    void lost(const node_name& node);
+    void on_disconnect(const node_name& node);
 
     [[nodiscard]] const configuration_pointer& held() const { return held_; }
     [[nodiscard]] routing::configuration_version version() const;
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -63,7 +63,7 @@
                 report();
             }
             if (!up) {
-                fetch_.lost(address);
+                fetch_.on_disconnect(address);
             }
             messaging::log_link(address, "directory", up, reason);
         });
--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -113,9 +113,9 @@
     void lost_connection_cancels_pending_request() {
         configuration_fetch fetch;
         fetch.on_version_report("a", 3, now_);
-        fetch.lost("b");
+        fetch.on_disconnect("b");
         CPPUNIT_ASSERT(!fetch.on_version_report("b", 3, now_).has_value());
-        fetch.lost("a");
+        fetch.on_disconnect("a");
         CPPUNIT_ASSERT(fetch.on_version_report("b", 3, now_).has_value());
     }
 
@@ -217,7 +217,7 @@
                         }
                         break;
                     case 2:
-                        fetch.lost(name);
+                        fetch.on_disconnect(name);
                         break;
                     default:
                         if (request) {
