--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -74,7 +74,7 @@
     return next_request();
 }
 
-bool configuration_fetch::take_whole(const configuration_pointer& whole) {
+bool configuration_fetch::accept_full_configuration(const configuration_pointer& whole) {
     if (whole->version <= held_->version) {
         return false;
     }
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -51,7 +51,7 @@
     progress receive(const node_name& from, const configuration_part& part, instant now);
     /// Handles a full configuration in an answer.
     /// @return true when it is newer and now held
-    bool take_whole(const configuration_pointer& whole);
+    bool accept_full_configuration(const configuration_pointer& whole);
     /// Handles the loss of the connection to a node: cancels the request pending there.
     void on_disconnect(const node_name& node);
 
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -182,7 +182,7 @@
     }
     // A node that knows the first form alone can't be asked for parts: its answer brings the whole.
     for (const configuration_pointer& newer : answer.newer_configuration) {
-        if (fetch_.take_whole(newer)) {
+        if (fetch_.accept_full_configuration(newer)) {
             use_configuration(from, 0, duration::zero());
         }
     }
