--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -44,7 +44,7 @@
     return held_->version;
 }
 
-std::optional<duration> configuration_fetch::fetching_for(instant now) const {
+std::optional<duration> configuration_fetch::fetch_duration(instant now) const {
     return pending_node_.empty() ? std::nullopt : std::optional<duration>(now - started_at_);
 }
 
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -58,7 +58,7 @@
     [[nodiscard]] const configuration_pointer& held() const { return held_; }
     [[nodiscard]] routing::configuration_version version() const;
     /// Time since the fetch in progress started; empty when there is none.
-    [[nodiscard]] std::optional<duration> fetching_for(instant now) const;
+    [[nodiscard]] std::optional<duration> fetch_duration(instant now) const;
 
   private:
     [[nodiscard]] configuration_request next_request() const;
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -222,7 +222,7 @@
 
 void directory_client::on_part(const node_name& from, const configuration_part& part) {
     const instant now = http::steady_now();
-    const duration taken = fetch_.fetching_for(now).value_or(duration::zero());
+    const duration taken = fetch_.fetch_duration(now).value_or(duration::zero());
     const configuration_fetch::progress progress = fetch_.receive(from, part, now);
     fetch(from, progress.next);
     if (progress.problem.has_value()) {
