--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -35,7 +35,7 @@
         /// The next request to the same node.
         std::optional<configuration_request> next;
         /// A newer configuration, which is now held.
-        configuration_pointer learned;
+        configuration_pointer new_configuration;
         /// Why the fetched content is unusable; empty on success.
         std::optional<fetch_problem> problem;
     };
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -231,7 +231,7 @@
                                  " held=" + std::to_string(version()) + " reason=\"" +
                                  progress.problem->detail + "\"");
     }
-    if (progress.learned) {
+    if (progress.new_configuration) {
         use_configuration(from, part.size, taken);
     }
 }
--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -177,7 +177,7 @@
             return;
         }
         const configuration_fetch::progress progress = taker.fetch.receive(name(asked), part, now_);
-        if (progress.learned) {
+        if (progress.new_configuration) {
             taker.busy_until = now_ + seconds(apply_cost / forwarder_share);
         }
         request(number, asked, progress.next);
