--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-std::uint64_t configuration_proofs::ask(instant now) {
+std::uint64_t configuration_proofs::start_question(instant now) {
     question_times_[++last_question_] = now;
     if (question_times_.size() > max_open_questions) {
         question_times_.erase(question_times_.begin());
--- a/src/tallyfold/plane/directory/configuration_proofs.hpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.hpp
@@ -33,7 +33,7 @@
 
     /// Starts a question.
     /// @return its number, which is above 0 and increases
-    std::uint64_t ask(instant now);
+    std::uint64_t start_question(instant now);
     /// Handles an answer: `version` was the newest when the question was asked. Answers to unknown
     /// questions are ignored.
     void answered(const node_name& node, std::uint64_t question,
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -149,7 +149,7 @@
         return;
     }
     node_report report = make_report();
-    report.question = proofs_.ask(http::steady_now());
+    report.question = proofs_.start_question(http::steady_now());
     link->send(report);
 }
 
--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -242,9 +242,9 @@
     void proof_takes_effect_when_version_is_held() {
         configuration_proofs proofs;
         proofs.holds(3);
-        const std::uint64_t first = proofs.ask(now_);
+        const std::uint64_t first = proofs.start_question(now_);
         now_ += std::chrono::milliseconds(10);
-        const std::uint64_t second = proofs.ask(now_);
+        const std::uint64_t second = proofs.start_question(now_);
         proofs.answered("a", second, 4);
         CPPUNIT_ASSERT(proofs.newest().node.empty());
         proofs.answered("b", first, 3);
@@ -260,7 +260,7 @@
         proofs.answered("a", 1, 3);
         proofs.answered("a", 0, 3);
         CPPUNIT_ASSERT(proofs.newest().node.empty());
-        const std::uint64_t question = proofs.ask(now_);
+        const std::uint64_t question = proofs.start_question(now_);
         CPPUNIT_ASSERT(question > 0);
         proofs.answered("a", question, 3);
         proofs.answered("b", question, 3);
