--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -19,8 +19,8 @@
     return last_question_;
 }
 
-void configuration_proofs::answered(const node_name& node, std::uint64_t question,
-                                    routing::configuration_version version) {
+void configuration_proofs::on_answer(const node_name& node, std::uint64_t question,
+                                     routing::configuration_version version) {
     const auto asked = question_times_.find(question);
     if (asked == question_times_.end()) {
         return;
--- a/src/tallyfold/plane/directory/configuration_proofs.hpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.hpp
@@ -36,8 +36,8 @@
     std::uint64_t start_question(instant now);
     /// Handles an answer: `version` was the newest when the question was asked. Answers to unknown
     /// questions are ignored.
-    void answered(const node_name& node, std::uint64_t question,
-                  routing::configuration_version version);
+    void on_answer(const node_name& node, std::uint64_t question,
+                   routing::configuration_version version);
     /// Sets the version that the node holds, and applies pending proofs for it.
     void holds(routing::configuration_version version);
 
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -168,7 +168,7 @@
         on_relayed_failures_(answer.backend_failures);
     }
     if (answer.question != 0) {
-        proofs_.answered(from, answer.question, answer.configuration);
+        proofs_.on_answer(from, answer.question, answer.configuration);
         wake_waiting();
     }
 }
--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -245,9 +245,9 @@
         const std::uint64_t first = proofs.start_question(now_);
         now_ += std::chrono::milliseconds(10);
         const std::uint64_t second = proofs.start_question(now_);
-        proofs.answered("a", second, 4);
+        proofs.on_answer("a", second, 4);
         CPPUNIT_ASSERT(proofs.newest().node.empty());
-        proofs.answered("b", first, 3);
+        proofs.on_answer("b", first, 3);
         CPPUNIT_ASSERT_EQUAL(node_name("b"), proofs.newest().node);
         proofs.holds(4);
         CPPUNIT_ASSERT_EQUAL(node_name("a"), proofs.newest().node);
@@ -257,13 +257,13 @@
     void answer_without_pending_question_is_ignored() {
         configuration_proofs proofs;
         proofs.holds(3);
-        proofs.answered("a", 1, 3);
-        proofs.answered("a", 0, 3);
+        proofs.on_answer("a", 1, 3);
+        proofs.on_answer("a", 0, 3);
         CPPUNIT_ASSERT(proofs.newest().node.empty());
         const std::uint64_t question = proofs.start_question(now_);
         CPPUNIT_ASSERT(question > 0);
-        proofs.answered("a", question, 3);
-        proofs.answered("b", question, 3);
+        proofs.on_answer("a", question, 3);
+        proofs.on_answer("b", question, 3);
         CPPUNIT_ASSERT_EQUAL(node_name("a"), proofs.newest().node);
     }
 };
