--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -37,7 +37,7 @@
     }
 }
 
-void configuration_proofs::holds(routing::configuration_version version) {
+void configuration_proofs::set_held_version(routing::configuration_version version) {
     held_version_ = version;
     for (const configuration_proof& proof : pending_proofs_) {
         if (proof.version <= held_version_) {
--- a/src/tallyfold/plane/directory/configuration_proofs.hpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.hpp
@@ -39,7 +39,7 @@
     void on_answer(const node_name& node, std::uint64_t question,
                    routing::configuration_version version);
     /// Sets the version that the node holds, and applies pending proofs for it.
-    void holds(routing::configuration_version version);
+    void set_held_version(routing::configuration_version version);
 
     [[nodiscard]] const configuration_proof& newest() const { return newest_; }
     /// True when a question asked at `since` or up to shared_for earlier has been answered with
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -194,7 +194,7 @@
                          "from=" + from + " version=" + std::to_string(version()) +
                              " bytes=" + std::to_string(bytes) +
                              " took_ms=" + std::to_string(to_milliseconds(taken)));
-    proofs_.holds(version());
+    proofs_.set_held_version(version());
     on_configuration_(fetch_.held());
     wake_waiting();
 }
--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -241,7 +241,7 @@
 
     void proof_takes_effect_when_version_is_held() {
         configuration_proofs proofs;
-        proofs.holds(3);
+        proofs.set_held_version(3);
         const std::uint64_t first = proofs.start_question(now_);
         now_ += std::chrono::milliseconds(10);
         const std::uint64_t second = proofs.start_question(now_);
@@ -249,14 +249,14 @@
         CPPUNIT_ASSERT(proofs.newest().node.empty());
         proofs.on_answer("b", first, 3);
         CPPUNIT_ASSERT_EQUAL(node_name("b"), proofs.newest().node);
-        proofs.holds(4);
+        proofs.set_held_version(4);
         CPPUNIT_ASSERT_EQUAL(node_name("a"), proofs.newest().node);
         CPPUNIT_ASSERT(proofs.newest().asked == now_);
     }
 
     void answer_without_pending_question_is_ignored() {
         configuration_proofs proofs;
-        proofs.holds(3);
+        proofs.set_held_version(3);
         proofs.on_answer("a", 1, 3);
         proofs.on_answer("a", 0, 3);
         CPPUNIT_ASSERT(proofs.newest().node.empty());
