--- a/src/tallyfold/plane/directory/configuration_proofs.hpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.hpp
@@ -29,7 +29,7 @@
     /// Age up to which a question and its proof are shared by later requests. Limits the rate of
     /// questions when requests carry unknown keys. Shorter than the time for which a request waits
     /// for proof (100 ms), so that a second directory node can be asked in between.
-    static constexpr duration shared_for = std::chrono::milliseconds(50);
+    static constexpr duration share_window = std::chrono::milliseconds(50);
 
     /// Starts a question.
     /// @return its number, which is above 0 and increases
@@ -42,10 +42,10 @@
     void set_held_version(routing::configuration_version version);
 
     [[nodiscard]] const configuration_proof& newest() const { return newest_; }
-    /// True when a question asked at `since` or up to shared_for earlier has been answered with
+    /// True when a question asked at `since` or up to share_window earlier has been answered with
     /// proof.
     [[nodiscard]] bool proved_since(instant since) const {
-        return newest_.asked + shared_for > since;
+        return newest_.asked + share_window > since;
     }
     /// True when the newest proof is at least `interval` old.
     [[nodiscard]] bool needs_renewal(duration interval, instant now) const {
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -137,7 +137,7 @@
     const duration interval = settings_.proof_interval;
     const bool due = proofs_.needs_renewal(interval, now) && now >= next_question_;
     if (interval > duration::zero() && due) {
-        next_question_ = now + configuration_proofs::shared_for;
+        next_question_ = now + configuration_proofs::share_window;
         ask_for_proof();
     }
 }
@@ -276,7 +276,7 @@
     waiting_.insert(timer);
     for (instant now = began; now < end && !proofs_.proved_since(began); now = http::steady_now()) {
         if (now >= next_question_) {
-            next_question_ = now + configuration_proofs::shared_for;
+            next_question_ = now + configuration_proofs::share_window;
             ask_for_proof();
         }
         timer->expires_after(std::min(end, next_question_) - now);
