--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -49,7 +49,7 @@
 }
 
 void configuration_proofs::keep_if_newer(const configuration_proof& proof) {
-    if (proof.asked > newest_.asked) {
+    if (proof.requested_at > newest_.requested_at) {
         newest_ = proof;
     }
 }
--- a/src/tallyfold/plane/directory/configuration_proofs.hpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.hpp
@@ -15,13 +15,13 @@
 
 namespace tallyfold::directory {
 
-/// Proof that no newer version was in force at `asked`.
+/// Proof that no newer version was in force at `requested_at`.
 struct configuration_proof {
     /// Address of the directory node that gave the proof; empty for none.
     node_name node;
     /// The version that the directory node held.
     routing::configuration_version version = routing::no_version;
-    instant asked{};
+    instant requested_at{};
 };
 
 class configuration_proofs {
@@ -45,11 +45,11 @@
     /// True when a question asked at `since` or up to share_window earlier has been answered with
     /// proof.
     [[nodiscard]] bool proved_since(instant since) const {
-        return newest_.asked + share_window > since;
+        return newest_.requested_at + share_window > since;
     }
     /// True when the newest proof is at least `interval` old.
     [[nodiscard]] bool needs_renewal(duration interval, instant now) const {
-        return now - newest_.asked >= interval;
+        return now - newest_.requested_at >= interval;
     }
 
   private:
--- a/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_admission_shell.cpp
@@ -119,7 +119,7 @@
 }
 
 duration caller_admission::proof_age() const {
-    return http::steady_now() - context_.directory.proof().asked;
+    return http::steady_now() - context_.directory.proof().requested_at;
 }
 
 std::string caller_admission::describe_proof(duration waited) const {
--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -251,7 +251,7 @@
         CPPUNIT_ASSERT_EQUAL(node_name("b"), proofs.newest().node);
         proofs.set_held_version(4);
         CPPUNIT_ASSERT_EQUAL(node_name("a"), proofs.newest().node);
-        CPPUNIT_ASSERT(proofs.newest().asked == now_);
+        CPPUNIT_ASSERT(proofs.newest().requested_at == now_);
     }
 
     void answer_without_pending_question_is_ignored() {
