--- a/src/tallyfold/plane/directory/configuration_source.cpp
+++ b/src/tallyfold/plane/directory/configuration_source.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-void configuration_source::show(const configuration_pointer& newest) {
+void configuration_source::publish(const configuration_pointer& newest) {
     if (newest->version <= (versions_.empty() ? routing::no_version : versions_.back()->version)) {
         return;
     }
--- a/src/tallyfold/plane/directory/configuration_source.hpp
+++ b/src/tallyfold/plane/directory/configuration_source.hpp
@@ -15,7 +15,7 @@
 class configuration_source {
   public:
     /// Sets the configuration to serve; ignored unless it is newer than the current one.
-    void show(const configuration_pointer& newest);
+    void publish(const configuration_pointer& newest);
 
     /// Returns the requested part; an empty one when the requesting node is up to date.
     configuration_part answer(const configuration_request& request);
--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -270,7 +270,7 @@
     const turns::map_epoch epoch = state_.stores().epoch;
     state_.apply(std::move(*command));
     if (state_.configuration().version != version) {
-        source_.show(state_.shared_configuration());
+        source_.publish(state_.shared_configuration());
         log(logging::event_id::configuration_applied,
             "version=" + std::to_string(state_.configuration().version) +
                 " index=" + std::to_string(entry.index));
--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -68,7 +68,7 @@
 }
 
 configuration_part directory_core::receive(const configuration_request& request) {
-    source_.show(newest_known_configuration());
+    source_.publish(newest_known_configuration());
     return source_.answer(request);
 }
 
--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -56,7 +56,7 @@
 
     void fetches_full_configuration_when_none_is_held() {
         configuration_source source;
-        source.show(make_configuration(3, 3'000));
+        source.publish(make_configuration(3, 3'000));
         configuration_fetch fetch;
         const int parts =
             fetch_all_parts(fetch, "a", source, fetch.on_version_report("a", 3, now_));
@@ -68,15 +68,15 @@
     void fetches_difference_from_held_version() {
         configuration_source source;
         configuration_fetch fetch;
-        source.show(make_configuration(3, 3'000));
+        source.publish(make_configuration(3, 3'000));
         fetch_all_parts(fetch, "a", source, fetch.on_version_report("a", 3, now_));
-        source.show(make_configuration(5, 3'001));
+        source.publish(make_configuration(5, 3'001));
         CPPUNIT_ASSERT_EQUAL(
             1, fetch_all_parts(fetch, "b", source, fetch.on_version_report("b", 5, now_)));
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(5, 3'001));
         // The held version is older than those kept, so the full configuration is sent.
         for (routing::configuration_version version = 6; version < 12; ++version) {
-            source.show(make_configuration(version, 3'000));
+            source.publish(make_configuration(version, 3'000));
         }
         CPPUNIT_ASSERT(fetch_all_parts(fetch, "c", source, fetch.on_version_report("c", 11, now_)) >
                        1);
@@ -94,8 +94,8 @@
     void fetch_resumes_at_another_node_after_timeout() {
         configuration_source one;
         configuration_source other;
-        one.show(make_configuration(3, 3'000));
-        other.show(make_configuration(3, 3'000));
+        one.publish(make_configuration(3, 3'000));
+        other.publish(make_configuration(3, 3'000));
         configuration_fetch fetch;
         const auto first = fetch.on_version_report("a", 3, now_);
         const auto second = fetch.receive("a", one.answer(*first), now_).next;
@@ -121,13 +121,13 @@
 
     void newer_version_does_not_restart_fetch() {
         configuration_source source;
-        source.show(make_configuration(3, 3'000));
+        source.publish(make_configuration(3, 3'000));
         configuration_fetch fetch;
         auto request = fetch.on_version_report("a", 3, now_);
         routing::configuration_version version = 3;
         while (request) {
             // A newer version is published with each part.
-            source.show(make_configuration(++version, 3'000));
+            source.publish(make_configuration(++version, 3'000));
             request = fetch.receive("a", source.answer(*request), now_).next;
         }
         CPPUNIT_ASSERT(fetch.version() >= 3);
@@ -139,12 +139,12 @@
     void full_configuration_follows_mismatched_difference() {
         configuration_source one;
         configuration_fetch fetch;
-        one.show(make_configuration(3, 10));
+        one.publish(make_configuration(3, 10));
         fetch_all_parts(fetch, "a", one, fetch.on_version_report("a", 3, now_));
         // A different configuration with the version number that the node holds.
         configuration_source other;
-        other.show(make_configuration(3, 11));
-        other.show(make_configuration(4, 12));
+        other.publish(make_configuration(3, 11));
+        other.publish(make_configuration(4, 12));
         const auto request = fetch.on_version_report("b", 4, now_);
         const auto progress = fetch.receive("b", other.answer(*request), now_);
         CPPUNIT_ASSERT(progress.problem.has_value());
@@ -158,7 +158,7 @@
     void corrupt_parts_are_rejected() {
         check_property("corrupt parts never change what is held nor block the fetch", [this] {
             configuration_source source;
-            source.show(make_configuration(3, 500));
+            source.publish(make_configuration(3, 500));
             configuration_fetch fetch;
             auto request = fetch.on_version_report("a", 3, now_);
             for (int count = 0; count < 20; ++count) {
@@ -208,7 +208,8 @@
                 switch (*rc::gen::inRange(0, 4)) {
                     case 0:
                         published[node] = std::max(published[node], ++newest);
-                        sources[node].show(make_configuration(published[node], 400 + newest % 7));
+                        sources[node].publish(
+                            make_configuration(published[node], 400 + newest % 7));
                         break;
                     case 1:
                         if (auto next = fetch.on_version_report(name, published[node], now_)) {
@@ -230,7 +231,7 @@
                 }
                 RC_ASSERT(fetch.version() >= before);
             }
-            sources[0].show(make_configuration(++newest, 400));
+            sources[0].publish(make_configuration(++newest, 400));
             for (int count = 0; count < 3; ++count) {
                 now_ += part_timeout;
                 fetch_all_parts(fetch, "a", sources[0], fetch.on_version_report("a", newest, now_));
--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -66,7 +66,7 @@
     /// A directory node holds a configuration from then on.
     void show(std::size_t directory, const configuration_pointer& configuration, instant when) {
         at(when, [this, directory, configuration] {
-            directories_[directory].source.show(configuration);
+            directories_[directory].source.publish(configuration);
             directories_[directory].version = configuration->version;
         });
     }
@@ -215,8 +215,8 @@
     static std::size_t bytes_between(const configuration_pointer& one,
                                      const configuration_pointer& other) {
         configuration_source source;
-        source.show(one);
-        source.show(other);
+        source.publish(one);
+        source.publish(other);
         configuration_request request;
         request.held = one->version;
         return source.answer(request).size;
