--- a/src/tallyfold/plane/directory/propagation_monitor_shell.cpp
+++ b/src/tallyfold/plane/directory/propagation_monitor_shell.cpp
@@ -16,10 +16,11 @@
 
 void propagation_monitor::check(instant now) {
     if (const auto propagated = versions_.take_propagated(now)) {
-        logging::write_event(logging::event_id::configuration_spread,
-                             "version=" + std::to_string(propagated->version) +
-                                 " nodes=" + std::to_string(propagated->nodes) +
-                                 " took_ms=" + std::to_string(to_milliseconds(propagated->took)));
+        logging::write_event(
+            logging::event_id::configuration_spread,
+            "version=" + std::to_string(propagated->version) +
+                " nodes=" + std::to_string(propagated->nodes) +
+                " took_ms=" + std::to_string(to_milliseconds(propagated->duration_since_applied)));
     }
     metrics_.nodes_behind.Set(static_cast<double>(versions_.nodes_behind()));
 }
--- a/src/tallyfold/plane/directory/version_tracker.hpp
+++ b/src/tallyfold/plane/directory/version_tracker.hpp
@@ -19,7 +19,7 @@
         routing::configuration_version version = routing::no_version;
         std::size_t nodes = 0;
         /// Time since this directory node applied the version.
-        duration took{};
+        duration duration_since_applied{};
     };
 
     /// Records that this directory node has applied a version; older versions are ignored.
--- a/tests/plane/directory/version_tracker_test.cpp
+++ b/tests/plane/directory/version_tracker_test.cpp
@@ -27,7 +27,7 @@
         CPPUNIT_ASSERT(propagated.has_value());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{3}, propagated->version);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, propagated->nodes);
-        CPPUNIT_ASSERT(propagated->took == std::chrono::milliseconds(700));
+        CPPUNIT_ASSERT(propagated->duration_since_applied == std::chrono::milliseconds(700));
         CPPUNIT_ASSERT(!tracker.take_propagated(now_).has_value());
     }
 
