--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -50,7 +50,7 @@
     [[nodiscard]] node_report_answer answer_to(const node_report& report) const;
     /// Records the format that a node supports.
     /// @param node its name, or the address of a directory node
-    void heard_format(const node_name& node, protocol::format_version format, instant now);
+    void record_peer_format(const node_name& node, protocol::format_version format, instant now);
     /// False while some node may support only format v1, which cannot represent tenants. True once
     /// the state requires format v2.
     [[nodiscard]] bool may_bring_tenants(instant now) const;
--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -37,8 +37,8 @@
     }
 }
 
-void directory_core::heard_format(const node_name& node, protocol::format_version format,
-                                  instant now) {
+void directory_core::record_peer_format(const node_name& node, protocol::format_version format,
+                                        instant now) {
     if (formats_.record(node, format, now)) {
         log(logging::event_id::node_format,
             "peer=" + node + " format=" + protocol::to_string(format));
--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -102,13 +102,13 @@
     directory_core& core = *replica_.core();
     const instant now = http::steady_now();
     if (const auto* envelope = std::get_if<messaging::replica_envelope>(&message)) {
-        core.heard_format(envelope->from, channel->peer_format(), now);
+        core.record_peer_format(envelope->from, channel->peer_format(), now);
         core.receive(envelope->from, envelope->message, now);
     } else if (const auto* join = std::get_if<join_request>(&message)) {
-        core.heard_format(join->address, channel->peer_format(), now);
+        core.record_peer_format(join->address, channel->peer_format(), now);
         core.receive(*join, now);
     } else if (const auto* report = std::get_if<node_report>(&message)) {
-        core.heard_format(report->node, channel->peer_format(), now);
+        core.record_peer_format(report->node, channel->peer_format(), now);
         reports_.answer(core, channel, *report);
     } else if (const auto* request = std::get_if<configuration_request>(&message)) {
         reports_.answer(core, channel, *request);
--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -98,12 +98,12 @@
         directory_group group(3);
         const node_name leader = group.run_until_led();
         directory_core& core = group.node(leader);
-        core.heard_format("forwarder-1", format_version::v1, group.now());
+        core.record_peer_format("forwarder-1", format_version::v1, group.now());
         CPPUNIT_ASSERT(!core.may_bring_tenants(group.now()));
         // It was replaced, or is silent for long.
-        core.heard_format("forwarder-1", format_version::v2, group.now());
+        core.record_peer_format("forwarder-1", format_version::v2, group.now());
         CPPUNIT_ASSERT(core.may_bring_tenants(group.now()));
-        core.heard_format("forwarder-2", format_version::v1, group.now());
+        core.record_peer_format("forwarder-2", format_version::v1, group.now());
         group.run(seconds(6));
         CPPUNIT_ASSERT(core.may_bring_tenants(group.now()));
     }
--- a/tests/support/directory_group.hpp
+++ b/tests/support/directory_group.hpp
@@ -132,7 +132,7 @@
             }
             using protocol::format_version;
             const bool first = first_format_.contains(next.from) || first_format_.contains(to);
-            node(to).heard_format(
+            node(to).record_peer_format(
                 next.from,
                 first_format_.contains(next.from) ? format_version::v1 : format_version::v2, now_);
             if (const auto* message = std::get_if<consensus::replica_message>(&next.message.body)) {
