--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -152,7 +152,7 @@
     }
     // Named, since GCC 12 destroys aggregate temporaries of a co_await twice.
     replace_call replacement = std::get<replace_call>(std::move(call));
-    if (!replacement.parsed.tenants.empty() && !core_->may_bring_tenants(http::steady_now())) {
+    if (!replacement.parsed.tenants.empty() && !core_->may_apply_tenants(http::steady_now())) {
         const invalid_call early{503, "a node of an earlier build can't read tenants; ask again"};
         co_return refuse(request, early);
     }
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -53,7 +53,7 @@
     void record_peer_format(const node_name& node, protocol::format_version format, instant now);
     /// False while some node may support only format v1, which cannot represent tenants. True once
     /// the state requires format v2.
-    [[nodiscard]] bool may_bring_tenants(instant now) const;
+    [[nodiscard]] bool may_apply_tenants(instant now) const;
     [[nodiscard]] const format_survey& formats() const { return formats_; }
     /// True when this replica has halted because it cannot read what its group has committed.
     [[nodiscard]] bool stands_still() const { return halted_; }
--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -45,7 +45,7 @@
     }
 }
 
-bool directory_core::may_bring_tenants(instant now) const {
+bool directory_core::may_apply_tenants(instant now) const {
     if (state_.needs_second_format()) {
         return true;
     }
--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -82,14 +82,14 @@
         const node_name earlier = group.followers().front();
         group.set_first_format(earlier, true);
         group.run(seconds(1));
-        CPPUNIT_ASSERT(!group.node(leader).may_bring_tenants(group.now()));
+        CPPUNIT_ASSERT(!group.node(leader).may_apply_tenants(group.now()));
         group.set_first_format(earlier, false);
         group.run(seconds(1));
-        CPPUNIT_ASSERT(group.node(leader).may_bring_tenants(group.now()));
+        CPPUNIT_ASSERT(group.node(leader).may_apply_tenants(group.now()));
         // A member that was heard to know the second form may be away.
         group.cut(earlier);
         group.run(seconds(20));
-        CPPUNIT_ASSERT(group.node(leader).may_bring_tenants(group.now()));
+        CPPUNIT_ASSERT(group.node(leader).may_apply_tenants(group.now()));
         CPPUNIT_ASSERT(group.change(leader, with_tenants(50)));
         CPPUNIT_ASSERT(group.node(leader).state().needs_second_format());
     }
@@ -99,13 +99,13 @@
         const node_name leader = group.run_until_led();
         directory_core& core = group.node(leader);
         core.record_peer_format("forwarder-1", format_version::v1, group.now());
-        CPPUNIT_ASSERT(!core.may_bring_tenants(group.now()));
+        CPPUNIT_ASSERT(!core.may_apply_tenants(group.now()));
         // It was replaced, or is silent for long.
         core.record_peer_format("forwarder-1", format_version::v2, group.now());
-        CPPUNIT_ASSERT(core.may_bring_tenants(group.now()));
+        CPPUNIT_ASSERT(core.may_apply_tenants(group.now()));
         core.record_peer_format("forwarder-2", format_version::v1, group.now());
         group.run(seconds(6));
-        CPPUNIT_ASSERT(core.may_bring_tenants(group.now()));
+        CPPUNIT_ASSERT(core.may_apply_tenants(group.now()));
     }
 
     static node_report report_of_first_format(routing::configuration_version held) {
