--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -56,7 +56,7 @@
     [[nodiscard]] bool may_apply_tenants(instant now) const;
     [[nodiscard]] const format_survey& formats() const { return formats_; }
     /// True when this replica has halted because it cannot read what its group has committed.
-    [[nodiscard]] bool stands_still() const { return halted_; }
+    [[nodiscard]] bool is_halted() const { return halted_; }
 
     /// Appends a command; take_work() returns its answer.
     void submit(request_token token, const directory_command& command);
--- a/src/tallyfold/plane/directory/directory_metrics.hpp
+++ b/src/tallyfold/plane/directory/directory_metrics.hpp
@@ -31,8 +31,8 @@
           nodes_in_second_format(
               net::add_gauge(registry, "tallyfold_directory_nodes_in_second_format",
                              "Nodes heard of lately that know the second form of messages")),
-          stands_still(net::add_gauge(registry, "tallyfold_directory_stands_still",
-                                      "1 while this node can't read what its group committed")) {}
+          is_halted(net::add_gauge(registry, "tallyfold_directory_stands_still",
+                                   "1 while this node can't read what its group committed")) {}
 
     /// Takes over what the core says of itself now.
     void observe(const directory_core& core, instant now) {
@@ -41,7 +41,7 @@
             static_cast<double>(core.formats().count(format_version::v1, now)));
         nodes_in_second_format.Set(
             static_cast<double>(core.formats().count(format_version::v2, now)));
-        stands_still.Set(core.stands_still() ? 1 : 0);
+        is_halted.Set(core.is_halted() ? 1 : 0);
     }
 
     prometheus::Counter& writes;
@@ -52,7 +52,7 @@
     prometheus::Gauge& nodes_behind;
     prometheus::Gauge& nodes_in_first_format;
     prometheus::Gauge& nodes_in_second_format;
-    prometheus::Gauge& stands_still;
+    prometheus::Gauge& is_halted;
 };
 
 }  // namespace tallyfold::directory
--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -185,7 +185,7 @@
             core.persisted();
         }
         CPPUNIT_ASSERT(logged);
-        CPPUNIT_ASSERT(core.stands_still());
+        CPPUNIT_ASSERT(core.is_halted());
         CPPUNIT_ASSERT(!core.leads());
         // What it held is still shown, and proves nothing.
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46},
