--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -74,7 +74,7 @@
     [[nodiscard]] const directory_state& state() const { return state_; }
     /// Sets a committed state that was applied before the restart, so that it can be served before
     /// a leader has confirmed the log. Commands are never applied to it.
-    void show_earlier_state(directory_state previous) { previous_state_ = std::move(previous); }
+    void set_previous_state(directory_state previous) { previous_state_ = std::move(previous); }
     [[nodiscard]] bool leads() const;
     /// Address ("ip:port") of the leader; empty when unknown.
     [[nodiscard]] node_name leader_address() const;
--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -101,7 +101,7 @@
     core_ = std::make_unique<directory_core>(
         settings, recovered.identity, is_empty ? consensus::recovered_state{} : group->second,
         http::steady_now());
-    core_->show_earlier_state(cache_.load());
+    core_->set_previous_state(cache_.load());
     return true;
 }
 
