--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -208,7 +208,7 @@
         co_return codec_.accepted();
     }
     std::vector<turns::store_id> disks = core_->disks_of(node);
-    if (disks.empty() && !core_->has_listened(http::steady_now())) {
+    if (disks.empty() && !core_->has_observed_all_stores(http::steady_now())) {
         co_return codec_.refused(503, "this leader has not heard all stores yet; ask again");
     }
     if (disks.empty()) {
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -86,7 +86,9 @@
     }
     /// False while reports of live stores may still be missing, shortly after this node became
     /// leader.
-    [[nodiscard]] bool has_listened(instant now) const { return store_planner_.has_listened(now); }
+    [[nodiscard]] bool has_observed_all_stores(instant now) const {
+        return store_planner_.has_observed_all_stores(now);
+    }
     /// Disks of the node's store that are known to the leader; empty for an unknown store.
     [[nodiscard]] std::vector<turns::store_id> disks_of(const node_name& node) const {
         return store_planner_.disks_of(state_, node);
--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -109,7 +109,7 @@
 }
 
 std::optional<store_map> begin_change(const store_view& view, const store_map& map) {
-    if (!view.has_listened()) {
+    if (!view.has_observed_all_stores()) {
         return std::nullopt;
     }
     store_list members = choose_members(view, map);
@@ -143,7 +143,8 @@
     const auto cannot_copy = [&](const store_member& member) {
         return !view.has_copied(member, map) && !view.is_live(member.id);
     };
-    if (!view.has_listened() || std::none_of(map.next.begin(), map.next.end(), cannot_copy)) {
+    if (!view.has_observed_all_stores() ||
+        std::none_of(map.next.begin(), map.next.end(), cannot_copy)) {
         return std::nullopt;
     }
     store_list members = choose_members(view, map);
--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -37,7 +37,7 @@
 std::optional<store_map> store_planner::plan_group(const store_view& view, const store_map& map,
                                                    instant now) const {
     // Losses can be detected only once all live stores have had time to report.
-    if (view.has_listened() && needs_recovery(view, map)) {
+    if (view.has_observed_all_stores() && needs_recovery(view, map)) {
         return recovery_allowed_ ? recover_from_survivors(view, map) : std::nullopt;
     }
     if (map.changing()) {
@@ -59,7 +59,7 @@
 bool store_planner::any_group_needs_recovery(const directory_state& state, instant now) const {
     const store_view view(settings_, heartbeats_, state, now);
     const auto& groups = state.stores().groups;
-    return view.has_listened() &&
+    return view.has_observed_all_stores() &&
            std::any_of(groups.begin(), groups.end(),
                        [&](const store_map& map) { return needs_recovery(view, map); });
 }
--- a/src/tallyfold/plane/directory/store_planner.hpp
+++ b/src/tallyfold/plane/directory/store_planner.hpp
@@ -41,7 +41,7 @@
                                                                  instant now) const;
     /// False while reports of live stores may still be missing, shortly after this node became
     /// leader.
-    [[nodiscard]] bool has_listened(instant now) const {
+    [[nodiscard]] bool has_observed_all_stores(instant now) const {
         return now - heartbeats_.leading_since() >= settings_.live_timeout;
     }
 
--- a/src/tallyfold/plane/directory/store_view.hpp
+++ b/src/tallyfold/plane/directory/store_view.hpp
@@ -57,7 +57,9 @@
 
     /// False while reports of live stores may still be missing, shortly after this node became
     /// leader.
-    [[nodiscard]] bool has_listened() const { return leading_for() >= settings_.live_timeout; }
+    [[nodiscard]] bool has_observed_all_stores() const {
+        return leading_for() >= settings_.live_timeout;
+    }
     [[nodiscard]] duration leading_for() const { return now_ - heartbeats_.leading_since(); }
 
     /// True when the store has reported within `live_timeout`.
