--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -95,7 +95,7 @@
     if (replica_.leader() == message.from) {
         last_leader_message_ = now;
     }
-    follow_leadership(now);
+    handle_leadership_change(now);
 }
 
 void directory_core::receive(const join_request& request, instant now) {
@@ -164,7 +164,7 @@
     }
 }
 
-void directory_core::follow_leadership(instant now) {
+void directory_core::handle_leadership_change(instant now) {
     if (leads() == was_leading_) {
         return;
     }
@@ -248,7 +248,7 @@
         return;
     }
     replica_.tick(now);
-    follow_leadership(now);
+    handle_leadership_change(now);
     request_to_join(now);
     if (now >= next_plan_) {
         next_plan_ = now + plan_interval;
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -102,7 +102,7 @@
     /// restart.
     [[nodiscard]] const configuration_pointer& newest_known_configuration() const;
 
-    void follow_leadership(instant now);
+    void handle_leadership_change(instant now);
     /// Begins and completes changes of the members and of the store groups. Leader only.
     void plan_changes(instant now);
     void plan_members(instant now);
--- a/src/tallyfold/plane/directory/permit_lending_shell.cpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.cpp
@@ -13,11 +13,11 @@
                settings.quota_lease}) {}
 
 void permit_lending::tick(instant now) {
-    follow_leadership(now);
+    handle_leadership_change(now);
     lender_.expire(now);
 }
 
-void permit_lending::follow_leadership(instant now) {
+void permit_lending::handle_leadership_change(instant now) {
     if (!core_ || !core_->leads()) {
         lending_by_.reset();
         return;
--- a/src/tallyfold/plane/directory/permit_lending_shell.hpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.hpp
@@ -27,7 +27,7 @@
   private:
     /// Logs what a node's life has told a lender that hadn't heard of it.
     void log_heard(const tenants::permit_report& report, instant now) const;
-    void follow_leadership(instant now);
+    void handle_leadership_change(instant now);
 
     const std::unique_ptr<directory_core>& core_;
     tenants::permit_lender lender_;
