--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -200,7 +200,7 @@
         return;
     }
     const duration retention = longest_retention(state_.configuration()) + retention_margin;
-    store_planner_.watch_losses(state_, retention, now);
+    store_planner_.update_incomplete_groups(state_, retention, now);
     const auto older_node = formats_.active_node_below(protocol::format_version::v2, now);
     store_planner_.allow_recovery(!older_node.has_value());
     if (older_node && store_planner_.any_group_needs_recovery(state_, now)) {
--- a/src/tallyfold/plane/directory/store_planner.cpp
+++ b/src/tallyfold/plane/directory/store_planner.cpp
@@ -17,7 +17,8 @@
     incomplete_since_.clear();
 }
 
-void store_planner::watch_losses(const directory_state& state, duration retention, instant now) {
+void store_planner::update_incomplete_groups(const directory_state& state, duration retention,
+                                             instant now) {
     settings_.retention = retention;
     std::map<turns::map_epoch, instant> since;
     for (const store_map& map : state.stores().groups) {
--- a/src/tallyfold/plane/directory/store_planner.hpp
+++ b/src/tallyfold/plane/directory/store_planner.hpp
@@ -22,7 +22,7 @@
     void on_report(const store_report& report, instant now) { heartbeats_.on_report(report, now); }
     /// Sets the longest retention of turns, and records since when groups may be incomplete after a
     /// loss. To be called before each plan().
-    void watch_losses(const directory_state& state, duration retention, instant now);
+    void update_incomplete_groups(const directory_state& state, duration retention, instant now);
     /// Sets whether a group that lost a majority of its disks may recover from the survivors. Not
     /// allowed while some node cannot read the map of such a group.
     void allow_recovery(bool allowed) { recovery_allowed_ = allowed; }
--- a/tests/plane/directory/store_planner_test.cpp
+++ b/tests/plane/directory/store_planner_test.cpp
@@ -292,7 +292,7 @@
         store_planner planner({});
         planner.start(at(0));
         const auto planned_at = [&](int now) {
-            planner.watch_losses(state, std::chrono::seconds(60), at(now));
+            planner.update_incomplete_groups(state, std::chrono::seconds(60), at(now));
             for (const store_member& store : three_stores()) {
                 report(planner, store, at(now));
             }
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -126,7 +126,7 @@
 
     void plan() {
         // Longer than the turns here are kept.
-        planner_.watch_losses(state_, std::chrono::seconds(75), now_);
+        planner_.update_incomplete_groups(state_, std::chrono::seconds(75), now_);
         if (const auto change = planner_.plan(state_, now_)) {
             state_.apply(*change);
         }
