--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -5,7 +5,7 @@
 /// out directory_work in the documented order. Pure: messages and time in, directory_work out.
 ///
 /// Rules for nodes of different builds:
-/// - Log entries are written in a format that all active nodes can read (format_survey).
+/// - Log entries are written in a format that all active nodes can read (format_tracker).
 /// - A replica that cannot read a committed entry halts: it acknowledges nothing more, does not
 ///   vote or lead, and gives no proofs.
 
@@ -54,7 +54,7 @@
     /// False while some node may support only format v1, which cannot represent tenants. True once
     /// the state requires format v2.
     [[nodiscard]] bool may_apply_tenants(instant now) const;
-    [[nodiscard]] const format_survey& formats() const { return formats_; }
+    [[nodiscard]] const format_tracker& formats() const { return formats_; }
     /// True when this replica has halted because it cannot read what its group has committed.
     [[nodiscard]] bool is_halted() const { return halted_; }
 
@@ -147,7 +147,7 @@
     pending_requests pending_;
     /// Address of each replica's last message, for replicas that are not in the membership.
     std::map<consensus::replica_id, node_name> addresses_;
-    format_survey formats_;
+    format_tracker formats_;
     bool halted_ = false;
     instant next_format_log_{};
     bool was_leading_ = false;
--- a/src/tallyfold/plane/directory/format_survey.cpp
+++ b/src/tallyfold/plane/directory/format_survey.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-bool format_survey::record(const node_name& node, protocol::format_version format, instant now) {
+bool format_tracker::record(const node_name& node, protocol::format_version format, instant now) {
     const auto [entry, is_new] = nodes_.try_emplace(node);
     const bool changed = is_new || entry->second.format != format;
     entry->second = {format, now};
@@ -25,23 +25,23 @@
     return changed;
 }
 
-std::optional<node_name> format_survey::active_node_below(protocol::format_version format,
-                                                          instant now) const {
+std::optional<node_name> format_tracker::active_node_below(protocol::format_version format,
+                                                           instant now) const {
     const auto found = std::find_if(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
         return entry.second.format < format && now - entry.second.last_seen <= active_window;
     });
     return found == nodes_.end() ? std::nullopt : std::optional<node_name>(found->first);
 }
 
-bool format_survey::all_support(protocol::format_version format,
-                                const std::vector<node_name>& nodes) const {
+bool format_tracker::all_support(protocol::format_version format,
+                                 const std::vector<node_name>& nodes) const {
     return std::all_of(nodes.begin(), nodes.end(), [&](const node_name& node) {
         const auto found = nodes_.find(node);
         return found != nodes_.end() && found->second.format >= format;
     });
 }
 
-std::size_t format_survey::count(protocol::format_version format, instant now) const {
+std::size_t format_tracker::count(protocol::format_version format, instant now) const {
     return static_cast<std::size_t>(
         std::count_if(nodes_.begin(), nodes_.end(), [&](const auto& entry) {
             return entry.second.format == format && now - entry.second.last_seen <= active_window;
--- a/src/tallyfold/plane/directory/format_survey.hpp
+++ b/src/tallyfold/plane/directory/format_survey.hpp
@@ -14,7 +14,7 @@
 
 namespace tallyfold::directory {
 
-class format_survey {
+class format_tracker {
   public:
     /// Records the format of the connection on which a message was received; the oldest format when
     /// the node did not state one.
