--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -21,7 +21,7 @@
 #include "tallyfold/plane/directory/directory_settings.hpp"
 #include "tallyfold/plane/directory/directory_state.hpp"
 #include "tallyfold/plane/directory/directory_work.hpp"
-#include "tallyfold/plane/directory/format_survey.hpp"
+#include "tallyfold/plane/directory/format_tracker.hpp"
 #include "tallyfold/plane/directory/leader_stall_log.hpp"
 #include "tallyfold/plane/directory/member_planner.hpp"
 #include "tallyfold/plane/directory/messages.hpp"
--- a/src/tallyfold/plane/directory/format_survey.cpp
+++ b/src/tallyfold/plane/directory/format_tracker.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/directory/format_survey.hpp"
+#include "tallyfold/plane/directory/format_tracker.hpp"
 
 #include <algorithm>
 
