--- a/tests/plane/directory/directory_core_test.cpp
+++ b/tests/plane/directory/directory_core_test.cpp
@@ -10,7 +10,7 @@
 
 class directory_core_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(directory_core_test);
-    CPPUNIT_TEST(large_changes_are_compacted_by_their_bytes);
+    CPPUNIT_TEST(snapshots_are_triggered_by_size);
     CPPUNIT_TEST(uncompressed_state_is_readable);
     CPPUNIT_TEST_SUITE_END();
 
@@ -48,7 +48,7 @@
         return bytes;
     }
 
-    void large_changes_are_compacted_by_their_bytes() {
+    void snapshots_are_triggered_by_size() {
         instant now{std::chrono::seconds(1)};
         directory_core core = single_node_core(now);
         for (int step = 0; step < 200 && !core.leads(); ++step) {
