--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -98,7 +98,7 @@
         return nanoseconds_each(node_count, [&](std::size_t node) {
             tenants::permit_report report;
             report.node = "node-" + std::to_string(node);
-            report.life = 1;
+            report.process_id = 1;
             report.question = question;
             report.whole = question == 1;
             for (std::size_t number = 0; number < active; ++number) {
--- a/src/tallyfold/plane/directory/permit_lending_shell.cpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.cpp
@@ -46,7 +46,7 @@
     }
     logging::write_event(
         logging::event_id::permit_node_heard,
-        "peer=" + report.node + " life=" + std::to_string(report.life) +
+        "peer=" + report.node + " life=" + std::to_string(report.process_id) +
             " lending_ms=" + std::to_string(to_milliseconds(now - lending_since_)) +
             " tenants=" + std::to_string(report.uses.size()) + " recent=" + std::to_string(recent) +
             " lent=" + std::to_string(lent));
@@ -55,9 +55,9 @@
 tenants::permit_answer permit_lending::answer(const tenants::permit_report& report, instant now) {
     tenants::permit_answer answer;
     if (lending_by_) {
-        const bool known = lender_.knows(report.node, report.life);
+        const bool known = lender_.knows(report.node, report.process_id);
         answer = lender_.answer(report, now);
-        if (!known && lender_.knows(report.node, report.life)) {
+        if (!known && lender_.knows(report.node, report.process_id)) {
             log_heard(report, now);
         }
     } else {
--- a/src/tallyfold/plane/directory/permit_lending_shell.hpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.hpp
@@ -25,7 +25,7 @@
     [[nodiscard]] tenants::permit_answer answer(const tenants::permit_report& report, instant now);
 
   private:
-    /// Logs what a node's life has told a lender that hadn't heard of it.
+    /// Logs what a node's process has told a lender that hadn't heard of it.
     void log_heard(const tenants::permit_report& report, instant now) const;
     void handle_leadership_change(instant now);
 
--- a/src/tallyfold/plane/tenants/messages.hpp
+++ b/src/tallyfold/plane/tenants/messages.hpp
@@ -40,7 +40,7 @@
 struct permit_report {
     node_name node;
     /// Identifies the node's process; differs after each restart.
-    std::uint64_t life = 0;
+    std::uint64_t process_id = 0;
     /// Sequence number of the report within the process; increases by one.
     std::uint64_t question = 0;
     /// True: `uses` lists every tenant of which the node holds permits or has spent any recently.
@@ -50,7 +50,7 @@
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(node, life, question, whole, uses);
+        archive(node, process_id, question, whole, uses);
     }
 };
 
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -115,7 +115,7 @@
 permit_report permit_holder::report(instant now) {
     permit_report report;
     report.node = node_;
-    report.life = life_;
+    report.process_id = process_id_;
     report.question = ++question_;
     report.whole = full_report_due_;
     for (auto entry = tenants_.begin(); entry != tenants_.end();) {
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -34,9 +34,9 @@
     /// election of a new lender.
     static constexpr duration spare_permit_horizon = std::chrono::milliseconds(1'500);
 
-    /// @param life identifies the process; differs after each restart
-    permit_holder(quota_rules rules, node_name node, std::uint64_t life)
-        : rules_(rules), node_(std::move(node)), life_(life) {}
+    /// @param process_id identifies the process; differs after each restart
+    permit_holder(quota_rules rules, node_name node, std::uint64_t process_id)
+        : rules_(rules), node_(std::move(node)), process_id_(process_id) {}
 
     /// Sets the tenants' limits. Tenants without a limit need no permits.
     void use(const std::vector<routing::tenant>& tenants);
@@ -119,7 +119,7 @@
 
     quota_rules rules_;
     node_name node_;
-    std::uint64_t life_;
+    std::uint64_t process_id_;
     bool spare_permits_enabled_ = true;
     std::unordered_set<tenant_name> limited_tenants_;
     std::unordered_map<tenant_name, held_permits> tenants_;
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -39,7 +39,7 @@
 permit_lender::account permit_lender::open_account(const tenant_name& tenant) const {
     account opened{{}, spent_window(rules_.window)};
     // Nodes may still hold permits from before the tenant was removed from the configuration.
-    for (const auto& [life, node] : nodes_) {
+    for (const auto& [process, node] : nodes_) {
         const auto known = node.shares.find(tenant);
         if (known != node.shares.end()) {
             add(opened.use, known->second);
@@ -180,7 +180,7 @@
 permit_answer permit_lender::answer(const permit_report& report, instant now) {
     permit_answer answer;
     answer.question = report.question;
-    node_entry& node = nodes_[{report.node, report.life}];
+    node_entry& node = nodes_[{report.node, report.process_id}];
     const bool follows = node.question > 0 && report.question > node.question;
     if (!report.whole && !follows) {
         answer.outcome = permit_outcome::wants_whole;
@@ -224,14 +224,14 @@
     return found == tenants_.end() ? 0 : found->second.use.counted;
 }
 
-bool permit_lender::knows(const node_name& node, std::uint64_t life) const {
-    const auto found = nodes_.find({node, life});
+bool permit_lender::knows(const node_name& node, std::uint64_t process_id) const {
+    const auto found = nodes_.find({node, process_id});
     return found != nodes_.end() && found->second.question > 0;
 }
 
 std::size_t permit_lender::entries() const {
     std::size_t count = 0;
-    for (const auto& [life, node] : nodes_) {
+    for (const auto& [process, node] : nodes_) {
         count += node.shares.size();
     }
     return count;
--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -17,7 +17,7 @@
     static permit_report first_report(std::uint64_t question, permit_use use) {
         permit_report report;
         report.node = "n";
-        report.life = 1;
+        report.process_id = 1;
         report.question = question;
         report.whole = true;
         report.uses = {std::move(use)};
@@ -104,7 +104,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, lender.in_use("t"));
         // A partial report from an unknown process of the node.
         permit_report part = first_report(8, use);
-        part.life = 2;
+        part.process_id = 2;
         part.whole = false;
         CPPUNIT_ASSERT(lender.answer(part, start_time).outcome == permit_outcome::wants_whole);
         // An unknown tenant, and more permits than the limit.
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -150,7 +150,7 @@
     };
     struct node {
         std::unique_ptr<permit_holder> holder;
-        std::uint64_t life = 0;
+        std::uint64_t process_id = 0;
         std::optional<instant> asked;
         instant last_report{};
         instant frozen_until{};
@@ -161,14 +161,14 @@
     /// A call that holds a permit and will not run.
     struct held_call {
         std::size_t node = 0;
-        std::uint64_t life = 0;
+        std::uint64_t process_id = 0;
         instant taken{};
         instant until{};
     };
     struct message {
         instant at{};
         std::size_t node = 0;
-        std::uint64_t life = 0;
+        std::uint64_t process_id = 0;
         bool to_lender = false;
         permit_report report;
         permit_answer answer;
@@ -176,9 +176,9 @@
 
     node make_node(std::size_t number) {
         node made;
-        made.life = ++last_life_;
-        made.holder =
-            std::make_unique<permit_holder>(rules_, "node-" + std::to_string(number), made.life);
+        made.process_id = ++last_process_id_;
+        made.holder = std::make_unique<permit_holder>(rules_, "node-" + std::to_string(number),
+                                                      made.process_id);
         made.holder->use({tenant_});
         return made;
     }
@@ -282,7 +282,7 @@
         }
         const auto most = std::chrono::duration_cast<milliseconds>(longest_hold).count();
         const duration held = milliseconds(random_() % static_cast<std::uint64_t>(most));
-        held_calls_.push_back({number, nodes_[number].life, now, now + held});
+        held_calls_.push_back({number, nodes_[number].process_id, now, now + held});
         return true;
     }
     void return_permits() {
@@ -291,7 +291,7 @@
                 return false;
             }
             node& holding = nodes_[call.node];
-            if (holding.life == call.life) {
+            if (holding.process_id == call.process_id) {
                 holding.holder->give_back(tenant_.name, call.taken, now);
                 ++returned;
             }
@@ -333,7 +333,7 @@
     std::vector<held_call> held_calls_;
     std::deque<instant> lender_losses_;
     double arrivals_ = 0;
-    std::uint64_t last_life_ = 0;
+    std::uint64_t last_process_id_ = 0;
 };
 
 }  // namespace tallyfold::tests
