--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -92,18 +92,18 @@
     tenants::permit_lender lender{tenants::quota_rules{}};
     lender.use(limits);
     lender.start(beginning - std::chrono::seconds(10));
-    std::uint64_t question = 0;
+    std::uint64_t sequence = 0;
     const auto round = [&] {
-        ++question;
+        ++sequence;
         return nanoseconds_each(node_count, [&](std::size_t node) {
             tenants::permit_report report;
             report.node = "node-" + std::to_string(node);
             report.process_id = 1;
-            report.question = question;
-            report.whole = question == 1;
+            report.sequence = sequence;
+            report.whole = sequence == 1;
             for (std::size_t number = 0; number < active; ++number) {
                 const std::string& name = limits[(node * active + number) % limits.size()].name;
-                report.uses.push_back({name, question, question, 1, 0, 0, 2});
+                report.uses.push_back({name, sequence, sequence, 1, 0, 0, 2});
             }
             lender.answer(report, beginning);
         });
--- a/src/tallyfold/plane/directory/permit_lending_shell.cpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.cpp
@@ -61,7 +61,7 @@
             log_heard(report, now);
         }
     } else {
-        answer.question = report.question;
+        answer.sequence = report.sequence;
         answer.outcome = tenants::permit_outcome::not_lender;
     }
     answer.leader = core_->leader_address();
--- a/src/tallyfold/plane/tenants/messages.hpp
+++ b/src/tallyfold/plane/tenants/messages.hpp
@@ -42,7 +42,7 @@
     /// Identifies the node's process; differs after each restart.
     std::uint64_t process_id = 0;
     /// Sequence number of the report within the process; increases by one.
-    std::uint64_t question = 0;
+    std::uint64_t sequence = 0;
     /// True: `uses` lists every tenant of which the node holds permits or has spent any recently.
     /// False: it lists those that changed since the last answered report.
     bool whole = false;
@@ -50,7 +50,7 @@
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(node, process_id, question, whole, uses);
+        archive(node, process_id, sequence, whole, uses);
     }
 };
 
@@ -82,7 +82,7 @@
 /// Answer to a report. With permit_outcome::granted, the node's reported ceilings stay valid for
 /// tenants that `grants` omits.
 struct permit_answer {
-    std::uint64_t question = 0;
+    std::uint64_t sequence = 0;
     permit_outcome outcome = permit_outcome::granted;
     /// Leader and its term, as known to the answering node.
     node_name leader;
@@ -94,7 +94,7 @@
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(question, outcome, leader, term, grants, settling);
+        archive(sequence, outcome, leader, term, grants, settling);
     }
 };
 
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -116,7 +116,7 @@
     permit_report report;
     report.node = node_;
     report.process_id = process_id_;
-    report.question = ++question_;
+    report.sequence = ++sequence_;
     report.whole = full_report_due_;
     for (auto entry = tenants_.begin(); entry != tenants_.end();) {
         auto& [tenant, held] = *entry;
@@ -142,7 +142,7 @@
 }
 
 bool permit_holder::apply(const permit_answer& answer, instant now) {
-    if (!awaits_answer_ || answer.question != question_) {
+    if (!awaits_answer_ || answer.sequence != sequence_) {
         return false;
     }
     awaits_answer_ = false;
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -79,7 +79,7 @@
     /// Delay after which permits may be free for the tenant's waiting calls, from the last answer.
     [[nodiscard]] duration retry_after(const tenant_name& tenant, permit_need need) const;
     /// Sequence number of the last report.
-    [[nodiscard]] std::uint64_t question() const { return question_; }
+    [[nodiscard]] std::uint64_t sequence() const { return sequence_; }
     /// Number of tenants with state at this node.
     [[nodiscard]] std::size_t active() const { return tenants_.size(); }
 
@@ -124,7 +124,7 @@
     std::unordered_set<tenant_name> limited_tenants_;
     std::unordered_map<tenant_name, held_permits> tenants_;
     /// Sequence number of the last report.
-    std::uint64_t question_ = 0;
+    std::uint64_t sequence_ = 0;
     instant report_sent_{};
     instant lease_end_{};
     /// The next report lists all tenants, not only those that changed.
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -179,20 +179,20 @@
 
 permit_answer permit_lender::answer(const permit_report& report, instant now) {
     permit_answer answer;
-    answer.question = report.question;
+    answer.sequence = report.sequence;
     node_entry& node = nodes_[{report.node, report.process_id}];
-    const bool follows = node.question > 0 && report.question > node.question;
+    const bool follows = node.sequence > 0 && report.sequence > node.sequence;
     if (!report.whole && !follows) {
         answer.outcome = permit_outcome::wants_whole;
         return answer;
     }
-    if (report.question <= node.question) {
+    if (report.sequence <= node.sequence) {
         // The report arrived after a newer one, so it is outdated.
         answer.outcome = permit_outcome::wants_whole;
         return answer;
     }
     answer.settling = now - started_ < settling_time;
-    node.question = report.question;
+    node.sequence = report.sequence;
     node.last_report = now;
     if (report.whole) {
         drop_unreported(node, report.uses);
@@ -226,7 +226,7 @@
 
 bool permit_lender::knows(const node_name& node, std::uint64_t process_id) const {
     const auto found = nodes_.find({node, process_id});
-    return found != nodes_.end() && found->second.question > 0;
+    return found != nodes_.end() && found->second.sequence > 0;
 }
 
 std::size_t permit_lender::entries() const {
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -70,7 +70,7 @@
         }
     };
     struct node_entry {
-        std::uint64_t question = 0;
+        std::uint64_t sequence = 0;
         instant last_report{};
         std::unordered_map<tenant_name, share> shares;
     };
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -77,7 +77,7 @@
             lender_unresponsive_ = true;
             logging::write_event(logging::event_id::quota_keeper_lost,
                                  "keeper=" + directory_.leader() +
-                                     " question=" + std::to_string(holder_.question()));
+                                     " question=" + std::to_string(holder_.sequence()));
         }
         wake_waiting_calls();
     }
@@ -106,7 +106,7 @@
 }
 
 void quota_client::on_answer(const permit_answer& answer) {
-    if (!report_sent_ || answer.question != holder_.question()) {
+    if (!report_sent_ || answer.sequence != holder_.sequence()) {
         return;
     }
     report_sent_.reset();
@@ -119,7 +119,7 @@
         }
         return;
     }
-    last_answered_ = answer.question;
+    last_answered_ = answer.sequence;
     if (lender_unresponsive_) {
         lender_unresponsive_ = false;
         logging::write_event(logging::event_id::quota_keeper_regained,
@@ -162,10 +162,10 @@
     if (report_sent_) {
         // The report in flight doesn't include this call; the next one does.
         has_unreported_call_ = true;
-        return holder_.question() + 1;
+        return holder_.sequence() + 1;
     }
     send_report();
-    return holder_.question();
+    return holder_.sequence();
 }
 
 asio::awaitable<void> quota_client::wait_for_answer() {
@@ -193,14 +193,14 @@
                                                                permit_need need) {
     const instant began = http::steady_now();
     instant reported = began;
-    std::uint64_t question = report_waiting_call();
+    std::uint64_t sequence = report_waiting_call();
     while (true) {
         co_await wait_for_answer();
         const instant now = http::steady_now();
         if (holder_.take(tenant, now)) {
             co_return permit_granted(now);
         }
-        const bool answered = last_answered_ >= question;
+        const bool answered = last_answered_ >= sequence;
         const bool refused_while_settling = answered && holder_.lender_settling();
         if (lender_unresponsive_ || refused_while_settling || now - reported > 2 * answer_timeout) {
             co_return acquire_without_lender(tenant);
@@ -212,7 +212,7 @@
             co_return *refusal;
         }
         // The next tick sends another report.
-        question = holder_.question() + 1;
+        sequence = holder_.sequence() + 1;
         reported = now;
     }
 }
--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -14,11 +14,11 @@
     CPPUNIT_TEST(readded_tenant_includes_permits_held_by_nodes);
     CPPUNIT_TEST_SUITE_END();
 
-    static permit_report first_report(std::uint64_t question, permit_use use) {
+    static permit_report first_report(std::uint64_t sequence, permit_use use) {
         permit_report report;
         report.node = "n";
         report.process_id = 1;
-        report.question = question;
+        report.sequence = sequence;
         report.whole = true;
         report.uses = {std::move(use)};
         return report;
@@ -50,10 +50,10 @@
     }
 
     /// Permits granted to a node that has spent all it had and requests `needed`.
-    static std::uint64_t granted(permit_lender& lender, std::uint64_t question, std::uint64_t spent,
+    static std::uint64_t granted(permit_lender& lender, std::uint64_t sequence, std::uint64_t spent,
                                  std::uint32_t needed, instant now) {
         const permit_use use{"t", spent, spent, static_cast<std::uint32_t>(spent), needed, 0, 0};
-        const permit_answer answer = lender.answer(first_report(question, use), now);
+        const permit_answer answer = lender.answer(first_report(sequence, use), now);
         return answer.grants.empty() ? 0 : answer.grants.front().ceiling - spent;
     }
 
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -225,7 +225,7 @@
     }
 
     void take_answer(node& asker, std::size_t number, const permit_answer& answer) {
-        if (!asker.asked || answer.question != asker.holder->question()) {
+        if (!asker.asked || answer.sequence != asker.holder->sequence()) {
             return;
         }
         asker.asked.reset();
@@ -233,7 +233,7 @@
             ask(asker, number);
             return;
         }
-        asker.answered = answer.question;
+        asker.answered = answer.sequence;
         asker.lender_lost = false;
     }
 
@@ -320,7 +320,7 @@
             return;
         }
         taker.holder->begin_wait(tenant_.name, permit_need::under_way);
-        taker.waiting.push_back({taker.holder->question() + 1, now});
+        taker.waiting.push_back({taker.holder->sequence() + 1, now});
     }
 
     std::mt19937_64 random_;
