--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -86,7 +86,7 @@
     std::printf("permit spent and given back: %.0f ns (%zu of %zu taken)\n", each, taken, lookups);
 }
 
-/// One round of whole reports by all nodes.
+/// One round of full reports by all nodes.
 void measure_keeper(std::size_t tenant_count, std::size_t node_count, std::size_t active) {
     const auto limits = make_tenants(tenant_count, 0);
     tenants::permit_lender lender{tenants::quota_rules{}};
@@ -100,7 +100,7 @@
             report.node = "node-" + std::to_string(node);
             report.process_id = 1;
             report.sequence = sequence;
-            report.whole = sequence == 1;
+            report.is_full = sequence == 1;
             for (std::size_t number = 0; number < active; ++number) {
                 const std::string& name = limits[(node * active + number) % limits.size()].name;
                 report.uses.push_back({name, sequence, sequence, 1, 0, 0, 2});
--- a/src/tallyfold/plane/tenants/messages.hpp
+++ b/src/tallyfold/plane/tenants/messages.hpp
@@ -45,12 +45,12 @@
     std::uint64_t sequence = 0;
     /// True: `uses` lists every tenant of which the node holds permits or has spent any recently.
     /// False: it lists those that changed since the last answered report.
-    bool whole = false;
+    bool is_full = false;
     std::vector<permit_use> uses;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(node, process_id, sequence, whole, uses);
+        archive(node, process_id, sequence, is_full, uses);
     }
 };
 
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -117,7 +117,7 @@
     report.node = node_;
     report.process_id = process_id_;
     report.sequence = ++sequence_;
-    report.whole = full_report_due_;
+    report.is_full = full_report_due_;
     for (auto entry = tenants_.begin(); entry != tenants_.end();) {
         auto& [tenant, held] = *entry;
         permit_use use = current_use(tenant, held, now);
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -182,7 +182,7 @@
     answer.sequence = report.sequence;
     node_entry& node = nodes_[{report.node, report.process_id}];
     const bool follows = node.sequence > 0 && report.sequence > node.sequence;
-    if (!report.whole && !follows) {
+    if (!report.is_full && !follows) {
         answer.outcome = permit_outcome::wants_whole;
         return answer;
     }
@@ -194,7 +194,7 @@
     answer.settling = now - started_ < settling_time;
     node.sequence = report.sequence;
     node.last_report = now;
-    if (report.whole) {
+    if (report.is_full) {
         drop_unreported(node, report.uses);
     }
     for (const permit_use& use : report.uses) {
--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -19,7 +19,7 @@
         report.node = "n";
         report.process_id = 1;
         report.sequence = sequence;
-        report.whole = true;
+        report.is_full = true;
         report.uses = {std::move(use)};
         return report;
     }
@@ -105,7 +105,7 @@
         // A partial report from an unknown process of the node.
         permit_report part = first_report(8, use);
         part.process_id = 2;
-        part.whole = false;
+        part.is_full = false;
         CPPUNIT_ASSERT(lender.answer(part, start_time).outcome == permit_outcome::wants_whole);
         // An unknown tenant, and more permits than the limit.
         const permit_answer unknown =
