--- a/src/tallyfold/plane/tenants/messages.hpp
+++ b/src/tallyfold/plane/tenants/messages.hpp
@@ -76,7 +76,7 @@
     /// The answering node is not the lender.
     not_lender,
     /// The lender needs a full report first.
-    wants_whole,
+    full_report_required,
 };
 
 /// Answer to a report. With permit_outcome::granted, the node's reported ceilings stay valid for
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -183,12 +183,12 @@
     node_entry& node = nodes_[{report.node, report.process_id}];
     const bool follows = node.sequence > 0 && report.sequence > node.sequence;
     if (!report.is_full && !follows) {
-        answer.outcome = permit_outcome::wants_whole;
+        answer.outcome = permit_outcome::full_report_required;
         return answer;
     }
     if (report.sequence <= node.sequence) {
         // The report arrived after a newer one, so it is outdated.
-        answer.outcome = permit_outcome::wants_whole;
+        answer.outcome = permit_outcome::full_report_required;
         return answer;
     }
     answer.settling = now - started_ < settling_time;
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -114,7 +114,7 @@
     if (!holder_.apply(answer, http::steady_now())) {
         // A lender that requires a full report gets it at once. A node that is not the lender may
         // have named the lender, which gets the report of the next tick.
-        if (answer.outcome == permit_outcome::wants_whole) {
+        if (answer.outcome == permit_outcome::full_report_required) {
             send_report();
         }
         return;
--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -98,15 +98,16 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, lender.in_use("t"));
         // A repeated report, and an older one.
         CPPUNIT_ASSERT(lender.answer(first_report(7, use), start_time).outcome ==
-                       permit_outcome::wants_whole);
+                       permit_outcome::full_report_required);
         CPPUNIT_ASSERT(lender.answer(first_report(3, use), start_time).outcome ==
-                       permit_outcome::wants_whole);
+                       permit_outcome::full_report_required);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, lender.in_use("t"));
         // A partial report from an unknown process of the node.
         permit_report part = first_report(8, use);
         part.process_id = 2;
         part.is_full = false;
-        CPPUNIT_ASSERT(lender.answer(part, start_time).outcome == permit_outcome::wants_whole);
+        CPPUNIT_ASSERT(lender.answer(part, start_time).outcome ==
+                       permit_outcome::full_report_required);
         // An unknown tenant, and more permits than the limit.
         const permit_answer unknown =
             lender.answer(first_report(9, {"nobody", 1, 500, 1, 10, 0, 10}), start_time);
