--- a/src/tallyfold/plane/tenants/messages.hpp
+++ b/src/tallyfold/plane/tenants/messages.hpp
@@ -23,16 +23,16 @@
     /// Permits spent within the quota's window, as counted by the node.
     std::uint32_t recent = 0;
     /// Calls of running programs that wait for a permit.
-    std::uint32_t needed = 0;
+    std::uint32_t waiting_running = 0;
     /// Calls that start a program and wait for a permit.
-    std::uint32_t beginning = 0;
+    std::uint32_t waiting_new = 0;
     /// Permits requested in advance for future calls, beyond those for waiting calls.
-    std::uint32_t wanted = 0;
+    std::uint32_t spare_wanted = 0;
 
     bool operator==(const permit_use&) const = default;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(tenant, spent, ceiling, recent, needed, beginning, wanted);
+        archive(tenant, spent, ceiling, recent, waiting_running, waiting_new, spare_wanted);
     }
 };
 
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -68,13 +68,13 @@
 
 void permit_holder::begin_wait(const tenant_name& tenant, permit_need need) {
     held_permits& held = permits_of(tenant);
-    ++(need == permit_need::under_way ? held.waiting_under_way : held.waiting_new);
+    ++(need == permit_need::under_way ? held.waiting_running : held.waiting_new);
 }
 
 void permit_holder::end_wait(const tenant_name& tenant, permit_need need) {
     held_permits& held = permits_of(tenant);
     std::uint32_t& waiting =
-        need == permit_need::under_way ? held.waiting_under_way : held.waiting_new;
+        need == permit_need::under_way ? held.waiting_running : held.waiting_new;
     waiting -= std::min(waiting, 1U);
 }
 
@@ -87,12 +87,12 @@
     use.spent = held.spent;
     use.ceiling = std::max(held.ceiling, held.spent);
     use.recent = held.recent.count(now);
-    use.needed = held.waiting_under_way;
-    use.beginning = held.waiting_new;
+    use.waiting_running = held.waiting_running;
+    use.waiting_new = held.waiting_new;
     if (spare_permits_enabled_ && limited(tenant) && now - held.last_call < tenant_idle_timeout) {
         const double expected_calls =
             static_cast<double>(use.recent) * spare_permit_horizon / rules_.window;
-        use.wanted += 1 + static_cast<std::uint32_t>(std::ceil(expected_calls));
+        use.spare_wanted += 1 + static_cast<std::uint32_t>(std::ceil(expected_calls));
     }
     return use;
 }
@@ -121,15 +121,15 @@
     for (auto entry = tenants_.begin(); entry != tenants_.end();) {
         auto& [tenant, held] = *entry;
         permit_use use = current_use(tenant, held, now);
-        const bool idle = use.recent == 0 && use.ceiling == use.spent && use.wanted == 0 &&
-                          use.needed == 0 && use.beginning == 0 &&
+        const bool idle = use.recent == 0 && use.ceiling == use.spent && use.spare_wanted == 0 &&
+                          use.waiting_running == 0 && use.waiting_new == 0 &&
                           now - held.last_call >= tenant_idle_timeout;
         if (idle && (full_report_due_ || use == held.acknowledged_use)) {
             entry = tenants_.erase(entry);
             continue;
         }
-        if (full_report_due_ || use != held.acknowledged_use || use.needed > 0 ||
-            use.beginning > 0) {
+        if (full_report_due_ || use != held.acknowledged_use || use.waiting_running > 0 ||
+            use.waiting_new > 0) {
             report.uses.push_back(std::move(use));
         }
         ++entry;
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -97,7 +97,7 @@
         /// Permits of `recent` that the lender had granted by its last answer.
         std::uint32_t granted_recent = 0;
         /// Calls that wait for a permit, of running programs and of new ones.
-        std::uint32_t waiting_under_way = 0;
+        std::uint32_t waiting_running = 0;
         std::uint32_t waiting_new = 0;
         /// As in the last permit_grant.
         std::uint32_t retry_after_ms = 0;
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -110,14 +110,14 @@
 
 void permit_lender::set_retry_delays(permit_grant& granted, const permit_use& use,
                                      const lendable& lent, const limit_use& held) const {
-    if (lent.needed < use.needed) {
-        granted.retry_after_ms = time_to_free_ms(held, use.needed - lent.needed, rules_);
+    if (lent.needed < use.waiting_running) {
+        granted.retry_after_ms = time_to_free_ms(held, use.waiting_running - lent.needed, rules_);
     }
-    if (lent.beginning < use.beginning) {
+    if (lent.beginning < use.waiting_new) {
         const double open = held.limit * (1 - reserved_share);
         const double over = std::max(0.0, static_cast<double>(held.spent) - open);
         granted.retry_new_program_after_ms =
-            time_to_free_ms(held, over + use.beginning - lent.beginning, rules_);
+            time_to_free_ms(held, over + use.waiting_new - lent.beginning, rules_);
     }
 }
 
@@ -145,7 +145,8 @@
     known.ceiling = std::max(use.ceiling, granted.ceiling);
     add(held, known);
     set_retry_delays(granted, use, lent, held);
-    const bool all_granted = lent.needed >= use.needed && lent.beginning >= use.beginning;
+    const bool all_granted =
+        lent.needed >= use.waiting_running && lent.beginning >= use.waiting_new;
     if (granted.ceiling == use.ceiling && all_granted) {
         return std::nullopt;
     }
--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -28,20 +28,20 @@
                                  duration running_for, double within_limit) {
     const double by_rate = tenant.rate_per_second * seconds(running_for);
     lendable lent;
-    lent.needed = std::min({static_cast<double>(use.needed), within_limit,
+    lent.needed = std::min({static_cast<double>(use.waiting_running), within_limit,
                             whole_permits_left(by_rate - tenant.lent_since_start, 0)});
-    lent.spare = std::min(static_cast<double>(use.wanted), held_by_node(use));
+    lent.spare = std::min(static_cast<double>(use.spare_wanted), held_by_node(use));
     return lent;
 }
 
 lendable lendable_once_settled(const permit_use& use, const limit_use& tenant,
                                double within_limit) {
     lendable lent;
-    lent.needed = std::min<double>(use.needed, within_limit);
+    lent.needed = std::min<double>(use.waiting_running, within_limit);
     const double unreserved = whole_permits_left(tenant.limit * (1 - reserved_share), tenant.spent);
     const double available_to_new = std::max(0.0, unreserved - lent.needed);
-    lent.beginning = std::min<double>(use.beginning, available_to_new);
-    lent.spare = std::min(static_cast<double>(use.wanted), available_to_new - lent.beginning);
+    lent.beginning = std::min<double>(use.waiting_new, available_to_new);
+    lent.spare = std::min(static_cast<double>(use.spare_wanted), available_to_new - lent.beginning);
     return lent;
 }
 
--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -40,10 +40,10 @@
         // New programs may use 45; 11 permits are free again at 12 a second.
         CPPUNIT_ASSERT_EQUAL(916U, later.grants.front().retry_new_program_after_ms);
         CPPUNIT_ASSERT_EQUAL(0U, later.grants.front().retry_after_ms);
-        use.needed = 2;
+        use.waiting_running = 2;
         const permit_answer answer = lender.answer(first_report(2, use), start_time);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{57}, answer.grants.front().ceiling);
-        use.needed = 9;
+        use.waiting_running = 9;
         const permit_answer refused = lender.answer(first_report(3, use), start_time);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{60}, refused.grants.front().ceiling);
         CPPUNIT_ASSERT(refused.grants.front().retry_after_ms > 0);
--- a/tests/plane/tenants/permit_rule_test.cpp
+++ b/tests/plane/tenants/permit_rule_test.cpp
@@ -28,9 +28,9 @@
     static limit_use tenant_with(std::uint64_t counted, std::uint64_t spent) {
         return {10, 60, 86, counted, spent, 0};
     }
-    static permit_use asking_for(std::uint32_t needed, std::uint32_t beginning,
-                                 std::uint32_t wanted) {
-        return {"t", 0, 0, 0, needed, beginning, wanted};
+    static permit_use asking_for(std::uint32_t waiting_running, std::uint32_t waiting_new,
+                                 std::uint32_t spare_wanted) {
+        return {"t", 0, 0, 0, waiting_running, waiting_new, spare_wanted};
     }
     static lendable lent(const permit_use& use, const limit_use& tenant,
                          duration running_for = long_ago) {
