--- a/src/tallyfold/plane/directory/permit_lending_shell.cpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.cpp
@@ -42,7 +42,7 @@
     std::uint64_t lent = 0;
     for (const tenants::permit_use& use : report.uses) {
         recent += use.recent;
-        lent += use.ceiling - std::min(use.ceiling, use.spent);
+        lent += use.spent_limit - std::min(use.spent_limit, use.spent);
     }
     logging::write_event(
         logging::event_id::permit_node_heard,
--- a/src/tallyfold/plane/tenants/messages.hpp
+++ b/src/tallyfold/plane/tenants/messages.hpp
@@ -19,7 +19,7 @@
     /// Permits spent by this process, less those returned.
     std::uint64_t spent = 0;
     /// Value that `spent` may reach.
-    std::uint64_t ceiling = 0;
+    std::uint64_t spent_limit = 0;
     /// Permits spent within the quota's window, as counted by the node.
     std::uint32_t recent = 0;
     /// Calls of running programs that wait for a permit.
@@ -32,7 +32,7 @@
     bool operator==(const permit_use&) const = default;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(tenant, spent, ceiling, recent, waiting_running, waiting_new, spare_wanted);
+        archive(tenant, spent, spent_limit, recent, waiting_running, waiting_new, spare_wanted);
     }
 };
 
@@ -58,7 +58,7 @@
 struct permit_grant {
     tenant_name tenant;
     /// As in permit_use.
-    std::uint64_t ceiling = 0;
+    std::uint64_t spent_limit = 0;
     /// Delay in milliseconds after which permits may be free for calls that got none, of running
     /// programs and of new ones; 0 when all calls were granted.
     std::uint32_t retry_after_ms = 0;
@@ -67,7 +67,7 @@
     bool operator==(const permit_grant&) const = default;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(tenant, ceiling, retry_after_ms, retry_new_program_after_ms);
+        archive(tenant, spent_limit, retry_after_ms, retry_new_program_after_ms);
     }
 };
 
@@ -79,8 +79,8 @@
     full_report_required,
 };
 
-/// Answer to a report. With permit_outcome::granted, the node's reported ceilings stay valid for
-/// tenants that `grants` omits.
+/// Answer to a report. With permit_outcome::granted, the node's spent limits that the node reported
+/// stay valid for tenants that `grants` omits.
 struct permit_answer {
     std::uint64_t sequence = 0;
     permit_outcome outcome = permit_outcome::granted;
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -24,7 +24,7 @@
     }
     held_permits& held = permits_of(tenant);
     held.last_call = now;
-    if (!lease_is_valid(now) || held.spent >= held.ceiling) {
+    if (!lease_is_valid(now) || held.spent >= held.spent_limit) {
         return false;
     }
     ++held.spent;
@@ -45,7 +45,7 @@
         return false;
     }
     ++held.spent;
-    held.ceiling = std::max(held.ceiling, held.spent);
+    held.spent_limit = std::max(held.spent_limit, held.spent);
     held.recent.add(now);
     held.spent_without_lender.add(now);
     return true;
@@ -80,12 +80,12 @@
 
 permit_use permit_holder::current_use(const tenant_name& tenant, held_permits& held, instant now) {
     if (!lease_is_valid(now)) {
-        held.ceiling = held.spent;
+        held.spent_limit = held.spent;
     }
     permit_use use;
     use.tenant = tenant;
     use.spent = held.spent;
-    use.ceiling = std::max(held.ceiling, held.spent);
+    use.spent_limit = std::max(held.spent_limit, held.spent);
     use.recent = held.recent.count(now);
     use.waiting_running = held.waiting_running;
     use.waiting_new = held.waiting_new;
@@ -121,9 +121,9 @@
     for (auto entry = tenants_.begin(); entry != tenants_.end();) {
         auto& [tenant, held] = *entry;
         permit_use use = current_use(tenant, held, now);
-        const bool idle = use.recent == 0 && use.ceiling == use.spent && use.spare_wanted == 0 &&
-                          use.waiting_running == 0 && use.waiting_new == 0 &&
-                          now - held.last_call >= tenant_idle_timeout;
+        const bool idle = use.recent == 0 && use.spent_limit == use.spent &&
+                          use.spare_wanted == 0 && use.waiting_running == 0 &&
+                          use.waiting_new == 0 && now - held.last_call >= tenant_idle_timeout;
         if (idle && (full_report_due_ || use == held.acknowledged_use)) {
             entry = tenants_.erase(entry);
             continue;
@@ -178,11 +178,11 @@
         if (found == tenants_.end()) {
             continue;
         }
-        found->second.ceiling = granted.ceiling;
-        // Keeps the higher ceiling as acknowledged, so that a lowered one is reported: the lender
+        found->second.spent_limit = granted.spent_limit;
+        // Keeps the higher limit as acknowledged, so that a lowered one is reported: the lender
         // frees the permits only then.
-        found->second.acknowledged_use.ceiling =
-            std::max(granted.ceiling, found->second.acknowledged_use.ceiling);
+        found->second.acknowledged_use.spent_limit =
+            std::max(granted.spent_limit, found->second.acknowledged_use.spent_limit);
         found->second.retry_after_ms = granted.retry_after_ms;
         found->second.retry_new_program_after_ms = granted.retry_new_program_after_ms;
     }
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// Permits that one node may spend, by tenant. Pure; counterpart of permit_lender, whose leases it
-/// spends. Owns the node's counts of spent permits and waiting calls, and its ceilings;
+/// spends. Owns the node's counts of spent permits and waiting calls, and its spent limits;
 /// quota_client carries the messages.
 
 #include <cstdint>
@@ -89,7 +89,7 @@
         /// Permits spent by this process, less those returned.
         std::uint64_t spent = 0;
         /// Value that `spent` may reach while the lease is valid.
-        std::uint64_t ceiling = 0;
+        std::uint64_t spent_limit = 0;
         /// Permits spent within the window.
         spent_window recent;
         /// Permits of `recent` that were spent without a grant of the lender.
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -73,9 +73,9 @@
     share& known = entry->second;
     record_spending(held, is_new ? nullptr : &known, use, now);
     remove(held.use, known);
-    const std::uint64_t initial_ceiling =
-        is_new ? std::max(use.ceiling, use.spent) : known.initial_ceiling;
-    known = {use.spent, use.ceiling, use.recent, initial_ceiling};
+    const std::uint64_t initial_spent_limit =
+        is_new ? std::max(use.spent_limit, use.spent) : known.initial_spent_limit;
+    known = {use.spent, use.spent_limit, use.recent, initial_spent_limit};
     add(held.use, known);
 }
 
@@ -132,7 +132,7 @@
     share& known = node.shares[use.tenant];
     const double lent_since_start = held.lent_since_start;
     remove(held, known);
-    known.ceiling = known.spent;
+    known.spent_limit = known.spent;
     add(held, known);
     limit_use use_without_node = held;
     use_without_node.lent_since_start = lent_since_start;
@@ -141,13 +141,13 @@
     const double permits = lent.needed + lent.beginning + lent.spare;
     permit_grant granted{use.tenant, known.spent + static_cast<std::uint64_t>(permits), 0, 0};
     remove(held, known);
-    // Until the node reports a lower ceiling, it may spend up to its present one.
-    known.ceiling = std::max(use.ceiling, granted.ceiling);
+    // Until the node reports a lower limit, it may spend up to its present one.
+    known.spent_limit = std::max(use.spent_limit, granted.spent_limit);
     add(held, known);
     set_retry_delays(granted, use, lent, held);
     const bool all_granted =
         lent.needed >= use.waiting_running && lent.beginning >= use.waiting_new;
-    if (granted.ceiling == use.ceiling && all_granted) {
+    if (granted.spent_limit == use.spent_limit && all_granted) {
         return std::nullopt;
     }
     return granted;
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -56,17 +56,19 @@
     /// One tenant's permits at one node; fields as in permit_use.
     struct share {
         std::uint64_t spent = 0;
-        std::uint64_t ceiling = 0;
+        std::uint64_t spent_limit = 0;
         std::uint32_t recent = 0;
-        /// Ceiling in the node's first report to this lender.
-        std::uint64_t initial_ceiling = 0;
+        /// spent_limit in the node's first report to this lender.
+        std::uint64_t initial_spent_limit = 0;
 
-        [[nodiscard]] std::uint64_t lent() const { return ceiling > spent ? ceiling - spent : 0; }
+        [[nodiscard]] std::uint64_t lent() const {
+            return spent_limit > spent ? spent_limit - spent : 0;
+        }
         [[nodiscard]] std::uint64_t counted() const { return recent + lent(); }
         /// Negative when the node has returned permits of its first report.
         [[nodiscard]] double lent_since_start() const {
-            return static_cast<double>(std::max(ceiling, spent)) -
-                   static_cast<double>(initial_ceiling);
+            return static_cast<double>(std::max(spent_limit, spent)) -
+                   static_cast<double>(initial_spent_limit);
         }
     };
     struct node_entry {
@@ -90,7 +92,7 @@
     void record_spending(account& held, const share* known, const permit_use& use, instant now);
     /// See limit_use. @param held without what the requesting node has been lent
     static double left_by_token_bucket(account& held, instant now);
-    /// @return nothing when the reported ceiling stays and all waiting calls are granted
+    /// @return nothing when the reported spent_limit stays and all waiting calls are granted
     std::optional<permit_grant> grant(node_entry& node, const permit_use& use, instant now);
     /// Sets the retry delays for calls that were not granted.
     void set_retry_delays(permit_grant& granted, const permit_use& use, const lendable& lent,
--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -20,7 +20,7 @@
 }
 
 double held_by_node(const permit_use& use) {
-    return use.ceiling > use.spent ? static_cast<double>(use.ceiling - use.spent) : 0;
+    return use.spent_limit > use.spent ? static_cast<double>(use.spent_limit - use.spent) : 0;
 }
 
 /// Applies while the lender doesn't know yet what its predecessor lent.
--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -36,16 +36,16 @@
         // 55 of 60 are spent: none are left for new programs, five for running ones.
         permit_use use{"t", 55, 55, 55, 0, 1, 3};
         const permit_answer later = lender.answer(first_report(1, use), start_time);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{55}, later.grants.front().ceiling);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{55}, later.grants.front().spent_limit);
         // New programs may use 45; 11 permits are free again at 12 a second.
         CPPUNIT_ASSERT_EQUAL(916U, later.grants.front().retry_new_program_after_ms);
         CPPUNIT_ASSERT_EQUAL(0U, later.grants.front().retry_after_ms);
         use.waiting_running = 2;
         const permit_answer answer = lender.answer(first_report(2, use), start_time);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{57}, answer.grants.front().ceiling);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{57}, answer.grants.front().spent_limit);
         use.waiting_running = 9;
         const permit_answer refused = lender.answer(first_report(3, use), start_time);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{60}, refused.grants.front().ceiling);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{60}, refused.grants.front().spent_limit);
         CPPUNIT_ASSERT(refused.grants.front().retry_after_ms > 0);
     }
 
@@ -54,7 +54,7 @@
                                  std::uint32_t needed, instant now) {
         const permit_use use{"t", spent, spent, static_cast<std::uint32_t>(spent), needed, 0, 0};
         const permit_answer answer = lender.answer(first_report(sequence, use), now);
-        return answer.grants.empty() ? 0 : answer.grants.front().ceiling - spent;
+        return answer.grants.empty() ? 0 : answer.grants.front().spent_limit - spent;
     }
 
     void lends_at_the_rate_after_a_burst() {
@@ -111,10 +111,10 @@
         // An unknown tenant, and more permits than the limit.
         const permit_answer unknown =
             lender.answer(first_report(9, {"nobody", 1, 500, 1, 10, 0, 10}), start_time);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, unknown.grants.front().ceiling);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, unknown.grants.front().spent_limit);
         const permit_answer absurd = lender.answer(
             first_report(10, {"t", 0, 0, 0, 4'000'000'000U, 0, 4'000'000'000U}), start_time);
-        CPPUNIT_ASSERT(absurd.grants.front().ceiling <= 60);
+        CPPUNIT_ASSERT(absurd.grants.front().spent_limit <= 60);
         lender.expire(start_time + std::chrono::seconds(8));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, lender.in_use("t"));
     }
--- a/tests/plane/tenants/permit_rule_test.cpp
+++ b/tests/plane/tenants/permit_rule_test.cpp
@@ -70,7 +70,7 @@
     void a_node_keeps_its_permits_while_settling() {
         permit_use use = asking_for(0, 0, 9);
         use.spent = 10;
-        use.ceiling = 14;
+        use.spent_limit = 14;
         CPPUNIT_ASSERT_EQUAL(4.0, lent(use, tenant_with(0, 0), duration::zero()).spare);
     }
 
@@ -96,7 +96,7 @@
     void a_node_keeps_its_permits_in_the_first_window() {
         permit_use use = asking_for(0, 0, 9);
         use.spent = 10;
-        use.ceiling = 14;
+        use.spent_limit = 14;
         limit_use tenant = tenant_with(0, 0);
         tenant.lent_since_start = 99;
         CPPUNIT_ASSERT_EQUAL(4.0, lent(use, tenant, std::chrono::seconds(1)).spare);
@@ -136,7 +136,7 @@
             };
             const limit_use tenant = tenant_with(number(100), number(100));
             permit_use use = asking_for(number(200), number(200), number(200));
-            use.ceiling = number(100);
+            use.spent_limit = number(100);
             const duration running_for = std::chrono::milliseconds(number(8'000));
             const lendable open = lent(use, tenant, running_for);
             const double left = std::max(0.0, tenant.bound - static_cast<double>(tenant.counted));
