--- a/src/tallyfold/plane/directory/permit_lending_shell.cpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.cpp
@@ -41,7 +41,7 @@
     std::uint64_t recent = 0;
     std::uint64_t lent = 0;
     for (const tenants::permit_use& use : report.uses) {
-        recent += use.recent;
+        recent += use.spent_in_window;
         lent += use.spent_limit - std::min(use.spent_limit, use.spent);
     }
     logging::write_event(
--- a/src/tallyfold/plane/tenants/messages.hpp
+++ b/src/tallyfold/plane/tenants/messages.hpp
@@ -21,7 +21,7 @@
     /// Value that `spent` may reach.
     std::uint64_t spent_limit = 0;
     /// Permits spent within the quota's window, as counted by the node.
-    std::uint32_t recent = 0;
+    std::uint32_t spent_in_window = 0;
     /// Calls of running programs that wait for a permit.
     std::uint32_t waiting_running = 0;
     /// Calls that start a program and wait for a permit.
@@ -32,7 +32,8 @@
     bool operator==(const permit_use&) const = default;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(tenant, spent, spent_limit, recent, waiting_running, waiting_new, spare_wanted);
+        archive(tenant, spent, spent_limit, spent_in_window, waiting_running, waiting_new,
+                spare_wanted);
     }
 };
 
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -86,12 +86,12 @@
     use.tenant = tenant;
     use.spent = held.spent;
     use.spent_limit = std::max(held.spent_limit, held.spent);
-    use.recent = held.recent.count(now);
+    use.spent_in_window = held.recent.count(now);
     use.waiting_running = held.waiting_running;
     use.waiting_new = held.waiting_new;
     if (spare_permits_enabled_ && limited(tenant) && now - held.last_call < tenant_idle_timeout) {
         const double expected_calls =
-            static_cast<double>(use.recent) * spare_permit_horizon / rules_.window;
+            static_cast<double>(use.spent_in_window) * spare_permit_horizon / rules_.window;
         use.spare_wanted += 1 + static_cast<std::uint32_t>(std::ceil(expected_calls));
     }
     return use;
@@ -121,7 +121,7 @@
     for (auto entry = tenants_.begin(); entry != tenants_.end();) {
         auto& [tenant, held] = *entry;
         permit_use use = current_use(tenant, held, now);
-        const bool idle = use.recent == 0 && use.spent_limit == use.spent &&
+        const bool idle = use.spent_in_window == 0 && use.spent_limit == use.spent &&
                           use.spare_wanted == 0 && use.waiting_running == 0 &&
                           use.waiting_new == 0 && now - held.last_call >= tenant_idle_timeout;
         if (idle && (full_report_due_ || use == held.acknowledged_use)) {
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -15,13 +15,13 @@
 
 void permit_lender::add(limit_use& held, const share& known) {
     held.counted += known.counted();
-    held.spent += known.recent;
+    held.spent += known.spent_in_window;
     held.lent_since_start += known.lent_since_start();
 }
 
 void permit_lender::remove(limit_use& held, const share& known) {
     held.counted -= std::min(held.counted, known.counted());
-    held.spent -= std::min<std::uint64_t>(held.spent, known.recent);
+    held.spent -= std::min<std::uint64_t>(held.spent, known.spent_in_window);
     held.lent_since_start -= known.lent_since_start();
 }
 
@@ -75,7 +75,7 @@
     remove(held.use, known);
     const std::uint64_t initial_spent_limit =
         is_new ? std::max(use.spent_limit, use.spent) : known.initial_spent_limit;
-    known = {use.spent, use.spent_limit, use.recent, initial_spent_limit};
+    known = {use.spent, use.spent_limit, use.spent_in_window, initial_spent_limit};
     add(held.use, known);
 }
 
@@ -85,13 +85,14 @@
         // Spending before the lender's start is covered by the rate that it lends at in its first
         // window.
         if (now - started_ >= rules_.window) {
-            held.spending.add(now, use.recent);
+            held.spending.add(now, use.spent_in_window);
         }
         return;
     }
     if (use.spent >= known->spent) {
         // Permits spent since the last report that have left the window precede every span.
-        const std::uint64_t spent = std::min<std::uint64_t>(use.spent - known->spent, use.recent);
+        const std::uint64_t spent =
+            std::min<std::uint64_t>(use.spent - known->spent, use.spent_in_window);
         held.spending.add(now, static_cast<std::uint32_t>(spent));
     } else {
         held.spending.remove_oldest(known->spent - use.spent, now);
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -57,14 +57,14 @@
     struct share {
         std::uint64_t spent = 0;
         std::uint64_t spent_limit = 0;
-        std::uint32_t recent = 0;
+        std::uint32_t spent_in_window = 0;
         /// spent_limit in the node's first report to this lender.
         std::uint64_t initial_spent_limit = 0;
 
         [[nodiscard]] std::uint64_t lent() const {
             return spent_limit > spent ? spent_limit - spent : 0;
         }
-        [[nodiscard]] std::uint64_t counted() const { return recent + lent(); }
+        [[nodiscard]] std::uint64_t counted() const { return spent_in_window + lent(); }
         /// Negative when the node has returned permits of its first report.
         [[nodiscard]] double lent_since_start() const {
             return static_cast<double>(std::max(spent_limit, spent)) -
