--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -71,7 +71,7 @@
     tenants::permit_holder holder(tenants::quota_rules{}, "node", 1);
     holder.use(limits);
     for (const routing::tenant& tenant : limits) {
-        holder.begin_wait(tenant.name, tenants::permit_need::under_way);
+        holder.begin_wait(tenant.name, tenants::permit_need::running_program);
         holder.take(tenant.name, beginning);
     }
     exchange(holder, lender, beginning);
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -125,7 +125,7 @@
     // A program that has used no tokens yet is treated as new.
     const bool is_new_program = turn_ && turn_->used_tokens() == 0;
     const auto need =
-        is_new_program ? tenants::permit_need::new_program : tenants::permit_need::under_way;
+        is_new_program ? tenants::permit_need::new_program : tenants::permit_need::running_program;
     std::optional<local_answer> refused = co_await admission_.take_permit(need);
     co_return refused;
 }
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -68,13 +68,13 @@
 
 void permit_holder::begin_wait(const tenant_name& tenant, permit_need need) {
     held_permits& held = permits_of(tenant);
-    ++(need == permit_need::under_way ? held.waiting_running : held.waiting_new);
+    ++(need == permit_need::running_program ? held.waiting_running : held.waiting_new);
 }
 
 void permit_holder::end_wait(const tenant_name& tenant, permit_need need) {
     held_permits& held = permits_of(tenant);
     std::uint32_t& waiting =
-        need == permit_need::under_way ? held.waiting_running : held.waiting_new;
+        need == permit_need::running_program ? held.waiting_running : held.waiting_new;
     waiting -= std::min(waiting, 1U);
 }
 
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -21,7 +21,7 @@
 /// Kind of call that requests a permit.
 enum class permit_need : std::uint8_t {
     /// Belongs to a running program, which fails as a whole when the call is refused.
-    under_way,
+    running_program,
     /// Starts a program.
     new_program,
 };
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -180,7 +180,7 @@
                                                          instant now) const {
     const duration retry_after = holder_.retry_after(tenant, need);
     const bool free_in_time = now - began + retry_after <= max_permit_wait_;
-    if (need == permit_need::under_way && free_in_time) {
+    if (need == permit_need::running_program && free_in_time) {
         return std::nullopt;
     }
     permit_decision refusal;
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -238,7 +238,7 @@
     }
 
     void end_waiting(node& asker, bool admitted) {
-        asker.holder->end_wait(tenant_.name, permit_need::under_way);
+        asker.holder->end_wait(tenant_.name, permit_need::running_program);
         admitted ? spent.push_back(now) : void(++refused);
     }
 
@@ -319,7 +319,7 @@
                                                                  : void(++refused);
             return;
         }
-        taker.holder->begin_wait(tenant_.name, permit_need::under_way);
+        taker.holder->begin_wait(tenant_.name, permit_need::running_program);
         taker.waiting.push_back({taker.holder->sequence() + 1, now});
     }
 
--- a/tests/plane/tenants/spent_window_test.cpp
+++ b/tests/plane/tenants/spent_window_test.cpp
@@ -35,9 +35,9 @@
         const auto exchange = [&](instant now) {
             holder.apply(lender.answer(holder.report(now), now), now);
         };
-        holder.begin_wait("t", permit_need::under_way);
+        holder.begin_wait("t", permit_need::running_program);
         exchange(start_time);
-        holder.end_wait("t", permit_need::under_way);
+        holder.end_wait("t", permit_need::running_program);
         CPPUNIT_ASSERT(holder.take("t", start_time));
         const instant later = start_time + std::chrono::seconds(6);
         exchange(later);
