--- a/src/tallyfold/plane/directory/permit_lending_shell.cpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.cpp
@@ -55,9 +55,9 @@
 tenants::permit_answer permit_lending::answer(const tenants::permit_report& report, instant now) {
     tenants::permit_answer answer;
     if (lending_by_) {
-        const bool known = lender_.knows(report.node, report.process_id);
+        const bool known = lender_.has_report_from(report.node, report.process_id);
         answer = lender_.answer(report, now);
-        if (!known && lender_.knows(report.node, report.process_id)) {
+        if (!known && lender_.has_report_from(report.node, report.process_id)) {
             log_heard(report, now);
         }
     } else {
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -226,7 +226,7 @@
     return found == tenants_.end() ? 0 : found->second.use.counted;
 }
 
-bool permit_lender::knows(const node_name& node, std::uint64_t process_id) const {
+bool permit_lender::has_report_from(const node_name& node, std::uint64_t process_id) const {
     const auto found = nodes_.find({node, process_id});
     return found != nodes_.end() && found->second.sequence > 0;
 }
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -48,7 +48,7 @@
     /// Permits of the tenant that count at present, spent within the window or lent. For tests.
     [[nodiscard]] std::uint64_t in_use(const tenant_name& tenant) const;
     /// True when that process of the node has reported to this lender.
-    [[nodiscard]] bool knows(const node_name& node, std::uint64_t process_id) const;
+    [[nodiscard]] bool has_report_from(const node_name& node, std::uint64_t process_id) const;
     /// Number of entries, one for each tenant that is active at a node. For measurements of memory.
     [[nodiscard]] std::size_t entries() const;
 
