--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -114,7 +114,7 @@
         "lender, %zu tenants, %zu nodes, %zu tenants a report: %.1f us a report, "
         "%.2f ms a round, %zu entries\n",
         tenant_count, node_count, active, each / 1e3, each * static_cast<double>(node_count) / 1e6,
-        lender.entries());
+        lender.share_count());
 }
 
 }  // namespace
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -231,7 +231,7 @@
     return found != nodes_.end() && found->second.sequence > 0;
 }
 
-std::size_t permit_lender::entries() const {
+std::size_t permit_lender::share_count() const {
     std::size_t count = 0;
     for (const auto& [process, node] : nodes_) {
         count += node.shares.size();
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -50,7 +50,7 @@
     /// True when that process of the node has reported to this lender.
     [[nodiscard]] bool has_report_from(const node_name& node, std::uint64_t process_id) const;
     /// Number of entries, one for each tenant that is active at a node. For measurements of memory.
-    [[nodiscard]] std::size_t entries() const;
+    [[nodiscard]] std::size_t share_count() const;
 
   private:
     /// One tenant's permits at one node; fields as in permit_use.
