--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -72,13 +72,13 @@
     holder.use(limits);
     for (const routing::tenant& tenant : limits) {
         holder.begin_wait(tenant.name, tenants::permit_need::running_program);
-        holder.take(tenant.name, beginning);
+        holder.try_acquire(tenant.name, beginning);
     }
     exchange(holder, lender, beginning);
     std::size_t taken = 0;
     const double each = nanoseconds_each(lookups, [&](std::size_t number) {
         const std::string& name = limits[number % limits.size()].name;
-        if (holder.take(name, beginning)) {
+        if (holder.try_acquire(name, beginning)) {
             ++taken;
             holder.give_back(name, beginning, beginning);
         }
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -18,7 +18,7 @@
     return tenants_.try_emplace(tenant, rules_.window).first->second;
 }
 
-bool permit_holder::take(const tenant_name& tenant, instant now) {
+bool permit_holder::try_acquire(const tenant_name& tenant, instant now) {
     if (!limited(tenant)) {
         return true;
     }
@@ -32,7 +32,7 @@
     return true;
 }
 
-bool permit_holder::take_without_lender(const tenant_name& tenant, instant now) {
+bool permit_holder::try_acquire_without_lender(const tenant_name& tenant, instant now) {
     held_permits& held = permits_of(tenant);
     held.last_call = now;
     // A settling lender has refused the permit. A node without recently granted permits has no rate
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -48,11 +48,11 @@
     void set_spare_permits(bool spare) { spare_permits_enabled_ = spare; }
 
     /// Spends an available permit. @return false when there is none
-    bool take(const tenant_name& tenant, instant now);
+    bool try_acquire(const tenant_name& tenant, instant now);
     /// Spends a permit while the lender is unavailable. A node may continue at the rate that was
     /// last granted to it, plus one call, so that all nodes together stay close to what the lender
     /// has counted. While a new lender settles, only nodes with a granted rate may continue.
-    bool take_without_lender(const tenant_name& tenant, instant now);
+    bool try_acquire_without_lender(const tenant_name& tenant, instant now);
     /// Returns the permit of a call that was not run, so that it can be spent again.
     /// @param taken when the permit was spent
     /// @return false when the permit has left the window, and nothing changes
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -134,7 +134,7 @@
 
 permit_decision quota_client::acquire_without_lender(const tenant_name& tenant) {
     const instant now = http::steady_now();
-    if (holder_.take_without_lender(tenant, now)) {
+    if (holder_.try_acquire_without_lender(tenant, now)) {
         return permit_granted(now);
     }
     permit_decision decision;
@@ -144,7 +144,7 @@
 
 asio::awaitable<permit_decision> quota_client::acquire(tenant_name tenant, permit_need need) {
     const instant began = http::steady_now();
-    if (holder_.take(tenant, began)) {
+    if (holder_.try_acquire(tenant, began)) {
         co_return permit_granted(began);
     }
     if (lender_unresponsive_ || directory_.leader().empty()) {
@@ -197,7 +197,7 @@
     while (true) {
         co_await wait_for_answer();
         const instant now = http::steady_now();
-        if (holder_.take(tenant, now)) {
+        if (holder_.try_acquire(tenant, now)) {
             co_return permit_granted(now);
         }
         const bool answered = last_answered_ >= sequence;
--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -291,8 +291,8 @@
     void an_unlimited_tenant_needs_no_permit() {
         permit_holder holder(quota_rules{}, "n", 1);
         holder.use({limited_tenant("free", 0, 0), limited_tenant("t", 10, 10)});
-        CPPUNIT_ASSERT(holder.take("free", start_time));
-        CPPUNIT_ASSERT(!holder.take("t", start_time));
+        CPPUNIT_ASSERT(holder.try_acquire("free", start_time));
+        CPPUNIT_ASSERT(!holder.try_acquire("t", start_time));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, holder.active());
     }
 };
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -253,17 +253,18 @@
             each.lender_lost = true;
         }
         std::erase_if(each.waiting, [&](const waiting_call& call) {
-            if (each.holder->take(tenant_.name, now)) {
+            if (each.holder->try_acquire(tenant_.name, now)) {
                 end_waiting(each, true);
                 return true;
             }
             if (each.lender_lost) {
-                end_waiting(each, each.holder->take_without_lender(tenant_.name, now));
+                end_waiting(each, each.holder->try_acquire_without_lender(tenant_.name, now));
                 return true;
             }
             if (each.answered >= call.needed) {
                 const bool settling = each.holder->lender_settling();
-                end_waiting(each, settling && each.holder->take_without_lender(tenant_.name, now));
+                end_waiting(each,
+                            settling && each.holder->try_acquire_without_lender(tenant_.name, now));
                 return true;
             }
             return false;
@@ -301,7 +302,7 @@
 
     void call(std::size_t number) {
         node& taker = nodes_[number];
-        if (taker.holder->take(tenant_.name, now)) {
+        if (taker.holder->try_acquire(tenant_.name, now)) {
             if (hold_permit(number)) {
                 return;
             }
@@ -315,8 +316,8 @@
             return;
         }
         if (taker.lender_lost) {
-            taker.holder->take_without_lender(tenant_.name, now) ? spent.push_back(now)
-                                                                 : void(++refused);
+            taker.holder->try_acquire_without_lender(tenant_.name, now) ? spent.push_back(now)
+                                                                        : void(++refused);
             return;
         }
         taker.holder->begin_wait(tenant_.name, permit_need::running_program);
--- a/tests/plane/tenants/spent_window_test.cpp
+++ b/tests/plane/tenants/spent_window_test.cpp
@@ -38,13 +38,13 @@
         holder.begin_wait("t", permit_need::running_program);
         exchange(start_time);
         holder.end_wait("t", permit_need::running_program);
-        CPPUNIT_ASSERT(holder.take("t", start_time));
+        CPPUNIT_ASSERT(holder.try_acquire("t", start_time));
         const instant later = start_time + std::chrono::seconds(6);
         exchange(later);
         const std::uint64_t counted = lender.in_use("t");
         CPPUNIT_ASSERT(!holder.give_back("t", start_time, later));
         std::uint64_t taken = 0;
-        while (holder.take("t", later)) {
+        while (holder.try_acquire("t", later)) {
             ++taken;
         }
         CPPUNIT_ASSERT(taken <= counted);
