--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -80,7 +80,7 @@
         const std::string& name = limits[number % limits.size()].name;
         if (holder.try_acquire(name, beginning)) {
             ++taken;
-            holder.give_back(name, beginning, beginning);
+            holder.release(name, beginning, beginning);
         }
     });
     std::printf("permit spent and given back: %.0f ns (%zu of %zu taken)\n", each, taken, lookups);
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -51,7 +51,7 @@
     return true;
 }
 
-bool permit_holder::give_back(const tenant_name& tenant, instant taken, instant now) {
+bool permit_holder::release(const tenant_name& tenant, instant taken, instant now) {
     const auto found = tenants_.find(tenant);
     if (found == tenants_.end()) {
         return false;
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -56,7 +56,7 @@
     /// Returns the permit of a call that was not run, so that it can be spent again.
     /// @param taken when the permit was spent
     /// @return false when the permit has left the window, and nothing changes
-    bool give_back(const tenant_name& tenant, instant taken, instant now);
+    bool release(const tenant_name& tenant, instant taken, instant now);
     /// Counts a call that waits for a permit, until end_wait().
     void begin_wait(const tenant_name& tenant, permit_need need);
     void end_wait(const tenant_name& tenant, permit_need need);
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -218,7 +218,7 @@
 }
 
 bool quota_client::return_permit(const tenant_name& tenant, instant taken) {
-    return holder_.give_back(tenant, taken, http::steady_now());
+    return holder_.release(tenant, taken, http::steady_now());
 }
 
 }  // namespace tallyfold::tenants
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -293,7 +293,7 @@
             }
             node& holding = nodes_[call.node];
             if (holding.process_id == call.process_id) {
-                holding.holder->give_back(tenant_.name, call.taken, now);
+                holding.holder->release(tenant_.name, call.taken, now);
                 ++returned;
             }
             return true;
@@ -309,7 +309,7 @@
             spent.push_back(now);
             if (random_() % 50 == 0) {
                 // The call was not run.
-                taker.holder->give_back(tenant_.name, now, now);
+                taker.holder->release(tenant_.name, now, now);
                 spent.pop_back();
                 ++returned;
             }
--- a/tests/plane/tenants/spent_window_test.cpp
+++ b/tests/plane/tenants/spent_window_test.cpp
@@ -42,7 +42,7 @@
         const instant later = start_time + std::chrono::seconds(6);
         exchange(later);
         const std::uint64_t counted = lender.in_use("t");
-        CPPUNIT_ASSERT(!holder.give_back("t", start_time, later));
+        CPPUNIT_ASSERT(!holder.release("t", start_time, later));
         std::uint64_t taken = 0;
         while (holder.try_acquire("t", later)) {
             ++taken;
