--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -81,7 +81,7 @@
     /// Sequence number of the last report.
     [[nodiscard]] std::uint64_t sequence() const { return sequence_; }
     /// Number of tenants with state at this node.
-    [[nodiscard]] std::size_t active() const { return tenants_.size(); }
+    [[nodiscard]] std::size_t tenant_count() const { return tenants_.size(); }
 
   private:
     struct held_permits {
--- a/tests/plane/tenants/quota_test.cpp
+++ b/tests/plane/tenants/quota_test.cpp
@@ -293,7 +293,7 @@
         holder.use({limited_tenant("free", 0, 0), limited_tenant("t", 10, 10)});
         CPPUNIT_ASSERT(holder.try_acquire("free", start_time));
         CPPUNIT_ASSERT(!holder.try_acquire("t", start_time));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, holder.active());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, holder.tenant_count());
     }
 };
 
