--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -81,7 +81,7 @@
 void backend_registry::first_byte_received(backend_call& call, instant now) {
     service_state& state = state_of(call.service);
     state.silence.first_byte_received(call.backend, call.started_at, now);
-    state.pace.prompt_read(call.uncached_tokens, now - call.started_at);
+    state.pace.record_prompt_processed(call.uncached_tokens, now - call.started_at);
     state.pool.prefilled(call.backend, call.uncached_tokens);
     call.awaits_first_byte = false;
 }
--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-void engine_pace::prompt_read(token_count tokens, duration took) {
+void engine_pace::record_prompt_processed(token_count tokens, duration took) {
     if (tokens >= min_prompt_tokens && took > duration::zero()) {
         track_minimum(read_ms_per_token_, milliseconds(took) / static_cast<double>(tokens));
     }
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -24,7 +24,7 @@
 
     /// Records that an engine processed `tokens` uncached prompt tokens and sent its first byte
     /// after `took`.
-    void prompt_read(token_count tokens, duration took);
+    void record_prompt_processed(token_count tokens, duration took);
     /// Records `events` events of one stream, received within `took`, the last of them at `now`.
     void record_events(const backend_name& engine, std::size_t events, duration took, instant now);
     /// Records the end of a stream, with the mean time between its events after the first.
--- a/tests/scheduling/engine_pace_test.cpp
+++ b/tests/scheduling/engine_pace_test.cpp
@@ -37,9 +37,9 @@
     void the_prompt_rate_is_that_of_an_idle_engine() {
         engine_pace pace;
         for (int count = 0; count < 50; ++count) {
-            pace.prompt_read(10'000, ms(100));
-            pace.prompt_read(10'000, ms(400));
-            pace.prompt_read(10, ms(90));
+            pace.record_prompt_processed(10'000, ms(100));
+            pace.record_prompt_processed(10'000, ms(400));
+            pace.record_prompt_processed(10, ms(90));
         }
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.01, pace.read_ms_per_token(), 0.002);
     }
@@ -79,7 +79,7 @@
             for (int count = 0; count < 100; ++count) {
                 now += std::chrono::milliseconds(*rc::gen::inRange(0, 500));
                 const duration took = std::chrono::milliseconds(*rc::gen::inRange(-10, 1'000'000));
-                pace.prompt_read(*rc::gen::arbitrary<std::uint32_t>(), took);
+                pace.record_prompt_processed(*rc::gen::arbitrary<std::uint32_t>(), took);
                 pace.record_events("a", *rc::gen::inRange<std::size_t>(0, 1000), took, now);
                 pace.stream_ended(took);
                 pace.call_ended(took);
