--- a/src/tallyfold/plane/forwarding/stream_pace.cpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.cpp
@@ -26,7 +26,7 @@
 void stream_pace::record_call_end(scheduling::engine_pace& pace, instant sent_at,
                                   instant now) const {
     if (event_count_ >= min_events_for_gap) {
-        pace.stream_ended((latest_event_at_ - first_event_at_) / (event_count_ - 1));
+        pace.record_stream_end((latest_event_at_ - first_event_at_) / (event_count_ - 1));
     }
     pace.call_ended(now - sent_at);
 }
--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -57,7 +57,7 @@
     }
 }
 
-void engine_pace::stream_ended(duration mean_gap) {
+void engine_pace::record_stream_end(duration mean_gap) {
     if (mean_gap <= duration::zero()) {
         return;
     }
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -28,7 +28,7 @@
     /// Records `events` events of one stream, received within `took`, the last of them at `now`.
     void record_events(const backend_name& engine, std::size_t events, duration took, instant now);
     /// Records the end of a stream, with the mean time between its events after the first.
-    void stream_ended(duration mean_gap);
+    void record_stream_end(duration mean_gap);
     /// Records a call that was answered `took` after it was sent.
     void call_ended(duration took);
     /// Removes the estimate for an engine that is gone.
--- a/tests/scheduling/engine_pace_test.cpp
+++ b/tests/scheduling/engine_pace_test.cpp
@@ -29,7 +29,7 @@
         for (int count = 0; count < 20; ++count) {
             for (const std::string& engine : engines) {
                 pace.record_events(engine, 1, ms(gap), now);
-                pace.stream_ended(ms(gap));
+                pace.record_stream_end(ms(gap));
             }
         }
     }
@@ -81,7 +81,7 @@
                 const duration took = std::chrono::milliseconds(*rc::gen::inRange(-10, 1'000'000));
                 pace.record_prompt_processed(*rc::gen::arbitrary<std::uint32_t>(), took);
                 pace.record_events("a", *rc::gen::inRange<std::size_t>(0, 1000), took, now);
-                pace.stream_ended(took);
+                pace.record_stream_end(took);
                 pace.call_ended(took);
                 RC_ASSERT(std::isfinite(pace.slowdown(now)) && pace.slowdown(now) >= 1);
                 RC_ASSERT(std::isfinite(pace.gap_ms("a", now)) && pace.gap_ms("a", now) >= 0);
