--- a/src/tallyfold/plane/forwarding/stream_pace.cpp
+++ b/src/tallyfold/plane/forwarding/stream_pace.cpp
@@ -28,7 +28,7 @@
     if (event_count_ >= min_events_for_gap) {
         pace.record_stream_end((latest_event_at_ - first_event_at_) / (event_count_ - 1));
     }
-    pace.call_ended(now - sent_at);
+    pace.record_call_end(now - sent_at);
 }
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -68,7 +68,7 @@
                           : gap;
 }
 
-void engine_pace::call_ended(duration took) {
+void engine_pace::record_call_end(duration took) {
     const double time = std::max(0.0, milliseconds(took));
     call_ms_ = call_ms_ > 0 ? call_ms_ + overall_average_weight * (time - call_ms_) : time;
 }
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -30,7 +30,7 @@
     /// Records the end of a stream, with the mean time between its events after the first.
     void record_stream_end(duration mean_gap);
     /// Records a call that was answered `took` after it was sent.
-    void call_ended(duration took);
+    void record_call_end(duration took);
     /// Removes the estimate for an engine that is gone.
     void forget(const backend_name& engine) { engines_.erase(engine); }
 
--- a/tests/scheduling/engine_pace_test.cpp
+++ b/tests/scheduling/engine_pace_test.cpp
@@ -82,7 +82,7 @@
                 pace.record_prompt_processed(*rc::gen::arbitrary<std::uint32_t>(), took);
                 pace.record_events("a", *rc::gen::inRange<std::size_t>(0, 1000), took, now);
                 pace.record_stream_end(took);
-                pace.call_ended(took);
+                pace.record_call_end(took);
                 RC_ASSERT(std::isfinite(pace.slowdown(now)) && pace.slowdown(now) >= 1);
                 RC_ASSERT(std::isfinite(pace.gap_ms("a", now)) && pace.gap_ms("a", now) >= 0);
                 RC_ASSERT(std::isfinite(pace.read_ms_per_token()));
