--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -131,8 +131,8 @@
 void backend_registry::incarnation_replaced(const std::string& service, const backend_name& name) {
     service_state& state = state_of(service);
     state.pool.set_drained(name, true);
-    state.pace.forget(name);
-    cache_.forget(name);
+    state.pace.remove_engine(name);
+    cache_.remove_engine(name);
 }
 
 void backend_registry::record_cached(const backend_name& name,
--- a/src/tallyfold/program_api/scheduler/backends.cpp
+++ b/src/tallyfold/program_api/scheduler/backends.cpp
@@ -52,7 +52,7 @@
         }
         if (happened.number <= last) {
             // The engine restarted: it holds nothing of what was believed.
-            cache_.forget(status.backend);
+            cache_.remove_engine(status.backend);
         } else if (happened.number != last + 1 && last != 0) {
             // What is believed stays: a belief that has become wrong costs one prefill, which
             // would have been needed anyhow, while forgetting all of them sends every program of
--- a/src/tallyfold/scheduling/cache_map.cpp
+++ b/src/tallyfold/scheduling/cache_map.cpp
@@ -53,7 +53,7 @@
     }
 }
 
-void cache_map::forget(const backend_name& engine) {
+void cache_map::remove_engine(const backend_name& engine) {
     const std::uint32_t id = engine_id(engine);
     for (auto position = entries_.begin(); position != entries_.end();) {
         std::erase_if(position->second.holders,
--- a/src/tallyfold/scheduling/cache_map.hpp
+++ b/src/tallyfold/scheduling/cache_map.hpp
@@ -55,7 +55,7 @@
     void stored(const backend_name& engine, const prefix_point& point);
     void removed(const backend_name& engine, prefix_hash hash);
     /// Removes all entries of an engine, after a gap in its events or a restart.
-    void forget(const backend_name& engine);
+    void remove_engine(const backend_name& engine);
 
     /// Engines estimated to hold the longest prefixes of the conversation: longest point first, and
     /// for a point those that hold most tokens of it first.
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -32,7 +32,7 @@
     /// Records a call that was answered `took` after it was sent.
     void record_call_end(duration took);
     /// Removes the estimate for an engine that is gone.
-    void forget(const backend_name& engine) { engines_.erase(engine); }
+    void remove_engine(const backend_name& engine) { engines_.erase(engine); }
 
     /// Prompt processing time of an idle engine, in milliseconds per token; 0 while unknown.
     [[nodiscard]] double read_ms_per_token() const { return read_ms_per_token_; }
