--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -91,9 +91,9 @@
         /// Value that `spent` may reach while the lease is valid.
         std::uint64_t spent_limit = 0;
         /// Permits spent within the window.
-        spent_window recent;
+        sliding_window_counter recent;
         /// Permits of `recent` that were spent without a grant of the lender.
-        spent_window spent_without_lender;
+        sliding_window_counter spent_without_lender;
         /// Permits of `recent` that the lender had granted by its last answer.
         std::uint32_t granted_recent = 0;
         /// Calls that wait for a permit, of running programs and of new ones.
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -32,12 +32,12 @@
         held.use.counted = 0;
         held.use.spent = 0;
         held.use.lent_since_start = 0;
-        held.spending = spent_window(rules_.window);
+        held.spending = sliding_window_counter(rules_.window);
     }
 }
 
 permit_lender::account permit_lender::open_account(const tenant_name& tenant) const {
-    account opened{{}, spent_window(rules_.window)};
+    account opened{{}, sliding_window_counter(rules_.window)};
     // Nodes may still hold permits from before the tenant was removed from the configuration.
     for (const auto& [process, node] : nodes_) {
         const auto known = node.shares.find(tenant);
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -79,7 +79,7 @@
     /// One tenant's limit, and when its permits were spent according to the reports.
     struct account {
         limit_use use;
-        spent_window spending;
+        sliding_window_counter spending;
     };
     using node_process_id = std::pair<node_name, std::uint64_t>;
 
--- a/src/tallyfold/plane/tenants/spent_window.hpp
+++ b/src/tallyfold/plane/tenants/spent_window.hpp
@@ -13,10 +13,10 @@
 
 namespace tallyfold::tenants {
 
-class spent_window {
+class sliding_window_counter {
   public:
     /// @param window length of the window, which is split into slots
-    explicit spent_window(duration window) : slot_length_(window / (slot_count - 1)) {}
+    explicit sliding_window_counter(duration window) : slot_length_(window / (slot_count - 1)) {}
 
     void add(instant now, std::uint32_t permits = 1) {
         advance_to(now);
--- a/tests/plane/tenants/spent_window_test.cpp
+++ b/tests/plane/tenants/spent_window_test.cpp
@@ -15,7 +15,7 @@
     // A returned permit must be removed from its own slot. Removed from a newer slot, it left the
     // later permit uncounted.
     void a_returned_permit_leaves_the_newer_one_counted() {
-        spent_window spent(std::chrono::seconds(5));
+        sliding_window_counter spent(std::chrono::seconds(5));
         const instant later = start_time + std::chrono::seconds(3);
         spent.add(start_time);
         spent.add(later);
