--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -28,7 +28,7 @@
 #include "tallyfold/plane/tenants/messages.hpp"
 #include "tallyfold/plane/tenants/permit_rule.hpp"
 #include "tallyfold/plane/tenants/quota_rules.hpp"
-#include "tallyfold/plane/tenants/spent_window.hpp"
+#include "tallyfold/plane/tenants/sliding_window_counter.hpp"
 
 namespace tallyfold::tenants {
 
--- a/tests/plane/tenants/spent_window_test.cpp
+++ b/tests/plane/tenants/sliding_window_counter_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/tenants/spent_window.hpp"
+#include "tallyfold/plane/tenants/sliding_window_counter.hpp"
 
 #include "tallyfold/plane/tenants/permit_holder.hpp"
 #include "tests/plane/tenants/quota_world.hpp"
@@ -6,8 +6,8 @@
 
 namespace tallyfold::tests {
 
-class spent_window_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(spent_window_test);
+class sliding_window_counter_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(sliding_window_counter_test);
     CPPUNIT_TEST(a_returned_permit_leaves_the_newer_one_counted);
     CPPUNIT_TEST(a_permit_outside_the_window_is_not_returned);
     CPPUNIT_TEST_SUITE_END();
@@ -51,6 +51,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(spent_window_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(sliding_window_counter_test);
 
 }  // namespace tallyfold::tests
