--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -110,7 +110,7 @@
 }
 
 void permit_lender::set_retry_delays(permit_grant& granted, const permit_use& use,
-                                     const lendable& lent, const limit_use& held) const {
+                                     const granted_permits& lent, const limit_use& held) const {
     if (lent.needed < use.waiting_running) {
         granted.retry_after_ms = time_to_free_ms(held, use.waiting_running - lent.needed, rules_);
     }
@@ -138,7 +138,7 @@
     limit_use use_without_node = held;
     use_without_node.lent_since_start = lent_since_start;
     use_without_node.left_by_token_bucket = left_by_token_bucket(tenant->second, now);
-    const lendable lent = lendable_permits(use, use_without_node, now - started_, rules_);
+    const granted_permits lent = lendable_permits(use, use_without_node, now - started_, rules_);
     const double permits = lent.needed + lent.beginning + lent.spare;
     permit_grant granted{use.tenant, known.spent + static_cast<std::uint64_t>(permits), 0, 0};
     remove(held, known);
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -95,7 +95,7 @@
     /// @return nothing when the reported spent_limit stays and all waiting calls are granted
     std::optional<permit_grant> grant(node_entry& node, const permit_use& use, instant now);
     /// Sets the retry delays for calls that were not granted.
-    void set_retry_delays(permit_grant& granted, const permit_use& use, const lendable& lent,
+    void set_retry_delays(permit_grant& granted, const permit_use& use, const granted_permits& lent,
                           const limit_use& held) const;
     /// Adds a node's share to the sums, or subtracts it.
     static void add(limit_use& held, const share& known);
--- a/src/tallyfold/plane/tenants/permit_rule.cpp
+++ b/src/tallyfold/plane/tenants/permit_rule.cpp
@@ -24,19 +24,19 @@
 }
 
 /// Applies while the lender doesn't know yet what its predecessor lent.
-lendable lendable_while_settling(const permit_use& use, const limit_use& tenant,
-                                 duration running_for, double within_limit) {
+granted_permits lendable_while_settling(const permit_use& use, const limit_use& tenant,
+                                        duration running_for, double within_limit) {
     const double by_rate = tenant.rate_per_second * seconds(running_for);
-    lendable lent;
+    granted_permits lent;
     lent.needed = std::min({static_cast<double>(use.waiting_running), within_limit,
                             whole_permits_left(by_rate - tenant.lent_since_start, 0)});
     lent.spare = std::min(static_cast<double>(use.spare_wanted), held_by_node(use));
     return lent;
 }
 
-lendable lendable_once_settled(const permit_use& use, const limit_use& tenant,
-                               double within_limit) {
-    lendable lent;
+granted_permits lendable_once_settled(const permit_use& use, const limit_use& tenant,
+                                      double within_limit) {
+    granted_permits lent;
     lent.needed = std::min<double>(use.waiting_running, within_limit);
     const double unreserved = whole_permits_left(tenant.limit * (1 - reserved_share), tenant.spent);
     const double available_to_new = std::max(0.0, unreserved - lent.needed);
@@ -84,15 +84,15 @@
     return std::max(beyond_rate - by_resolution, by_resolution + 1);
 }
 
-lendable lendable_permits(const permit_use& use, const limit_use& tenant, duration running_for,
-                          const quota_rules& rules) {
+granted_permits lendable_permits(const permit_use& use, const limit_use& tenant,
+                                 duration running_for, const quota_rules& rules) {
     const double bound = running_for < rules.window ? tenant.limit : tenant.bound;
     const double within_bound = whole_permits_left(bound, tenant.counted);
     const double within_limit =
         std::min(within_bound, whole_permits_left(tenant.limit, tenant.spent));
-    lendable lent = running_for < settling_time
-                        ? lendable_while_settling(use, tenant, running_for, within_limit)
-                        : lendable_once_settled(use, tenant, within_limit);
+    granted_permits lent = running_for < settling_time
+                               ? lendable_while_settling(use, tenant, running_for, within_limit)
+                               : lendable_once_settled(use, tenant, within_limit);
     const rate_headroom headroom = headroom_by_rate(use, tenant, running_for, rules);
     lent.needed = std::min(lent.needed, headroom.for_all);
     const double for_new =
--- a/src/tallyfold/plane/tenants/permit_rule.hpp
+++ b/src/tallyfold/plane/tenants/permit_rule.hpp
@@ -73,7 +73,7 @@
 double burst_tolerance_for(const limit_use& tenant, const quota_rules& rules, duration resolution);
 
 /// Permits that may be lent to one node; whole numbers.
-struct lendable {
+struct granted_permits {
     /// For the node's waiting calls, of running programs and of new ones.
     double needed = 0;
     double beginning = 0;
@@ -84,8 +84,8 @@
 /// @param use the node's request
 /// @param tenant without what this node has been lent, except what it has spent
 /// @param running_for time since the lender's start
-lendable lendable_permits(const permit_use& use, const limit_use& tenant, duration running_for,
-                          const quota_rules& rules);
+granted_permits lendable_permits(const permit_use& use, const limit_use& tenant,
+                                 duration running_for, const quota_rules& rules);
 
 /// Estimated time in milliseconds until `permits` are free again, at least 50: a spent permit is
 /// free a window later, on average at the rate that the limit allows.
--- a/tests/plane/tenants/permit_rule_test.cpp
+++ b/tests/plane/tenants/permit_rule_test.cpp
@@ -32,8 +32,8 @@
                                  std::uint32_t spare_wanted) {
         return {"t", 0, 0, 0, waiting_running, waiting_new, spare_wanted};
     }
-    static lendable lent(const permit_use& use, const limit_use& tenant,
-                         duration running_for = long_ago) {
+    static granted_permits lent(const permit_use& use, const limit_use& tenant,
+                                duration running_for = long_ago) {
         return lendable_permits(use, tenant, running_for, quota_rules{});
     }
 
@@ -42,7 +42,7 @@
     }
 
     void new_programs_leave_the_reserved_share() {
-        const lendable open = lent(asking_for(0, 9, 9), tenant_with(40, 40));
+        const granted_permits open = lent(asking_for(0, 9, 9), tenant_with(40, 40));
         CPPUNIT_ASSERT_EQUAL(5.0, open.beginning);
         CPPUNIT_ASSERT_EQUAL(0.0, open.spare);
         CPPUNIT_ASSERT_EQUAL(0.0, lent(asking_for(0, 9, 9), tenant_with(45, 45)).beginning);
@@ -52,7 +52,7 @@
 
     void permits_lent_elsewhere_count_against_the_bound_only() {
         // 20 are spent, and 50 more are lent to other nodes.
-        const lendable open = lent(asking_for(9, 0, 9), tenant_with(70, 20));
+        const granted_permits open = lent(asking_for(9, 0, 9), tenant_with(70, 20));
         CPPUNIT_ASSERT_EQUAL(9.0, open.needed);
         CPPUNIT_ASSERT_EQUAL(7.0, open.spare);
         CPPUNIT_ASSERT_EQUAL(0.0, lent(asking_for(9, 0, 9), tenant_with(86, 20)).needed);
@@ -107,7 +107,7 @@
         tenant.burst_tolerance = 20;
         tenant.left_by_token_bucket = 12.5;
         CPPUNIT_ASSERT_EQUAL(12.0, lent(asking_for(50, 9, 9), tenant).needed);
-        const lendable open = lent(asking_for(0, 4, 9), tenant);
+        const granted_permits open = lent(asking_for(0, 4, 9), tenant);
         CPPUNIT_ASSERT_EQUAL(4.0, open.beginning);
         CPPUNIT_ASSERT_EQUAL(3.0, open.spare);
         tenant.left_by_token_bucket = -3;
@@ -138,7 +138,7 @@
             permit_use use = asking_for(number(200), number(200), number(200));
             use.spent_limit = number(100);
             const duration running_for = std::chrono::milliseconds(number(8'000));
-            const lendable open = lent(use, tenant, running_for);
+            const granted_permits open = lent(use, tenant, running_for);
             const double left = std::max(0.0, tenant.bound - static_cast<double>(tenant.counted));
             RC_ASSERT(open.needed >= 0 && open.beginning >= 0 && open.spare >= 0);
             RC_ASSERT(open.needed + open.beginning + open.spare <= left);
