--- a/src/tallyfold/plane/tenants/messages.hpp
+++ b/src/tallyfold/plane/tenants/messages.hpp
@@ -80,8 +80,8 @@
     full_report_required,
 };
 
-/// Answer to a report. With permit_outcome::granted, the node's spent limits that the node reported
-/// stay valid for tenants that `grants` omits.
+/// Answer to a report. With permit_outcome::granted, the spent limits that the node reported stay
+/// valid for tenants that `grants` omits.
 struct permit_answer {
     std::uint64_t sequence = 0;
     permit_outcome outcome = permit_outcome::granted;
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -58,7 +58,7 @@
         std::uint64_t spent = 0;
         std::uint64_t spent_limit = 0;
         std::uint32_t spent_in_window = 0;
-        /// spent_limit in the node's first report to this lender.
+        /// The spent_limit in the node's first report to this lender.
         std::uint64_t initial_spent_limit = 0;
 
         [[nodiscard]] std::uint64_t lent() const {
