--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -71,39 +71,39 @@
     tenants::permit_holder holder(tenants::quota_rules{}, "node", 1);
     holder.use(limits);
     for (const routing::tenant& tenant : limits) {
-        holder.begin_wait(tenant.name, tenants::permit_need::under_way);
-        holder.take(tenant.name, beginning);
+        holder.begin_wait(tenant.name, tenants::permit_need::running_program);
+        holder.try_acquire(tenant.name, beginning);
     }
     exchange(holder, lender, beginning);
     std::size_t taken = 0;
     const double each = nanoseconds_each(lookups, [&](std::size_t number) {
         const std::string& name = limits[number % limits.size()].name;
-        if (holder.take(name, beginning)) {
+        if (holder.try_acquire(name, beginning)) {
             ++taken;
-            holder.give_back(name, beginning, beginning);
+            holder.release(name, beginning, beginning);
         }
     });
     std::printf("permit spent and given back: %.0f ns (%zu of %zu taken)\n", each, taken, lookups);
 }
 
-/// One round of whole reports by all nodes.
+/// One round of full reports by all nodes.
 void measure_keeper(std::size_t tenant_count, std::size_t node_count, std::size_t active) {
     const auto limits = make_tenants(tenant_count, 0);
     tenants::permit_lender lender{tenants::quota_rules{}};
     lender.use(limits);
     lender.start(beginning - std::chrono::seconds(10));
-    std::uint64_t question = 0;
+    std::uint64_t sequence = 0;
     const auto round = [&] {
-        ++question;
+        ++sequence;
         return nanoseconds_each(node_count, [&](std::size_t node) {
             tenants::permit_report report;
             report.node = "node-" + std::to_string(node);
-            report.life = 1;
-            report.question = question;
-            report.whole = question == 1;
+            report.process_id = 1;
+            report.sequence = sequence;
+            report.is_full = sequence == 1;
             for (std::size_t number = 0; number < active; ++number) {
                 const std::string& name = limits[(node * active + number) % limits.size()].name;
-                report.uses.push_back({name, question, question, 1, 0, 0, 2});
+                report.uses.push_back({name, sequence, sequence, 1, 0, 0, 2});
             }
             lender.answer(report, beginning);
         });
@@ -114,7 +114,7 @@
         "lender, %zu tenants, %zu nodes, %zu tenants a report: %.1f us a report, "
         "%.2f ms a round, %zu entries\n",
         tenant_count, node_count, active, each / 1e3, each * static_cast<double>(node_count) / 1e6,
-        lender.entries());
+        lender.share_count());
 }
 
 }  // namespace
--- a/src/tallyfold/consensus/log_store.cpp
+++ b/src/tallyfold/consensus/log_store.cpp
@@ -115,7 +115,7 @@
                 storage_error{storage_failure::damaged, snapshot_path(group, index) + ": missing"});
         }
     }
-    recovered_.cut_bytes = log_.cut_bytes();
+    recovered_.truncated_bytes = log_.truncated_bytes();
     return {};
 }
 
@@ -191,7 +191,7 @@
     for (const group_write& write : batch) {
         groups_[write.group].apply(write);
     }
-    if (log_.wants_rewrite()) {
+    if (log_.needs_rewrite()) {
         return rewrite_log();
     }
     if (has_snapshot) {
--- a/src/tallyfold/plane/decisions/own_answer.hpp
+++ b/src/tallyfold/plane/decisions/local_answer.hpp
@@ -15,7 +15,7 @@
 #include "tallyfold/plane/decisions/request_outcome.hpp"
 #include "tallyfold/plane/decisions/retry_after.hpp"
 #include "tallyfold/plane/tenants/permit_decision.hpp"
-#include "tallyfold/plane/turns/turn_beginning.hpp"
+#include "tallyfold/plane/turns/begin_coordinator.hpp"
 
 namespace tallyfold::forwarding {
 
@@ -39,7 +39,7 @@
     store_timeout,
 };
 
-struct own_answer {
+struct local_answer {
     unsigned status = 0;
     std::string reason;
     retry_after retry;
@@ -47,9 +47,9 @@
     request_outcome outcome = request_outcome::refused;
 };
 
-[[nodiscard]] own_answer answer_to(refusal why);
+[[nodiscard]] local_answer answer_to(refusal why);
 /// @param decision a decision that grants no permit
-[[nodiscard]] own_answer answer_without_permit(const tenants::permit_decision& decision);
+[[nodiscard]] local_answer answer_without_permit(const tenants::permit_decision& decision);
 
 /// A route or key that this node does not have may exist in a newer configuration, so it is
 /// reported as unknown only if the configuration is confirmed.
@@ -64,7 +64,7 @@
 [[nodiscard]] std::optional<refusal> refusal_of(turns::begin_result begun);
 
 /// State of a request after its last attempt.
-struct last_attempt {
+struct final_request_state {
     /// A complete answer of a back end was relayed.
     bool answered = false;
     bool client_disconnected = false;
@@ -78,14 +78,14 @@
 };
 
 /// Outcome of a request for which sending was attempted.
-struct request_end {
+struct request_result {
     request_outcome outcome = request_outcome::unknown;
     /// Reason for the log; may be empty.
     std::string reason;
     /// Generated answer; nothing if the caller already has an answer or has disconnected.
-    std::optional<own_answer> answer;
+    std::optional<local_answer> answer;
 };
 
-[[nodiscard]] request_end end_after(const last_attempt& last);
+[[nodiscard]] request_result result_after(const final_request_state& last);
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/decisions/silence_suspicion.hpp
+++ b/src/tallyfold/plane/decisions/silence_detector.hpp
@@ -16,17 +16,17 @@
 
 namespace tallyfold::forwarding {
 
-class silence_suspicion {
+class silence_detector {
   public:
     /// Records that a call was sent to the back end.
     void call_started(const backend_name& name, instant at);
     /// Records the first byte of the answer to a call that was sent at `started`.
-    void first_byte_came(const backend_name& name, instant started, instant now);
+    void first_byte_received(const backend_name& name, instant started, instant now);
     /// Records that a call sent at `started` ended without a byte of an answer.
     void call_ended(const backend_name& name, instant started);
 
     /// Back ends whose oldest call without a byte has waited longer than limit().
-    [[nodiscard]] std::vector<backend_name> silent(instant now) const;
+    [[nodiscard]] std::vector<backend_name> overdue_backends(instant now) const;
     /// Time without a byte after which a back end is suspected.
     [[nodiscard]] duration limit() const;
 
--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -44,7 +44,7 @@
     return held_->version;
 }
 
-std::optional<duration> configuration_fetch::fetching_for(instant now) const {
+std::optional<duration> configuration_fetch::fetch_duration(instant now) const {
     return pending_node_.empty() ? std::nullopt : std::optional<duration>(now - started_at_);
 }
 
@@ -57,7 +57,7 @@
     return request;
 }
 
-std::optional<configuration_request> configuration_fetch::told(
+std::optional<configuration_request> configuration_fetch::on_version_report(
     const node_name& node, routing::configuration_version version, instant now) {
     if (version <= held_->version) {
         return std::nullopt;
@@ -74,7 +74,7 @@
     return next_request();
 }
 
-bool configuration_fetch::take_whole(const configuration_pointer& whole) {
+bool configuration_fetch::accept_full_configuration(const configuration_pointer& whole) {
     if (whole->version <= held_->version) {
         return false;
     }
@@ -82,7 +82,7 @@
     return true;
 }
 
-void configuration_fetch::lost(const node_name& node) {
+void configuration_fetch::on_disconnect(const node_name& node) {
     if (pending_node_ == node) {
         pending_node_.clear();
     }
--- a/src/tallyfold/plane/directory/configuration_fetch.hpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.hpp
@@ -35,7 +35,7 @@
         /// The next request to the same node.
         std::optional<configuration_request> next;
         /// A newer configuration, which is now held.
-        configuration_pointer learned;
+        configuration_pointer new_configuration;
         /// Why the fetched content is unusable; empty on success.
         std::optional<fetch_problem> problem;
     };
@@ -43,21 +43,22 @@
     /// Handles a directory node's report of the version that it holds.
     /// @return the request to send to it: set when its version is newer, unless another request is
     /// pending and has not timed out
-    std::optional<configuration_request> told(const node_name& node,
-                                              routing::configuration_version version, instant now);
+    std::optional<configuration_request> on_version_report(const node_name& node,
+                                                           routing::configuration_version version,
+                                                           instant now);
     /// Handles a part. Parts from a node other than the one asked are ignored. A part that does not
-    /// fit ends the fetch; the next told() starts a new one.
+    /// fit ends the fetch; the next on_version_report() starts a new one.
     progress receive(const node_name& from, const configuration_part& part, instant now);
     /// Handles a full configuration in an answer.
     /// @return true when it is newer and now held
-    bool take_whole(const configuration_pointer& whole);
+    bool accept_full_configuration(const configuration_pointer& whole);
     /// Handles the loss of the connection to a node: cancels the request pending there.
-    void lost(const node_name& node);
+    void on_disconnect(const node_name& node);
 
     [[nodiscard]] const configuration_pointer& held() const { return held_; }
     [[nodiscard]] routing::configuration_version version() const;
     /// Time since the fetch in progress started; empty when there is none.
-    [[nodiscard]] std::optional<duration> fetching_for(instant now) const;
+    [[nodiscard]] std::optional<duration> fetch_duration(instant now) const;
 
   private:
     [[nodiscard]] configuration_request next_request() const;
--- a/src/tallyfold/plane/directory/configuration_proofs.cpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-std::uint64_t configuration_proofs::ask(instant now) {
+std::uint64_t configuration_proofs::start_question(instant now) {
     question_times_[++last_question_] = now;
     if (question_times_.size() > max_open_questions) {
         question_times_.erase(question_times_.begin());
@@ -19,8 +19,8 @@
     return last_question_;
 }
 
-void configuration_proofs::answered(const node_name& node, std::uint64_t question,
-                                    routing::configuration_version version) {
+void configuration_proofs::on_answer(const node_name& node, std::uint64_t question,
+                                     routing::configuration_version version) {
     const auto asked = question_times_.find(question);
     if (asked == question_times_.end()) {
         return;
@@ -37,7 +37,7 @@
     }
 }
 
-void configuration_proofs::holds(routing::configuration_version version) {
+void configuration_proofs::set_held_version(routing::configuration_version version) {
     held_version_ = version;
     for (const configuration_proof& proof : pending_proofs_) {
         if (proof.version <= held_version_) {
@@ -49,7 +49,7 @@
 }
 
 void configuration_proofs::keep_if_newer(const configuration_proof& proof) {
-    if (proof.asked > newest_.asked) {
+    if (proof.requested_at > newest_.requested_at) {
         newest_ = proof;
     }
 }
--- a/src/tallyfold/plane/directory/configuration_proofs.hpp
+++ b/src/tallyfold/plane/directory/configuration_proofs.hpp
@@ -15,13 +15,13 @@
 
 namespace tallyfold::directory {
 
-/// Proof that no newer version was in force at `asked`.
+/// Proof that no newer version was in force at `requested_at`.
 struct configuration_proof {
     /// Address of the directory node that gave the proof; empty for none.
     node_name node;
     /// The version that the directory node held.
     routing::configuration_version version = routing::no_version;
-    instant asked{};
+    instant requested_at{};
 };
 
 class configuration_proofs {
@@ -29,27 +29,27 @@
     /// Age up to which a question and its proof are shared by later requests. Limits the rate of
     /// questions when requests carry unknown keys. Shorter than the time for which a request waits
     /// for proof (100 ms), so that a second directory node can be asked in between.
-    static constexpr duration shared_for = std::chrono::milliseconds(50);
+    static constexpr duration share_window = std::chrono::milliseconds(50);
 
     /// Starts a question.
     /// @return its number, which is above 0 and increases
-    std::uint64_t ask(instant now);
+    std::uint64_t start_question(instant now);
     /// Handles an answer: `version` was the newest when the question was asked. Answers to unknown
     /// questions are ignored.
-    void answered(const node_name& node, std::uint64_t question,
-                  routing::configuration_version version);
+    void on_answer(const node_name& node, std::uint64_t question,
+                   routing::configuration_version version);
     /// Sets the version that the node holds, and applies pending proofs for it.
-    void holds(routing::configuration_version version);
+    void set_held_version(routing::configuration_version version);
 
     [[nodiscard]] const configuration_proof& newest() const { return newest_; }
-    /// True when a question asked at `since` or up to shared_for earlier has been answered with
+    /// True when a question asked at `since` or up to share_window earlier has been answered with
     /// proof.
     [[nodiscard]] bool proved_since(instant since) const {
-        return newest_.asked + shared_for > since;
+        return newest_.requested_at + share_window > since;
     }
     /// True when the newest proof is at least `interval` old.
     [[nodiscard]] bool needs_renewal(duration interval, instant now) const {
-        return now - newest_.asked >= interval;
+        return now - newest_.requested_at >= interval;
     }
 
   private:
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -63,7 +63,7 @@
                 report();
             }
             if (!up) {
-                fetch_.lost(address);
+                fetch_.on_disconnect(address);
             }
             messaging::log_link(address, "directory", up, reason);
         });
@@ -137,7 +137,7 @@
     const duration interval = settings_.proof_interval;
     const bool due = proofs_.needs_renewal(interval, now) && now >= next_question_;
     if (interval > duration::zero() && due) {
-        next_question_ = now + configuration_proofs::shared_for;
+        next_question_ = now + configuration_proofs::share_window;
         ask_for_proof();
     }
 }
@@ -149,7 +149,7 @@
         return;
     }
     node_report report = make_report();
-    report.question = proofs_.ask(http::steady_now());
+    report.question = proofs_.start_question(http::steady_now());
     link->send(report);
 }
 
@@ -168,7 +168,7 @@
         on_relayed_failures_(answer.backend_failures);
     }
     if (answer.question != 0) {
-        proofs_.answered(from, answer.question, answer.configuration);
+        proofs_.on_answer(from, answer.question, answer.configuration);
         wake_waiting();
     }
 }
@@ -177,12 +177,12 @@
                                            const node_report_answer& answer) {
     const auto link = links_.find(from);
     if (link != links_.end() && link->second->peer_format() >= protocol::format_version::v2) {
-        fetch(from, fetch_.told(from, answer.configuration, heard_));
+        fetch(from, fetch_.on_version_report(from, answer.configuration, heard_));
         return;
     }
     // A node that knows the first form alone can't be asked for parts: its answer brings the whole.
     for (const configuration_pointer& newer : answer.newer_configuration) {
-        if (fetch_.take_whole(newer)) {
+        if (fetch_.accept_full_configuration(newer)) {
             use_configuration(from, 0, duration::zero());
         }
     }
@@ -194,14 +194,14 @@
                          "from=" + from + " version=" + std::to_string(version()) +
                              " bytes=" + std::to_string(bytes) +
                              " took_ms=" + std::to_string(to_milliseconds(taken)));
-    proofs_.holds(version());
+    proofs_.set_held_version(version());
     on_configuration_(fetch_.held());
     wake_waiting();
 }
 
 void directory_client::learn_stores_and_list(const node_report_answer& answer) {
     for (const turns::store_table& stores : answer.newer_stores) {
-        if (stores_.take(stores)) {
+        if (stores_.merge_newer(stores)) {
             on_stores_(stores_);
         }
     }
@@ -222,7 +222,7 @@
 
 void directory_client::on_part(const node_name& from, const configuration_part& part) {
     const instant now = http::steady_now();
-    const duration taken = fetch_.fetching_for(now).value_or(duration::zero());
+    const duration taken = fetch_.fetch_duration(now).value_or(duration::zero());
     const configuration_fetch::progress progress = fetch_.receive(from, part, now);
     fetch(from, progress.next);
     if (progress.problem.has_value()) {
@@ -231,7 +231,7 @@
                                  " held=" + std::to_string(version()) + " reason=\"" +
                                  progress.problem->detail + "\"");
     }
-    if (progress.learned) {
+    if (progress.new_configuration) {
         use_configuration(from, part.size, taken);
     }
 }
@@ -276,7 +276,7 @@
     waiting_.insert(timer);
     for (instant now = began; now < end && !proofs_.proved_since(began); now = http::steady_now()) {
         if (now >= next_question_) {
-            next_question_ = now + configuration_proofs::shared_for;
+            next_question_ = now + configuration_proofs::share_window;
             ask_for_proof();
         }
         timer->expires_after(std::min(end, next_question_) - now);
@@ -292,7 +292,7 @@
 }
 
 void directory_client::learn_map(const turns::store_map& map) {
-    if (stores_.take(map)) {
+    if (stores_.merge_newer(map)) {
         on_stores_(stores_);
     }
 }
--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -95,7 +95,7 @@
     if (replica_.leader() == message.from) {
         last_leader_message_ = now;
     }
-    follow_leadership(now);
+    handle_leadership_change(now);
 }
 
 void directory_core::receive(const join_request& request, instant now) {
@@ -164,7 +164,7 @@
     }
 }
 
-void directory_core::follow_leadership(instant now) {
+void directory_core::handle_leadership_change(instant now) {
     if (leads() == was_leading_) {
         return;
     }
@@ -200,7 +200,7 @@
         return;
     }
     const duration retention = longest_retention(state_.configuration()) + retention_margin;
-    store_planner_.watch_losses(state_, retention, now);
+    store_planner_.update_incomplete_groups(state_, retention, now);
     const auto older_node = formats_.active_node_below(protocol::format_version::v2, now);
     store_planner_.allow_recovery(!older_node.has_value());
     if (older_node && store_planner_.any_group_needs_recovery(state_, now)) {
@@ -248,7 +248,7 @@
         return;
     }
     replica_.tick(now);
-    follow_leadership(now);
+    handle_leadership_change(now);
     request_to_join(now);
     if (now >= next_plan_) {
         next_plan_ = now + plan_interval;
@@ -270,7 +270,7 @@
     const turns::map_epoch epoch = state_.stores().epoch;
     state_.apply(std::move(*command));
     if (state_.configuration().version != version) {
-        source_.show(state_.shared_configuration());
+        source_.publish(state_.shared_configuration());
         log(logging::event_id::configuration_applied,
             "version=" + std::to_string(state_.configuration().version) +
                 " index=" + std::to_string(entry.index));
--- a/src/tallyfold/plane/directory/directory_core.hpp
+++ b/src/tallyfold/plane/directory/directory_core.hpp
@@ -5,7 +5,7 @@
 /// out directory_work in the documented order. Pure: messages and time in, directory_work out.
 ///
 /// Rules for nodes of different builds:
-/// - Log entries are written in a format that all active nodes can read (format_survey).
+/// - Log entries are written in a format that all active nodes can read (format_tracker).
 /// - A replica that cannot read a committed entry halts: it acknowledges nothing more, does not
 ///   vote or lead, and gives no proofs.
 
@@ -21,7 +21,7 @@
 #include "tallyfold/plane/directory/directory_settings.hpp"
 #include "tallyfold/plane/directory/directory_state.hpp"
 #include "tallyfold/plane/directory/directory_work.hpp"
-#include "tallyfold/plane/directory/format_survey.hpp"
+#include "tallyfold/plane/directory/format_tracker.hpp"
 #include "tallyfold/plane/directory/leader_stall_log.hpp"
 #include "tallyfold/plane/directory/member_planner.hpp"
 #include "tallyfold/plane/directory/messages.hpp"
@@ -50,13 +50,13 @@
     [[nodiscard]] node_report_answer answer_to(const node_report& report) const;
     /// Records the format that a node supports.
     /// @param node its name, or the address of a directory node
-    void heard_format(const node_name& node, protocol::format_version format, instant now);
+    void record_peer_format(const node_name& node, protocol::format_version format, instant now);
     /// False while some node may support only format v1, which cannot represent tenants. True once
     /// the state requires format v2.
-    [[nodiscard]] bool may_bring_tenants(instant now) const;
-    [[nodiscard]] const format_survey& formats() const { return formats_; }
+    [[nodiscard]] bool may_apply_tenants(instant now) const;
+    [[nodiscard]] const format_tracker& formats() const { return formats_; }
     /// True when this replica has halted because it cannot read what its group has committed.
-    [[nodiscard]] bool stands_still() const { return halted_; }
+    [[nodiscard]] bool is_halted() const { return halted_; }
 
     /// Appends a command; take_work() returns its answer.
     void submit(request_token token, const directory_command& command);
@@ -74,7 +74,7 @@
     [[nodiscard]] const directory_state& state() const { return state_; }
     /// Sets a committed state that was applied before the restart, so that it can be served before
     /// a leader has confirmed the log. Commands are never applied to it.
-    void show_earlier_state(directory_state previous) { previous_state_ = std::move(previous); }
+    void set_previous_state(directory_state previous) { previous_state_ = std::move(previous); }
     [[nodiscard]] bool leads() const;
     /// Address ("ip:port") of the leader; empty when unknown.
     [[nodiscard]] node_name leader_address() const;
@@ -86,7 +86,9 @@
     }
     /// False while reports of live stores may still be missing, shortly after this node became
     /// leader.
-    [[nodiscard]] bool has_listened(instant now) const { return store_planner_.has_listened(now); }
+    [[nodiscard]] bool has_observed_all_stores(instant now) const {
+        return store_planner_.has_observed_all_stores(now);
+    }
     /// Disks of the node's store that are known to the leader; empty for an unknown store.
     [[nodiscard]] std::vector<turns::store_id> disks_of(const node_name& node) const {
         return store_planner_.disks_of(state_, node);
@@ -100,7 +102,7 @@
     /// restart.
     [[nodiscard]] const configuration_pointer& newest_known_configuration() const;
 
-    void follow_leadership(instant now);
+    void handle_leadership_change(instant now);
     /// Begins and completes changes of the members and of the store groups. Leader only.
     void plan_changes(instant now);
     void plan_members(instant now);
@@ -145,7 +147,7 @@
     pending_requests pending_;
     /// Address of each replica's last message, for replicas that are not in the membership.
     std::map<consensus::replica_id, node_name> addresses_;
-    format_survey formats_;
+    format_tracker formats_;
     bool halted_ = false;
     instant next_format_log_{};
     bool was_leading_ = false;
--- a/src/tallyfold/plane/directory/directory_core_reports.cpp
+++ b/src/tallyfold/plane/directory/directory_core_reports.cpp
@@ -37,15 +37,15 @@
     }
 }
 
-void directory_core::heard_format(const node_name& node, protocol::format_version format,
-                                  instant now) {
+void directory_core::record_peer_format(const node_name& node, protocol::format_version format,
+                                        instant now) {
     if (formats_.record(node, format, now)) {
         log(logging::event_id::node_format,
             "peer=" + node + " format=" + protocol::to_string(format));
     }
 }
 
-bool directory_core::may_bring_tenants(instant now) const {
+bool directory_core::may_apply_tenants(instant now) const {
     if (state_.needs_second_format()) {
         return true;
     }
@@ -68,7 +68,7 @@
 }
 
 configuration_part directory_core::receive(const configuration_request& request) {
-    source_.show(newest_known_configuration());
+    source_.publish(newest_known_configuration());
     return source_.answer(request);
 }
 
--- a/src/tallyfold/plane/directory/group_members.cpp
+++ b/src/tallyfold/plane/directory/group_members.cpp
@@ -64,7 +64,7 @@
 store_list candidates_for(const store_view& view, const store_map& map, const store_list& members) {
     store_list candidates;
     for (const store_member& store : view.live_stores()) {
-        const bool is_in_other_group = view.is_in_a_group(store.id) && !map.holds(store.id);
+        const bool is_in_other_group = view.is_in_a_group(store.id) && !map.contains(store.id);
         const bool is_excluded = view.is_retired(store.id) || view.is_replaced(store);
         if (!is_in_other_group && !is_excluded && !has_id(members, store.id)) {
             candidates.push_back(store);
@@ -109,7 +109,7 @@
 }
 
 std::optional<store_map> begin_change(const store_view& view, const store_map& map) {
-    if (!view.has_listened()) {
+    if (!view.has_observed_all_stores()) {
         return std::nullopt;
     }
     store_list members = choose_members(view, map);
@@ -143,7 +143,8 @@
     const auto cannot_copy = [&](const store_member& member) {
         return !view.has_copied(member, map) && !view.is_live(member.id);
     };
-    if (!view.has_listened() || std::none_of(map.next.begin(), map.next.end(), cannot_copy)) {
+    if (!view.has_observed_all_stores() ||
+        std::none_of(map.next.begin(), map.next.end(), cannot_copy)) {
         return std::nullopt;
     }
     store_list members = choose_members(view, map);
--- a/src/tallyfold/plane/directory/permit_lending_shell.cpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.cpp
@@ -13,11 +13,11 @@
                settings.quota_lease}) {}
 
 void permit_lending::tick(instant now) {
-    follow_leadership(now);
+    handle_leadership_change(now);
     lender_.expire(now);
 }
 
-void permit_lending::follow_leadership(instant now) {
+void permit_lending::handle_leadership_change(instant now) {
     if (!core_ || !core_->leads()) {
         lending_by_.reset();
         return;
@@ -41,12 +41,12 @@
     std::uint64_t recent = 0;
     std::uint64_t lent = 0;
     for (const tenants::permit_use& use : report.uses) {
-        recent += use.recent;
-        lent += use.ceiling - std::min(use.ceiling, use.spent);
+        recent += use.spent_in_window;
+        lent += use.spent_limit - std::min(use.spent_limit, use.spent);
     }
     logging::write_event(
         logging::event_id::permit_node_heard,
-        "peer=" + report.node + " life=" + std::to_string(report.life) +
+        "peer=" + report.node + " life=" + std::to_string(report.process_id) +
             " lending_ms=" + std::to_string(to_milliseconds(now - lending_since_)) +
             " tenants=" + std::to_string(report.uses.size()) + " recent=" + std::to_string(recent) +
             " lent=" + std::to_string(lent));
@@ -55,13 +55,13 @@
 tenants::permit_answer permit_lending::answer(const tenants::permit_report& report, instant now) {
     tenants::permit_answer answer;
     if (lending_by_) {
-        const bool known = lender_.knows(report.node, report.life);
+        const bool known = lender_.has_report_from(report.node, report.process_id);
         answer = lender_.answer(report, now);
-        if (!known && lender_.knows(report.node, report.life)) {
+        if (!known && lender_.has_report_from(report.node, report.process_id)) {
             log_heard(report, now);
         }
     } else {
-        answer.question = report.question;
+        answer.sequence = report.sequence;
         answer.outcome = tenants::permit_outcome::not_lender;
     }
     answer.leader = core_->leader_address();
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -55,7 +55,7 @@
     status_ = status;
     if (!started_) {
         first_byte_ = now - request_.received;
-        context_.metrics.first_byte(first_byte_);
+        context_.metrics.record_first_byte_time(first_byte_);
     }
 }
 
@@ -129,7 +129,7 @@
         auto piece = co_await connection->read_body_piece(request_.budget.deadline());
         if (!piece) {
             attempt_result result = body_failure(piece.error());
-            result.broke_off = resumable_stream && !result.timed_out;
+            result.connection_closed = resumable_stream && !result.timed_out;
             co_return result;
         }
         complete = connection->message_complete();
@@ -142,7 +142,7 @@
         if (complete && success) {
             const bool settled = co_await settle_turn(backend);
             if (!settled) {
-                co_return relay_failure(failure_kind::unsettled);
+                co_return relay_failure(failure_kind::turn_end_unconfirmed);
             }
         }
         outgoing += render_piece(*piece, complete);
@@ -195,8 +195,8 @@
 void answer_relay::record_events(const std::string& piece, const backend_name& backend) {
     events_.feed(piece);
     if (request_.service.is_engine) {
-        pace_.events_came(context_.backends.pace_of(request_.service.name), backend,
-                          events_.events(), http::steady_now());
+        pace_.record_events(context_.backends.pace_of(request_.service.name), backend,
+                            events_.events(), http::steady_now());
     }
 }
 
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -59,7 +59,7 @@
                                            http::message_kind::response, max_answer_head_bytes);
     // Set before connecting, so that abort() cancels a pending connect.
     connection_ = opened;
-    context_.metrics.connected();
+    context_.metrics.count_connection();
     const instant limit = request_.budget.connect_deadline(now);
     const auto connected = co_await opened->connect(address, limit);
     if (!connected) {
@@ -72,7 +72,7 @@
 }
 
 std::string backend_attempt::render_request(duration time_left) const {
-    attempt_marks marks;
+    attempt_headers marks;
     marks.time_left = time_left;
     marks.incarnation = parameters_.backend.name;
     marks.urgency = parameters_.urgency;
@@ -105,7 +105,7 @@
         discard_connection(result);
         co_return result;
     }
-    answer_facts facts;
+    answer_metadata facts;
     if (!co_await read_matching_head(until, facts, result)) {
         if (!caller_.disconnected()) {
             record_failure();
@@ -119,7 +119,7 @@
     co_return co_await handle_answer(facts, until);
 }
 
-asio::awaitable<bool> backend_attempt::read_matching_head(instant until, answer_facts& facts,
+asio::awaitable<bool> backend_attempt::read_matching_head(instant until, answer_metadata& facts,
                                                           attempt_result& result) {
     for (int unmatched = 0; unmatched <= max_unmatched_answers; ++unmatched) {
         const auto head = co_await connection_->read_head(until);
@@ -134,12 +134,12 @@
         }
         // Skips an answer to another request.
         if (!co_await drain_body(until)) {
-            result.failure.kind = failure_kind::surplus_answer;
+            result.failure.kind = failure_kind::unmatched_answer_incomplete;
             co_return false;
         }
         connection_->next_message();
     }
-    result.failure.kind = failure_kind::surplus_answers;
+    result.failure.kind = failure_kind::too_many_unmatched_answers;
     co_return false;
 }
 
@@ -153,7 +153,7 @@
     co_return true;
 }
 
-asio::awaitable<attempt_result> backend_attempt::handle_rejection(answer_facts facts) {
+asio::awaitable<attempt_result> backend_attempt::handle_rejection(answer_metadata facts) {
     attempt_result result;
     result.end = attempt_end::not_run;
     if (facts.wrong_incarnation) {
@@ -174,7 +174,8 @@
     co_return result;
 }
 
-asio::awaitable<attempt_result> backend_attempt::handle_answer(answer_facts facts, instant until) {
+asio::awaitable<attempt_result> backend_attempt::handle_answer(answer_metadata facts,
+                                                               instant until) {
     attempt_result result;
     result.end = attempt_end::may_have_run;
     const unsigned status = connection_->head().status;
@@ -192,7 +193,7 @@
         co_return result;
     }
     const instant now = http::steady_now();
-    context_.backends.first_byte_came(call_, now);
+    context_.backends.first_byte_received(call_, now);
     answer_.record_first_byte(status, now);
     record_cached_prompt();
     result = co_await answer_.relay(connection_, parameters_.backend.name, until);
@@ -207,7 +208,7 @@
     co_return result;
 }
 
-void backend_attempt::finish_answered(const answer_facts& facts) {
+void backend_attempt::finish_answered(const answer_metadata& facts) {
     const bool server_error = connection_->head().status / 100 == 5;
     if (server_error) {
         record_failure();
@@ -219,9 +220,9 @@
     keep_connection(facts);
 }
 
-void backend_attempt::keep_connection(const answer_facts& facts) {
+void backend_attempt::keep_connection(const answer_metadata& facts) {
     if (connection_->head().keep_alive && connection_->message_complete()) {
-        context_.connections.put(parameters_.backend.address, connection_, facts.idle_limit,
+        context_.connections.put(parameters_.backend.address, connection_, facts.idle_timeout,
                                  http::steady_now());
     } else {
         connection_->close();
@@ -229,8 +230,8 @@
 }
 
 void backend_attempt::discard_connection(attempt_result& result) {
-    result.broke_off = !result.timed_out;
-    if (result.broke_off && !caller_.disconnected()) {
+    result.connection_closed = !result.timed_out;
+    if (result.connection_closed && !caller_.disconnected()) {
         const std::string& name = parameters_.backend.name;
         const std::string address =
             context_.backends.record_broken_connection(name, http::steady_now());
--- a/src/tallyfold/plane/forwarding/backend_registry.cpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.cpp
@@ -8,7 +8,8 @@
 using scheduling::backend_state;
 
 backend_registry::backend_registry(std::string zone, std::uint64_t seed,
-                                   scheduling::strategy chosen, settings::switched_off disabled)
+                                   scheduling::strategy chosen,
+                                   settings::disabled_mechanisms disabled)
     : node_key_(seed),
       random_(seed),
       disabled_(std::move(disabled)),
@@ -42,7 +43,7 @@
     return true;
 }
 
-std::optional<chosen_backend> backend_registry::choose(const backend_question& question,
+std::optional<chosen_backend> backend_registry::choose(const selection_request& question,
                                                        instant now) {
     const service_state& service = state_of(question.service);
     const selection_state state{service.pool, service.subset, reported_, service.pace, cache_};
@@ -64,7 +65,7 @@
         return {};
     }
     reported_.expire(at);
-    return reported_.note(name, at) ? failed->member.address : std::string{};
+    return reported_.record(name, at) ? failed->member.address : std::string{};
 }
 
 backend_call backend_registry::started(const std::string& service, const chosen_backend& chosen,
@@ -77,10 +78,10 @@
     return {service, chosen.name, now, uncached, true};
 }
 
-void backend_registry::first_byte_came(backend_call& call, instant now) {
+void backend_registry::first_byte_received(backend_call& call, instant now) {
     service_state& state = state_of(call.service);
-    state.silence.first_byte_came(call.backend, call.started_at, now);
-    state.pace.prompt_read(call.uncached_tokens, now - call.started_at);
+    state.silence.first_byte_received(call.backend, call.started_at, now);
+    state.pace.record_prompt_processed(call.uncached_tokens, now - call.started_at);
     state.pool.prefilled(call.backend, call.uncached_tokens);
     call.awaits_first_byte = false;
 }
@@ -95,13 +96,13 @@
     state.pool.finished(call.backend);
 }
 
-std::vector<backend_name> backend_registry::suspect_silent(instant now) {
+std::vector<backend_name> backend_registry::eject_silent(instant now) {
     std::vector<backend_name> suspected;
     if (is_disabled(settings::mechanism::silence)) {
         return suspected;
     }
     for (auto& [service, state] : services_) {
-        for (const backend_name& name : state.silence.silent(now)) {
+        for (const backend_name& name : state.silence.overdue_backends(now)) {
             const backend_state* backend = state.pool.find(name);
             if (backend != nullptr && state.pool.available(*backend, now)) {
                 state.pool.unreachable(name, now);
@@ -130,8 +131,8 @@
 void backend_registry::incarnation_replaced(const std::string& service, const backend_name& name) {
     service_state& state = state_of(service);
     state.pool.set_drained(name, true);
-    state.pace.forget(name);
-    cache_.forget(name);
+    state.pace.remove_engine(name);
+    cache_.remove_engine(name);
 }
 
 void backend_registry::record_cached(const backend_name& name,
--- a/src/tallyfold/plane/forwarding/backend_registry.hpp
+++ b/src/tallyfold/plane/forwarding/backend_registry.hpp
@@ -11,7 +11,7 @@
 
 #include "tallyfold/base/common/random.hpp"
 #include "tallyfold/plane/decisions/backend_selection.hpp"
-#include "tallyfold/plane/decisions/silence_suspicion.hpp"
+#include "tallyfold/plane/decisions/silence_detector.hpp"
 #include "tallyfold/plane/discovery/types.hpp"
 #include "tallyfold/plane/process/mechanisms.hpp"
 #include "tallyfold/scheduling/engine_pace.hpp"
@@ -34,24 +34,24 @@
     /// @param disabled mechanisms that are switched off for measurements
     backend_registry(std::string zone, std::uint64_t seed,
                      scheduling::strategy chosen = scheduling::strategy::policy,
-                     settings::switched_off disabled = {});
+                     settings::disabled_mechanisms disabled = {});
 
     /// Replaces the list of back ends. @return true when it differs from the previous one
     bool update(const std::vector<discovery::listed_backend>& backends, instant now);
     /// Selects a back end for a call by the rules of backend_selection.
     /// @return nothing when no back end of the service is eligible
-    std::optional<chosen_backend> choose(const backend_question& question, instant now);
+    std::optional<chosen_backend> choose(const selection_request& question, instant now);
 
     /// Registers a call at the chosen back end. The uncached part of its prompt counts as pending
     /// prefill work there until the first byte.
     backend_call started(const std::string& service, const chosen_backend& chosen,
                          token_count prompt_tokens, instant now);
     /// Records the first byte of the call's answer.
-    void first_byte_came(backend_call& call, instant now);
+    void first_byte_received(backend_call& call, instant now);
     /// Records the end of the call, whether it succeeded or failed.
     void finished(backend_call& call);
     /// Ejects back ends by silence suspicion. @return the newly ejected ones
-    std::vector<backend_name> suspect_silent(instant now);
+    std::vector<backend_name> eject_silent(instant now);
     /// Input to outlier ejection: a call succeeded, failed, or could not connect.
     void succeeded(const std::string& service, const backend_name& name);
     void failed(const std::string& service, const backend_name& name, instant now);
@@ -90,7 +90,7 @@
         /// Subset of the back ends that this node prefers.
         backend_subset subset;
         scheduling::engine_pace pace;
-        silence_suspicion silence;
+        silence_detector silence;
     };
 
     service_state& state_of(const std::string& service);
@@ -102,7 +102,7 @@
     /// Key by which this node's subsets are chosen.
     std::uint64_t node_key_;
     random_source random_;
-    settings::switched_off disabled_;
+    settings::disabled_mechanisms disabled_;
     backend_selector selector_;
     /// Current list of back ends by service.
     std::map<std::string, std::vector<scheduling::backend_member>> listed_;
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -27,7 +27,7 @@
     return problem;
 }
 
-void caller_listener::take_no_more() {
+void caller_listener::stop_accepting() {
     accepting_ = false;
     std::error_code ignored;
     acceptor_.close(ignored);
@@ -164,8 +164,8 @@
                                               std::string reason) {
     logging::write_event(logging::event_id::call_refused,
                          "status=" + std::to_string(status) + " reason=\"" + reason + "\"");
-    context_.metrics.finished("rejected", duration::zero());
-    std::string bytes = render_own_answer(status, reason, retry_after::never(), false);
+    context_.metrics.record_request("rejected", duration::zero());
+    std::string bytes = render_local_answer(status, reason, retry_after::never(), false);
     const instant limit = http::steady_now() + write_timeout;
     co_await caller->write(std::move(bytes), limit);
     caller->close();
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -6,7 +6,7 @@
 #include "tallyfold/base/common/hash.hpp"
 #include "tallyfold/base/logging/event_log.hpp"
 #include "tallyfold/base/net/tcp_sockets_shell.hpp"
-#include "tallyfold/plane/decisions/stop_sequence.hpp"
+#include "tallyfold/plane/decisions/shutdown_sequence.hpp"
 #include "tallyfold/plane/directory/directory_client_shell.hpp"
 #include "tallyfold/plane/discovery/list_poller_shell.hpp"
 #include "tallyfold/plane/discovery/poller_election.hpp"
@@ -25,7 +25,7 @@
 /// connection_pool closes them early.
 constexpr duration housekeeping_interval = std::chrono::milliseconds(500);
 /// Interval at which a shutdown checks for remaining work; small against the 600 ms that
-/// stop_sequence reserves before the process is killed.
+/// shutdown_sequence reserves before the process is killed.
 constexpr duration stop_check_interval = std::chrono::milliseconds(50);
 /// Number of key freshness checks within the key revocation time, when stale keys are refused.
 /// Requests are refused only if all of them fail.
@@ -83,7 +83,7 @@
     http::endpoint_server readiness_;
     std::uint64_t logged_policy_failures_ = 0;
     /// Set while the node is shutting down.
-    std::optional<stop_sequence> stop_;
+    std::optional<shutdown_sequence> stop_;
 };
 
 forwarder_node::forwarder_node(const settings::node_settings& settings, const request_codec& codec,
@@ -93,7 +93,7 @@
       backends_(
           settings.zone, stable_hash(settings.node),
           scheduling::parse_strategy(settings.placement).value_or(scheduling::strategy::policy),
-          settings.off),
+          settings.disabled),
       directory_(process_, client_settings(settings)),
       quotas_(process_, directory_),
       turns_(process_, [this](const turns::store_map& map) { directory_.learn_map(map); }),
@@ -148,12 +148,12 @@
 
 void forwarder_node::reload_policy() {
     const std::string& path = process_.settings().policy_file;
-    const auto change = ranking_.use(path.empty() ? std::string{} : net::file_text(path));
+    const auto change = ranking_.set_policy(path.empty() ? std::string{} : net::file_text(path));
     if (!change) {
         logging::write_event(logging::event_id::policy_failed,
                              "policy=" + path + " line=" + std::to_string(change.error().line) +
                                  " reason=\"" + change.error().reason + "\"");
-    } else if (*change != policy_change::none) {
+    } else if (*change != policy_change::unchanged) {
         const bool removed = *change == policy_change::removed;
         logging::write_event(logging::event_id::policy_applied,
                              "policy=" + (removed ? std::string("-") : path));
@@ -192,11 +192,11 @@
                     " waiting=" + std::to_string(queue.waiting()));
         }
     }
-    metrics_.paced(max_slowdown, waiting);
+    metrics_.set_engine_pace(max_slowdown, waiting);
 }
 
 void forwarder_node::eject_silent_backends() {
-    for (const backend_name& name : backends_.suspect_silent(http::steady_now())) {
+    for (const backend_name& name : backends_.eject_silent(http::steady_now())) {
         logging::write_event(logging::event_id::backend_ejected,
                              "backend=" + name + " reason=silent");
     }
@@ -211,16 +211,17 @@
 }
 
 void forwarder_node::continue_stop() {
-    const work_left remaining{callers_.active_request_count(), turns_.settling()};
+    const remaining_work remaining{callers_.active_request_count(),
+                                   turns_.background_settlement_count()};
     switch (stop_->next(http::steady_now(), remaining)) {
-        case stop_step::take_no_more:
-            callers_.take_no_more();
+        case shutdown_step::stop_accepting:
+            callers_.stop_accepting();
             break;
-        case stop_step::finish:
+        case shutdown_step::finish:
             callers_.abort_requests();
             process_.after(stop_check_interval, [this] { process_.finish(); });
             return;
-        case stop_step::wait:
+        case shutdown_step::wait:
             break;
     }
     process_.after(stop_check_interval, [this] { continue_stop(); });
@@ -235,7 +236,7 @@
             logging::write_event(logging::event_id::store_map_changed,
                                  "epoch=" + std::to_string(stores.epoch) +
                                      " groups=" + std::to_string(stores.groups.size()));
-            turns_.use_stores(stores);
+            turns_.update_stores(stores);
         },
         {});
     quotas_.start();
--- a/src/tallyfold/plane/forwarding/request_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.hpp
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-#include "tallyfold/plane/decisions/own_answer.hpp"
+#include "tallyfold/plane/decisions/local_answer.hpp"
 #include "tallyfold/plane/forwarding/answer_relay_shell.hpp"
 #include "tallyfold/plane/forwarding/answer_rendering.hpp"
 #include "tallyfold/plane/forwarding/caller_admission_shell.hpp"
@@ -53,18 +53,18 @@
     void on_client_disconnected();
     /// Begins the turn and acquires the tenant's permit.
     /// @return the answer when the request is refused
-    asio::awaitable<std::optional<own_answer>> begin_turn_and_take_permit();
-    asio::awaitable<std::optional<own_answer>> begin_turn();
+    asio::awaitable<std::optional<local_answer>> begin_turn_and_take_permit();
+    asio::awaitable<std::optional<local_answer>> begin_turn();
     [[nodiscard]] bool is_turn() const;
     asio::awaitable<void> send();
-    asio::awaitable<void> refuse(const own_answer& answer);
+    asio::awaitable<void> refuse(const local_answer& answer);
     /// Returns the permit of a request that did not run, and settles a turn that is still open.
     void release_reservations();
     void log_finish() const;
 
     forwarder_context& context_;
     caller_request request_;
-    request_facts facts_;
+    request_metadata facts_;
     caller_channel caller_;
     caller_admission admission_;
     /// The following members are set as their stage is reached.
@@ -72,7 +72,7 @@
     std::optional<turn_session> turn_;
     std::optional<answer_relay> answer_;
     std::optional<send_loop> send_loop_;
-    request_end end_;
+    request_result end_;
 };
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/send_loop_shell.cpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.cpp
@@ -34,9 +34,9 @@
     }
 }
 
-backend_question send_loop::make_backend_question() const {
-    const request_facts& facts = request_.facts;
-    backend_question question;
+selection_request send_loop::make_selection_request() const {
+    const request_metadata& facts = request_.facts;
+    selection_request question;
     question.service = request_.service.name;
     question.is_engine = request_.service.is_engine;
     question.repeatable = policy_.repeatable();
@@ -61,8 +61,8 @@
                                                               : context_.ranking.urgency_of(call);
 }
 
-asio::awaitable<request_end> send_loop::run() {
-    backend_question question = make_backend_question();
+asio::awaitable<request_result> send_loop::run() {
+    selection_request question = make_selection_request();
     statistics_.urgency = urgency_of(question.call);
     co_await wait_for_admission(question.call);
     attempt_result last;
@@ -95,7 +95,7 @@
             resumed = backend;
         }
     }
-    co_return make_request_end(last);
+    co_return make_request_result(last);
 }
 
 asio::awaitable<attempt_result> send_loop::attempt(chosen_backend backend) {
@@ -115,24 +115,24 @@
 next_step send_loop::handle_failure(const chosen_backend& backend, const attempt_result& failed) {
     const std::string reason = text_of(failed.failure);
     const duration time_left = request_.budget.left(http::steady_now());
-    context_.metrics.attempt_failed(reason);
+    context_.metrics.count_attempt_failure(reason);
     logging::write_event(logging::event_id::attempt_failed,
                          "request=" + request_.facts.request + " backend=" + backend.name +
                              " reason=" + reason +
                              " end=" + std::to_string(static_cast<int>(failed.end)) +
                              " time_left_ms=" + std::to_string(to_milliseconds(time_left)));
-    return policy_.after({failed.end, failed.broke_off, answer_.progress(), time_left});
+    return policy_.after({failed.end, failed.connection_closed, answer_.progress(), time_left});
 }
 
-request_end send_loop::make_request_end(const attempt_result& last) const {
-    last_attempt ended;
+request_result send_loop::make_request_result(const attempt_result& last) const {
+    final_request_state ended;
     ended.answered = last.end == attempt_end::answered;
     ended.client_disconnected = caller_.disconnected();
     ended.answer_started = answer_.progress() != answer_progress::none;
     ended.may_have_run = policy_.may_have_run();
     ended.failure = last.failure;
     ended.timed_out = last.timed_out;
-    return end_after(ended);
+    return result_after(ended);
 }
 
 asio::awaitable<void> send_loop::wait_for_admission(const scheduling::call_features& call) {
@@ -146,7 +146,7 @@
     const duration max_wait = request_.budget.admission_wait(http::steady_now());
     admitted_ = true;
     const duration waited = co_await queue.enter(priority, max_wait);
-    context_.metrics.waited(waited);
+    context_.metrics.record_admission_wait(waited);
     statistics_.waited += waited;
 }
 
--- a/src/tallyfold/plane/forwarding/send_loop_shell.hpp
+++ b/src/tallyfold/plane/forwarding/send_loop_shell.hpp
@@ -7,7 +7,7 @@
 #include <asio/awaitable.hpp>
 #include <optional>
 
-#include "tallyfold/plane/decisions/own_answer.hpp"
+#include "tallyfold/plane/decisions/local_answer.hpp"
 #include "tallyfold/plane/decisions/retry_policy.hpp"
 #include "tallyfold/plane/forwarding/answer_relay_shell.hpp"
 #include "tallyfold/plane/forwarding/backend_attempt_shell.hpp"
@@ -23,7 +23,7 @@
 
     /// Must be called at most once, and be followed by leave_admission().
     /// @return the outcome, and the answer to write if none was relayed
-    asio::awaitable<request_end> run();
+    asio::awaitable<request_result> run();
     /// Cancels the current attempt.
     void abort_attempt();
     /// Releases the admission slot, if held, so that the next waiting call can be sent.
@@ -33,7 +33,7 @@
     [[nodiscard]] const send_statistics& statistics() const { return statistics_; }
 
   private:
-    [[nodiscard]] backend_question make_backend_question() const;
+    [[nodiscard]] selection_request make_selection_request() const;
     [[nodiscard]] std::int32_t urgency_of(const scheduling::call_features& call) const;
     asio::awaitable<void> wait_for_admission(const scheduling::call_features& call);
     /// Pauses before full back ends are tried again, and re-enters admission. @return false when
@@ -42,7 +42,7 @@
     asio::awaitable<attempt_result> attempt(chosen_backend backend);
     /// Logs a failed attempt and determines the next step.
     next_step handle_failure(const chosen_backend& backend, const attempt_result& failed);
-    [[nodiscard]] request_end make_request_end(const attempt_result& last) const;
+    [[nodiscard]] request_result make_request_result(const attempt_result& last) const;
 
     forwarder_context& context_;
     const forwarded_request& request_;
--- a/src/tallyfold/plane/forwarding/turn_session_shell.cpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-turn_session::turn_session(forwarder_context& context, const request_facts& facts,
+turn_session::turn_session(forwarder_context& context, const request_metadata& facts,
                            const routing::route& route, const tenants::tenant_name& tenant)
     : context_(context), facts_(facts), route_(route), scope_(tenant) {}
 
@@ -33,7 +33,7 @@
 
 asio::awaitable<turns::begin_result> turn_session::begin(instant deadline, std::string& history) {
     const instant started = http::steady_now();
-    turns::turn_question question;
+    turns::begin_parameters question;
     question.reservation.program = scope_.scoped(facts_.program);
     question.reservation.request = scope_.scoped(facts_.request);
     question.reservation.max_tokens = facts_.max_tokens;
@@ -44,14 +44,14 @@
         question.prompt = facts_.prompt;
     }
     const instant limit = std::min(deadline, started + begin_timeout);
-    const turns::begun_turn begun = co_await context_.turns.begin(std::move(question), limit);
+    const turns::begin_decision begun = co_await context_.turns.begin(std::move(question), limit);
     open_ = true;
     store_time_ = http::steady_now() - started;
     store_answers_ = begun.answers.answers;
     used_tokens_ = begun.used_tokens;
     store_group_ = begun.group;
     store_epoch_ = begun.epoch;
-    context_.metrics.stored(store_time_);
+    context_.metrics.record_store_time(store_time_);
     for (const scheduling::cached_prefix& holder : begun.holders) {
         context_.backends.record_cached(holder.engine, {{holder.hash, holder.tokens}});
     }
@@ -65,12 +65,12 @@
     if (begun.adopted) {
         adopted_history_ = begun.history;
         adopted_turns_ = adopted_history_.size();
-        context_.metrics.adopted();
+        context_.metrics.count_adopted_history();
     }
     co_return begun.result;
 }
 
-void turn_session::log_refusal(const turns::begun_turn& begun) const {
+void turn_session::log_refusal(const turns::begin_decision& begun) const {
     logging::write_event(
         logging::event_id::turn_refused,
         "request=" + facts_.request + " program=" + facts_.program +
@@ -95,13 +95,13 @@
     const instant started = http::steady_now();
     const bool settled = co_await context_.turns.settle(std::move(ended), std::move(cached),
                                                         started + settle_timeout);
-    context_.metrics.stored(http::steady_now() - started);
+    context_.metrics.record_store_time(http::steady_now() - started);
     co_return settled;
 }
 
 void turn_session::settle_unanswered(token_count tokens) {
     open_ = false;
-    context_.turns.settle_later(settlement(tokens));
+    context_.turns.settle_in_background(settlement(tokens));
 }
 
 std::string turn_session::log_fields() const {
--- a/src/tallyfold/plane/forwarding/turn_session_shell.hpp
+++ b/src/tallyfold/plane/forwarding/turn_session_shell.hpp
@@ -23,7 +23,7 @@
 
     /// @param facts and `route` must outlive the session
     /// @param tenant owner of the turn; empty when callers need no key
-    turn_session(forwarder_context& context, const request_facts& facts,
+    turn_session(forwarder_context& context, const request_metadata& facts,
                  const routing::route& route, const tenants::tenant_name& tenant);
 
     /// Reserves the tokens that the turn may generate.
@@ -46,10 +46,10 @@
   private:
     [[nodiscard]] turns::turn_settlement settlement(token_count tokens) const;
     [[nodiscard]] std::uint32_t retention_ms() const;
-    void log_refusal(const turns::begun_turn& begun) const;
+    void log_refusal(const turns::begin_decision& begun) const;
 
     forwarder_context& context_;
-    const request_facts& facts_;
+    const request_metadata& facts_;
     const routing::route& route_;
     /// Scopes program and request identifiers to the tenant.
     tenants::tenant_scope scope_;
--- a/src/tallyfold/plane/tenants/permit_holder.cpp
+++ b/src/tallyfold/plane/tenants/permit_holder.cpp
@@ -18,13 +18,13 @@
     return tenants_.try_emplace(tenant, rules_.window).first->second;
 }
 
-bool permit_holder::take(const tenant_name& tenant, instant now) {
+bool permit_holder::try_acquire(const tenant_name& tenant, instant now) {
     if (!limited(tenant)) {
         return true;
     }
     held_permits& held = permits_of(tenant);
     held.last_call = now;
-    if (!lease_is_valid(now) || held.spent >= held.ceiling) {
+    if (!lease_is_valid(now) || held.spent >= held.spent_limit) {
         return false;
     }
     ++held.spent;
@@ -32,7 +32,7 @@
     return true;
 }
 
-bool permit_holder::take_without_lender(const tenant_name& tenant, instant now) {
+bool permit_holder::try_acquire_without_lender(const tenant_name& tenant, instant now) {
     held_permits& held = permits_of(tenant);
     held.last_call = now;
     // A settling lender has refused the permit. A node without recently granted permits has no rate
@@ -45,13 +45,13 @@
         return false;
     }
     ++held.spent;
-    held.ceiling = std::max(held.ceiling, held.spent);
+    held.spent_limit = std::max(held.spent_limit, held.spent);
     held.recent.add(now);
     held.spent_without_lender.add(now);
     return true;
 }
 
-bool permit_holder::give_back(const tenant_name& tenant, instant taken, instant now) {
+bool permit_holder::release(const tenant_name& tenant, instant taken, instant now) {
     const auto found = tenants_.find(tenant);
     if (found == tenants_.end()) {
         return false;
@@ -68,31 +68,31 @@
 
 void permit_holder::begin_wait(const tenant_name& tenant, permit_need need) {
     held_permits& held = permits_of(tenant);
-    ++(need == permit_need::under_way ? held.waiting_under_way : held.waiting_new);
+    ++(need == permit_need::running_program ? held.waiting_running : held.waiting_new);
 }
 
 void permit_holder::end_wait(const tenant_name& tenant, permit_need need) {
     held_permits& held = permits_of(tenant);
     std::uint32_t& waiting =
-        need == permit_need::under_way ? held.waiting_under_way : held.waiting_new;
+        need == permit_need::running_program ? held.waiting_running : held.waiting_new;
     waiting -= std::min(waiting, 1U);
 }
 
 permit_use permit_holder::current_use(const tenant_name& tenant, held_permits& held, instant now) {
     if (!lease_is_valid(now)) {
-        held.ceiling = held.spent;
+        held.spent_limit = held.spent;
     }
     permit_use use;
     use.tenant = tenant;
     use.spent = held.spent;
-    use.ceiling = std::max(held.ceiling, held.spent);
-    use.recent = held.recent.count(now);
-    use.needed = held.waiting_under_way;
-    use.beginning = held.waiting_new;
+    use.spent_limit = std::max(held.spent_limit, held.spent);
+    use.spent_in_window = held.recent.count(now);
+    use.waiting_running = held.waiting_running;
+    use.waiting_new = held.waiting_new;
     if (spare_permits_enabled_ && limited(tenant) && now - held.last_call < tenant_idle_timeout) {
         const double expected_calls =
-            static_cast<double>(use.recent) * spare_permit_horizon / rules_.window;
-        use.wanted += 1 + static_cast<std::uint32_t>(std::ceil(expected_calls));
+            static_cast<double>(use.spent_in_window) * spare_permit_horizon / rules_.window;
+        use.spare_wanted += 1 + static_cast<std::uint32_t>(std::ceil(expected_calls));
     }
     return use;
 }
@@ -115,21 +115,21 @@
 permit_report permit_holder::report(instant now) {
     permit_report report;
     report.node = node_;
-    report.life = life_;
-    report.question = ++question_;
-    report.whole = full_report_due_;
+    report.process_id = process_id_;
+    report.sequence = ++sequence_;
+    report.is_full = full_report_due_;
     for (auto entry = tenants_.begin(); entry != tenants_.end();) {
         auto& [tenant, held] = *entry;
         permit_use use = current_use(tenant, held, now);
-        const bool idle = use.recent == 0 && use.ceiling == use.spent && use.wanted == 0 &&
-                          use.needed == 0 && use.beginning == 0 &&
-                          now - held.last_call >= tenant_idle_timeout;
+        const bool idle = use.spent_in_window == 0 && use.spent_limit == use.spent &&
+                          use.spare_wanted == 0 && use.waiting_running == 0 &&
+                          use.waiting_new == 0 && now - held.last_call >= tenant_idle_timeout;
         if (idle && (full_report_due_ || use == held.acknowledged_use)) {
             entry = tenants_.erase(entry);
             continue;
         }
-        if (full_report_due_ || use != held.acknowledged_use || use.needed > 0 ||
-            use.beginning > 0) {
+        if (full_report_due_ || use != held.acknowledged_use || use.waiting_running > 0 ||
+            use.waiting_new > 0) {
             report.uses.push_back(std::move(use));
         }
         ++entry;
@@ -142,7 +142,7 @@
 }
 
 bool permit_holder::apply(const permit_answer& answer, instant now) {
-    if (!awaits_answer_ || answer.question != question_) {
+    if (!awaits_answer_ || answer.sequence != sequence_) {
         return false;
     }
     awaits_answer_ = false;
@@ -178,11 +178,11 @@
         if (found == tenants_.end()) {
             continue;
         }
-        found->second.ceiling = granted.ceiling;
-        // Keeps the higher ceiling as acknowledged, so that a lowered one is reported: the lender
+        found->second.spent_limit = granted.spent_limit;
+        // Keeps the higher limit as acknowledged, so that a lowered one is reported: the lender
         // frees the permits only then.
-        found->second.acknowledged_use.ceiling =
-            std::max(granted.ceiling, found->second.acknowledged_use.ceiling);
+        found->second.acknowledged_use.spent_limit =
+            std::max(granted.spent_limit, found->second.acknowledged_use.spent_limit);
         found->second.retry_after_ms = granted.retry_after_ms;
         found->second.retry_new_program_after_ms = granted.retry_new_program_after_ms;
     }
--- a/src/tallyfold/plane/tenants/permit_holder.hpp
+++ b/src/tallyfold/plane/tenants/permit_holder.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// Permits that one node may spend, by tenant. Pure; counterpart of permit_lender, whose leases it
-/// spends. Owns the node's counts of spent permits and waiting calls, and its ceilings;
+/// spends. Owns the node's counts of spent permits and waiting calls, and its spent limits;
 /// quota_client carries the messages.
 
 #include <cstdint>
@@ -14,14 +14,14 @@
 #include "tallyfold/plane/routing/configuration.hpp"
 #include "tallyfold/plane/tenants/messages.hpp"
 #include "tallyfold/plane/tenants/quota_rules.hpp"
-#include "tallyfold/plane/tenants/spent_window.hpp"
+#include "tallyfold/plane/tenants/sliding_window_counter.hpp"
 
 namespace tallyfold::tenants {
 
 /// Kind of call that requests a permit.
 enum class permit_need : std::uint8_t {
     /// Belongs to a running program, which fails as a whole when the call is refused.
-    under_way,
+    running_program,
     /// Starts a program.
     new_program,
 };
@@ -34,9 +34,9 @@
     /// election of a new lender.
     static constexpr duration spare_permit_horizon = std::chrono::milliseconds(1'500);
 
-    /// @param life identifies the process; differs after each restart
-    permit_holder(quota_rules rules, node_name node, std::uint64_t life)
-        : rules_(rules), node_(std::move(node)), life_(life) {}
+    /// @param process_id identifies the process; differs after each restart
+    permit_holder(quota_rules rules, node_name node, std::uint64_t process_id)
+        : rules_(rules), node_(std::move(node)), process_id_(process_id) {}
 
     /// Sets the tenants' limits. Tenants without a limit need no permits.
     void use(const std::vector<routing::tenant>& tenants);
@@ -48,15 +48,15 @@
     void set_spare_permits(bool spare) { spare_permits_enabled_ = spare; }
 
     /// Spends an available permit. @return false when there is none
-    bool take(const tenant_name& tenant, instant now);
+    bool try_acquire(const tenant_name& tenant, instant now);
     /// Spends a permit while the lender is unavailable. A node may continue at the rate that was
     /// last granted to it, plus one call, so that all nodes together stay close to what the lender
     /// has counted. While a new lender settles, only nodes with a granted rate may continue.
-    bool take_without_lender(const tenant_name& tenant, instant now);
+    bool try_acquire_without_lender(const tenant_name& tenant, instant now);
     /// Returns the permit of a call that was not run, so that it can be spent again.
     /// @param taken when the permit was spent
     /// @return false when the permit has left the window, and nothing changes
-    bool give_back(const tenant_name& tenant, instant taken, instant now);
+    bool release(const tenant_name& tenant, instant taken, instant now);
     /// Counts a call that waits for a permit, until end_wait().
     void begin_wait(const tenant_name& tenant, permit_need need);
     void end_wait(const tenant_name& tenant, permit_need need);
@@ -79,9 +79,9 @@
     /// Delay after which permits may be free for the tenant's waiting calls, from the last answer.
     [[nodiscard]] duration retry_after(const tenant_name& tenant, permit_need need) const;
     /// Sequence number of the last report.
-    [[nodiscard]] std::uint64_t question() const { return question_; }
+    [[nodiscard]] std::uint64_t sequence() const { return sequence_; }
     /// Number of tenants with state at this node.
-    [[nodiscard]] std::size_t active() const { return tenants_.size(); }
+    [[nodiscard]] std::size_t tenant_count() const { return tenants_.size(); }
 
   private:
     struct held_permits {
@@ -89,15 +89,15 @@
         /// Permits spent by this process, less those returned.
         std::uint64_t spent = 0;
         /// Value that `spent` may reach while the lease is valid.
-        std::uint64_t ceiling = 0;
+        std::uint64_t spent_limit = 0;
         /// Permits spent within the window.
-        spent_window recent;
+        sliding_window_counter recent;
         /// Permits of `recent` that were spent without a grant of the lender.
-        spent_window spent_without_lender;
+        sliding_window_counter spent_without_lender;
         /// Permits of `recent` that the lender had granted by its last answer.
         std::uint32_t granted_recent = 0;
         /// Calls that wait for a permit, of running programs and of new ones.
-        std::uint32_t waiting_under_way = 0;
+        std::uint32_t waiting_running = 0;
         std::uint32_t waiting_new = 0;
         /// As in the last permit_grant.
         std::uint32_t retry_after_ms = 0;
@@ -119,12 +119,12 @@
 
     quota_rules rules_;
     node_name node_;
-    std::uint64_t life_;
+    std::uint64_t process_id_;
     bool spare_permits_enabled_ = true;
     std::unordered_set<tenant_name> limited_tenants_;
     std::unordered_map<tenant_name, held_permits> tenants_;
     /// Sequence number of the last report.
-    std::uint64_t question_ = 0;
+    std::uint64_t sequence_ = 0;
     instant report_sent_{};
     instant lease_end_{};
     /// The next report lists all tenants, not only those that changed.
--- a/src/tallyfold/plane/tenants/permit_lender.cpp
+++ b/src/tallyfold/plane/tenants/permit_lender.cpp
@@ -15,13 +15,13 @@
 
 void permit_lender::add(limit_use& held, const share& known) {
     held.counted += known.counted();
-    held.spent += known.recent;
+    held.spent += known.spent_in_window;
     held.lent_since_start += known.lent_since_start();
 }
 
 void permit_lender::remove(limit_use& held, const share& known) {
     held.counted -= std::min(held.counted, known.counted());
-    held.spent -= std::min<std::uint64_t>(held.spent, known.recent);
+    held.spent -= std::min<std::uint64_t>(held.spent, known.spent_in_window);
     held.lent_since_start -= known.lent_since_start();
 }
 
@@ -32,14 +32,14 @@
         held.use.counted = 0;
         held.use.spent = 0;
         held.use.lent_since_start = 0;
-        held.spending = spent_window(rules_.window);
+        held.spending = sliding_window_counter(rules_.window);
     }
 }
 
 permit_lender::account permit_lender::open_account(const tenant_name& tenant) const {
-    account opened{{}, spent_window(rules_.window)};
+    account opened{{}, sliding_window_counter(rules_.window)};
     // Nodes may still hold permits from before the tenant was removed from the configuration.
-    for (const auto& [life, node] : nodes_) {
+    for (const auto& [process, node] : nodes_) {
         const auto known = node.shares.find(tenant);
         if (known != node.shares.end()) {
             add(opened.use, known->second);
@@ -73,9 +73,9 @@
     share& known = entry->second;
     record_spending(held, is_new ? nullptr : &known, use, now);
     remove(held.use, known);
-    const std::uint64_t initial_ceiling =
-        is_new ? std::max(use.ceiling, use.spent) : known.initial_ceiling;
-    known = {use.spent, use.ceiling, use.recent, initial_ceiling};
+    const std::uint64_t initial_spent_limit =
+        is_new ? std::max(use.spent_limit, use.spent) : known.initial_spent_limit;
+    known = {use.spent, use.spent_limit, use.spent_in_window, initial_spent_limit};
     add(held.use, known);
 }
 
@@ -85,13 +85,14 @@
         // Spending before the lender's start is covered by the rate that it lends at in its first
         // window.
         if (now - started_ >= rules_.window) {
-            held.spending.add(now, use.recent);
+            held.spending.add(now, use.spent_in_window);
         }
         return;
     }
     if (use.spent >= known->spent) {
         // Permits spent since the last report that have left the window precede every span.
-        const std::uint64_t spent = std::min<std::uint64_t>(use.spent - known->spent, use.recent);
+        const std::uint64_t spent =
+            std::min<std::uint64_t>(use.spent - known->spent, use.spent_in_window);
         held.spending.add(now, static_cast<std::uint32_t>(spent));
     } else {
         held.spending.remove_oldest(known->spent - use.spent, now);
@@ -109,15 +110,15 @@
 }
 
 void permit_lender::set_retry_delays(permit_grant& granted, const permit_use& use,
-                                     const lendable& lent, const limit_use& held) const {
-    if (lent.needed < use.needed) {
-        granted.retry_after_ms = time_to_free_ms(held, use.needed - lent.needed, rules_);
+                                     const granted_permits& lent, const limit_use& held) const {
+    if (lent.needed < use.waiting_running) {
+        granted.retry_after_ms = time_to_free_ms(held, use.waiting_running - lent.needed, rules_);
     }
-    if (lent.beginning < use.beginning) {
+    if (lent.beginning < use.waiting_new) {
         const double open = held.limit * (1 - reserved_share);
         const double over = std::max(0.0, static_cast<double>(held.spent) - open);
         granted.retry_new_program_after_ms =
-            time_to_free_ms(held, over + use.beginning - lent.beginning, rules_);
+            time_to_free_ms(held, over + use.waiting_new - lent.beginning, rules_);
     }
 }
 
@@ -132,21 +133,22 @@
     share& known = node.shares[use.tenant];
     const double lent_since_start = held.lent_since_start;
     remove(held, known);
-    known.ceiling = known.spent;
+    known.spent_limit = known.spent;
     add(held, known);
     limit_use use_without_node = held;
     use_without_node.lent_since_start = lent_since_start;
     use_without_node.left_by_token_bucket = left_by_token_bucket(tenant->second, now);
-    const lendable lent = lendable_permits(use, use_without_node, now - started_, rules_);
+    const granted_permits lent = lendable_permits(use, use_without_node, now - started_, rules_);
     const double permits = lent.needed + lent.beginning + lent.spare;
     permit_grant granted{use.tenant, known.spent + static_cast<std::uint64_t>(permits), 0, 0};
     remove(held, known);
-    // Until the node reports a lower ceiling, it may spend up to its present one.
-    known.ceiling = std::max(use.ceiling, granted.ceiling);
+    // Until the node reports a lower limit, it may spend up to its present one.
+    known.spent_limit = std::max(use.spent_limit, granted.spent_limit);
     add(held, known);
     set_retry_delays(granted, use, lent, held);
-    const bool all_granted = lent.needed >= use.needed && lent.beginning >= use.beginning;
-    if (granted.ceiling == use.ceiling && all_granted) {
+    const bool all_granted =
+        lent.needed >= use.waiting_running && lent.beginning >= use.waiting_new;
+    if (granted.spent_limit == use.spent_limit && all_granted) {
         return std::nullopt;
     }
     return granted;
@@ -179,22 +181,22 @@
 
 permit_answer permit_lender::answer(const permit_report& report, instant now) {
     permit_answer answer;
-    answer.question = report.question;
-    node_entry& node = nodes_[{report.node, report.life}];
-    const bool follows = node.question > 0 && report.question > node.question;
-    if (!report.whole && !follows) {
-        answer.outcome = permit_outcome::wants_whole;
+    answer.sequence = report.sequence;
+    node_entry& node = nodes_[{report.node, report.process_id}];
+    const bool follows = node.sequence > 0 && report.sequence > node.sequence;
+    if (!report.is_full && !follows) {
+        answer.outcome = permit_outcome::full_report_required;
         return answer;
     }
-    if (report.question <= node.question) {
+    if (report.sequence <= node.sequence) {
         // The report arrived after a newer one, so it is outdated.
-        answer.outcome = permit_outcome::wants_whole;
+        answer.outcome = permit_outcome::full_report_required;
         return answer;
     }
     answer.settling = now - started_ < settling_time;
-    node.question = report.question;
+    node.sequence = report.sequence;
     node.last_report = now;
-    if (report.whole) {
+    if (report.is_full) {
         drop_unreported(node, report.uses);
     }
     for (const permit_use& use : report.uses) {
@@ -224,14 +226,14 @@
     return found == tenants_.end() ? 0 : found->second.use.counted;
 }
 
-bool permit_lender::knows(const node_name& node, std::uint64_t life) const {
-    const auto found = nodes_.find({node, life});
-    return found != nodes_.end() && found->second.question > 0;
+bool permit_lender::has_report_from(const node_name& node, std::uint64_t process_id) const {
+    const auto found = nodes_.find({node, process_id});
+    return found != nodes_.end() && found->second.sequence > 0;
 }
 
-std::size_t permit_lender::entries() const {
+std::size_t permit_lender::share_count() const {
     std::size_t count = 0;
-    for (const auto& [life, node] : nodes_) {
+    for (const auto& [process, node] : nodes_) {
         count += node.shares.size();
     }
     return count;
--- a/src/tallyfold/plane/tenants/permit_lender.hpp
+++ b/src/tallyfold/plane/tenants/permit_lender.hpp
@@ -28,7 +28,7 @@
 #include "tallyfold/plane/tenants/messages.hpp"
 #include "tallyfold/plane/tenants/permit_rule.hpp"
 #include "tallyfold/plane/tenants/quota_rules.hpp"
-#include "tallyfold/plane/tenants/spent_window.hpp"
+#include "tallyfold/plane/tenants/sliding_window_counter.hpp"
 
 namespace tallyfold::tenants {
 
@@ -48,36 +48,38 @@
     /// Permits of the tenant that count at present, spent within the window or lent. For tests.
     [[nodiscard]] std::uint64_t in_use(const tenant_name& tenant) const;
     /// True when that process of the node has reported to this lender.
-    [[nodiscard]] bool knows(const node_name& node, std::uint64_t life) const;
+    [[nodiscard]] bool has_report_from(const node_name& node, std::uint64_t process_id) const;
     /// Number of entries, one for each tenant that is active at a node. For measurements of memory.
-    [[nodiscard]] std::size_t entries() const;
+    [[nodiscard]] std::size_t share_count() const;
 
   private:
     /// One tenant's permits at one node; fields as in permit_use.
     struct share {
         std::uint64_t spent = 0;
-        std::uint64_t ceiling = 0;
-        std::uint32_t recent = 0;
-        /// Ceiling in the node's first report to this lender.
-        std::uint64_t initial_ceiling = 0;
+        std::uint64_t spent_limit = 0;
+        std::uint32_t spent_in_window = 0;
+        /// The spent_limit in the node's first report to this lender.
+        std::uint64_t initial_spent_limit = 0;
 
-        [[nodiscard]] std::uint64_t lent() const { return ceiling > spent ? ceiling - spent : 0; }
-        [[nodiscard]] std::uint64_t counted() const { return recent + lent(); }
+        [[nodiscard]] std::uint64_t lent() const {
+            return spent_limit > spent ? spent_limit - spent : 0;
+        }
+        [[nodiscard]] std::uint64_t counted() const { return spent_in_window + lent(); }
         /// Negative when the node has returned permits of its first report.
         [[nodiscard]] double lent_since_start() const {
-            return static_cast<double>(std::max(ceiling, spent)) -
-                   static_cast<double>(initial_ceiling);
+            return static_cast<double>(std::max(spent_limit, spent)) -
+                   static_cast<double>(initial_spent_limit);
         }
     };
     struct node_entry {
-        std::uint64_t question = 0;
+        std::uint64_t sequence = 0;
         instant last_report{};
         std::unordered_map<tenant_name, share> shares;
     };
     /// One tenant's limit, and when its permits were spent according to the reports.
     struct account {
         limit_use use;
-        spent_window spending;
+        sliding_window_counter spending;
     };
     using node_process_id = std::pair<node_name, std::uint64_t>;
 
@@ -90,10 +92,10 @@
     void record_spending(account& held, const share* known, const permit_use& use, instant now);
     /// See limit_use. @param held without what the requesting node has been lent
     static double left_by_token_bucket(account& held, instant now);
-    /// @return nothing when the reported ceiling stays and all waiting calls are granted
+    /// @return nothing when the reported spent_limit stays and all waiting calls are granted
     std::optional<permit_grant> grant(node_entry& node, const permit_use& use, instant now);
     /// Sets the retry delays for calls that were not granted.
-    void set_retry_delays(permit_grant& granted, const permit_use& use, const lendable& lent,
+    void set_retry_delays(permit_grant& granted, const permit_use& use, const granted_permits& lent,
                           const limit_use& held) const;
     /// Adds a node's share to the sums, or subtracts it.
     static void add(limit_use& held, const share& known);
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -50,7 +50,7 @@
     : process_(process),
       directory_(directory),
       holder_(rules_of(process.settings()), process.settings().node, random_process_id()) {
-    const settings::switched_off& off = process.settings().off;
+    const settings::disabled_mechanisms& off = process.settings().disabled;
     holder_.set_spare_permits(!off.contains(settings::mechanism::spare_permits));
     max_permit_wait_ =
         off.contains(settings::mechanism::permit_wait) ? duration::zero() : max_permit_wait;
@@ -77,7 +77,7 @@
             lender_unresponsive_ = true;
             logging::write_event(logging::event_id::quota_keeper_lost,
                                  "keeper=" + directory_.leader() +
-                                     " question=" + std::to_string(holder_.question()));
+                                     " question=" + std::to_string(holder_.sequence()));
         }
         wake_waiting_calls();
     }
@@ -106,7 +106,7 @@
 }
 
 void quota_client::on_answer(const permit_answer& answer) {
-    if (!report_sent_ || answer.question != holder_.question()) {
+    if (!report_sent_ || answer.sequence != holder_.sequence()) {
         return;
     }
     report_sent_.reset();
@@ -114,12 +114,12 @@
     if (!holder_.apply(answer, http::steady_now())) {
         // A lender that requires a full report gets it at once. A node that is not the lender may
         // have named the lender, which gets the report of the next tick.
-        if (answer.outcome == permit_outcome::wants_whole) {
+        if (answer.outcome == permit_outcome::full_report_required) {
             send_report();
         }
         return;
     }
-    last_answered_ = answer.question;
+    last_answered_ = answer.sequence;
     if (lender_unresponsive_) {
         lender_unresponsive_ = false;
         logging::write_event(logging::event_id::quota_keeper_regained,
@@ -134,7 +134,7 @@
 
 permit_decision quota_client::acquire_without_lender(const tenant_name& tenant) {
     const instant now = http::steady_now();
-    if (holder_.take_without_lender(tenant, now)) {
+    if (holder_.try_acquire_without_lender(tenant, now)) {
         return permit_granted(now);
     }
     permit_decision decision;
@@ -144,7 +144,7 @@
 
 asio::awaitable<permit_decision> quota_client::acquire(tenant_name tenant, permit_need need) {
     const instant began = http::steady_now();
-    if (holder_.take(tenant, began)) {
+    if (holder_.try_acquire(tenant, began)) {
         co_return permit_granted(began);
     }
     if (lender_unresponsive_ || directory_.leader().empty()) {
@@ -162,10 +162,10 @@
     if (report_sent_) {
         // The report in flight doesn't include this call; the next one does.
         has_unreported_call_ = true;
-        return holder_.question() + 1;
+        return holder_.sequence() + 1;
     }
     send_report();
-    return holder_.question();
+    return holder_.sequence();
 }
 
 asio::awaitable<void> quota_client::wait_for_answer() {
@@ -180,7 +180,7 @@
                                                          instant now) const {
     const duration retry_after = holder_.retry_after(tenant, need);
     const bool free_in_time = now - began + retry_after <= max_permit_wait_;
-    if (need == permit_need::under_way && free_in_time) {
+    if (need == permit_need::running_program && free_in_time) {
         return std::nullopt;
     }
     permit_decision refusal;
@@ -193,14 +193,14 @@
                                                                permit_need need) {
     const instant began = http::steady_now();
     instant reported = began;
-    std::uint64_t question = report_waiting_call();
+    std::uint64_t sequence = report_waiting_call();
     while (true) {
         co_await wait_for_answer();
         const instant now = http::steady_now();
-        if (holder_.take(tenant, now)) {
+        if (holder_.try_acquire(tenant, now)) {
             co_return permit_granted(now);
         }
-        const bool answered = last_answered_ >= question;
+        const bool answered = last_answered_ >= sequence;
         const bool refused_while_settling = answered && holder_.lender_settling();
         if (lender_unresponsive_ || refused_while_settling || now - reported > 2 * answer_timeout) {
             co_return acquire_without_lender(tenant);
@@ -212,13 +212,13 @@
             co_return *refusal;
         }
         // The next tick sends another report.
-        question = holder_.question() + 1;
+        sequence = holder_.sequence() + 1;
         reported = now;
     }
 }
 
-bool quota_client::give_back(const tenant_name& tenant, instant taken) {
-    return holder_.give_back(tenant, taken, http::steady_now());
+bool quota_client::return_permit(const tenant_name& tenant, instant taken) {
+    return holder_.release(tenant, taken, http::steady_now());
 }
 
 }  // namespace tallyfold::tenants
--- a/src/tallyfold/plane/turns/turn_beginning.hpp
+++ b/src/tallyfold/plane/turns/begin_coordinator.hpp
@@ -3,7 +3,7 @@
 /// Begin of one turn: which store receives which request, when requests are sent again, and the
 /// outcome. Pure; turn_client sends the requests and passes in the replies.
 ///
-/// Owns the replies received so far. Uses begin_rules for admission and refusal, answer_tally for
+/// Owns the replies received so far. Uses begin_rules for admission and refusal, quorum_tracker for
 /// quorums, turn_search for turns of programs of other groups, and resend_backoff for the times of
 /// resends.
 
@@ -22,7 +22,7 @@
 namespace tallyfold::turns {
 
 /// Parameters of the begin of a turn.
-struct turn_question {
+struct begin_parameters {
     turn_reservation reservation;
     /// Request identifier of the turn to continue; empty for the first turn of a history.
     std::string previous;
@@ -42,7 +42,7 @@
     unavailable,
 };
 
-struct begun_turn {
+struct begin_decision {
     begin_result result = begin_result::unavailable;
     /// The conversation history before the turn, oldest first. Set only with `admitted`.
     std::vector<turn_record> history;
@@ -62,12 +62,12 @@
 };
 
 /// A request and the store that it goes to.
-struct store_question {
+struct addressed_request {
     store_member store;
     std::variant<begin_request, history_request, find_request> body;
 };
 
-class turn_beginning {
+class begin_coordinator {
   public:
     /// Time between a request for missing texts and the request to the next store. As long as
     /// resend_backoff::first_interval, so that loaded stores have time to reply.
@@ -82,7 +82,7 @@
 
     /// @param number operation number of the replies
     /// @param table must be known()
-    turn_beginning(operation_number number, turn_question question, const store_table& table);
+    begin_coordinator(operation_number number, begin_parameters question, const store_table& table);
 
     void on_reply(const begin_reply& reply);
     void on_reply(const history_reply& reply);
@@ -91,17 +91,17 @@
     void on_store_connected(store_id store);
 
     /// True while the outcome is not certain.
-    [[nodiscard]] bool undecided() const;
+    [[nodiscard]] bool is_undecided() const;
     /// True when no further reply can decide the begin: the turn to continue may have been lost,
     /// and every store has replied that it does not hold it.
     [[nodiscard]] bool cannot_be_decided() const;
     /// Returns the requests that are due, and starts their resend intervals.
-    std::vector<store_question> due(instant now, const store_table& table,
-                                    const store_choice& nearest);
-    /// Time at which due() has to be called again even without a reply.
+    std::vector<addressed_request> take_due_requests(instant now, const store_table& table,
+                                                     const store_choice& nearest);
+    /// Time at which take_due_requests() has to be called again even without a reply.
     [[nodiscard]] instant next_due() const;
     /// Outcome; `unavailable` while undecided.
-    [[nodiscard]] begun_turn outcome() const;
+    [[nodiscard]] begin_decision outcome() const;
 
   private:
     /// Makes a resend due when `maps` has a newer map of the same group.
@@ -113,13 +113,13 @@
     [[nodiscard]] std::string turn_to_search_for() const;
     void search_other_groups(instant now, const store_table& table);
     void collect_store_requests(const store_table& table, const store_choice& nearest,
-                                std::vector<store_question>& requests);
-    void request_history(instant now, std::vector<store_question>& requests);
+                                std::vector<addressed_request>& requests);
+    void request_history(instant now, std::vector<addressed_request>& requests);
     /// Stores that may hold texts of the history, most likely first.
     [[nodiscard]] std::vector<store_member> history_sources() const;
 
     operation_number number_;
-    turn_question question_;
+    begin_parameters question_;
     group_number group_;
     bool only_group_;
     begin_operation operation_;
--- a/src/tallyfold/plane/turns/quorum_operations.hpp
+++ b/src/tallyfold/plane/turns/quorum_operations.hpp
@@ -1,17 +1,17 @@
 #pragma once
 /// @file
 /// Begin and settlement of one turn at the stores of its program's group: merges their replies and
-/// decides when they suffice. Pure; turn_beginning and turn_client send the requests.
+/// decides when they suffice. Pure; begin_coordinator and turn_client send the requests.
 ///
-/// begin_rules has the rules of admission, answer_tally those of quorums.
+/// begin_rules has the rules of admission, quorum_tracker those of quorums.
 
 #include <map>
 #include <string>
 #include <vector>
 
-#include "tallyfold/plane/turns/answer_tally.hpp"
 #include "tallyfold/plane/turns/begin_rules.hpp"
 #include "tallyfold/plane/turns/messages.hpp"
+#include "tallyfold/plane/turns/quorum_tracker.hpp"
 
 namespace tallyfold::turns {
 
@@ -24,7 +24,7 @@
                     token_count budget);
 
     /// Restarts under a newer map; earlier replies no longer count towards the quorum.
-    void use_map(const store_map& map) { tally_.use_map(map); }
+    void switch_to_map(const store_map& map) { tally_.switch_to_map(map); }
     /// Handles a reply. A reply with a newer map is ignored, since its request had no effect.
     void on_reply(const begin_reply& reply);
     void on_history(const history_reply& reply);
@@ -53,7 +53,7 @@
   private:
     void store_records(const history_part& part);
 
-    answer_tally tally_;
+    quorum_tracker tally_;
     turn_reservation reservation_;
     std::string previous_;
     token_count budget_;
@@ -69,17 +69,17 @@
     explicit settle_operation(store_map map) : tally_(std::move(map)) {}
 
     /// Restarts under a newer map; earlier replies no longer count towards the quorum.
-    void use_map(const store_map& map) { tally_.use_map(map); }
+    void switch_to_map(const store_map& map) { tally_.switch_to_map(map); }
     /// Handles a reply. A reply with a newer map is ignored, since its request had no effect.
     void on_reply(const settle_reply& reply);
-    [[nodiscard]] bool done() const { return tally_.reached_quorum(); }
+    [[nodiscard]] bool is_durable() const { return tally_.reached_quorum(); }
     /// Stores that have not made the settlement durable yet.
     [[nodiscard]] std::vector<store_member> unanswered() const { return tally_.unanswered(); }
     [[nodiscard]] const store_map& map() const { return tally_.map(); }
     [[nodiscard]] answer_count answers() const { return tally_.count(); }
 
   private:
-    answer_tally tally_;
+    quorum_tracker tally_;
 };
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/answer_tally.cpp
+++ b/src/tallyfold/plane/turns/quorum_tracker.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/turns/answer_tally.hpp"
+#include "tallyfold/plane/turns/quorum_tracker.hpp"
 
 namespace tallyfold::turns {
 
@@ -11,10 +11,10 @@
 }
 
 bool is_write_quorum(const store_map& map, const std::set<store_id>& durable) {
-    return map.suffices_of_current(durable) && (!map.changing() || is_majority(map.next, durable));
+    return map.has_current_quorum(durable) && (!map.changing() || is_majority(map.next, durable));
 }
 
-void answer_tally::use_map(const store_map& map) {
+void quorum_tracker::switch_to_map(const store_map& map) {
     if (map.epoch <= map_.epoch) {
         return;
     }
@@ -23,14 +23,14 @@
     durable_.clear();
 }
 
-void answer_tally::add(store_id store, bool durable) {
+void quorum_tracker::add(store_id store, bool durable) {
     answered_.insert(store);
     if (durable) {
         durable_.insert(store);
     }
 }
 
-std::vector<store_member> answer_tally::unanswered() const {
+std::vector<store_member> quorum_tracker::unanswered() const {
     std::vector<store_member> remaining;
     for (const store_member& member : map_.all()) {
         if (!durable_.contains(member.id)) {
@@ -40,13 +40,13 @@
     return remaining;
 }
 
-answer_count answer_tally::count() const {
+answer_count quorum_tracker::count() const {
     answer_count count;
     count.answers = answered_.size();
     count.changing = map_.changing();
     count.after_loss = map_.after_loss;
     for (const store_id store : answered_) {
-        const bool listed = map_.holds(store);
+        const bool listed = map_.contains(store);
         count.durable += listed && durable_.contains(store) ? 1 : 0;
         count.unlisted += listed ? 0 : 1;
     }
--- a/src/tallyfold/plane/turns/store_folder_shell.cpp
+++ b/src/tallyfold/plane/turns/store_folder_shell.cpp
@@ -33,7 +33,7 @@
 /// Reads the stored map. A damaged one counts as none, since the directory sends the map in force.
 /// @return nothing when this build cannot read the map's format
 std::optional<store_map> read_map(const turn_log& log) {
-    const auto kept = log.kept_map();
+    const auto kept = log.load_map();
     if (kept) {
         return *kept;
     }
@@ -69,7 +69,7 @@
     store_fsm state(opened->identity(), *map, std::move(recovered));
     log_opened(*opened, state.turns(),
                "programs=" + std::to_string(state.turns().program_count()) +
-                   " cut_bytes=" + std::to_string(opened->cut_bytes()));
+                   " cut_bytes=" + std::to_string(opened->truncated_bytes()));
     return opened_store{std::move(*opened), std::move(state)};
 }
 
--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -121,7 +121,7 @@
     }
 }
 
-store_write store_fsm::take_write() {
+store_write store_fsm::begin_write() {
     store_write write;
     if (map_write_pending_) {
         write.map = map_;
@@ -193,7 +193,7 @@
     }
 }
 
-std::vector<addressed_reply> store_fsm::written(bool durable, instant now) {
+std::vector<addressed_reply> store_fsm::finish_write(bool durable, instant now) {
     const std::vector<queued_message> batch = std::move(write_batch_);
     write_batch_.clear();
     if (durable) {
@@ -218,7 +218,7 @@
     return replies;
 }
 
-std::optional<copy_order> store_fsm::next_copy() {
+std::optional<copy_fetch> store_fsm::next_copy() {
     if (!copy_progress_.has_value()) {
         return std::nullopt;
     }
@@ -235,7 +235,7 @@
     request.map = copy_progress_->map();
     request.held = held_requests_;
     request.after = from == copy_positions_.end() ? std::string{} : from->second;
-    return copy_order{source, std::move(request)};
+    return copy_fetch{source, std::move(request)};
 }
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -30,7 +30,7 @@
     store_reply body;
 };
 
-/// Data to make durable before written() is called.
+/// Data to make durable before finish_write() is called.
 struct store_write {
     /// Map to store; written before the changes.
     std::optional<store_map> map;
@@ -40,7 +40,7 @@
 };
 
 /// A copy request and the store that it goes to.
-struct copy_order {
+struct copy_fetch {
     store_member source;
     copy_request request;
 };
@@ -51,7 +51,8 @@
     /// @param recovered the turns and ledgers read from the disk
     store_fsm(store_id self, const store_map& stored_map, turn_table recovered);
 
-    /// Handles a request. @return replies that depend on no write; written() returns the others
+    /// Handles a request. @return replies that depend on no write; finish_write() returns the
+    /// others
     std::vector<addressed_reply> receive(peer_token from, const begin_request& request);
     std::vector<addressed_reply> receive(peer_token from, const settle_request& request);
     std::vector<addressed_reply> receive(peer_token from, const history_request& request) const;
@@ -66,17 +67,17 @@
     /// @return true when any was newer
     bool learn_table(const store_table& table);
 
-    /// True when messages or a map are queued for take_write().
-    [[nodiscard]] bool has_work() const { return !queue_.empty() || map_write_pending_; }
-    /// Returns the queued changes and map for writing; must be followed by written().
-    store_write take_write();
-    /// Ends the write that take_write() returned last. @param durable false when the write failed:
+    /// True when messages or a map are queued for begin_write().
+    [[nodiscard]] bool has_pending_write() const { return !queue_.empty() || map_write_pending_; }
+    /// Returns the queued changes and map for writing; must be followed by finish_write().
+    store_write begin_write();
+    /// Ends the write that begin_write() returned last. @param durable false when the write failed:
     /// its changes are not applied, and the requests are answered as not durable
-    std::vector<addressed_reply> written(bool durable, instant now);
+    std::vector<addressed_reply> finish_write(bool durable, instant now);
 
     /// Next page to request, and its source; nothing when no copy is under way. Sources are copied
     /// one after the other, so that none sends what an earlier one has already sent.
-    [[nodiscard]] std::optional<copy_order> next_copy();
+    [[nodiscard]] std::optional<copy_fetch> next_copy();
     /// Switches to the next source after the last one timed out.
     void skip_copy_source() { ++source_offset_; }
     /// Epoch of the newest map for which this store has completed a copy; 0 for none.
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -25,11 +25,11 @@
                          std::function<void(const store_map&)> on_newer_map)
     : process_(process), newer_map_handler_(std::move(on_newer_map)) {}
 
-void turn_client::use_stores(const store_table& stores) {
-    if (!table_.take(stores)) {
+void turn_client::update_stores(const store_table& stores) {
+    if (!table_.merge_newer(stores)) {
         return;
     }
-    std::erase_if(stores_, [&](const auto& entry) { return !table_.holds(entry.first); });
+    std::erase_if(stores_, [&](const auto& entry) { return !table_.contains(entry.first); });
     for (const store_member& member : table_.all()) {
         store_connection& store = stores_[member.id];
         if (store.link && store.link->address() == member.address) {
@@ -55,7 +55,7 @@
         if (pending->begin != nullptr) {
             pending->begin->on_store_connected(store);
             pending->timer.cancel();
-        } else if (pending->settle != nullptr && pending->settle->map().holds(store)) {
+        } else if (pending->settle != nullptr && pending->settle->map().contains(store)) {
             pending->backoff.resend_now();
             pending->timer.cancel();
         }
@@ -158,19 +158,20 @@
     return pending;
 }
 
-asio::awaitable<begun_turn> turn_client::begin(turn_question question, instant deadline) {
+asio::awaitable<begin_decision> turn_client::begin(begin_parameters question, instant deadline) {
     const operation_number number = next_operation_++;
-    turn_beginning beginning(number, std::move(question), table_);
+    begin_coordinator beginning(number, std::move(question), table_);
     const auto pending = register_operation(number);
     pending->begin = &beginning;
     const instant started = steady_now();
     const auto choose = [this](const store_map& map) { return nearest(map); };
-    while (beginning.undecided() && !beginning.cannot_be_decided()) {
+    while (beginning.is_undecided() && !beginning.cannot_be_decided()) {
         const instant now = steady_now();
         if (now >= deadline) {
             break;
         }
-        for (const store_question& due_request : beginning.due(now, table_, choose)) {
+        for (const addressed_request& due_request :
+             beginning.take_due_requests(now, table_, choose)) {
             std::visit([&](const auto& body) { send(due_request.store, body, started); },
                        due_request.body);
         }
@@ -188,13 +189,13 @@
     const auto pending = register_operation(number);
     pending->settle = &operation;
     const instant started = steady_now();
-    while (!operation.done()) {
+    while (!operation.is_durable()) {
         const instant now = steady_now();
         if (now >= deadline) {
             break;
         }
         if (pending->backoff.take_due(now)) {
-            operation.use_map(table_.groups[group]);
+            operation.switch_to_map(table_.groups[group]);
             for (const store_member& member : operation.unanswered()) {
                 settle_request request;
                 request.operation = number;
@@ -207,18 +208,18 @@
         co_await wait(pending, std::min(deadline, pending->backoff.next_send_at()));
     }
     operations_.erase(number);
-    if (!operation.done()) {
+    if (!operation.is_durable()) {
         logging::write_event(logging::event_id::turn_unsettled,
                              "request=" + settlement.request + " program=" + settlement.program +
                                  " " + describe(operation.answers()) +
                                  " group=" + std::to_string(group) +
                                  " epoch=" + std::to_string(operation.map().epoch));
     }
-    co_return operation.done();
+    co_return operation.is_durable();
 }
 
-void turn_client::settle_later(turn_settlement settlement) {
-    ++settling_;
+void turn_client::settle_in_background(turn_settlement settlement) {
+    ++background_settlement_count_;
     asio::co_spawn(
         process_.loop(),
         [this, settlement = std::move(settlement)]() mutable -> asio::awaitable<void> {
@@ -226,7 +227,7 @@
             const instant deadline = steady_now() + background_settle_timeout;
             cached_prompt no_cached_prompt;
             co_await settle(std::move(settlement), std::move(no_cached_prompt), deadline);
-            --settling_;
+            --background_settlement_count_;
         },
         asio::detached);
 }
--- a/src/tallyfold/plane/turns/turn_client_shell.hpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.hpp
@@ -2,8 +2,8 @@
 /// @file
 /// Begins and settles turns at the stores, over the network. Runs on the loop thread.
 ///
-/// Owns one connection to each store of the table, and the operations under way. turn_beginning and
-/// settle_operation decide what is sent when, and when an operation has ended.
+/// Owns one connection to each store of the table, and the operations under way. begin_coordinator
+/// and settle_operation decide what is sent when, and when an operation has ended.
 
 #include <asio/awaitable.hpp>
 #include <asio/steady_timer.hpp>
@@ -15,7 +15,7 @@
 
 #include "tallyfold/plane/messaging/peer_link_shell.hpp"
 #include "tallyfold/plane/process/node_process_shell.hpp"
-#include "tallyfold/plane/turns/turn_beginning.hpp"
+#include "tallyfold/plane/turns/begin_coordinator.hpp"
 
 namespace tallyfold::turns {
 
@@ -26,28 +26,30 @@
     turn_client(net::node_process& process, std::function<void(const store_map&)> on_newer_map);
 
     /// Adopts the newer maps of the table, and connects to its stores.
-    void use_stores(const store_table& stores);
+    void update_stores(const store_table& stores);
     [[nodiscard]] bool has_store_table() const { return table_.known(); }
 
     /// Begins a turn; requires has_store_table(). @return `unavailable` when undecided at the
     /// deadline
-    asio::awaitable<begun_turn> begin(turn_question question, instant deadline);
+    asio::awaitable<begin_decision> begin(begin_parameters question, instant deadline);
     /// Settles a turn. @return true once the settlement is durable at a quorum; false at the
     /// deadline, which is logged
     asio::awaitable<bool> settle(turn_settlement settlement, cached_prompt held, instant deadline);
     /// Settles a turn in the background, for a caller that does not wait for it.
-    void settle_later(turn_settlement settlement);
+    void settle_in_background(turn_settlement settlement);
     /// Number of settlements under way in the background.
-    [[nodiscard]] std::size_t settling() const { return settling_; }
+    [[nodiscard]] std::size_t background_settlement_count() const {
+        return background_settlement_count_;
+    }
 
   private:
     /// An operation under way, with either `begin` or `settle` set.
     struct pending_operation {
         explicit pending_operation(asio::io_context& loop) : timer(loop) {}
         asio::steady_timer timer;
-        turn_beginning* begin = nullptr;
+        begin_coordinator* begin = nullptr;
         settle_operation* settle = nullptr;
-        /// Resends of a settlement; turn_beginning has its own.
+        /// Resends of a settlement; begin_coordinator has its own.
         resend_backoff backoff;
     };
     struct store_connection {
@@ -76,7 +78,7 @@
     std::map<store_id, store_connection> stores_;
     std::map<operation_number, std::shared_ptr<pending_operation>> operations_;
     operation_number next_operation_ = 1;
-    std::size_t settling_ = 0;
+    std::size_t background_settlement_count_ = 0;
 };
 
 }  // namespace tallyfold::turns
--- a/src/tallyfold/plane/turns/turn_log.hpp
+++ b/src/tallyfold/plane/turns/turn_log.hpp
@@ -38,16 +38,16 @@
     tl::expected<void, storage::storage_error> rotate(const page_reader& read_page);
     /// Stores the map in force. Once it is synced, requests under older maps stay refused after a
     /// restart.
-    tl::expected<void, storage::storage_error> keep_map(const store_map& map);
+    tl::expected<void, storage::storage_error> save_map(const store_map& map);
     /// Reads the stored map; its epoch is 0 when there is none.
-    [[nodiscard]] tl::expected<store_map, storage::storage_error> kept_map() const;
+    [[nodiscard]] tl::expected<store_map, storage::storage_error> load_map() const;
     /// True when the segment has grown well beyond its initial size.
-    [[nodiscard]] bool needs_rotation() const { return log_.wants_rewrite(); }
+    [[nodiscard]] bool needs_rotation() const { return log_.needs_rewrite(); }
     [[nodiscard]] bool failed() const { return log_.failed(); }
 
     [[nodiscard]] store_id identity() const { return identity_; }
     /// Size of the partial record that was removed at the end of the log, in bytes.
-    [[nodiscard]] std::uint64_t cut_bytes() const { return log_.cut_bytes(); }
+    [[nodiscard]] std::uint64_t truncated_bytes() const { return log_.truncated_bytes(); }
 
   private:
     turn_log(std::string folder, std::uint64_t segment_bytes);
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -139,7 +139,7 @@
 }
 
 void store_node::schedule_write() {
-    if (!write_scheduled_ && store_.has_work()) {
+    if (!write_scheduled_ && store_.has_pending_write()) {
         write_scheduled_ = true;
         write_after_rounds(batching_rounds);
     }
@@ -157,14 +157,14 @@
 }
 
 void store_node::write_queued() {
-    const store_write write = store_.take_write();
+    const store_write write = store_.begin_write();
     const bool durable = writer_.make_durable(write);
-    send(store_.written(durable, steady_now()));
+    send(store_.finish_write(durable, steady_now()));
     bytes_.Set(static_cast<double>(store_.turns().bytes()));
     if (durable) {
         writer_.rotate_if_grown(store_.turns());
     }
-    if (!store_.has_work()) {
+    if (!store_.has_pending_write()) {
         // All replies have been sent; the remaining requests get none.
         reply_channels_.clear();
     }
--- a/src/tallyfold/plane/turns/types.cpp
+++ b/src/tallyfold/plane/turns/types.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-bool store_map::holds(store_id id) const {
+bool store_map::contains(store_id id) const {
     return contains_member(current, id) || contains_member(next, id);
 }
 
@@ -46,7 +46,7 @@
     return members;
 }
 
-bool store_map::suffices_of_current(const std::set<store_id>& answered) const {
+bool store_map::has_current_quorum(const std::set<store_id>& answered) const {
     if (after_loss && changing()) {
         return !current.empty() &&
                std::all_of(current.begin(), current.end(), [&](const store_member& member) {
@@ -56,7 +56,7 @@
     return !current.empty() && is_majority(current, answered);
 }
 
-std::size_t store_map::copies_needed() const {
+std::size_t store_map::required_copy_count() const {
     const std::size_t majority = current.size() / 2 + 1;
     return after_loss && changing() ? current.size() : current.size() - majority + 1;
 }
@@ -65,9 +65,9 @@
     return static_cast<group_number>(stable_hash(program) % groups.size());
 }
 
-bool store_table::holds(store_id id) const {
+bool store_table::contains(store_id id) const {
     return std::any_of(groups.begin(), groups.end(),
-                       [id](const store_map& map) { return map.holds(id); });
+                       [id](const store_map& map) { return map.contains(id); });
 }
 
 std::vector<store_member> store_table::all() const {
@@ -82,7 +82,7 @@
     return members;
 }
 
-bool store_table::take(const store_map& map) {
+bool store_table::merge_newer(const store_map& map) {
     if (map.group >= max_groups) {
         return false;
     }
@@ -96,11 +96,11 @@
     return true;
 }
 
-bool store_table::take(const store_table& other) {
+bool store_table::merge_newer(const store_table& other) {
     bool newer = other.epoch > epoch;
     epoch = std::max(epoch, other.epoch);
     for (const store_map& map : other.groups) {
-        newer = take(map) || newer;
+        newer = merge_newer(map) || newer;
     }
     return newer;
 }
--- a/src/tallyfold/plane/turns/types.hpp
+++ b/src/tallyfold/plane/turns/types.hpp
@@ -136,15 +136,15 @@
     /// True while members are being replaced.
     [[nodiscard]] bool changing() const { return !next.empty(); }
     /// True when either list contains the store.
-    [[nodiscard]] bool holds(store_id id) const;
+    [[nodiscard]] bool contains(store_id id) const;
     /// Members of both lists, each once.
     [[nodiscard]] std::vector<store_member> all() const;
     /// True when `answered` contains a quorum of `current`: a majority, or all of them while a
     /// change after a loss of disks is under way.
-    [[nodiscard]] bool suffices_of_current(const std::set<store_id>& answered) const;
+    [[nodiscard]] bool has_current_quorum(const std::set<store_id>& answered) const;
     /// Number of members of `current` from which a store has to copy to hold every acknowledged
     /// write: every quorum of `current` includes one of them.
-    [[nodiscard]] std::size_t copies_needed() const;
+    [[nodiscard]] std::size_t required_copy_count() const;
 
     bool operator==(const store_map&) const = default;
     template <class Archive>
@@ -169,14 +169,14 @@
     [[nodiscard]] bool known() const { return epoch > 0 && !groups.empty(); }
     /// Group that stores the program's turns and its ledger. Requires known().
     [[nodiscard]] group_number group_of(const std::string& program) const;
-    [[nodiscard]] bool holds(store_id id) const;
+    [[nodiscard]] bool contains(store_id id) const;
     /// Members of all groups, each once.
     [[nodiscard]] std::vector<store_member> all() const;
     /// Adopts one group's map when it is newer. `epoch` stays, since other groups may have changed
     /// too. @return true when the map was newer and its group number is below max_groups
-    bool take(const store_map& map);
+    bool merge_newer(const store_map& map);
     /// Adopts the newer maps of another table. @return true when anything was newer
-    bool take(const store_table& other);
+    bool merge_newer(const store_table& other);
 
     bool operator==(const store_table&) const = default;
     template <class Archive>
--- a/src/tallyfold/scheduling/engine_pace.cpp
+++ b/src/tallyfold/scheduling/engine_pace.cpp
@@ -33,14 +33,14 @@
 
 }  // namespace
 
-void engine_pace::prompt_read(token_count tokens, duration took) {
+void engine_pace::record_prompt_processed(token_count tokens, duration took) {
     if (tokens >= min_prompt_tokens && took > duration::zero()) {
         track_minimum(read_ms_per_token_, milliseconds(took) / static_cast<double>(tokens));
     }
 }
 
-void engine_pace::events_came(const backend_name& engine, std::size_t events, duration took,
-                              instant now) {
+void engine_pace::record_events(const backend_name& engine, std::size_t events, duration took,
+                                instant now) {
     if (events == 0 || took < duration::zero()) {
         return;
     }
@@ -57,7 +57,7 @@
     }
 }
 
-void engine_pace::stream_ended(duration mean_gap) {
+void engine_pace::record_stream_end(duration mean_gap) {
     if (mean_gap <= duration::zero()) {
         return;
     }
@@ -68,7 +68,7 @@
                           : gap;
 }
 
-void engine_pace::call_ended(duration took) {
+void engine_pace::record_call_end(duration took) {
     const double time = std::max(0.0, milliseconds(took));
     call_ms_ = call_ms_ > 0 ? call_ms_ + overall_average_weight * (time - call_ms_) : time;
 }
--- a/src/tallyfold/scheduling/engine_pace.hpp
+++ b/src/tallyfold/scheduling/engine_pace.hpp
@@ -24,15 +24,15 @@
 
     /// Records that an engine processed `tokens` uncached prompt tokens and sent its first byte
     /// after `took`.
-    void prompt_read(token_count tokens, duration took);
+    void record_prompt_processed(token_count tokens, duration took);
     /// Records `events` events of one stream, received within `took`, the last of them at `now`.
-    void events_came(const backend_name& engine, std::size_t events, duration took, instant now);
+    void record_events(const backend_name& engine, std::size_t events, duration took, instant now);
     /// Records the end of a stream, with the mean time between its events after the first.
-    void stream_ended(duration mean_gap);
+    void record_stream_end(duration mean_gap);
     /// Records a call that was answered `took` after it was sent.
-    void call_ended(duration took);
+    void record_call_end(duration took);
     /// Removes the estimate for an engine that is gone.
-    void forget(const backend_name& engine) { engines_.erase(engine); }
+    void remove_engine(const backend_name& engine) { engines_.erase(engine); }
 
     /// Prompt processing time of an idle engine, in milliseconds per token; 0 while unknown.
     [[nodiscard]] double read_ms_per_token() const { return read_ms_per_token_; }
--- a/tests/plane/decisions/backend_distrust_test.cpp
+++ b/tests/plane/decisions/backend_eligibility_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/decisions/backend_distrust.hpp"
+#include "tallyfold/plane/decisions/backend_eligibility.hpp"
 
 #include "tests/support/suite.hpp"
 
@@ -8,8 +8,8 @@
 using scheduling::backend_member;
 using scheduling::backend_pool;
 
-class backend_distrust_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(backend_distrust_test);
+class backend_eligibility_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(backend_eligibility_test);
     CPPUNIT_TEST(without_a_fault_a_back_end_is_trusted);
     CPPUNIT_TEST(a_reported_failure_makes_a_back_end_distrusted);
     CPPUNIT_TEST(an_ejected_back_end_is_unavailable);
@@ -46,7 +46,7 @@
 
     void a_reported_failure_makes_a_back_end_distrusted() {
         reported_failures reported;
-        reported.note("b0", now);
+        reported.record("b0", now);
         CPPUNIT_ASSERT(eligibility(pool_of(4), reported) == backend_eligibility::distrusted);
     }
 
@@ -71,7 +71,7 @@
     void the_strictest_rule_decides() {
         backend_pool pool = pool_of(4);
         reported_failures reported;
-        reported.note("b0", now);
+        reported.record("b0", now);
         pool.unreachable("b0", now);
         CPPUNIT_ASSERT(eligibility(pool, reported) == backend_eligibility::unavailable);
         pool.set_drained("b0", true);
@@ -81,31 +81,31 @@
     void more_than_half_of_the_pool_counts_as_most() {
         const backend_pool pool = pool_of(4);
         reported_failures reported;
-        reported.note("b0", now);
-        reported.note("b1", now);
+        reported.record("b0", now);
+        reported.record("b1", now);
         CPPUNIT_ASSERT(!most_have_reported_failures(pool, reported, now));
-        reported.note("b2", now);
+        reported.record("b2", now);
         CPPUNIT_ASSERT(most_have_reported_failures(pool, reported, now));
-        CPPUNIT_ASSERT(
-            !most_have_reported_failures(pool, reported, now + reported_failures::first_distrust));
+        CPPUNIT_ASSERT(!most_have_reported_failures(pool, reported,
+                                                    now + reported_failures::initial_distrust));
     }
 
     void repeated_failures_double_the_distrust_time() {
         reported_failures reported;
         instant at = now;
         for (const int seconds : {2, 4, 8, 8}) {
-            CPPUNIT_ASSERT(reported.note("b", at));
+            CPPUNIT_ASSERT(reported.record("b", at));
             const instant end = at + std::chrono::seconds(seconds);
             CPPUNIT_ASSERT(reported.is_distrusted("b", end - duration(1)));
             CPPUNIT_ASSERT(!reported.is_distrusted("b", end));
             at = end;
         }
         // A report of the same failure by another node does not count again.
-        CPPUNIT_ASSERT(reported.note("b", at));
-        CPPUNIT_ASSERT(!reported.note("b", at + std::chrono::milliseconds(299)));
+        CPPUNIT_ASSERT(reported.record("b", at));
+        CPPUNIT_ASSERT(!reported.record("b", at + std::chrono::milliseconds(299)));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(backend_distrust_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(backend_eligibility_test);
 
 }  // namespace tallyfold::tests
--- a/tests/plane/decisions/own_answer_test.cpp
+++ b/tests/plane/decisions/local_answer_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/decisions/own_answer.hpp"
+#include "tallyfold/plane/decisions/local_answer.hpp"
 
 #include "tests/support/suite.hpp"
 
@@ -6,8 +6,8 @@
 
 using namespace forwarding;
 
-class own_answer_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(own_answer_test);
+class local_answer_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(local_answer_test);
     CPPUNIT_TEST(unconfirmed_routes_and_keys_are_answered_503);
     CPPUNIT_TEST(temporary_refusals_have_retry_after);
     CPPUNIT_TEST(a_call_without_permit_gets_the_retry_after_of_the_decision);
@@ -20,7 +20,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     static void assert_answer(unsigned status, request_outcome outcome, bool retries,
-                              const own_answer& answer) {
+                              const local_answer& answer) {
         CPPUNIT_ASSERT_EQUAL(status, answer.status);
         CPPUNIT_ASSERT(answer.outcome == outcome);
         CPPUNIT_ASSERT_EQUAL(retries, answer.retry.after.has_value());
@@ -41,7 +41,7 @@
         for (const refusal why :
              {refusal::no_configuration, refusal::unconfirmed_route, refusal::stale_keys,
               refusal::unconfirmed_key, refusal::no_store, refusal::store_timeout}) {
-            const own_answer answer = answer_to(why);
+            const local_answer answer = answer_to(why);
             assert_answer(503, request_outcome::refused, true, answer);
             CPPUNIT_ASSERT(answer.retry.after == retry_after::after_recovery().after);
         }
@@ -53,12 +53,12 @@
         tenants::permit_decision decision;
         decision.retry_after = std::chrono::milliseconds(130);
         decision.state = tenants::permit_state::over_limit;
-        const own_answer over = answer_without_permit(decision);
+        const local_answer over = answer_without_permit(decision);
         assert_answer(429, request_outcome::refused, true, over);
         CPPUNIT_ASSERT_EQUAL(std::string("over_limit"), over.reason);
         CPPUNIT_ASSERT(over.retry.after == decision.retry_after);
         decision.state = tenants::permit_state::unknown;
-        const own_answer unknown = answer_without_permit(decision);
+        const local_answer unknown = answer_without_permit(decision);
         assert_answer(503, request_outcome::refused, true, unknown);
         CPPUNIT_ASSERT_EQUAL(std::string("limit_unknown"), unknown.reason);
         CPPUNIT_ASSERT(unknown.retry.after == decision.retry_after);
@@ -80,55 +80,55 @@
     }
 
     void an_answered_request_gets_no_own_answer() {
-        last_attempt last;
+        final_request_state last;
         last.answered = true;
         last.client_disconnected = true;
         last.may_have_run = true;
-        const request_end end = end_after(last);
+        const request_result end = result_after(last);
         CPPUNIT_ASSERT(end.outcome == request_outcome::answered);
         CPPUNIT_ASSERT(!end.answer);
         CPPUNIT_ASSERT(end.reason.empty());
     }
 
     void a_request_that_may_have_run_is_never_refused() {
-        last_attempt last;
+        final_request_state last;
         last.failure = {failure_kind::answer_head, "broken"};
         last.may_have_run = true;
-        const request_end failed = end_after(last);
+        const request_result failed = result_after(last);
         assert_answer(502, request_outcome::failed, false, *failed.answer);
         CPPUNIT_ASSERT_EQUAL(std::string("answer_broken"), failed.answer->reason);
         last.timed_out = true;
-        assert_answer(504, request_outcome::failed, false, *end_after(last).answer);
+        assert_answer(504, request_outcome::failed, false, *result_after(last).answer);
         last.may_have_run = false;
-        const request_end refused = end_after(last);
+        const request_result refused = result_after(last);
         assert_answer(503, request_outcome::refused, true, *refused.answer);
         CPPUNIT_ASSERT(refused.answer->retry.after == retry_after::soon().after);
     }
 
     void a_started_answer_gets_no_own_answer() {
-        last_attempt last;
+        final_request_state last;
         last.answer_started = true;
         last.may_have_run = true;
         last.failure = {failure_kind::event_missing};
-        const request_end end = end_after(last);
+        const request_result end = result_after(last);
         CPPUNIT_ASSERT(end.outcome == request_outcome::broken_off);
         CPPUNIT_ASSERT(!end.answer);
         CPPUNIT_ASSERT_EQUAL(std::string("event_missing"), end.reason);
         last.client_disconnected = true;
-        CPPUNIT_ASSERT(end_after(last).outcome == request_outcome::client_disconnected);
-        CPPUNIT_ASSERT(end_after(last).reason.empty());
+        CPPUNIT_ASSERT(result_after(last).outcome == request_outcome::client_disconnected);
+        CPPUNIT_ASSERT(result_after(last).reason.empty());
     }
 
     void status_503_and_retry_after_mean_not_run() {
         check_property("503 and Retry-After are sent exactly for requests that have not run", [] {
-            last_attempt last;
+            final_request_state last;
             last.answered = *rc::gen::arbitrary<bool>();
             last.client_disconnected = *rc::gen::arbitrary<bool>();
             last.answer_started = *rc::gen::arbitrary<bool>();
             last.may_have_run = *rc::gen::arbitrary<bool>();
             last.timed_out = *rc::gen::arbitrary<bool>();
             last.failure.kind = failure_kind::no_backend;
-            const request_end end = end_after(last);
+            const request_result end = result_after(last);
             RC_ASSERT(end.outcome != request_outcome::unknown);
             const bool no_answer_expected =
                 last.answered || last.client_disconnected || last.answer_started;
@@ -142,6 +142,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(own_answer_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(local_answer_test);
 
 }  // namespace tallyfold::tests
--- a/tests/plane/directory/configuration_fetch_test.cpp
+++ b/tests/plane/directory/configuration_fetch_test.cpp
@@ -56,49 +56,52 @@
 
     void fetches_full_configuration_when_none_is_held() {
         configuration_source source;
-        source.show(make_configuration(3, 3'000));
+        source.publish(make_configuration(3, 3'000));
         configuration_fetch fetch;
-        const int parts = fetch_all_parts(fetch, "a", source, fetch.told("a", 3, now_));
+        const int parts =
+            fetch_all_parts(fetch, "a", source, fetch.on_version_report("a", 3, now_));
         CPPUNIT_ASSERT(parts > 1);
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(3, 3'000));
-        CPPUNIT_ASSERT(!fetch.told("b", 3, now_).has_value());
+        CPPUNIT_ASSERT(!fetch.on_version_report("b", 3, now_).has_value());
     }
 
     void fetches_difference_from_held_version() {
         configuration_source source;
         configuration_fetch fetch;
-        source.show(make_configuration(3, 3'000));
-        fetch_all_parts(fetch, "a", source, fetch.told("a", 3, now_));
-        source.show(make_configuration(5, 3'001));
-        CPPUNIT_ASSERT_EQUAL(1, fetch_all_parts(fetch, "b", source, fetch.told("b", 5, now_)));
+        source.publish(make_configuration(3, 3'000));
+        fetch_all_parts(fetch, "a", source, fetch.on_version_report("a", 3, now_));
+        source.publish(make_configuration(5, 3'001));
+        CPPUNIT_ASSERT_EQUAL(
+            1, fetch_all_parts(fetch, "b", source, fetch.on_version_report("b", 5, now_)));
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(5, 3'001));
         // The held version is older than those kept, so the full configuration is sent.
         for (routing::configuration_version version = 6; version < 12; ++version) {
-            source.show(make_configuration(version, 3'000));
+            source.publish(make_configuration(version, 3'000));
         }
-        CPPUNIT_ASSERT(fetch_all_parts(fetch, "c", source, fetch.told("c", 11, now_)) > 1);
+        CPPUNIT_ASSERT(fetch_all_parts(fetch, "c", source, fetch.on_version_report("c", 11, now_)) >
+                       1);
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(11, 3'000));
     }
 
     void only_one_fetch_is_pending() {
         configuration_fetch fetch;
-        CPPUNIT_ASSERT(fetch.told("a", 3, now_).has_value());
+        CPPUNIT_ASSERT(fetch.on_version_report("a", 3, now_).has_value());
         now_ += part_timeout / 2;
-        CPPUNIT_ASSERT(!fetch.told("b", 3, now_).has_value());
-        CPPUNIT_ASSERT(!fetch.told("a", 4, now_).has_value());
+        CPPUNIT_ASSERT(!fetch.on_version_report("b", 3, now_).has_value());
+        CPPUNIT_ASSERT(!fetch.on_version_report("a", 4, now_).has_value());
     }
 
     void fetch_resumes_at_another_node_after_timeout() {
         configuration_source one;
         configuration_source other;
-        one.show(make_configuration(3, 3'000));
-        other.show(make_configuration(3, 3'000));
+        one.publish(make_configuration(3, 3'000));
+        other.publish(make_configuration(3, 3'000));
         configuration_fetch fetch;
-        const auto first = fetch.told("a", 3, now_);
+        const auto first = fetch.on_version_report("a", 3, now_);
         const auto second = fetch.receive("a", one.answer(*first), now_).next;
         CPPUNIT_ASSERT(second->offset > 0);
         now_ += part_timeout;
-        const auto again = fetch.told("b", 3, now_);
+        const auto again = fetch.on_version_report("b", 3, now_);
         CPPUNIT_ASSERT(again.has_value());
         CPPUNIT_ASSERT_EQUAL(second->offset, again->offset);
         // A late part from the first node is ignored.
@@ -109,44 +112,44 @@
 
     void lost_connection_cancels_pending_request() {
         configuration_fetch fetch;
-        fetch.told("a", 3, now_);
-        fetch.lost("b");
-        CPPUNIT_ASSERT(!fetch.told("b", 3, now_).has_value());
-        fetch.lost("a");
-        CPPUNIT_ASSERT(fetch.told("b", 3, now_).has_value());
+        fetch.on_version_report("a", 3, now_);
+        fetch.on_disconnect("b");
+        CPPUNIT_ASSERT(!fetch.on_version_report("b", 3, now_).has_value());
+        fetch.on_disconnect("a");
+        CPPUNIT_ASSERT(fetch.on_version_report("b", 3, now_).has_value());
     }
 
     void newer_version_does_not_restart_fetch() {
         configuration_source source;
-        source.show(make_configuration(3, 3'000));
+        source.publish(make_configuration(3, 3'000));
         configuration_fetch fetch;
-        auto request = fetch.told("a", 3, now_);
+        auto request = fetch.on_version_report("a", 3, now_);
         routing::configuration_version version = 3;
         while (request) {
             // A newer version is published with each part.
-            source.show(make_configuration(++version, 3'000));
+            source.publish(make_configuration(++version, 3'000));
             request = fetch.receive("a", source.answer(*request), now_).next;
         }
         CPPUNIT_ASSERT(fetch.version() >= 3);
-        CPPUNIT_ASSERT_EQUAL(1,
-                             fetch_all_parts(fetch, "a", source, fetch.told("a", version, now_)));
+        CPPUNIT_ASSERT_EQUAL(
+            1, fetch_all_parts(fetch, "a", source, fetch.on_version_report("a", version, now_)));
         CPPUNIT_ASSERT_EQUAL(version, fetch.version());
     }
 
     void full_configuration_follows_mismatched_difference() {
         configuration_source one;
         configuration_fetch fetch;
-        one.show(make_configuration(3, 10));
-        fetch_all_parts(fetch, "a", one, fetch.told("a", 3, now_));
+        one.publish(make_configuration(3, 10));
+        fetch_all_parts(fetch, "a", one, fetch.on_version_report("a", 3, now_));
         // A different configuration with the version number that the node holds.
         configuration_source other;
-        other.show(make_configuration(3, 11));
-        other.show(make_configuration(4, 12));
-        const auto request = fetch.told("b", 4, now_);
+        other.publish(make_configuration(3, 11));
+        other.publish(make_configuration(4, 12));
+        const auto request = fetch.on_version_report("b", 4, now_);
         const auto progress = fetch.receive("b", other.answer(*request), now_);
         CPPUNIT_ASSERT(progress.problem.has_value());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{3}, fetch.version());
-        const auto whole = fetch.told("b", 4, now_);
+        const auto whole = fetch.on_version_report("b", 4, now_);
         CPPUNIT_ASSERT(whole->whole);
         fetch_all_parts(fetch, "b", other, whole);
         CPPUNIT_ASSERT(*fetch.held() == *make_configuration(4, 12));
@@ -155,9 +158,9 @@
     void corrupt_parts_are_rejected() {
         check_property("corrupt parts never change what is held nor block the fetch", [this] {
             configuration_source source;
-            source.show(make_configuration(3, 500));
+            source.publish(make_configuration(3, 500));
             configuration_fetch fetch;
-            auto request = fetch.told("a", 3, now_);
+            auto request = fetch.on_version_report("a", 3, now_);
             for (int count = 0; count < 20; ++count) {
                 configuration_part part = source.answer(request.value_or(configuration_request{}));
                 switch (*rc::gen::inRange(0, 5)) {
@@ -178,13 +181,13 @@
                 }
                 request = fetch.receive("a", part, now_).next;
                 if (!request) {
-                    request = fetch.told("a", 3, now_);
+                    request = fetch.on_version_report("a", 3, now_);
                 }
                 RC_ASSERT(fetch.version() == 0 || *fetch.held() == *make_configuration(3, 500));
             }
             now_ += part_timeout;
-            fetch_all_parts(fetch, "b", source, fetch.told("b", 3, now_));
-            fetch_all_parts(fetch, "b", source, fetch.told("b", 3, now_));
+            fetch_all_parts(fetch, "b", source, fetch.on_version_report("b", 3, now_));
+            fetch_all_parts(fetch, "b", source, fetch.on_version_report("b", 3, now_));
             RC_ASSERT(*fetch.held() == *make_configuration(3, 500));
         });
     }
@@ -205,16 +208,17 @@
                 switch (*rc::gen::inRange(0, 4)) {
                     case 0:
                         published[node] = std::max(published[node], ++newest);
-                        sources[node].show(make_configuration(published[node], 400 + newest % 7));
+                        sources[node].publish(
+                            make_configuration(published[node], 400 + newest % 7));
                         break;
                     case 1:
-                        if (auto next = fetch.told(name, published[node], now_)) {
+                        if (auto next = fetch.on_version_report(name, published[node], now_)) {
                             request = next;
                             requested_node = node;
                         }
                         break;
                     case 2:
-                        fetch.lost(name);
+                        fetch.on_disconnect(name);
                         break;
                     default:
                         if (request) {
@@ -227,10 +231,10 @@
                 }
                 RC_ASSERT(fetch.version() >= before);
             }
-            sources[0].show(make_configuration(++newest, 400));
+            sources[0].publish(make_configuration(++newest, 400));
             for (int count = 0; count < 3; ++count) {
                 now_ += part_timeout;
-                fetch_all_parts(fetch, "a", sources[0], fetch.told("a", newest, now_));
+                fetch_all_parts(fetch, "a", sources[0], fetch.on_version_report("a", newest, now_));
             }
             RC_ASSERT(fetch.version() == newest);
         });
@@ -238,29 +242,29 @@
 
     void proof_takes_effect_when_version_is_held() {
         configuration_proofs proofs;
-        proofs.holds(3);
-        const std::uint64_t first = proofs.ask(now_);
+        proofs.set_held_version(3);
+        const std::uint64_t first = proofs.start_question(now_);
         now_ += std::chrono::milliseconds(10);
-        const std::uint64_t second = proofs.ask(now_);
-        proofs.answered("a", second, 4);
+        const std::uint64_t second = proofs.start_question(now_);
+        proofs.on_answer("a", second, 4);
         CPPUNIT_ASSERT(proofs.newest().node.empty());
-        proofs.answered("b", first, 3);
+        proofs.on_answer("b", first, 3);
         CPPUNIT_ASSERT_EQUAL(node_name("b"), proofs.newest().node);
-        proofs.holds(4);
+        proofs.set_held_version(4);
         CPPUNIT_ASSERT_EQUAL(node_name("a"), proofs.newest().node);
-        CPPUNIT_ASSERT(proofs.newest().asked == now_);
+        CPPUNIT_ASSERT(proofs.newest().requested_at == now_);
     }
 
     void answer_without_pending_question_is_ignored() {
         configuration_proofs proofs;
-        proofs.holds(3);
-        proofs.answered("a", 1, 3);
-        proofs.answered("a", 0, 3);
+        proofs.set_held_version(3);
+        proofs.on_answer("a", 1, 3);
+        proofs.on_answer("a", 0, 3);
         CPPUNIT_ASSERT(proofs.newest().node.empty());
-        const std::uint64_t question = proofs.ask(now_);
+        const std::uint64_t question = proofs.start_question(now_);
         CPPUNIT_ASSERT(question > 0);
-        proofs.answered("a", question, 3);
-        proofs.answered("b", question, 3);
+        proofs.on_answer("a", question, 3);
+        proofs.on_answer("b", question, 3);
         CPPUNIT_ASSERT_EQUAL(node_name("a"), proofs.newest().node);
     }
 };
--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -6,7 +6,7 @@
 
 #include "tallyfold/base/common/random.hpp"
 #include "tallyfold/base/protocol/stored_value.hpp"
-#include "tallyfold/plane/directory/format_survey.hpp"
+#include "tallyfold/plane/directory/format_tracker.hpp"
 #include "tallyfold/plane/directory/stored_forms.hpp"
 #include "tests/support/directory_group.hpp"
 #include "tests/support/suite.hpp"
@@ -82,14 +82,14 @@
         const node_name earlier = group.followers().front();
         group.set_first_format(earlier, true);
         group.run(seconds(1));
-        CPPUNIT_ASSERT(!group.node(leader).may_bring_tenants(group.now()));
+        CPPUNIT_ASSERT(!group.node(leader).may_apply_tenants(group.now()));
         group.set_first_format(earlier, false);
         group.run(seconds(1));
-        CPPUNIT_ASSERT(group.node(leader).may_bring_tenants(group.now()));
+        CPPUNIT_ASSERT(group.node(leader).may_apply_tenants(group.now()));
         // A member that was heard to know the second form may be away.
         group.cut(earlier);
         group.run(seconds(20));
-        CPPUNIT_ASSERT(group.node(leader).may_bring_tenants(group.now()));
+        CPPUNIT_ASSERT(group.node(leader).may_apply_tenants(group.now()));
         CPPUNIT_ASSERT(group.change(leader, with_tenants(50)));
         CPPUNIT_ASSERT(group.node(leader).state().needs_second_format());
     }
@@ -98,14 +98,14 @@
         directory_group group(3);
         const node_name leader = group.run_until_led();
         directory_core& core = group.node(leader);
-        core.heard_format("forwarder-1", format_version::v1, group.now());
-        CPPUNIT_ASSERT(!core.may_bring_tenants(group.now()));
+        core.record_peer_format("forwarder-1", format_version::v1, group.now());
+        CPPUNIT_ASSERT(!core.may_apply_tenants(group.now()));
         // It was replaced, or is silent for long.
-        core.heard_format("forwarder-1", format_version::v2, group.now());
-        CPPUNIT_ASSERT(core.may_bring_tenants(group.now()));
-        core.heard_format("forwarder-2", format_version::v1, group.now());
+        core.record_peer_format("forwarder-1", format_version::v2, group.now());
+        CPPUNIT_ASSERT(core.may_apply_tenants(group.now()));
+        core.record_peer_format("forwarder-2", format_version::v1, group.now());
         group.run(seconds(6));
-        CPPUNIT_ASSERT(core.may_bring_tenants(group.now()));
+        CPPUNIT_ASSERT(core.may_apply_tenants(group.now()));
     }
 
     static node_report report_of_first_format(routing::configuration_version held) {
@@ -185,7 +185,7 @@
             core.persisted();
         }
         CPPUNIT_ASSERT(logged);
-        CPPUNIT_ASSERT(core.stands_still());
+        CPPUNIT_ASSERT(core.is_halted());
         CPPUNIT_ASSERT(!core.leads());
         // What it held is still shown, and proves nothing.
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46},
--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -66,7 +66,7 @@
     /// A directory node holds a configuration from then on.
     void show(std::size_t directory, const configuration_pointer& configuration, instant when) {
         at(when, [this, directory, configuration] {
-            directories_[directory].source.show(configuration);
+            directories_[directory].source.publish(configuration);
             directories_[directory].version = configuration->version;
         });
     }
@@ -143,7 +143,8 @@
         }
         const routing::configuration_version version = machine.version;
         at(work_at(machine, answer_cost) + way, [this, number, asked, version] {
-            request(number, asked, forwarders_[number].fetch.told(name(asked), version, now_));
+            request(number, asked,
+                    forwarders_[number].fetch.on_version_report(name(asked), version, now_));
         });
     }
 
@@ -176,7 +177,7 @@
             return;
         }
         const configuration_fetch::progress progress = taker.fetch.receive(name(asked), part, now_);
-        if (progress.learned) {
+        if (progress.new_configuration) {
             taker.busy_until = now_ + seconds(apply_cost / forwarder_share);
         }
         request(number, asked, progress.next);
@@ -214,8 +215,8 @@
     static std::size_t bytes_between(const configuration_pointer& one,
                                      const configuration_pointer& other) {
         configuration_source source;
-        source.show(one);
-        source.show(other);
+        source.publish(one);
+        source.publish(other);
         configuration_request request;
         request.held = one->version;
         return source.answer(request).size;
--- a/tests/plane/forwarding/backend_registry_test.cpp
+++ b/tests/plane/forwarding/backend_registry_test.cpp
@@ -18,8 +18,8 @@
     CPPUNIT_TEST(call_without_first_byte_releases_its_pending_tokens);
     CPPUNIT_TEST(engine_with_longest_cached_prefix_is_chosen);
     CPPUNIT_TEST(new_input_is_not_counted_as_cached);
-    CPPUNIT_TEST(nodes_that_pass_over_a_home_spread_over_the_engines);
-    CPPUNIT_TEST(a_holder_of_what_programs_share_draws_none_from_its_home);
+    CPPUNIT_TEST(calls_without_home_spread_over_engines);
+    CPPUNIT_TEST(shared_prefix_does_not_override_home);
     CPPUNIT_TEST(non_repeatable_calls_avoid_back_end_with_broken_connection);
     CPPUNIT_TEST(failures_of_most_back_ends_are_ignored);
     CPPUNIT_TEST(all_nodes_choose_the_same_home_of_an_object);
@@ -41,7 +41,7 @@
 
     static std::map<std::string, int> count_choices(backend_registry& registry, bool repeatable,
                                                     instant now) {
-        backend_question question;
+        selection_request question;
         question.service = "s";
         question.repeatable = repeatable;
         std::map<std::string, int> counts;
@@ -60,7 +60,7 @@
         CPPUNIT_ASSERT(!count_choices(registry, false, now).contains(broken));
         // Repeatable calls may still use it.
         CPPUNIT_ASSERT(count_choices(registry, true, now).contains(broken));
-        CPPUNIT_ASSERT(count_choices(registry, false, now + reported_failures::first_distrust)
+        CPPUNIT_ASSERT(count_choices(registry, false, now + reported_failures::initial_distrust)
                            .contains(broken));
     }
 
@@ -75,7 +75,7 @@
         // Objects keep their home back ends, too.
         std::set<std::string> homes;
         for (int number = 0; number < 60; ++number) {
-            backend_question question;
+            selection_request question;
             question.service = "s";
             question.object = std::to_string(number);
             homes.insert(registry.choose(question, now)->name);
@@ -91,7 +91,7 @@
         second_node.update(engines(8), now);
         std::set<std::string> used;
         for (int number = 0; number < 60; ++number) {
-            backend_question question;
+            selection_request question;
             question.service = "s";
             question.object = std::to_string(number);
             const chosen_backend home = *first_node.choose(question, now);
@@ -124,8 +124,8 @@
             !registry.record_broken_connection("b1", now + std::chrono::seconds(1)).empty());
         // A second failure soon after the first is distrusted for longer.
         reported_failures failures;
-        failures.note("b", now);
-        failures.note("b", now + std::chrono::seconds(3));
+        failures.record("b", now);
+        failures.record("b", now + std::chrono::seconds(3));
         CPPUNIT_ASSERT(failures.is_distrusted("b", now + std::chrono::seconds(6)));
         failures.expire(now + std::chrono::seconds(20));
         CPPUNIT_ASSERT(!failures.is_distrusted("b", now + std::chrono::seconds(6)));
@@ -136,7 +136,7 @@
         std::vector<discovery::listed_backend> listed = engines(2);
         listed[0].member.leaving = true;
         registry.update(listed, instant{});
-        backend_question question;
+        selection_request question;
         question.service = "s";
         for (int count = 0; count < 50; ++count) {
             CPPUNIT_ASSERT_EQUAL(std::string("b1"), registry.choose(question, instant{})->name);
@@ -150,9 +150,9 @@
     static std::vector<scheduling::prefix_point> prompt_of_program(int number) {
         return {{1, 512}, {100 + std::uint64_t(number), 900}};
     }
-    static backend_question first_turn_of(int number,
-                                          const std::vector<scheduling::prefix_point>& prompt) {
-        backend_question question;
+    static selection_request first_turn_of(int number,
+                                           const std::vector<scheduling::prefix_point>& prompt) {
+        selection_request question;
         question.service = "s";
         question.is_engine = true;
         question.program = "program-" + std::to_string(number);
@@ -170,7 +170,7 @@
         std::set<std::string> used;
         for (int number = 0; number < 40; ++number) {
             const auto prompt = prompt_of_program(number);
-            const backend_question question = first_turn_of(number, prompt);
+            const selection_request question = first_turn_of(number, prompt);
             const auto first = first_node.choose(question, instant{});
             const auto second_choice = second_node.choose(question, instant{});
             CPPUNIT_ASSERT(first.has_value() && second_choice.has_value());
@@ -180,14 +180,14 @@
         CPPUNIT_ASSERT(used.size() >= 6);
     }
 
-    void nodes_that_pass_over_a_home_spread_over_the_engines() {
+    void calls_without_home_spread_over_engines() {
         // Without a policy a program's calls go to its home; a call without a program has none.
         std::map<std::string, int> calls;
         constexpr int nodes = 200;
         for (int node = 0; node < nodes; ++node) {
             backend_registry registry("zone", stable_hash("node-" + std::to_string(node)));
             registry.update(engines(20), instant{});
-            backend_question question;
+            selection_request question;
             question.service = "s";
             question.is_engine = true;
             ++calls[registry.choose(question, instant{})->name];
@@ -199,7 +199,7 @@
         CPPUNIT_ASSERT(calls.size() > 15);
     }
 
-    void a_holder_of_what_programs_share_draws_none_from_its_home() {
+    void shared_prefix_does_not_override_home() {
         // All nodes know the same engine as holder of the shared prefix.
         const std::vector<scheduling::prefix_point> shared{{1, 512}};
         std::map<std::string, int> calls;
@@ -209,7 +209,7 @@
             registry.update(engines(20), instant{});
             registry.record_cached("b3", shared);
             const auto prompt = prompt_of_program(number);
-            const backend_question question = first_turn_of(number, prompt);
+            const selection_request question = first_turn_of(number, prompt);
             ++calls[registry.choose(question, instant{})->name];
         }
         CPPUNIT_ASSERT_MESSAGE(std::to_string(calls["b3"]), calls["b3"] < 20);
@@ -219,7 +219,7 @@
         backend_registry registry("zone", 1);
         registry.update(engines(3), instant{});
         registry.unreachable("s", "b0", instant{});
-        backend_question question;
+        selection_request question;
         question.service = "s";
         for (int count = 0; count < 50; ++count) {
             CPPUNIT_ASSERT(registry.choose(question, instant{})->name != "b0");
@@ -231,7 +231,7 @@
         std::set<std::string> chosen;
         for (int node = 0; node < 20; ++node) {
             backend_registry registry("zone", stable_hash("node-" + std::to_string(node)));
-            backend_question question;
+            selection_request question;
             question.service = "s";
             question.is_engine = true;
             registry.update(engines(20), instant{});
@@ -250,7 +250,7 @@
         registry.update(engines(4), at(0));
         for (int count = 0; count < 100; ++count) {
             backend_call call = registry.started("s", {"b1", {}, 0}, 0, at(0));
-            registry.first_byte_came(call, at(milliseconds));
+            registry.first_byte_received(call, at(milliseconds));
             registry.finished(call);
         }
     }
@@ -259,30 +259,30 @@
         backend_registry registry("zone", 1);
         answer_calls(registry, 60);
         backend_call call = registry.started("s", {"b0", {}, 0}, 0, at(100));
-        CPPUNIT_ASSERT(registry.suspect_silent(at(700)).empty());
-        const std::vector<std::string> suspected = registry.suspect_silent(at(900));
+        CPPUNIT_ASSERT(registry.eject_silent(at(700)).empty());
+        const std::vector<std::string> suspected = registry.eject_silent(at(900));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, suspected.size());
-        backend_question question;
+        selection_request question;
         question.service = "s";
         for (int count = 0; count < 50; ++count) {
             CPPUNIT_ASSERT(registry.choose(question, at(900))->name != "b0");
         }
         registry.finished(call);
-        CPPUNIT_ASSERT(registry.suspect_silent(at(5000)).empty());
+        CPPUNIT_ASSERT(registry.eject_silent(at(5000)).empty());
     }
 
     void uniform_slowness_ejects_no_back_end() {
         backend_registry registry("zone", 1);
         answer_calls(registry, 400);
         registry.started("s", {"b0", {}, 0}, 0, at(0));
-        CPPUNIT_ASSERT(registry.suspect_silent(at(1500)).empty());
+        CPPUNIT_ASSERT(registry.eject_silent(at(1500)).empty());
     }
 
     static constexpr token_count shared_tokens = 12'000;
 
     /// Question for a turn of a program with this prompt.
-    static backend_question turn_question(const std::vector<scheduling::prefix_point>& prompt) {
-        backend_question question;
+    static selection_request begin_parameters(const std::vector<scheduling::prefix_point>& prompt) {
+        selection_request question;
         question.service = "s";
         question.is_engine = true;
         question.program = "program";
@@ -298,10 +298,10 @@
     /// Completes one turn at the chosen back end. @param own tokens of the unshared part
     static chosen_backend run_turn(backend_registry& registry, token_count own) {
         const auto prompt = prompt_with(own);
-        const auto chosen = registry.choose(turn_question(prompt), at(0));
+        const auto chosen = registry.choose(begin_parameters(prompt), at(0));
         CPPUNIT_ASSERT(chosen.has_value());
         backend_call call = registry.started("s", *chosen, prompt.back().tokens, at(0));
-        registry.first_byte_came(call, at(50));
+        registry.first_byte_received(call, at(50));
         registry.record_cached(chosen->name, prompt);
         registry.finished(call);
         return *chosen;
@@ -314,7 +314,7 @@
         // Further turns, of which only a few hundred tokens are uncached, go to the same engine.
         for (const token_count own : {1200, 1300, 1400}) {
             const auto prompt = prompt_with(own);
-            const auto chosen = registry.choose(turn_question(prompt), at(100));
+            const auto chosen = registry.choose(begin_parameters(prompt), at(100));
             CPPUNIT_ASSERT_EQUAL(home, chosen->name);
             registry.started("s", *chosen, prompt.back().tokens, at(100));
         }
@@ -329,7 +329,7 @@
             registry.finished(call);
         }
         const auto prompt = prompt_with(1300);
-        CPPUNIT_ASSERT_EQUAL(home, registry.choose(turn_question(prompt), at(200))->name);
+        CPPUNIT_ASSERT_EQUAL(home, registry.choose(begin_parameters(prompt), at(200))->name);
     }
 
     void engine_with_longest_cached_prefix_is_chosen() {
@@ -339,7 +339,7 @@
         const std::string after = before == "b0" ? "b1" : "b0";
         registry.record_cached(after, prompt_with(9000));
         const auto prompt = prompt_with(9500);
-        const auto chosen = registry.choose(turn_question(prompt), at(100));
+        const auto chosen = registry.choose(begin_parameters(prompt), at(100));
         CPPUNIT_ASSERT_EQUAL(after, chosen->name);
         CPPUNIT_ASSERT_EQUAL(shared_tokens + 9000, chosen->cached_tokens);
     }
@@ -350,7 +350,7 @@
         run_turn(registry, 1000);
         const auto prompt = prompt_with(3000);
         CPPUNIT_ASSERT_EQUAL(shared_tokens + 1000,
-                             registry.choose(turn_question(prompt), at(100))->cached_tokens);
+                             registry.choose(begin_parameters(prompt), at(100))->cached_tokens);
     }
 };
 
--- a/tests/plane/tenants/permit_lender_test.cpp
+++ b/tests/plane/tenants/permit_lender_test.cpp
@@ -14,12 +14,12 @@
     CPPUNIT_TEST(readded_tenant_includes_permits_held_by_nodes);
     CPPUNIT_TEST_SUITE_END();
 
-    static permit_report first_report(std::uint64_t question, permit_use use) {
+    static permit_report first_report(std::uint64_t sequence, permit_use use) {
         permit_report report;
         report.node = "n";
-        report.life = 1;
-        report.question = question;
-        report.whole = true;
+        report.process_id = 1;
+        report.sequence = sequence;
+        report.is_full = true;
         report.uses = {std::move(use)};
         return report;
     }
@@ -36,25 +36,25 @@
         // 55 of 60 are spent: none are left for new programs, five for running ones.
         permit_use use{"t", 55, 55, 55, 0, 1, 3};
         const permit_answer later = lender.answer(first_report(1, use), start_time);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{55}, later.grants.front().ceiling);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{55}, later.grants.front().spent_limit);
         // New programs may use 45; 11 permits are free again at 12 a second.
         CPPUNIT_ASSERT_EQUAL(916U, later.grants.front().retry_new_program_after_ms);
         CPPUNIT_ASSERT_EQUAL(0U, later.grants.front().retry_after_ms);
-        use.needed = 2;
+        use.waiting_running = 2;
         const permit_answer answer = lender.answer(first_report(2, use), start_time);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{57}, answer.grants.front().ceiling);
-        use.needed = 9;
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{57}, answer.grants.front().spent_limit);
+        use.waiting_running = 9;
         const permit_answer refused = lender.answer(first_report(3, use), start_time);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{60}, refused.grants.front().ceiling);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{60}, refused.grants.front().spent_limit);
         CPPUNIT_ASSERT(refused.grants.front().retry_after_ms > 0);
     }
 
     /// Permits granted to a node that has spent all it had and requests `needed`.
-    static std::uint64_t granted(permit_lender& lender, std::uint64_t question, std::uint64_t spent,
+    static std::uint64_t granted(permit_lender& lender, std::uint64_t sequence, std::uint64_t spent,
                                  std::uint32_t needed, instant now) {
         const permit_use use{"t", spent, spent, static_cast<std::uint32_t>(spent), needed, 0, 0};
-        const permit_answer answer = lender.answer(first_report(question, use), now);
-        return answer.grants.empty() ? 0 : answer.grants.front().ceiling - spent;
+        const permit_answer answer = lender.answer(first_report(sequence, use), now);
+        return answer.grants.empty() ? 0 : answer.grants.front().spent_limit - spent;
     }
 
     void lends_at_the_rate_after_a_burst() {
@@ -98,22 +98,23 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, lender.in_use("t"));
         // A repeated report, and an older one.
         CPPUNIT_ASSERT(lender.answer(first_report(7, use), start_time).outcome ==
-                       permit_outcome::wants_whole);
+                       permit_outcome::full_report_required);
         CPPUNIT_ASSERT(lender.answer(first_report(3, use), start_time).outcome ==
-                       permit_outcome::wants_whole);
+                       permit_outcome::full_report_required);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, lender.in_use("t"));
         // A partial report from an unknown process of the node.
         permit_report part = first_report(8, use);
-        part.life = 2;
-        part.whole = false;
-        CPPUNIT_ASSERT(lender.answer(part, start_time).outcome == permit_outcome::wants_whole);
+        part.process_id = 2;
+        part.is_full = false;
+        CPPUNIT_ASSERT(lender.answer(part, start_time).outcome ==
+                       permit_outcome::full_report_required);
         // An unknown tenant, and more permits than the limit.
         const permit_answer unknown =
             lender.answer(first_report(9, {"nobody", 1, 500, 1, 10, 0, 10}), start_time);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, unknown.grants.front().ceiling);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, unknown.grants.front().spent_limit);
         const permit_answer absurd = lender.answer(
             first_report(10, {"t", 0, 0, 0, 4'000'000'000U, 0, 4'000'000'000U}), start_time);
-        CPPUNIT_ASSERT(absurd.grants.front().ceiling <= 60);
+        CPPUNIT_ASSERT(absurd.grants.front().spent_limit <= 60);
         lender.expire(start_time + std::chrono::seconds(8));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, lender.in_use("t"));
     }
--- a/tests/plane/tenants/quota_world.hpp
+++ b/tests/plane/tenants/quota_world.hpp
@@ -150,7 +150,7 @@
     };
     struct node {
         std::unique_ptr<permit_holder> holder;
-        std::uint64_t life = 0;
+        std::uint64_t process_id = 0;
         std::optional<instant> asked;
         instant last_report{};
         instant frozen_until{};
@@ -161,14 +161,14 @@
     /// A call that holds a permit and will not run.
     struct held_call {
         std::size_t node = 0;
-        std::uint64_t life = 0;
+        std::uint64_t process_id = 0;
         instant taken{};
         instant until{};
     };
     struct message {
         instant at{};
         std::size_t node = 0;
-        std::uint64_t life = 0;
+        std::uint64_t process_id = 0;
         bool to_lender = false;
         permit_report report;
         permit_answer answer;
@@ -176,9 +176,9 @@
 
     node make_node(std::size_t number) {
         node made;
-        made.life = ++last_life_;
-        made.holder =
-            std::make_unique<permit_holder>(rules_, "node-" + std::to_string(number), made.life);
+        made.process_id = ++last_process_id_;
+        made.holder = std::make_unique<permit_holder>(rules_, "node-" + std::to_string(number),
+                                                      made.process_id);
         made.holder->use({tenant_});
         return made;
     }
@@ -225,7 +225,7 @@
     }
 
     void take_answer(node& asker, std::size_t number, const permit_answer& answer) {
-        if (!asker.asked || answer.question != asker.holder->question()) {
+        if (!asker.asked || answer.sequence != asker.holder->sequence()) {
             return;
         }
         asker.asked.reset();
@@ -233,12 +233,12 @@
             ask(asker, number);
             return;
         }
-        asker.answered = answer.question;
+        asker.answered = answer.sequence;
         asker.lender_lost = false;
     }
 
     void end_waiting(node& asker, bool admitted) {
-        asker.holder->end_wait(tenant_.name, permit_need::under_way);
+        asker.holder->end_wait(tenant_.name, permit_need::running_program);
         admitted ? spent.push_back(now) : void(++refused);
     }
 
@@ -253,17 +253,18 @@
             each.lender_lost = true;
         }
         std::erase_if(each.waiting, [&](const waiting_call& call) {
-            if (each.holder->take(tenant_.name, now)) {
+            if (each.holder->try_acquire(tenant_.name, now)) {
                 end_waiting(each, true);
                 return true;
             }
             if (each.lender_lost) {
-                end_waiting(each, each.holder->take_without_lender(tenant_.name, now));
+                end_waiting(each, each.holder->try_acquire_without_lender(tenant_.name, now));
                 return true;
             }
             if (each.answered >= call.needed) {
                 const bool settling = each.holder->lender_settling();
-                end_waiting(each, settling && each.holder->take_without_lender(tenant_.name, now));
+                end_waiting(each,
+                            settling && each.holder->try_acquire_without_lender(tenant_.name, now));
                 return true;
             }
             return false;
@@ -282,7 +283,7 @@
         }
         const auto most = std::chrono::duration_cast<milliseconds>(longest_hold).count();
         const duration held = milliseconds(random_() % static_cast<std::uint64_t>(most));
-        held_calls_.push_back({number, nodes_[number].life, now, now + held});
+        held_calls_.push_back({number, nodes_[number].process_id, now, now + held});
         return true;
     }
     void return_permits() {
@@ -291,8 +292,8 @@
                 return false;
             }
             node& holding = nodes_[call.node];
-            if (holding.life == call.life) {
-                holding.holder->give_back(tenant_.name, call.taken, now);
+            if (holding.process_id == call.process_id) {
+                holding.holder->release(tenant_.name, call.taken, now);
                 ++returned;
             }
             return true;
@@ -301,26 +302,26 @@
 
     void call(std::size_t number) {
         node& taker = nodes_[number];
-        if (taker.holder->take(tenant_.name, now)) {
+        if (taker.holder->try_acquire(tenant_.name, now)) {
             if (hold_permit(number)) {
                 return;
             }
             spent.push_back(now);
             if (random_() % 50 == 0) {
                 // The call was not run.
-                taker.holder->give_back(tenant_.name, now, now);
+                taker.holder->release(tenant_.name, now, now);
                 spent.pop_back();
                 ++returned;
             }
             return;
         }
         if (taker.lender_lost) {
-            taker.holder->take_without_lender(tenant_.name, now) ? spent.push_back(now)
-                                                                 : void(++refused);
+            taker.holder->try_acquire_without_lender(tenant_.name, now) ? spent.push_back(now)
+                                                                        : void(++refused);
             return;
         }
-        taker.holder->begin_wait(tenant_.name, permit_need::under_way);
-        taker.waiting.push_back({taker.holder->question() + 1, now});
+        taker.holder->begin_wait(tenant_.name, permit_need::running_program);
+        taker.waiting.push_back({taker.holder->sequence() + 1, now});
     }
 
     std::mt19937_64 random_;
@@ -333,7 +334,7 @@
     std::vector<held_call> held_calls_;
     std::deque<instant> lender_losses_;
     double arrivals_ = 0;
-    std::uint64_t last_life_ = 0;
+    std::uint64_t last_process_id_ = 0;
 };
 
 }  // namespace tallyfold::tests
--- a/tests/plane/tenants/spent_window_test.cpp
+++ b/tests/plane/tenants/sliding_window_counter_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/tenants/spent_window.hpp"
+#include "tallyfold/plane/tenants/sliding_window_counter.hpp"
 
 #include "tallyfold/plane/tenants/permit_holder.hpp"
 #include "tests/plane/tenants/quota_world.hpp"
@@ -6,8 +6,8 @@
 
 namespace tallyfold::tests {
 
-class spent_window_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(spent_window_test);
+class sliding_window_counter_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(sliding_window_counter_test);
     CPPUNIT_TEST(a_returned_permit_leaves_the_newer_one_counted);
     CPPUNIT_TEST(a_permit_outside_the_window_is_not_returned);
     CPPUNIT_TEST_SUITE_END();
@@ -15,7 +15,7 @@
     // A returned permit must be removed from its own slot. Removed from a newer slot, it left the
     // later permit uncounted.
     void a_returned_permit_leaves_the_newer_one_counted() {
-        spent_window spent(std::chrono::seconds(5));
+        sliding_window_counter spent(std::chrono::seconds(5));
         const instant later = start_time + std::chrono::seconds(3);
         spent.add(start_time);
         spent.add(later);
@@ -35,22 +35,22 @@
         const auto exchange = [&](instant now) {
             holder.apply(lender.answer(holder.report(now), now), now);
         };
-        holder.begin_wait("t", permit_need::under_way);
+        holder.begin_wait("t", permit_need::running_program);
         exchange(start_time);
-        holder.end_wait("t", permit_need::under_way);
-        CPPUNIT_ASSERT(holder.take("t", start_time));
+        holder.end_wait("t", permit_need::running_program);
+        CPPUNIT_ASSERT(holder.try_acquire("t", start_time));
         const instant later = start_time + std::chrono::seconds(6);
         exchange(later);
         const std::uint64_t counted = lender.in_use("t");
-        CPPUNIT_ASSERT(!holder.give_back("t", start_time, later));
+        CPPUNIT_ASSERT(!holder.release("t", start_time, later));
         std::uint64_t taken = 0;
-        while (holder.take("t", later)) {
+        while (holder.try_acquire("t", later)) {
             ++taken;
         }
         CPPUNIT_ASSERT(taken <= counted);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(spent_window_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(sliding_window_counter_test);
 
 }  // namespace tallyfold::tests
--- a/tests/plane/turns/turn_search_test.cpp
+++ b/tests/plane/turns/turn_search_test.cpp
@@ -1,6 +1,6 @@
 #include "tallyfold/plane/turns/turn_search.hpp"
 
-#include "tallyfold/plane/turns/turn_beginning.hpp"
+#include "tallyfold/plane/turns/begin_coordinator.hpp"
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
@@ -102,13 +102,13 @@
 
     /// Begin of a turn that continues a turn which its own group does not hold. Sets `group` to the
     /// own group.
-    static turn_beginning beginning(const store_table& table, group_number& group) {
-        turn_question question;
+    static begin_coordinator beginning(const store_table& table, group_number& group) {
+        begin_parameters question;
         question.reservation = {"program", "own", 10, 60'000};
         question.previous = "t";
         group = table.group_of("program");
-        turn_beginning begun(1, question, table);
-        begun.due(at(0), table, no_store);
+        begin_coordinator begun(1, question, table);
+        begun.take_due_requests(at(0), table, no_store);
         begun.on_reply(durable_reply(10 * group));
         begun.on_reply(durable_reply(10 * group + 1));
         return begun;
@@ -117,9 +117,9 @@
     void a_group_without_majority_leaves_a_turn_undecided() {
         const store_table table = three_groups();
         group_number group = 0;
-        turn_beginning begun = beginning(table, group);
-        CPPUNIT_ASSERT(begun.undecided());
-        const auto requests = begun.due(at(1), table, no_store);
+        begin_coordinator begun = beginning(table, group);
+        CPPUNIT_ASSERT(begun.is_undecided());
+        const auto requests = begun.take_due_requests(at(1), table, no_store);
         // The third store of its own group, and all stores of the other two groups.
         CPPUNIT_ASSERT_EQUAL(std::size_t{7}, requests.size());
         const group_number other = (group + 1) % 3;
@@ -127,7 +127,7 @@
         begun.on_reply(answer(10 * other, false));
         begun.on_reply(answer(10 * other + 1, false));
         begun.on_reply(answer(10 * silent, false));
-        CPPUNIT_ASSERT(begun.undecided());
+        CPPUNIT_ASSERT(begun.is_undecided());
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unavailable);
         begun.on_reply(answer(10 * silent + 2, false));
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unknown_previous);
@@ -139,17 +139,17 @@
         store_map map = three_groups().groups.front();
         map.after_loss = true;
         table.groups.push_back(map);
-        turn_question question;
+        begin_parameters question;
         question.reservation = {"program", "t", 1, 60'000};
         question.previous = "lost";
-        turn_beginning begun(1, question, table);
+        begin_coordinator begun(1, question, table);
         begun.on_reply(durable_reply(0));
         begun.on_reply(durable_reply(1));
-        CPPUNIT_ASSERT(begun.undecided());
+        CPPUNIT_ASSERT(begun.is_undecided());
         // The third store may hold the turn.
         CPPUNIT_ASSERT(!begun.cannot_be_decided());
         begun.on_reply(durable_reply(2));
-        CPPUNIT_ASSERT(begun.undecided());
+        CPPUNIT_ASSERT(begun.is_undecided());
         CPPUNIT_ASSERT(begun.cannot_be_decided());
         CPPUNIT_ASSERT(begun.outcome().result == begin_result::unavailable);
     }
@@ -157,11 +157,11 @@
     void a_history_of_another_group_is_adopted() {
         const store_table table = three_groups();
         group_number group = 0;
-        turn_beginning begun = beginning(table, group);
-        begun.due(at(1), table, no_store);
+        begin_coordinator begun = beginning(table, group);
+        begun.take_due_requests(at(1), table, no_store);
         const store_id holder = 10 * ((group + 1) % 3) + 2;
         begun.on_reply(answer(holder, true));
-        const auto requests = begun.due(at(2), table, no_store);
+        const auto requests = begun.take_due_requests(at(2), table, no_store);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, requests.size());
         CPPUNIT_ASSERT_EQUAL(holder, requests.front().store.id);
         CPPUNIT_ASSERT_EQUAL(std::string("t"),
@@ -169,7 +169,7 @@
         history_reply reply{1, holder, {}};
         reply.history.records = {{"t", "s", "in-t", "out-t"}, {"s", "", "in-s", "out-s"}};
         begun.on_reply(reply);
-        const begun_turn outcome = begun.outcome();
+        const begin_decision outcome = begun.outcome();
         CPPUNIT_ASSERT(outcome.result == begin_result::admitted);
         CPPUNIT_ASSERT(outcome.adopted);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, outcome.history.size());
@@ -178,10 +178,11 @@
 
     void a_store_that_changed_its_group_is_not_asked_again_at_once() {
         const store_table table = three_groups();
-        turn_question question;
+        begin_parameters question;
         question.reservation = {"program", "own", 10, 60'000};
-        turn_beginning begun(1, question, table);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, begun.due(at(0), table, no_store).size());
+        begin_coordinator begun(1, question, table);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3},
+                             begun.take_due_requests(at(0), table, no_store).size());
         const group_number group = table.group_of("program");
         begin_reply moved;
         moved.operation = 1;
@@ -190,13 +191,14 @@
         elsewhere.epoch = 9;
         moved.newer_map = {elsewhere};
         begun.on_reply(moved);
-        CPPUNIT_ASSERT(begun.due(at(1), table, no_store).empty());
+        CPPUNIT_ASSERT(begun.take_due_requests(at(1), table, no_store).empty());
         // A newer map of the turn's own group makes a resend due at once.
         store_table newer = table;
         newer.groups[group].epoch = 10;
         moved.newer_map = {newer.groups[group]};
         begun.on_reply(moved);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, begun.due(at(2), newer, no_store).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3},
+                             begun.take_due_requests(at(2), newer, no_store).size());
     }
 };
 
--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -44,7 +44,7 @@
     }
 
     void each_field_of_a_request_is_read() {
-        const forwarding::request_facts facts = replica_calls().read_request(caller_head());
+        const forwarding::request_metadata facts = replica_calls().read_request(caller_head());
         CPPUNIT_ASSERT_EQUAL(std::string("request-1"), facts.request);
         CPPUNIT_ASSERT(facts.caller_timeout == duration(milliseconds(4001)));
         CPPUNIT_ASSERT_EQUAL(std::string("program-2"), facts.program);
@@ -64,7 +64,7 @@
     }
 
     void a_request_without_fields_is_read() {
-        const forwarding::request_facts facts = replica_calls().read_request({});
+        const forwarding::request_metadata facts = replica_calls().read_request({});
         CPPUNIT_ASSERT(facts.request.empty() && facts.program.empty());
         CPPUNIT_ASSERT(!facts.caller_timeout && !facts.program_time_left);
         CPPUNIT_ASSERT_EQUAL(token_count{0}, facts.budget);
@@ -76,7 +76,7 @@
 
     /// Fields as they stand on the wire.
     static std::string sent(const http::message_head& head,
-                            const forwarding::attempt_marks& marks) {
+                            const forwarding::attempt_headers& marks) {
         std::string text;
         const http::header_list fields = replica_calls().backend_headers(head, marks);
         for (const http::header_field& field : fields.fields()) {
@@ -85,8 +85,8 @@
         return text;
     }
 
-    static forwarding::attempt_marks engine_marks() {
-        forwarding::attempt_marks marks;
+    static forwarding::attempt_headers engine_marks() {
+        forwarding::attempt_headers marks;
         marks.time_left = milliseconds(1501);
         marks.incarnation = "instance-3";
         marks.urgency = 4;
@@ -128,7 +128,7 @@
     }
 
     void another_back_end_gets_these_fields() {
-        forwarding::attempt_marks marks;
+        forwarding::attempt_headers marks;
         marks.time_left = milliseconds(1502);
         marks.incarnation = "instance-4";
         http::message_head head;
@@ -140,7 +140,7 @@
     }
 
     void a_continued_stream_begins_after_our_event() {
-        forwarding::attempt_marks marks = engine_marks();
+        forwarding::attempt_headers marks = engine_marks();
         marks.last_event = "17";
         http::message_head head;
         head.headers.add("last-event-id", "10");
@@ -153,7 +153,7 @@
     }
 
     static std::string bounded(duration time_left, std::int32_t urgency) {
-        forwarding::attempt_marks marks;
+        forwarding::attempt_headers marks;
         marks.time_left = time_left;
         marks.urgency = urgency;
         marks.is_engine = true;
@@ -173,13 +173,13 @@
     void each_field_of_an_answer_is_read() {
         http::message_head head;
         head.status = 200;
-        const forwarding::answer_facts bare = replica_calls().read_answer(head);
-        CPPUNIT_ASSERT(bare.request.empty() && !bare.idle_limit);
+        const forwarding::answer_metadata bare = replica_calls().read_answer(head);
+        CPPUNIT_ASSERT(bare.request.empty() && !bare.idle_timeout);
         CPPUNIT_ASSERT(!bare.is_signed && !bare.not_run && !bare.wrong_incarnation);
         head.headers.add("X-Request-Id", "request-6");
         head.headers.add("Keep-Alive", "max=9, timeout=5");
         CPPUNIT_ASSERT_EQUAL(std::string("request-6"), replica_calls().read_answer(head).request);
-        CPPUNIT_ASSERT(replica_calls().read_answer(head).idle_limit ==
+        CPPUNIT_ASSERT(replica_calls().read_answer(head).idle_timeout ==
                        duration(milliseconds(5000)));
         head.headers.add("X-Response-Signature", "s");
         CPPUNIT_ASSERT(replica_calls().read_answer(head).is_signed);
--- a/tests/scheduling/engine_pace_test.cpp
+++ b/tests/scheduling/engine_pace_test.cpp
@@ -28,8 +28,8 @@
                               double gap, instant now) {
         for (int count = 0; count < 20; ++count) {
             for (const std::string& engine : engines) {
-                pace.events_came(engine, 1, ms(gap), now);
-                pace.stream_ended(ms(gap));
+                pace.record_events(engine, 1, ms(gap), now);
+                pace.record_stream_end(ms(gap));
             }
         }
     }
@@ -37,9 +37,9 @@
     void the_prompt_rate_is_that_of_an_idle_engine() {
         engine_pace pace;
         for (int count = 0; count < 50; ++count) {
-            pace.prompt_read(10'000, ms(100));
-            pace.prompt_read(10'000, ms(400));
-            pace.prompt_read(10, ms(90));
+            pace.record_prompt_processed(10'000, ms(100));
+            pace.record_prompt_processed(10'000, ms(400));
+            pace.record_prompt_processed(10, ms(90));
         }
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.01, pace.read_ms_per_token(), 0.002);
     }
@@ -66,7 +66,7 @@
     void expired_samples_are_ignored() {
         engine_pace pace;
         record_events(pace, {"a", "b", "c"}, 20, at(1000));
-        pace.events_came("a", 1, ms(500), at(1100));
+        pace.record_events("a", 1, ms(500), at(1100));
         const instant later = at(1100) + engine_pace::sample_lifetime;
         CPPUNIT_ASSERT_DOUBLES_EQUAL(20, pace.gap_ms("a", later), 5);
         CPPUNIT_ASSERT_EQUAL(1.0, pace.slowdown(later));
@@ -79,10 +79,10 @@
             for (int count = 0; count < 100; ++count) {
                 now += std::chrono::milliseconds(*rc::gen::inRange(0, 500));
                 const duration took = std::chrono::milliseconds(*rc::gen::inRange(-10, 1'000'000));
-                pace.prompt_read(*rc::gen::arbitrary<std::uint32_t>(), took);
-                pace.events_came("a", *rc::gen::inRange<std::size_t>(0, 1000), took, now);
-                pace.stream_ended(took);
-                pace.call_ended(took);
+                pace.record_prompt_processed(*rc::gen::arbitrary<std::uint32_t>(), took);
+                pace.record_events("a", *rc::gen::inRange<std::size_t>(0, 1000), took, now);
+                pace.record_stream_end(took);
+                pace.record_call_end(took);
                 RC_ASSERT(std::isfinite(pace.slowdown(now)) && pace.slowdown(now) >= 1);
                 RC_ASSERT(std::isfinite(pace.gap_ms("a", now)) && pace.gap_ms("a", now) >= 0);
                 RC_ASSERT(std::isfinite(pace.read_ms_per_token()));
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -9,8 +9,8 @@
 #include <set>
 #include <string>
 
+#include "tallyfold/plane/turns/begin_coordinator.hpp"
 #include "tallyfold/plane/turns/quorum_operations.hpp"
-#include "tallyfold/plane/turns/turn_beginning.hpp"
 #include "tests/support/store_fleet.hpp"
 
 namespace tallyfold::tests {
@@ -34,7 +34,7 @@
         : fleet_(fleet), fault_(fault), random_(random), now_(now) {}
 
     /// Takes over what is newer in the directory's table.
-    void learn_table(const turns::store_table& table) { known_.take(table); }
+    void learn_table(const turns::store_table& table) { known_.merge_newer(table); }
 
     void begin_turn() {
         const std::string request = "t" + std::to_string(++last_turn_);
@@ -47,12 +47,13 @@
             // Most programs continue their own turns.
             begun.program = random_.chance(0.6) ? chosen->second : begun.program;
         }
-        turns::turn_question question;
+        turns::begin_parameters question;
         question.reservation = {begun.program, request, 1, 60'000};
         question.previous = begun.previous;
         question.budget = program_budget;
         begun.until = now_ + std::chrono::milliseconds(1'500);
-        begun.turn = std::make_unique<turns::turn_beginning>(++last_operation_, question, known_);
+        begun.turn =
+            std::make_unique<turns::begin_coordinator>(++last_operation_, question, known_);
         beginnings_.emplace(request, std::move(begun));
         go_on_beginning(request);
     }
@@ -101,17 +102,17 @@
     struct beginning {
         std::string program;
         std::string previous;
-        std::unique_ptr<turns::turn_beginning> turn;
+        std::unique_ptr<turns::begin_coordinator> turn;
         instant until{};
     };
 
     void learn(const std::vector<turns::store_map>& newer) {
         for (const turns::store_map& map : newer) {
-            known_.take(map);
+            known_.merge_newer(map);
         }
     }
 
-    void ask(const std::string& request, const turns::store_question& question) {
+    void ask(const std::string& request, const turns::addressed_request& question) {
         const auto take = [this, request](const turns::store_reply& body) {
             take_begin(request, body);
         };
@@ -124,14 +125,15 @@
         if (found == beginnings_.end()) {
             return;
         }
-        turns::turn_beginning& turn = *found->second.turn;
+        turns::begin_coordinator& turn = *found->second.turn;
         const auto choose = [this](const turns::store_map& map) { return nearest(map); };
-        if (turn.undecided() && now_ < found->second.until) {
-            for (const turns::store_question& question : turn.due(now_, known_, choose)) {
+        if (turn.is_undecided() && now_ < found->second.until) {
+            for (const turns::addressed_request& question :
+                 turn.take_due_requests(now_, known_, choose)) {
                 ask(request, question);
             }
         }
-        if (!turn.undecided() || now_ >= found->second.until) {
+        if (!turn.is_undecided() || now_ >= found->second.until) {
             end_beginning(request);
         }
     }
@@ -141,7 +143,7 @@
         if (found == beginnings_.end()) {
             return;
         }
-        turns::turn_beginning& turn = *found->second.turn;
+        turns::begin_coordinator& turn = *found->second.turn;
         if (const auto* begun = std::get_if<turns::begin_reply>(&body)) {
             learn(begun->newer_map);
             turns::begin_reply taken = *begun;
@@ -163,7 +165,7 @@
     void end_beginning(const std::string& request) {
         const beginning ended = std::move(beginnings_.at(request));
         beginnings_.erase(request);
-        const turns::begun_turn begun = ended.turn->outcome();
+        const turns::begin_decision begun = ended.turn->outcome();
         if (begun.result == turns::begin_result::unknown_previous) {
             false_unknowns_ += settled_.contains(ended.previous) ? 1 : 0;
         }
@@ -190,7 +192,7 @@
 
     void ask_settle(const std::string& request) {
         settling& ending = settlings_.at(request);
-        ending.operation.use_map(known_.groups[known_.group_of(ending.settlement.program)]);
+        ending.operation.switch_to_map(known_.groups[known_.group_of(ending.settlement.program)]);
         for (const turns::store_member& member : ending.operation.unanswered()) {
             turns::settle_request asked;
             asked.epoch = ending.operation.map().epoch;
@@ -208,7 +210,7 @@
             return;
         }
         found->second.operation.on_reply(reply);
-        if (found->second.operation.done()) {
+        if (found->second.operation.is_durable()) {
             settled_.emplace(request, found->second.settlement.program);
             settlings_.erase(found);
         }
--- a/tests/support/store_fleet.hpp
+++ b/tests/support/store_fleet.hpp
@@ -73,15 +73,15 @@
 
     void flush(std::size_t number) {
         store_machine& writer = machines_[number];
-        if (!writer.store || !writer.store->has_work()) {
+        if (!writer.store || !writer.store->has_pending_write()) {
             return;
         }
-        const turns::store_write write = writer.store->take_write();
+        const turns::store_write write = writer.store->begin_write();
         if (write.map.has_value()) {
             writer.kept = *write.map;
         }
         writer.disk.insert(writer.disk.end(), write.changes.begin(), write.changes.end());
-        for (turns::addressed_reply& reply : writer.store->written(true, now_)) {
+        for (turns::addressed_reply& reply : writer.store->finish_write(true, now_)) {
             deliver_reply(std::move(reply));
         }
     }
@@ -113,7 +113,7 @@
         if (random_.chance(0.3)) {
             machines_[number].store->skip_copy_source();
         }
-        std::optional<turns::copy_order> order = machines_[number].store->next_copy();
+        std::optional<turns::copy_fetch> order = machines_[number].store->next_copy();
         if (order.has_value()) {
             send(order->source, std::move(order->request),
                  [this, number, asking](const turns::store_reply& body) {
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -126,7 +126,7 @@
 
     void plan() {
         // Longer than the turns here are kept.
-        planner_.watch_losses(state_, std::chrono::seconds(75), now_);
+        planner_.update_incomplete_groups(state_, std::chrono::seconds(75), now_);
         if (const auto change = planner_.plan(state_, now_)) {
             state_.apply(*change);
         }
@@ -220,7 +220,7 @@
         for (std::size_t number = 0; number < fleet_.size(); ++number) {
             store_machine& emptied = fleet_.machine(number);
             const bool done = state_.retired().contains(emptied.identity) &&
-                              !state_.stores().holds(emptied.identity);
+                              !state_.stores().contains(emptied.identity);
             if (done && !emptied.taken_away) {
                 emptied.taken_away = true;
                 emptied.store.reset();
@@ -296,7 +296,7 @@
     }
 
     /// What a store answers, with all else at rest.
-    turns::store_reply answer_of(const turns::store_question& question) {
+    turns::store_reply answer_of(const turns::addressed_request& question) {
         const store_machine& asked = fleet_.machine_at(question.store);
         const turns::turn_table& table = asked.store->turns();
         if (const auto* begin = std::get_if<turns::begin_request>(&question.body)) {
@@ -320,14 +320,15 @@
     }
 
     bool continues(const std::string& turn, const std::string& program) {
-        turns::turn_question question;
+        turns::begin_parameters question;
         question.reservation = {program, "c-" + turn, 1, 60'000};
         question.previous = turn;
-        turns::turn_beginning checked(1, question, state_.stores());
+        turns::begin_coordinator checked(1, question, state_.stores());
         const auto choose = [this](const turns::store_map& map) { return forwarder_.nearest(map); };
-        for (int round = 0; round < 60 && checked.undecided(); ++round) {
+        for (int round = 0; round < 60 && checked.is_undecided(); ++round) {
             now_ += std::chrono::milliseconds(20);
-            for (const turns::store_question& asked : checked.due(now_, state_.stores(), choose)) {
+            for (const turns::addressed_request& asked :
+                 checked.take_due_requests(now_, state_.stores(), choose)) {
                 std::visit(
                     [&](const auto& body) {
                         if constexpr (requires { checked.on_reply(body); }) {
