--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -1,7 +1,6 @@
 /// @file
-/// Pins the platform's form of a configuration and of the list of replicas: every field, every
-/// default, and the text of refusals. The platform writes both, so a change here breaks the system
-/// on it.
+/// Pins the platform's wire format of a configuration and of the list of replicas: every field,
+/// every default, and the error texts. The platform writes both, so they must stay compatible.
 
 #include "platform/configuration_format.hpp"
 #include "platform/replica_list.hpp"
@@ -56,7 +55,7 @@
     return route;
 }
 
-/// All but the fields that must be there has its default.
+/// A route with the required fields only; all others have their defaults.
 routing::route repeatable_route() {
     routing::route route;
     route.name = "tool";
@@ -189,7 +188,7 @@
         CPPUNIT_ASSERT_EQUAL("Burst" + reason, refusal_of(begin + R"("Burst":"1"}]})"));
     }
 
-    /// `text` with every `name` spelt otherwise.
+    /// Returns `text` with the field `name` renamed everywhere, so that it is missing.
     static std::string without(std::string text, const std::string& name) {
         const std::string quoted = "\"" + name + "\"";
         for (std::size_t at = text.find(quoted); at != std::string::npos; at = text.find(quoted)) {
--- a/tests/platform/loss_account_test.py
+++ b/tests/platform/loss_account_test.py
@@ -1,4 +1,4 @@
-"""The loss account on recorded lines; needs no bench."""
+"""Tests of the loss account on recorded bench output."""
 import sys
 import unittest
 from pathlib import Path
--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -1,7 +1,6 @@
 /// @file
-/// Pins the platform's form of callers' requests, of calls to replicas and their answers, and of
-/// operators' calls and their answers. They are the wire, so a change here breaks the system on the
-/// platform.
+/// Pins the platform's wire format of callers' requests, of calls to replicas and their answers,
+/// and of operators' calls and their answers, which must stay compatible.
 
 #include "platform/operator_calls.hpp"
 #include "platform/replica_calls.hpp"
@@ -56,7 +55,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("key-8"), facts.credential);
         CPPUNIT_ASSERT_EQUAL(std::string("object-9"), facts.object);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, facts.prompt.size());
-        // Nodes tell each other these hashes, so they have to stay.
+        // Nodes exchange these hashes, so builds must agree on them.
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0xd0fe2cf629f58688}, facts.prompt[0].hash);
         CPPUNIT_ASSERT_EQUAL(token_count{800}, facts.prompt[0].tokens);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0x79ffa7d06f908bf5}, facts.prompt[1].hash);
@@ -74,7 +73,7 @@
         CPPUNIT_ASSERT(facts.object.empty() && facts.prompt.empty());
     }
 
-    /// Fields as they stand on the wire.
+    /// Header fields of the request to a back end, one a line.
     static std::string sent(const http::message_head& head,
                             const forwarding::attempt_headers& marks) {
         std::string text;
@@ -261,7 +260,7 @@
                                          "Content-Length: 24\r\n\r\n"
                                          "{\"Error\":\"not \\\"this\\\"\"}"),
                              rendered(calls.refused(409, "not \"this\"")));
-        // Bytes that are no text become the replacement character.
+        // Invalid UTF-8 is replaced by U+FFFD.
         CPPUNIT_ASSERT_EQUAL(std::string("{\"Error\":\"a\xEF\xBF\xBD\"}"),
                              calls.refused(400, "a\xFF").body);
     }
--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -89,7 +89,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("kept"), *sent.find("X-Other"));
         CPPUNIT_ASSERT(sent.find("Connection") == nullptr);
         CPPUNIT_ASSERT(sent.find("Last-Event-Id") == nullptr);
-        // A continued stream begins after the last event that has been passed on.
+        // A resumed stream continues after the last event forwarded to the caller.
         head.headers.add("Last-Event-Id", "3");
         const http::header_list continued =
             calls.backend_headers(head, {std::chrono::milliseconds(1500), "i-1", 0, true, {}, "7"});
@@ -108,7 +108,7 @@
                                                    "X-Tenant-Id",
                                                    "X-Credential",
                                                    "X-Deadline-Ms"};
-        check_property("whatever a caller sends under our names goes nowhere", [] {
+        check_property("callers can't set header fields that the system sets", [] {
             http::message_head head;
             head.headers.add("X-Request-Id", "abc");
             const int count = *rc::gen::inRange(1, 12);
@@ -145,7 +145,7 @@
         head.headers.add("Cookie", "a=1; X-Affinity-Key=17;b=2");
         CPPUNIT_ASSERT_EQUAL(std::string("key"), calls.read_request(head).credential);
         CPPUNIT_ASSERT_EQUAL(std::string("17"), calls.read_request(head).object);
-        // Several keys are none: which of them counts can't be said.
+        // A request with several credentials is ambiguous and counts as having none.
         head.headers.add("x-credential", "other");
         CPPUNIT_ASSERT(calls.read_request(head).credential.empty());
     }
