--- a/tests/platform/soak/__init__.py
+++ b/tests/platform/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak of the programs of the users' platform on one machine."""
+"""Soak test of the platform's programs under randomized faults, on one machine."""
--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the replicas of the users' platform and for its list of them."""
+"""Simulated replicas of the users' platform, and its list of replicas."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 
 async def read_request(reader):
-    """Returns (method, target, headers, body); None at the end of the connection."""
+    """Returns (method, target, headers, body). IncompleteReadError at its end."""
     first, headers = await read_message_head(reader)
     method, target, _ = first.split(" ", 2)
     body = await read_body(reader, headers)
@@ -19,9 +19,9 @@
 
 
 class Backend:
-    """One replica: an engine that streams events, or an app service with whole answers."""
+    """A replica: an engine that streams events, or an app service that sends plain answers."""
 
-    #: What share of the answers misbehaves while the back end is sick, and how.
+    #: Failure modes of a faulty back end, which affect a share of its answers.
     SICKNESSES = ("cut", "lost", "slow", "surplus", "refuse", "error")
 
     def __init__(self, history, clock, name, service, address, engine, seed):
@@ -124,7 +124,7 @@
 
 
 class BackendList:
-    """The platform's list, which lags behind."""
+    """The platform's list of replicas, which is updated with a delay of LAG seconds."""
 
     LAG = 0.5
 
--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that run whole programs, and an operator that changes the configuration."""
+"""Callers that run programs of several turns, and an operator that changes the configuration."""
 
 import asyncio
 import json
@@ -11,22 +11,23 @@
 HOST = "soak.example"
 MOST_TOKENS = 8 * TOKENS_PER_EVENT
 RETENTION_SECONDS = 600.0
-#: Callers use an added route this long after the change that brought it was acknowledged, in
-#: seconds: a node may go by proof that it asked for 0.05 s before the call.
+#: Time between the acknowledgement of a change and the callers' use of a route it added, in seconds:
+#: a node may still use a confirmation that it requested shortly before.
 ADDED_SETTLES = 0.1
-#: A change has to be in force everywhere this long after its acknowledgement, in seconds.
+#: Time after its acknowledgement by which a change must be in force at every node, in seconds.
 IN_FORCE_SECONDS = 2.0
-#: Tries to go on from a turn at the end, and the time in which they are made, in seconds. What is over
-#: the tenant's limit, or sent without a key, is no try: a limit stays used up for QUOTA_WINDOW.
+#: Maximum number of attempts to continue a turn at the end, and their time limit in seconds.
+#: Requests with an invalid key or over the tenant's limit, which stays exhausted for QUOTA_WINDOW,
+#: don't count.
 GO_ON_TRIES, GO_ON_SECONDS = 12, 60.0
-#: Calls of a route that was added just now, one after the other.
+#: Number of consecutive calls to a newly added route.
 PROBES = 6
-#: Routes that a change adds now and then beside its own, and the most of them, that nobody calls.
+#: Number of unused routes that some changes add, and their maximum in a configuration.
 FILLING_ROUTES, MOST_FILLING_ROUTES = 1000, 4000
 
 
 def own_path(version):
-    """Path of a route that one version alone has."""
+    """Returns the path of the route that only this version contains."""
     return f"/own/{version}/"
 
 
@@ -37,7 +38,7 @@
 
 
 async def read_chunks(reader):
-    """Yields the bytes of each chunk; ends only after the last one."""
+    """Yields the bytes of each chunk; returns after the terminating one."""
     while True:
         length = int((await reader.readline()).strip() or b"x", 16)
         data = await reader.readexactly(length + 2)
@@ -47,30 +48,30 @@
 
 
 class Caller:
-    """Runs programs one after the other, each turn at any forwarder."""
+    """Runs programs one after the other, sending each turn to a random forwarder."""
 
     def __init__(self, history, clock, forwarders, seed, tenant, keys, added):
         self.history = history
         self.clock = clock
         self.forwarders = forwarders
-        #: Paths of routes that changes have added, and when they were acknowledged.
+        #: Times of acknowledgement by path of the routes that changes added.
         self.added = added
         self.random = random.Random(seed)
-        #: Of its own, so that seeds draw what they drew before there were added routes.
+        #: Separate generator, so that draws of added routes don't alter the other draws of a seed.
         self.random_of_added = random.Random(f"added-{seed}")
         self.tenant = tenant
         self.keys = keys
-        #: Callers of other tenants, whose turns must stay unknown to this one.
+        #: Callers of other tenants, whose turns this one must not be able to continue.
         self.strangers = []
         self.stopping = False
-        #: Ends of lines of turns that were answered whole: (request, body of the whole line).
+        #: Completely answered turns to continue: (request, body of the whole conversation).
         self.lines = []
 
     def draw_id(self):
         return f"{self.random.getrandbits(64):016x}"
 
     def identify(self, attempt):
-        """Header fields that say who calls; now and then with a key that nobody holds."""
+        """Returns the credential header fields; a small share of requests gets an invalid key."""
         if not self.keys.in_use:
             attempt.tenant = self.tenant
             return []
@@ -79,7 +80,7 @@
         return [f"X-Credential: {key}", "X-Tenant-Id: open", "X-Hold: forged"]
 
     async def exchange(self, attempt, patience, fields=(), forwarder=None):
-        """Sends one request on a new connection and notes what comes back."""
+        """Sends one request on a new connection and records the answer in `attempt`."""
         self.history.attempts.append(attempt)
         identity = self.identify(attempt)
         writer = None
@@ -123,7 +124,7 @@
             attempt.pieces.append(body.decode())
 
     def turn(self, program, line, budget):
-        """One turn that goes on from `line`: (request, body so far), or None."""
+        """Returns an attempt at a turn that continues `line`: (request, body so far), or None."""
         previous, before = line or ("", b"")
         body = f"[{self.draw_id()[:self.random.randint(4, 16)]}]".encode()
         return Attempt(self.draw_id(), "turn", "POST", "/turns/x", body, self.clock(),
@@ -142,7 +143,7 @@
         return await self.exchange(attempt, 3.0, fields)
 
     async def run_turn(self, program, line, budget):
-        """A turn with its repeats. Returns the new line; None when it failed."""
+        """Sends a turn, with retries. Returns the new line; None when it failed."""
         for _ in range(4):
             attempt = await self.send_turn(self.turn(program, line, budget))
             if attempt.status == 200 and attempt.whole:
@@ -176,7 +177,7 @@
     def draw_tool(self):
         settled = [path for path, at in self.added.items() if self.clock() - at >= ADDED_SETTLES]
         if settled and self.random_of_added.random() < 0.3:
-            # The newest ones are those that a node may not know yet.
+            # The newest routes are those that a node is most likely to lack.
             return "repeatable", self.random_of_added.choice(settled[-3:]) + "x"
         return ("repeatable", "/look/x") if self.random.random() < 0.5 else ("once", "/claim/x")
 
@@ -185,7 +186,7 @@
         await self.exchange(Attempt(self.draw_id(), kind, "POST", path, b"tool", self.clock()), 1.5)
 
     async def probe_added(self, path):
-        """Calls a route that was added just now, while some nodes may not know it yet."""
+        """Calls a newly added route while some nodes may not have applied the change yet."""
         for _ in range(PROBES):
             await asyncio.sleep(ADDED_SETTLES)
             await self.exchange(
@@ -193,7 +194,7 @@
                 1.0)
 
     async def probe_in_force(self, version, added, dropped):
-        """Calls, at every forwarder, what a change added and dropped once it has to be in force."""
+        """Calls the added and the dropped route at every forwarder once a change is in force."""
         await asyncio.sleep(IN_FORCE_SECONDS)
         for forwarder in self.forwarders:
             for path in filter(None, (added, dropped)):
@@ -207,17 +208,17 @@
             await self.run_program()
 
     async def go_on_from(self, line):
-        """Asks until the turn after `line` is answered. Returns the last status."""
+        """Retries a turn that continues `line` until it is answered. Returns the last status."""
         status = 0
         tries = 0
         began = self.clock()
         while tries < GO_ON_TRIES and self.clock() - began < GO_ON_SECONDS:
             attempt = await self.send_turn(self.turn(self.draw_id(), line, 0))
             if not attempt.tenant:
-                # Sent with a key that nobody holds, as some are: it says nothing of the turn.
+                # The request had an invalid key, so its status says nothing about the turn.
                 continue
             if attempt.status == 429:
-                # Over the tenant's limit: not a word about the turn either.
+                # The tenant's limit is exhausted, which says nothing about the turn.
                 await asyncio.sleep(float(attempt.retry_after or 0.3))
                 continue
             tries += 1
@@ -229,7 +230,7 @@
 
 
 class Operator:
-    """Sends configurations with rising versions and reads them back, at any directory node."""
+    """Sends configurations with increasing versions to random nodes, and reads them back."""
 
     def __init__(self, history, clock, nodes, seed, keys, addresses):
         self.addresses = addresses
@@ -240,21 +241,21 @@
         self.random = random.Random(seed)
         self.random_of_filling = random.Random(f"filling-{seed}")
         self.version = 1
-        #: Versions whose route every later one keeps.
+        #: Acknowledged versions; every later configuration keeps the routes that they added.
         self.kept = []
         self.filling = 0
-        #: Paths of their routes, with the time of the acknowledgement.
+        #: Times of acknowledgement by path of those routes.
         self.added = {}
-        #: Callers without a limit, who call each as soon as it is added.
+        #: Callers of an unlimited tenant that call each route as soon as it is added.
         self.probers = []
-        #: Calls what changes added and dropped, once they have to be in force; None for nobody.
+        #: Caller that checks added and dropped routes once a change must be in force; may be None.
         self.in_force_prober = None
-        #: The version whose own route the next change drops.
+        #: Version whose own route the next change drops; None before the first change.
         self.own_route_of = None
         self.stopping = False
 
     def draw_filling(self):
-        """Every now and then the configuration grows by many routes, or loses them all."""
+        """Occasionally adds many unused routes to the next configuration, or removes all of them."""
         if self.random_of_filling.random() < 0.2:
             self.filling = (self.filling + FILLING_ROUTES) % (MOST_FILLING_ROUTES + FILLING_ROUTES)
 
@@ -285,14 +286,14 @@
                 **({} if tenants is None else {"Tenants": tenants})}
 
     def probe_in_force(self):
-        """The change that was just acknowledged is to be in force everywhere soon."""
+        """Schedules the check that the change just acknowledged is in force at every forwarder."""
         dropped = own_path(self.own_route_of) if self.own_route_of is not None else None
         self.own_route_of = self.version
         asyncio.ensure_future(self.in_force_prober.probe_in_force(
             self.version, f"/added/{self.version}/", dropped))
 
     async def call(self, method, path, body=b""):
-        """Returns (status, body) at any node; status 0 when nothing came."""
+        """Sends a call to a random node. Returns (status, body); status 0 without an answer."""
         address = self.random.choice(self.nodes)
         for _ in range(3):
             writer = None
@@ -305,7 +306,7 @@
                     status, headers = await read_head(reader)
                     if status == 307:
                         host, port = headers["location"].split("/")[2].split(":")
-                        # Nodes name each other by their relays, which pass no operators' calls.
+                        # Nodes advertise relay addresses, which forward no operators' calls.
                         address = (self.addresses.direct(host), int(port))
                         continue
                     return status, await read_body(reader, headers)
@@ -317,7 +318,7 @@
         return 0, b""
 
     async def change(self):
-        """Sends one change until it is acknowledged."""
+        """Sends a new configuration, retrying until it is acknowledged."""
         self.draw_filling()
         body = json.dumps(self.configuration()).encode()
         while True:
--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -4,21 +4,21 @@
 
 from .tenants import QUOTA_WINDOW, TENANTS, limit_of
 
-#: Statuses that promise that the request has not run and never will.
+#: Statuses that guarantee that the request has not run and won't run.
 PROMISES = {402, 408, 421, 429, 503}
-#: A read that was sent this long after an acknowledgement must show that version, in seconds.
+#: Time after an acknowledgement from which reads must return at least that version, in seconds.
 CONFIGURATION_BOUND = 2.0
 
-#: A process that was struck is in touch again this long after, in seconds.
+#: Time after a fault within which a process has reconnected, in seconds.
 CONTACT_SECONDS = 3.0
-#: Service is back this long after the machines are, in seconds.
+#: Time after the end of the last fault within which service must be restored, in seconds.
 RECOVERY_SECONDS = 12.0
-#: Of what is asked from then on, at least this share is served.
+#: Minimum share of the requests after that time that must be served.
 SERVED_SHARE = 0.9
 
 
 def runs_by_request(history):
-    """Runs of each request, in order."""
+    """Returns the runs of each request, in order."""
     runs = defaultdict(list)
     for run in history.runs:
         runs[run.request].append(run)
@@ -26,7 +26,7 @@
 
 
 def at_most_once(history):
-    """A request that must not repeat runs at most once."""
+    """A request that isn't repeatable runs at most once."""
     runs = runs_by_request(history)
     once = [attempt for attempt in history.attempts if attempt.kind != "repeatable"]
     return len(once), [f"{attempt.request} ({attempt.kind}) ran {len(runs[attempt.request])} times"
@@ -34,7 +34,7 @@
 
 
 def refused_never_ran(history):
-    """What is told not to have run has not run."""
+    """A request that was refused as not run has not run."""
     runs = runs_by_request(history)
     refused = [attempt for attempt in history.attempts if attempt.status in PROMISES]
     return len(refused), [f"{attempt.request} got {attempt.status} and ran"
@@ -42,14 +42,14 @@
 
 
 def refusals_say_when(history):
-    """A refusal that may pass says when to come back."""
+    """A temporary refusal has a Retry-After header."""
     refused = [attempt for attempt in history.attempts if attempt.status in (429, 503)]
-    return len(refused), [f"{attempt.request} got {attempt.status} without a time"
+    return len(refused), [f"{attempt.request} got {attempt.status} without Retry-After"
                           for attempt in refused if not attempt.retry_after]
 
 
 def answers_are_their_own(history):
-    """A success is the whole answer of a back end to that very request."""
+    """A successful answer is the complete answer of a back end to the same request."""
     runs = runs_by_request(history)
     whole = [attempt for attempt in history.attempts if attempt.status == 200 and attempt.whole]
     wrong = []
@@ -59,29 +59,29 @@
         elif not attempt.signature:
             wrong.append(f"{attempt.request} got a success without a signature")
         elif not any(run.whole and run.pieces == attempt.pieces for run in runs[attempt.request]):
-            wrong.append(f"{attempt.request} got a whole answer that no back end gave")
+            wrong.append(f"{attempt.request} got a complete answer that no back end sent")
     return len(whole), wrong
 
 
 def streams_keep_their_order(history):
-    """A stream that broke off holds the first events of one run, none twice."""
+    """An interrupted stream consists of the first events of one run, without duplicates."""
     runs = runs_by_request(history)
     broken = [attempt for attempt in history.attempts
               if attempt.kind == "turn" and attempt.status == 200 and not attempt.whole]
     return len(broken), [
-        f"{attempt.request} broke off with events that no run began with" for attempt in broken
+        f"{attempt.request} was interrupted after events that no run began with" for attempt in broken
         if not any(run.pieces[:len(attempt.pieces)] == attempt.pieces
                    for run in runs[attempt.request])]
 
 
 def bodies_arrive_unchanged(history):
-    """A back end gets the body that was sent; a turn's has the line before it in front."""
+    """A back end receives the body that was sent, for a turn preceded by the turns it continues."""
     sent = {attempt.request: attempt for attempt in history.attempts}
     wrong = []
     for run in history.runs:
         attempt = sent.get(run.request)
         if attempt is None:
-            wrong.append(f"{run.request} ran and nobody sent it")
+            wrong.append(f"{run.request} ran, but no caller sent it")
             continue
         expected = attempt.body if attempt.expected_body is None else attempt.expected_body
         same = (run.method, run.target, run.body) == (attempt.method, attempt.target, expected)
@@ -91,24 +91,24 @@
 
 
 def history_is_kept(history):
-    """A turn that goes on from one that was answered whole is never told that it is unknown."""
+    """A turn that continues a completely answered one is never refused as unknown."""
     answered = {}
     for attempt in history.attempts:
         if attempt.kind == "turn" and attempt.status == 200 and attempt.whole:
             answered[attempt.request] = attempt.ended
     going_on = [attempt for attempt in history.attempts
                 if attempt.previous and not attempt.foreign and answered.get(attempt.previous, attempt.sent) < attempt.sent]
-    wrong = [f"{attempt.request} got {attempt.status}: {attempt.previous} was forgotten"
+    wrong = [f"{attempt.request} got {attempt.status}: previous turn {attempt.previous} was lost"
              for attempt in going_on if attempt.status in (404, 410)]
-    # A turn whose last disk was lost is undecided; it is never told that it doesn't exist.
+    # A turn whose last disk was lost gets 503 (undecided), never 404 or 410.
     allowed = (200, 503) if history.disks_in_series else (200,)
-    wrong += [f"{turn} does not go on after all faults: {status}"
+    wrong += [f"{turn} cannot be continued after all faults: {status}"
               for turn, status in history.continued if status not in allowed]
     return len(going_on) + len(history.continued), wrong
 
 
 def budgets_hold(history):
-    """The turns of a program give no more tokens than its budget plus the most of one turn."""
+    """A program generates at most its budget plus the maximum of one turn, in tokens."""
     tokens = defaultdict(int)
     bound = {}
     for attempt in history.attempts:
@@ -121,7 +121,7 @@
 
 
 def configurations_never_revert(history):
-    """A read shows each version whose acknowledgement is older than the bound."""
+    """A read returns no version older than one acknowledged before CONFIGURATION_BOUND."""
     wrong = []
     for read in history.reads:
         due = [change.version for change in history.changes
@@ -136,19 +136,19 @@
 
 
 def processes_stay_up(history):
-    """A process ends only when it is killed or asked to stop, and then with 0."""
+    """A process ends only when it is killed, or with code 0 after a request to stop."""
     wrong = [f"{ending.process} ended with {ending.code} at {ending.at:.2f}"
              for ending in history.endings if not ending.asked]
     return len(history.endings), wrong
 
 
 def may_be_gone(history, attempt):
-    """It goes on from a turn whose last disk may be lost, and was told that this isn't known."""
+    """True for a 503 to a turn that continues one whose last disk may be lost."""
     return history.disks_in_series and attempt.previous and attempt.status == 503
 
 
 def service_returns(history):
-    """Once the machines are back for the bound, turns and calls are served again."""
+    """RECOVERY_SECONDS after the last fault, turns and calls are served again."""
     wrong = []
     checked = 0
     if history.returned is None:
@@ -167,7 +167,7 @@
 
 
 def keys_stay_inside(history):
-    """A back end is told the tenant that the key belongs to, and never the key."""
+    """A back end receives the tenant that the key belongs to, and never the key."""
     if not history.has_keys:
         return 0, []
     sent = {attempt.request: attempt for attempt in history.attempts}
@@ -179,9 +179,9 @@
 
 
 def strangers_never_run(history):
-    """A request with a key that nobody holds runs nowhere, and isn't told that it did.
+    """A request with an invalid key never runs and gets 401, 503 or no answer.
 
-    A route that a change dropped is none for anybody: there it may be told so.
+    On a route that a change dropped, 404 is allowed too.
     """
     runs = runs_by_request(history)
     strange = [attempt for attempt in history.attempts if not attempt.tenant]
@@ -190,22 +190,22 @@
     for attempt in strange:
         allowed = (0, 401, 503, 404) if attempt.request in dropped else (0, 401, 503)
         if runs[attempt.request] or attempt.status not in allowed:
-            wrong.append(f"{attempt.request} without a key got {attempt.status}")
+            wrong.append(f"{attempt.request} with an invalid key got {attempt.status}")
     return len(strange), wrong
 
 
 def proper_keys_are_let_in(history):
-    """A key that every configuration in force holds is never called unknown."""
+    """A key that every configuration in force contains never gets 401."""
     proper = [attempt for attempt in history.attempts if attempt.tenant]
     return len(proper), [f"{attempt.request} of {attempt.tenant} got 401 at {attempt.sent:.2f}"
                          for attempt in proper if attempt.status == 401]
 
 
 def added_routes_are_known(history):
-    """A route that an acknowledged change added, and that is kept, is never called unknown.
+    """A route that an acknowledged change added, and later ones keep, never gets 404.
 
-    The build before forwarders asked for proof does so until the change has to be in force there:
-    one that was stopped goes by what it held then when it wakes.
+    Forwarders of the earlier build don't confirm with the directory before a 404, so for them the
+    rule applies only once the change must be in force and the processes were fault-free.
     """
     acknowledged = {f"/added/{change.version}/x": change.acknowledged
                     for change in history.changes}
@@ -218,15 +218,15 @@
 
 
 def others_turns_are_unknown(history):
-    """Nobody goes on from another tenant's turn."""
+    """A turn of another tenant can't be continued."""
     runs = runs_by_request(history)
     foreign = [attempt for attempt in history.attempts if attempt.foreign]
-    return len(foreign), [f"{attempt.request} of {attempt.tenant} went on from {attempt.previous}"
+    return len(foreign), [f"{attempt.request} of {attempt.tenant} continued {attempt.previous} of another tenant"
                           for attempt in foreign if runs[attempt.request]]
 
 
 def limits_hold(history):
-    """Within any window no more of a tenant's requests are sent and run than its limit allows."""
+    """Within any window, a tenant's requests that are sent and run stay within its limit."""
     first_run = {}
     for run in history.runs:
         first_run[run.request] = min(run.at, first_run.get(run.request, run.at))
@@ -248,24 +248,24 @@
 
 
 def work_ends(history):
-    """What callers and the operator have begun ends: an operator repeats a change until it is taken."""
-    return 1, [f"{history.unended} never ended"] if history.unended else []
+    """Callers and the operator, which retries a change until it succeeds, finish their work."""
+    return 1, [f"{history.unended} callers or operators never ended"] if history.unended else []
 
 
 def was_calm(history, begin, end, processes):
-    """None of the processes was struck at any time between."""
+    """True when no fault affected any of the processes between `begin` and `end`."""
     return not any(strike.process in processes and strike.began <= end and strike.ended >= begin
                    for strike in history.strikes)
 
 
 def in_touch(history, attempt):
-    """The forwarder of the call, and the directory, were well for the time that counts."""
+    """True when forwarder and directory had no fault from CONTACT_SECONDS before the call."""
     processes = [history.forwarder_at.get(attempt.forwarder), *history.directory]
     return was_calm(history, attempt.sent - CONTACT_SECONDS, attempt.ended, processes)
 
 
 def changes_are_in_force(history):
-    """Once a change has to be in force, what it dropped isn't served, and what it added is."""
+    """Once a change must be in force, its dropped routes aren't served and its added routes are."""
     runs = runs_by_request(history)
     probes = [probe for probe in history.route_probes if in_touch(history, probe.attempt)]
     dropped = [probe for probe in probes if probe.dropped]
@@ -281,7 +281,7 @@
 
 
 def planned_rolls_serve(history):
-    """While processes are replaced one after the other, the forwarders that are up serve."""
+    """During a planned rolling replacement, the forwarders that are up serve requests."""
     wrong = []
     checked = 0
     for begin, end in history.planned_rolls:
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -1,4 +1,4 @@
-"""Each check finds a hand-made bad history, and passes a good one."""
+"""Tests that each check reports a constructed violation and passes a correct history."""
 
 import unittest
 
@@ -178,7 +178,7 @@
         self.assertTrue(self.violations(checks.work_ends, unended=1))
 
     def in_force(self, status, dropped, ran=False, strikes=()):
-        """One probe of a route that a change dropped or added, and what it got."""
+        """Returns the violations of one probe of a route that a change dropped or added."""
         probe = RouteProbe(attempt(kind="repeatable", sent=10.0, ended=10.1, status=status,
                                    forwarder="f", target="/own/2/x" if dropped else "/added/3/x"),
                            3, dropped)
--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The real programs as separate processes, each behind a relay of its own."""
+"""Runs the programs as separate processes, each behind its own relay."""
 
 import asyncio
 import contextlib
@@ -18,26 +18,26 @@
 
 
 class Addresses:
-    """Loopback addresses of one cluster: clusters with other numbers run beside it."""
+    """Loopback addresses of a cluster; clusters with different numbers can run at the same time."""
 
     def __init__(self, number):
         self.number = number
 
     def own(self, last):
-        """Where a process itself listens."""
+        """Returns the address at which the process itself listens."""
         return f"127.{self.number}.7.{last}"
 
     def relayed(self, last):
-        """Where others reach it, through its relay."""
+        """Returns the address at which other processes reach it, through its relay."""
         return f"127.{self.number}.8.{last}"
 
     def direct(self, address):
-        """Where the process itself listens whose relayed address this may be."""
+        """Returns the address of the process itself for its own or its relayed address."""
         return self.own(address.rsplit(".", 1)[1])
 
 
 class Node:
-    """One process. It listens at its own address; others reach it through its relay."""
+    """A process that listens at its own address and that others reach through its relay."""
 
     def __init__(self, cluster, program, number, last):
         self.cluster = cluster
@@ -46,16 +46,16 @@
         self.own = cluster.addresses.own(last)
         self.relayed = cluster.addresses.relayed(last)
         self.folder = cluster.work / self.name
-        #: Folder of the programs that its next start runs.
+        #: Folder of the programs used at the next start.
         self.build = cluster.build
         self.process = None
         self.asked = False
         self.starting = asyncio.Lock()
         port = DIRECTORY_PORT if program == "directory" else STORE_PORT
         self.link = Link(self.name, (self.relayed, port), (self.own, port))
-        #: What to prepend to a log's name when it was kept.
+        #: Number of times that the process was started.
         self.starts = 0
-        #: Where in its log the lines of the process that was started last begin.
+        #: Offset in the log file at which the output of the latest start begins.
         self.log_begins = 0
 
     @property
@@ -64,7 +64,7 @@
 
     @property
     def has_begun(self):
-        """True once the process that was started last has written that it accepts connections."""
+        """True once the latest process has logged process_started: it accepts connections."""
         with (self.cluster.work / f"{self.name}.log").open("rb") as log:
             log.seek(self.log_begins)
             return b"name=process_started" in log.read()
@@ -85,7 +85,7 @@
             f'backend_list_address = "{self.cluster.addresses.own(99)}:{LIST_PORT}"\n'
             f"grace_seconds = {GRACE_SECONDS}\nacknowledge_ms = 4000\n")
         if self.build == self.cluster.build:
-            # An earlier build refuses a file with settings that it doesn't know.
+            # An earlier build rejects a file with unknown settings.
             with path.open("a") as settings:
                 settings.write(f"quota_window_seconds = {QUOTA_WINDOW}\n"
                                f"quota_overshoot = {QUOTA_OVERSHOOT}\n"
@@ -93,7 +93,7 @@
         return path
 
     async def start(self):
-        """Starts it unless it runs; while all power is off, waits until it is back."""
+        """Starts the process unless it runs; waits while the cluster has no power."""
         async with self.starting:
             await self.cluster.power.wait()
             if not self.running:
@@ -128,7 +128,7 @@
             await self.process.wait()
 
     async def stop(self):
-        """SIGTERM, and SIGKILL after the grace, which is then a violation."""
+        """Sends SIGTERM; after GRACE_SECONDS sends SIGKILL, which counts as a violation."""
         self.asked = True
         self.send(signal.SIGTERM)
         try:
@@ -142,21 +142,21 @@
         shutil.rmtree(self.folder, ignore_errors=True)
 
     def tear_tail(self, generator):
-        """Adds what a write that was under way at a lost power may have left."""
+        """Appends random bytes to the newest turn file, as a write torn by a power loss may leave."""
         files = [path for path in self.folder.glob("*") if path.name.startswith("turns-")]
         if files:
             with max(files, key=lambda path: path.stat().st_mtime).open("ab") as file:
                 file.write(generator.randbytes(generator.randint(1, 400)))
 
     def limit_files(self, size):
-        """Writes beyond `size` bytes of a file fail, as on a full disk."""
+        """Makes writes beyond `size` bytes of a file fail, as on a full disk."""
         if self.running:
             hard = resource.RLIM_INFINITY
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (size, hard))
 
 
 class Cluster:
-    """Three directory nodes, three stores, three forwarders."""
+    """Three directory nodes, three turn stores and three forwarders."""
 
     def __init__(self, history, clock, build, work, addresses):
         self.addresses = addresses
@@ -164,7 +164,7 @@
         self.clock = clock
         self.build = pathlib.Path(build)
         self.work = pathlib.Path(work)
-        #: Cleared while every machine is dark.
+        #: Cleared during a power loss of all machines.
         self.power = asyncio.Event()
         self.power.set()
         self.nodes = []
@@ -181,7 +181,7 @@
             await node.start()
 
     async def lose_power(self, lost_disks, dark_seconds, generator):
-        """Ends every process at once, empties the disks of some, and starts all again."""
+        """Kills all processes at once, wipes the disks of `lost_disks`, and starts all again."""
         self.power.clear()
         for node in self.nodes:
             node.asked = True
@@ -204,7 +204,7 @@
         await node.start()
 
     async def stop(self):
-        """Ends what this cluster started."""
+        """Kills all processes of the cluster."""
         self.power.clear()
         for node in self.nodes:
             node.send(signal.SIGCONT)
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside, drawn by a seed: each strikes, lasts a while, and is over."""
+"""Injection of temporary external faults, chosen by a seeded generator."""
 
 import asyncio
 import contextlib
@@ -9,14 +9,14 @@
 
 from .history import Strike
 
-#: A lost disk counts as lost until this many seconds after its machine's return.
+#: Time after the restart of a wiped machine within which its disk is copied again, in seconds.
 CATCH_UP_SECONDS = 4.4
-#: Programs with a disk, one of whose disks may be lost at a time.
+#: Programs with a disk; one disk among them may be lost at a time.
 WITH_DISK = ("directory", "turn-store")
 
 
 class Faults:
-    """Injects faults, several at a time, until it is told to stop."""
+    """Injects faults, several at a time, until `stopping` is set."""
 
     def __init__(self, cluster, backends, clock, seed):
         self.cluster = cluster
@@ -26,18 +26,18 @@
         self.injected = Counter()
         self.log = []
         self.busy = set()
-        #: A disk was lost, and its successor hasn't had its time yet.
+        #: A disk was lost, and its replacement hasn't had CATCH_UP_SECONDS to copy the data.
         self.catching_up = False
-        #: Machines with a disk that are struck now, and when the last of them was well again.
+        #: Number of machines with a disk that have a fault now, and when the last such fault ended.
         self.struck = 0
         self.well_since = 0.0
-        #: Only the time since the machine's return counts, whatever strikes the others meanwhile:
-        #: disks are then lost faster than any copy can be made. Of stores only: a directory whose
-        #: voters lost most of their disks has no way on.
+        #: Allows the next disk loss CATCH_UP_SECONDS after the last wiped machine's restart, whatever
+        #: faults the others have, so that disks may be lost before a copy is complete. Applies to
+        #: stores only: a directory can't recover from the loss of a majority of its disks.
         self.disks_in_series = False
         self.wiped_back = 0.0
         self.stopping = False
-        #: Seconds between two faults, at least and at most.
+        #: Minimum and maximum time between the starts of two faults, in seconds.
         self.pauses = (0.2, 1.5)
         self.kinds = [self.kill, self.pause, self.slow, self.stop, self.wipe, self.torn_kill, self.cut,
                       self.cut_one_way, self.reset_link, self.delay_link, self.full_disk,
@@ -64,7 +64,7 @@
 
     @contextlib.contextmanager
     def striking(self, *nodes):
-        """Counts the machines with a disk among `nodes` as struck meanwhile."""
+        """Records a fault of `nodes` for the duration of the context."""
         self.note_caught_up()
         count = sum(node.program in WITH_DISK for node in nodes)
         self.struck += count
@@ -103,7 +103,7 @@
         await self.on_node("pause", ("directory", "turn-store", "forwarder"), work)
 
     async def slow(self):
-        """A machine with a fifth of its processor, or less."""
+        """Slows a process down by stopping it for most of the time."""
         async def work(node):
             until = self.clock() + self.random.uniform(1.0, 6.0)
             while self.clock() < until:
@@ -139,7 +139,7 @@
         return ("turn-store",) if self.disks_in_series else WITH_DISK
 
     async def lose_all_power(self):
-        """Strikes all machines at once, whatever else is under way, with or without a lost disk."""
+        """Kills all machines at once, also during other faults, with or without a lost disk."""
         if not self.cluster.power.is_set():
             return
         lost = []
@@ -153,7 +153,7 @@
         self.busy.update(node.name for node in free)
         with self.striking(*free):
             if lost:
-                # From here on: the time that the machines were well before it doesn't count.
+                # Set here, since the catch-up time counts only from the restart of the machine.
                 self.catching_up = True
                 self.wiped_back = float("inf")
             await self.cluster.lose_power(lost, self.random.uniform(0.3, 2.0), self.random)
@@ -161,7 +161,7 @@
             self.wiped_back = self.clock()
 
     async def close(self):
-        """The last fault of a run."""
+        """Injects the last fault of a run, a power loss."""
         self.stopping = True
         await self.lose_all_power()
 
@@ -264,7 +264,7 @@
                 await node.start()
 
     async def run(self):
-        """Injects until told to stop, and returns when every fault is over."""
+        """Injects faults until `stopping` is set, and returns when all of them have ended."""
         tasks = set()
         while not self.stopping:
             task = asyncio.ensure_future(self.random.choice(self.kinds)())
--- a/tests/platform/soak/faults_test.py
+++ b/tests/platform/soak/faults_test.py
@@ -1,4 +1,4 @@
-"""The faults keep to what the system is promised to bear."""
+"""Tests that the injected faults stay within those that the system tolerates."""
 
 import asyncio
 import unittest
@@ -42,8 +42,8 @@
 
 class FaultsTest(unittest.TestCase):
     def test_no_second_disk_is_lost_before_the_first_could_be_copied(self):
-        """All power and a directory node's disk were lost, and the next disk of one 1 s later: two
-        of three voters were gone, and the directory stood still for good."""
+        """Losing two directory disks before the first is copied removes two of three voters, after
+        which the directory cannot elect a leader."""
 
         async def play(seed):
             cluster = StandInCluster()
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -1,11 +1,11 @@
-"""What callers, back ends and operators saw, as plain records: the checks read nothing else."""
+"""Records of what callers, back ends and operators observed; the only input of the checks."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass
 class Run:
-    """One request that a back end began to work on."""
+    """A request that a back end started to process."""
 
     request: str
     backend: str
@@ -13,20 +13,20 @@
     method: str
     target: str
     body: bytes
-    #: Events of a stream, or the whole body of a plain answer, as the back end sent them.
+    #: Events of a stream, or the single body of a plain answer, as the back end sent them.
     pieces: list = field(default_factory=list)
     status: int = 0
-    #: The back end sent its answer to the end.
+    #: Whether the back end sent its complete answer.
     whole: bool = False
     at: float = 0.0
-    #: Whose request the system said it was, and the key that came along; it must not.
+    #: Tenant and key that the back end received; the key must be empty.
     tenant: str = ""
     key: str = ""
 
 
 @dataclass
 class Attempt:
-    """One request of a caller and what came back."""
+    """A request of a caller and its answer."""
 
     request: str
     kind: str
@@ -35,33 +35,33 @@
     body: bytes
     sent: float
     ended: float = 0.0
-    #: 0 when the connection ended without a head.
+    #: 0 when the connection ended before a complete header.
     status: int = 0
     signature: str = ""
     answered_id: str = ""
     pieces: list = field(default_factory=list)
     whole: bool = False
     retry_after: str = ""
-    #: Who calls; empty with a key that nobody holds.
+    #: Tenant of the caller; empty when the request had an invalid key.
     tenant: str = ""
-    #: It goes on from another tenant's turn.
+    #: Whether it continues another tenant's turn.
     foreign: bool = False
-    #: The forwarder that it was sent to, and whether that ran the programs of the earlier build.
+    #: Address of the forwarder, and whether it ran the earlier build.
     forwarder: str = ""
     by_earlier_build: bool = False
-    # Of turns.
+    # The following fields are used by turns only.
     program: str = ""
     previous: str = ""
     budget: int = 0
     most_tokens: int = 0
     tokens_per_event: int = 1
-    #: Body that a back end has to receive: the line of turns before, then the new input.
+    #: Body that a back end must receive: the previous turns, then the new input.
     expected_body: bytes | None = None
 
 
 @dataclass
 class ConfigurationRead:
-    """One answered read of the configuration."""
+    """An answered read of the configuration."""
 
     sent: float
     version: int
@@ -69,7 +69,7 @@
 
 @dataclass
 class ConfigurationChange:
-    """One acknowledged change."""
+    """An acknowledged change of the configuration."""
 
     version: int
     acknowledged: float
@@ -77,18 +77,18 @@
 
 @dataclass
 class Ending:
-    """A process that ended."""
+    """The end of a process."""
 
     process: str
     at: float
     code: int
-    #: It was killed, or asked to stop, from outside.
+    #: Whether it was killed, or exited with 0 after a request to stop.
     asked: bool
 
 
 @dataclass
 class Strike:
-    """A time in which a process was down, stopped, slowed or cut off."""
+    """An interval in which a process was down, stopped, slowed down or partitioned."""
 
     process: str
     began: float
@@ -97,7 +97,7 @@
 
 @dataclass
 class RouteProbe:
-    """A call some time after a change, at one forwarder: of a route that it added or dropped."""
+    """A call at one forwarder to a route that an earlier change added or dropped."""
 
     attempt: Attempt
     version: int
@@ -106,7 +106,7 @@
 
 @dataclass
 class History:
-    """Everything of one soak."""
+    """All records of a soak."""
 
     runs: list = field(default_factory=list)
     attempts: list = field(default_factory=list)
@@ -114,24 +114,24 @@
     changes: list = field(default_factory=list)
     endings: list = field(default_factory=list)
     strikes: list = field(default_factory=list)
-    #: Calls of routes that a change added or dropped, once it has to be in force.
+    #: Calls to routes that a change added or dropped, once it must be in force.
     route_probes: list = field(default_factory=list)
-    #: Planned replacements of processes without faults beside them: (begin, end).
+    #: Planned rolling replacements without concurrent faults: (begin, end).
     planned_rolls: list = field(default_factory=list)
-    #: Names of the forwarders by the addresses at which callers reach them, and of directory nodes.
+    #: Names of the forwarders by callers' address, and names of the directory nodes.
     forwarder_at: dict = field(default_factory=dict)
     directory: list = field(default_factory=list)
-    #: Addresses of the forwarders that run the programs of the earlier build now.
+    #: Addresses of the forwarders that currently run the earlier build.
     earlier_forwarders: set = field(default_factory=set)
-    #: Turns that were asked to go on after all faults had ended: (turn, status of the last try).
+    #: Turns that callers continued after all faults had ended: (turn, status of the last attempt).
     continued: list = field(default_factory=list)
-    #: The configuration has tenants, whose keys callers send.
+    #: Whether the configuration has tenants, whose keys callers send.
     has_keys: bool = True
-    #: Callers and operators that hadn't ended their work long after they were to stop.
+    #: Number of callers and operators that didn't finish within the time limit after `stopping`.
     unended: int = 0
-    #: Disks were lost faster than copies can be made, so turns may be gone.
+    #: Whether disks may have been lost before their copies were complete, so that turns may be lost.
     disks_in_series: bool = False
-    #: When all machines were back after the last fault; None when there was none.
+    #: Time at which all machines were up after the last fault; None when there was none.
     returned: float | None = None
-    #: Version that was read back at the end; None when nothing came.
+    #: Version that was read back at the end; None without an answer.
     read_back: int | None = None
--- a/tests/platform/soak/http_text.py
+++ b/tests/platform/soak/http_text.py
@@ -1,8 +1,8 @@
-"""Heads of HTTP messages, as the soak's stand-ins and callers read them."""
+"""Readers of HTTP messages for the simulated back ends and callers."""
 
 
 async def read_message_head(reader):
-    """Returns (first line, headers by lower-case name)."""
+    """Returns (start line, headers by lower-case name)."""
     head = await reader.readuntil(b"\r\n\r\n")
     first, *lines = head.decode("latin-1").split("\r\n")
     headers = {}
@@ -14,5 +14,5 @@
 
 
 async def read_body(reader, headers):
-    """The body of a message that tells its length."""
+    """Returns the body of a message with a Content-Length header; empty without one."""
     return await reader.readexactly(int(headers.get("content-length", 0)))
--- a/tests/platform/soak/links.py
+++ b/tests/platform/soak/links.py
@@ -1,4 +1,4 @@
-"""Relays before the nodes: each delays, cuts (one way or both) or resets what reaches its node."""
+"""Relays in front of the nodes, which can delay, cut (in one or both directions) or reset links."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 class Link:
-    """Passes connections to `listen` on to `target`, as long as it is told to."""
+    """Forwards connections from `listen` to `target`, with the configured faults."""
 
     def __init__(self, name, listen, target):
         self.name = name
@@ -40,7 +40,7 @@
         self.connections.add(writer)
         target_writer = None
         try:
-            # A cut machine doesn't even take the connection up: nothing comes back until it heals.
+            # While the link is cut, a new connection gets no answer until the link heals.
             if SILENT in (self.inward, self.outward):
                 await self.healed.wait()
             target_reader, target_writer = await asyncio.open_connection(*self.target)
@@ -63,5 +63,5 @@
                 await self.healed.wait()
             writer.write(data)
             await writer.drain()
-        # An end of one side ends both, as with a process that died.
+        # When one side closes, abort both, as when a process dies.
         raise ConnectionResetError
--- a/tests/platform/soak/record_forms.py
+++ b/tests/platform/soak/record_forms.py
@@ -1,11 +1,11 @@
-"""Records the forms that a build sends and stores, as its own programs make them.
+"""Records the wire and storage formats of a build, from its own programs.
 
     python3 -m tests.platform.soak.record_forms --build FOLDER OUTPUT
 
-Runs a small cluster of that build, with callers and a few changes of the configuration, and writes
-OUTPUT/frames.txt (one message of each kind that went over a connection) and OUTPUT/folders.txt (all
-files of a directory node and of a turn store that were stopped as planned). Each line is a name and
-bytes in hexadecimal. The fixtures of docs/FORMATS.md are made by it.
+Runs a small cluster of that build with callers and a few configuration changes, and writes
+OUTPUT/frames.txt (one message of each kind that was sent over a connection) and OUTPUT/folders.txt
+(all files of a directory node and of a turn store after a planned stop). Each line is a name and
+bytes in hexadecimal. Used to generate the fixtures of the format tests.
 """
 
 import argparse
@@ -23,18 +23,18 @@
 from .history import History
 from .tenants import NoKeys
 
-#: Changes after the first one, and seconds for which callers run programs.
+#: Number of changes after the first one, and seconds for which callers run programs.
 CHANGES, SECONDS = 2, 2.5
-#: Time in which the successors of lost disks are taken in, in seconds.
+#: Time for the replacements of wiped disks to join and copy the data, in seconds.
 CATCH_UP_SECONDS = 8.0
-#: A message longer than this, in bytes, is no readable fixture.
+#: Maximum length of a recorded message, in bytes, so that fixtures stay readable.
 LONGEST = 4000
-#: Kind of the replicas' messages: these are told apart by the kind of their body.
+#: Kind number of consensus messages, which are distinguished by the kind of their body.
 REPLICA_ENVELOPE = 0
 
 
 def kind_of(payload):
-    """Name of a message's kind: its number, and for a replica's message that of its body."""
+    """Returns the kind number of a message, with the kind of the body for a consensus message."""
     kind, = struct.unpack_from("<I", payload)
     if kind != REPLICA_ENVELOPE:
         return f"{kind}"
@@ -47,7 +47,7 @@
 
 
 class Recorder:
-    """Keeps the longest message of each kind that is short enough."""
+    """Keeps the longest message of each kind that doesn't exceed the length limit."""
 
     def __init__(self):
         self.frames = {}
@@ -67,7 +67,7 @@
 
 
 class Tee:
-    """Reads from a connection, and hands each whole frame to the recorder."""
+    """Stream reader that passes each complete frame to the recorder."""
 
     def __init__(self, reader, recorder):
         self.reader = reader
@@ -95,7 +95,7 @@
 
     addresses = Addresses(options.network)
     cluster = Cluster(history, clock, options.build, work, addresses)
-    # No setting that the recorded build may not know is written for it.
+    # Omits settings that the recorded build may reject as unknown.
     cluster.build = None
     recorder = Recorder()
     for node in cluster.nodes:
@@ -121,7 +121,7 @@
         for caller in callers:
             caller.stopping = True
         await asyncio.gather(*tasks)
-        # A lost disk has its successor ask to be taken in, and copy the others.
+        # A wiped node asks to join and copies the others' data, which records these messages.
         for lost in (cluster.of("turn-store")[2], cluster.of("directory")[2]):
             await lost.kill()
             lost.wipe()
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -1,9 +1,9 @@
-"""Runs the programs of the users' platform under faults drawn by a seed, and checks the promises.
+"""Runs the programs of the users' platform under seeded random faults, and checks the guarantees.
 
     scripts/soak [--seconds N] [--seed N] [--keep FOLDER]
 
-Prints the seed, the faults by kind, each promise with the times it was checked, and violations.
-Ends with 1 when there is one; then the logs of all processes are kept.
+Prints the seed, the faults by kind, each check with the number of cases, and the violations.
+Exits with 1 when there is one; the logs of all processes are then kept.
 """
 
 import argparse
@@ -26,12 +26,12 @@
 from .upgrade import Upgrade, parse_plan
 
 ENGINES, APPS = 4, 4
-#: Lines of turns that are asked to go on at the end.
+#: Number of conversations that are continued at the end.
 CONTINUED = 60
 SETTLE_SECONDS = 6.0
-#: Time in which callers and the operator end what they have begun, once they are to stop.
+#: Time limit for callers and the operator to finish after they are told to stop, in seconds.
 END_SECONDS = 30.0
-#: Callers that call each route as soon as it is added.
+#: Number of callers that call each route as soon as it is added.
 PROBERS = 2
 
 
@@ -68,7 +68,7 @@
 
 
 async def play(options, history, clock, draw, cluster, backends):
-    """Load, faults, the last fault, and the time in which service has to return."""
+    """Applies load and faults, then waits for recovery and reads turns and configuration back."""
     without_keys = options.upgrade_from and not options.upgrade_tenants
     keys = NoKeys() if without_keys else KeyRing(clock, draw.random())
     operators = [(node.own, OPERATORS_PORT) for node in cluster.of("directory")]
@@ -134,7 +134,7 @@
 
 
 def known_red():
-    """Checks that fail for a fault that isn't mended yet, with the reason: lines of KNOWN-RED.txt."""
+    """Returns the reasons of the known failures by check, from the soak lines of KNOWN-RED.txt."""
     path = pathlib.Path("KNOWN-RED.txt")
     lines = path.read_text().splitlines() if path.exists() else []
     parts = [line.split(" | ", 1) for line in lines if line.startswith("soak ")]
@@ -157,9 +157,9 @@
             violations += len(found)
         for violation in found[:5]:
             print(f"    {violation}")
-    # A soak that served little has shown little.
+    # The checks mean little when few requests were served.
     if served * 4 < len(history.attempts):
-        print("less than a quarter was served")
+        print("less than a quarter of the requests was served")
         violations += 1
     return violations
 
@@ -172,32 +172,32 @@
     parser.add_argument("--build", default="build")
     parser.add_argument("--callers", type=int, default=9)
     parser.add_argument("--fault-gap", type=float, default=1.5,
-                        help="seconds between two faults at most; faults last longer and overlap")
+                        help="maximum seconds between two faults; faults may last longer and overlap")
     parser.add_argument("--disks-in-series", action="store_true",
-                        help="further disks may be lost before a copy could be made: turns may be "
-                             "gone, service has to return all the same")
-    parser.add_argument("--kinds", default="", help="kinds of faults, by comma; all when empty")
+                        help="disks may be lost before a copy is complete: turns may be lost, but "
+                             "service must recover")
+    parser.add_argument("--kinds", default="", help="comma-separated kinds of faults; all when empty")
     parser.add_argument("--upgrade-from", default="", metavar="FOLDER",
-                        help="the cluster begins with the programs in this folder; they are "
-                             "replaced by those of --build as --upgrade-plan says, and nothing "
-                             "else strikes; without --upgrade-tenants the configuration has no "
-                             "tenants")
+                        help="start the cluster with the programs in this folder and replace them "
+                             "by those of --build according to --upgrade-plan, without faults "
+                             "unless --upgrade-faults; without --upgrade-tenants the "
+                             "configuration has no tenants")
     parser.add_argument("--upgrade-plan", default="up,down",
-                        help="steps by comma: up or down, of all, or with :directory, "
-                             ":turn-store, :forwarder of one program, or :any of all in any order")
+                        help="comma-separated steps: up or down for all programs; with :directory, "
+                             ":turn-store or :forwarder for one; with :any for all in random order")
     parser.add_argument("--upgrade-tenants", action="store_true",
-                        help="the configuration has tenants: both builds have to know them")
+                        help="use a configuration with tenants, which both builds must support")
     parser.add_argument("--upgrade-faults", action="store_true",
-                        help="faults strike beside the replacements")
+                        help="inject faults during the replacements")
     parser.add_argument("--network", type=int, default=0,
-                        help="second number of the loopback addresses; runs at once need others")
-    parser.add_argument("--keep", default="", help="folder for the logs, kept in any case")
+                        help="second octet of the loopback addresses; differs for concurrent runs")
+    parser.add_argument("--keep", default="", help="folder to which the logs are always copied")
     options = parser.parse_args()
     parse_plan(options.upgrade_plan)
     work = pathlib.Path(tempfile.mkdtemp(prefix="tallyfold-soak-"))
 
     async def stoppable():
-        # An end from outside ends the processes too.
+        # Cancelling on SIGTERM lets `soak` stop the cluster's processes.
         task = asyncio.current_task()
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
         return await soak(options, work)
--- a/tests/platform/soak/tenants.py
+++ b/tests/platform/soak/tenants.py
@@ -1,19 +1,19 @@
-"""Tenants of the soak: their limits, and keys that the operator rotates while callers use them."""
+"""Tenants of the soak: their limits, and keys that are rotated while callers use them."""
 
 import random
 
-#: Name, requests a second and burst; 0 sets no limit.
+#: Requests per second and burst by tenant; 0 means no limit.
 TENANTS = {"open": (0, 0), "roomy": (150, 150), "tight": (12, 12)}
-#: As in the settings of the programs.
+#: Written to the programs' settings: window in seconds, relative overshoot, and slack in requests.
 QUOTA_WINDOW, QUOTA_OVERSHOOT, QUOTA_SLACK = 5.0, 0.1, 20
-#: Callers use a key this long after the version that brought it was acknowledged, in seconds.
+#: Time between the acknowledgement of a version and the callers' use of its keys, in seconds.
 KEY_SETTLES = 2.0
-#: A further generation of keys comes no sooner after the one before was acknowledged.
+#: Minimum time between the acknowledgement of a key generation and the next one, in seconds.
 GENERATION_GAP = 4.0
 
 
 class KeyRing:
-    """Two generations of keys are valid at any time; callers use the newest that is in force."""
+    """Rotating keys: two generations are valid at a time; callers use the newest one in force."""
 
     in_use = True
 
@@ -28,7 +28,7 @@
         return f"key-{tenant}-{generation}"
 
     def configuration(self):
-        """The configuration's part; begins a generation when it is time."""
+        """Returns the tenants of the next configuration; starts a new key generation when due."""
         newest = self.acknowledged.get(self.generation)
         if newest is not None and self.clock() - newest > GENERATION_GAP:
             self.generation += 1
@@ -38,7 +38,7 @@
                 for name, (rate, burst) in TENANTS.items()]
 
     def took(self):
-        """The configuration that was made last has been acknowledged."""
+        """Records that the latest configuration was acknowledged."""
         self.acknowledged.setdefault(self.generation, self.clock())
 
     def current(self, tenant):
@@ -47,12 +47,12 @@
         return self.key(tenant, max(settled))
 
     def forged(self):
-        """No key, one that never was, or one of a tenant that isn't."""
+        """Returns an invalid key: empty, made up, or of an unknown tenant."""
         return self.random.choice(["", f"made-up-{self.random.randrange(99)}", "key-nobody-1"])
 
 
 class NoKeys:
-    """Stands in for a KeyRing where the configuration has no tenants: callers send no key."""
+    """Replaces KeyRing when the configuration has no tenants: callers send no key."""
 
     in_use = False
 
@@ -65,7 +65,7 @@
 
 
 def limit_of(tenant):
-    """Requests that may run within a window, with the allowance; None without a limit."""
+    """Returns the maximum requests in a window, with overshoot and slack; None for no limit."""
     rate, burst = TENANTS[tenant]
     if rate == 0:
         return None
--- a/tests/platform/soak/upgrade.py
+++ b/tests/platform/soak/upgrade.py
@@ -1,35 +1,35 @@
-"""Replaces the programs of running machines by those of another build, one machine after the other."""
+"""Rolling upgrades and downgrades: restarts one node after the other with another build."""
 
 import asyncio
 import pathlib
 import random
 
-#: Between two replacements, in seconds: long enough for a process to be in touch again, so that
-#: changes are judged while the builds are mixed.
+#: Range of the pause between two replacements, in seconds: long enough for a process to reconnect,
+#: so that configuration changes are checked while the builds are mixed.
 GAP = (3.5, 4.5)
-#: A process that hasn't begun after this time, in seconds, was ended by a fault before it could;
-#: some 0.02 s on an idle machine.
+#: Time after which a process that hasn't logged its start is assumed to have been killed by a fault,
+#: in seconds.
 STARTED_SECONDS = 10.0
-#: An order that names all programs replaces the machines in this one.
+#: Order in which a step for all programs replaces them.
 ORDER = ("turn-store", "directory", "forwarder")
 
 
 def parse_plan(text):
-    """Steps like "up", "down:forwarder", "up:any": (whether to the newer build, programs, mixed)."""
+    """Parses steps like "up", "down:forwarder", "up:any" into (newer build, programs, shuffled)."""
     steps = []
     for step in text.split(","):
         direction, _, programs = step.partition(":")
         if direction not in ("up", "down"):
-            raise ValueError(f"a step is up or down, not '{direction}'")
+            raise ValueError(f"upgrade step must be up or down, not '{direction}'")
         if programs not in ("", "any", *ORDER):
-            raise ValueError(f"no program is called '{programs}'")
+            raise ValueError(f"unknown program '{programs}' in the upgrade plan")
         named = (programs,) if programs in ORDER else ORDER
         steps.append((direction == "up", named, programs == "any"))
     return steps
 
 
 class Upgrade:
-    """Plays the steps of a plan: each process is stopped as planned and starts as the other build."""
+    """Executes an upgrade plan: stops each process with SIGTERM and starts it from the other build."""
 
     def __init__(self, cluster, older, faults, seed):
         self.cluster = cluster
@@ -50,8 +50,8 @@
                 self.cluster.history.planned_rolls.append((began, self.cluster.clock()))
 
     async def replace(self, node, newer):
-        """Waits for its turn where a fault has the machine, and until a restarted process is up:
-        one that gets SIGTERM before it has begun ends by the signal."""
+        """Restarts a node from the other build, once no fault affects it and its process has started:
+        a process that gets SIGTERM before it handles the signal doesn't exit with 0."""
         waited = 0.0
         while (node.name in self.faults.busy
                or (not node.has_begun and waited < STARTED_SECONDS)):
