--- a/tests/support/directory_group.hpp
+++ b/tests/support/directory_group.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Directory nodes on a network with a delay, in virtual time. Nodes may be cut off from the
-/// others; whoever holds a core may still ask it, as a forwarder that reaches it would. Some may
-/// know the first form of messages alone, as those of the build before did.
+/// Simulated directory nodes on a network with a fixed delay, in virtual time. A node can be
+/// partitioned from the others while tests still query its core directly, and can be limited to the
+/// first message format, as in the previous build.
 
 #include <deque>
 #include <map>
@@ -40,10 +40,10 @@
     }
     [[nodiscard]] instant now() const { return now_; }
 
-    /// Messages from and to this node are lost from now on.
+    /// Drops all messages from and to this node until it is healed.
     void cut(const node_name& address) { cut_.insert(address); }
     void heal(const node_name& address) { cut_.erase(address); }
-    /// The node is one of the build that knows the first form alone, or no longer is.
+    /// Sets whether the node supports the first format only.
     void set_first_format(const node_name& address, bool first) {
         if (first) {
             first_format_.insert(address);
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Runs until a node leads and has committed; empty when none does within ten seconds.
+    /// Runs until a node is leader and has committed in its term. @return its address; empty when
+    /// there is none within ten seconds
     node_name run_until_led() {
         for (int count = 0; count < 1'000; ++count) {
             run(step);
@@ -77,7 +78,7 @@
         return {};
     }
 
-    /// Nodes that don't lead.
+    /// @return addresses of all nodes that aren't leader
     [[nodiscard]] std::vector<node_name> followers() const {
         std::vector<node_name> found;
         for (const auto& [address, core] : nodes_) {
@@ -88,7 +89,7 @@
         return found;
     }
 
-    /// Has the leader put a configuration in force. @return false when it isn't committed in 1 s
+    /// Submits a configuration to the leader. @return false when it isn't committed within 1 s
     bool change(const node_name& leader, const routing::configuration& configuration) {
         node(leader).submit(++token_, directory::replace_configuration{configuration, {}});
         drain(leader);
@@ -96,7 +97,7 @@
         return node(leader).state().configuration().version == configuration.version;
     }
 
-    /// Does what a core has gathered. Its disk needs no time.
+    /// Performs all pending work of a core; writes complete at once.
     void drain(const node_name& address) {
         directory::directory_core& core = node(address);
         for (directory::directory_work work = core.take_work(); !work.empty();
--- a/tests/support/first_format.hpp
+++ b/tests/support/first_format.hpp
@@ -1,7 +1,6 @@
 #pragma once
 /// @file
-/// Stands in for a node of the build that knows the first form alone: what it is sent passes
-/// through the bytes of that form, as does what it sends.
+/// Emulates a node of the previous build by encoding and decoding messages in the first format.
 
 #include <optional>
 
@@ -11,7 +10,7 @@
 
 namespace tallyfold::tests {
 
-/// The message as its receiver reads it; nothing when the first form can't hold it.
+/// @return the message as its receiver decodes it; empty when the first format can't represent it
 template <class Message>
 std::optional<Message> through_first_format(const Message& message) {
     const auto bytes = protocol::encode_as(message, protocol::format_version::v1);
@@ -22,7 +21,7 @@
     return read ? std::optional<Message>(std::move(*read)) : std::nullopt;
 }
 
-/// The same of a replica's message, whose commands have forms of their own.
+/// The same for a consensus message, whose commands are converted to the first format too.
 inline std::optional<consensus::replica_message> replica_message_through_first_format(
     consensus::replica_message message) {
     if (!directory::to_first_format(message)) {
--- a/tests/support/replica_group.hpp
+++ b/tests/support/replica_group.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Replicas of one group on a network that drops, delays, duplicates and reorders at the choice
-/// of a seed. Disks hold what was synced; a crash loses the rest.
+/// Simulated replicas of one consensus group on a network that drops, delays, duplicates and
+/// reorders messages by a seeded generator. A crash loses all state that wasn't synced to disk.
 
 #include <map>
 #include <set>
@@ -32,7 +32,8 @@
         }
     }
 
-    /// One random step: time passes, a message arrives or is lost, a replica crashes or returns.
+    /// Performs a random step: advances time, may crash or restart a replica, propose and read, and
+    /// delivers or drops some messages.
     void step(double crash_share) {
         now_ += std::chrono::milliseconds(random_.between(1, 20));
         for (auto& [id, replica] : replicas_) {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Asks a replica whether its state is the newest.
+    /// Requests a linearizable read at a replica.
     void read(consensus::replica_id id) {
         const auto found = replicas_.find(id);
         if (found == replicas_.end()) {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Runs without faults until some replica leads and has committed, or the steps run out.
+    /// Runs without faults. @return whether a replica committed as leader within `steps` steps
     bool settle(int steps = 2000) {
         for (const auto& [id, member] : first_.members) {
             if (!replicas_.contains(id)) {
@@ -97,7 +98,7 @@
         return false;
     }
 
-    /// Lets time pass at one replica, whose messages reach nobody.
+    /// Advances time at one replica only; no messages are delivered.
     void run_alone(consensus::replica_id id, duration time) {
         const instant end = now_ + time;
         while (now_ < end) {
@@ -115,7 +116,7 @@
         replicas_.emplace(id, consensus::replica_fsm(settings, disks_.at(id).state(), now_));
     }
 
-    /// What went wrong so far; empty when every rule held.
+    /// The last violation of an invariant; empty when there was none.
     [[nodiscard]] const std::string& violation() const { return violation_; }
     [[nodiscard]] std::size_t committed() const { return committed_.size(); }
     [[nodiscard]] std::size_t confirmed_reads() const { return confirmed_reads_; }
@@ -173,16 +174,17 @@
     void note_committed(const consensus::log_entry& entry) {
         const auto [known, added] = committed_.try_emplace(entry.index, entry);
         if (!added && !(known->second == entry)) {
-            violation_ = "two entries were committed at " + std::to_string(entry.index);
+            violation_ =
+                "two different entries were committed at index " + std::to_string(entry.index);
         }
     }
 
-    /// A confirmed read has to see everything that was committed when it was asked for.
+    /// Checks that a confirmed read covers every entry committed when it was requested.
     void note_read(std::uint64_t token, consensus::log_index seen) {
         ++confirmed_reads_;
         if (seen < reads_.at(token)) {
-            violation_ = "a read saw the log up to " + std::to_string(seen) + ", committed were " +
-                         std::to_string(reads_.at(token));
+            violation_ = "a read was confirmed at index " + std::to_string(seen) +
+                         ", but committed was " + std::to_string(reads_.at(token));
         }
     }
 
@@ -225,7 +227,7 @@
     std::vector<consensus::replica_message> network_;
     std::map<consensus::term_number, consensus::replica_id> leaders_;
     std::map<consensus::log_index, consensus::log_entry> committed_;
-    /// The newest committed position when each read was asked for.
+    /// Newest committed index at the time of each read request.
     std::map<std::uint64_t, consensus::log_index> reads_;
     std::uint64_t reads_asked_ = 0;
     std::size_t confirmed_reads_ = 0;
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// A simulated forwarder: begins and settles turns of a few programs at the stores of a fleet, and
-/// keeps what it was promised, for the checks.
+/// records the acknowledged results for the checks.
 
 #include <algorithm>
 #include <map>
@@ -15,25 +15,25 @@
 
 namespace tallyfold::tests {
 
-/// What of the promises is taken out, to show that the checks notice it.
+/// Defect that is injected to verify that the checks detect it.
 enum class put_back : std::uint8_t {
     nothing,
-    /// A store that joins counts as copied at once.
+    /// A joining store is reported as copied at once.
     no_copy,
-    /// What stores say of a program's other turns is left out.
+    /// The ledger of a program's other turns is removed from the stores' replies.
     blind_ledger,
-    /// Stores of other groups deny what they hold.
+    /// Stores of other groups report turns that they hold as missing.
     denied_turn,
 };
 
 class simulated_forwarder {
   public:
-    /// @param random, now the world's; they and `fleet` have to outlive this object
+    /// `random` and `now` belong to the simulation; they and `fleet` must outlive this object.
     simulated_forwarder(store_fleet& fleet, put_back fault, random_source& random,
                         const instant& now)
         : fleet_(fleet), fault_(fault), random_(random), now_(now) {}
 
-    /// Takes over what is newer in the directory's table.
+    /// Merges newer group maps from the directory's table.
     void learn_table(const turns::store_table& table) { known_.merge_newer(table); }
 
     void begin_turn() {
@@ -44,7 +44,7 @@
             auto chosen = settled_.begin();
             std::advance(chosen, static_cast<std::ptrdiff_t>(random_.below(settled_.size())));
             begun.previous = chosen->first;
-            // Most programs continue their own turns.
+            // Most turns continue a turn of the same program.
             begun.program = random_.chance(0.6) ? chosen->second : begun.program;
         }
         turns::begin_parameters question;
@@ -58,33 +58,33 @@
         go_on_beginning(request);
     }
 
-    /// Sends what is due for one beginning under way. Needs has_beginnings().
+    /// Sends the due requests of a random unfinished begin operation. Requires has_beginnings().
     void continue_any_beginning() { go_on_beginning(any_of(beginnings_)); }
-    /// Sends one settlement under way again. Needs has_settlements().
+    /// Resends a random unfinished settlement. Requires has_settlements().
     void resend_any_settlement() { ask_settle(any_of(settlings_)); }
     [[nodiscard]] bool has_beginnings() const { return !beginnings_.empty(); }
     [[nodiscard]] bool has_settlements() const { return !settlings_.empty(); }
-    /// Gives up all that is under way.
+    /// Abandons all unfinished operations.
     void stop() {
         beginnings_.clear();
         settlings_.clear();
     }
 
-    /// @return the store that sends the history: any, as a forwarder's nearest may be
+    /// @return a random store of the group, from which the history is read
     turns::store_id nearest(const turns::store_map& map) {
         return map.current.empty() ? 0 : map.current[random_.below(map.current.size())].id;
     }
 
-    /// Program of each turn that was answered whole.
+    /// Program of each durably settled turn.
     [[nodiscard]] const std::map<std::string, std::string>& settled() const { return settled_; }
     [[nodiscard]] const std::set<std::string>& admitted_requests() const {
         return admitted_requests_;
     }
     [[nodiscard]] int adopted() const { return adopted_; }
     [[nodiscard]] int refused() const { return refused_; }
-    /// Beginnings that were answered that a settled turn doesn't exist.
+    /// Number of begin operations whose settled previous turn was reported as unknown.
     [[nodiscard]] int false_unknowns() const { return false_unknowns_; }
-    /// Programs whose admitted turns exceed their budget.
+    /// Number of programs whose admitted turns exceed their budget.
     [[nodiscard]] int overdrawn() const {
         return static_cast<int>(std::count_if(admitted_.begin(), admitted_.end(), [](auto& entry) {
             return entry.second > program_budget;
@@ -232,7 +232,7 @@
     int adopted_ = 0;
     int refused_ = 0;
     int false_unknowns_ = 0;
-    /// The groups as the forwarder knows them.
+    /// The newest group maps that the forwarder has received.
     turns::store_table known_;
     std::map<std::string, beginning> beginnings_;
     std::map<std::string, settling> settlings_;
--- a/tests/support/source_root.hpp
+++ b/tests/support/source_root.hpp
@@ -1,12 +1,12 @@
 #pragma once
 /// @file
-/// Where the repository lies, for tests that read its pages, policies and recorded traces.
+/// Location of the repository, for tests that read its documents, policies and recorded traces.
 
 #include <string>
 
 namespace tallyfold::tests {
 
-/// The repository's folder, without a slash at its end.
+/// @return the repository's folder without a trailing slash
 std::string source_root();
 
 }  // namespace tallyfold::tests
--- a/tests/support/store_fleet.hpp
+++ b/tests/support/store_fleet.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Simulated machines that run stores: their disks, and a network that delays, reorders and loses
-/// messages at the choice of a seed.
+/// Simulated machines that run turn stores, with disks and a network that delays, reorders and
+/// drops messages by a seeded generator.
 
 #include <functional>
 #include <map>
@@ -15,10 +15,10 @@
 
 namespace tallyfold::tests {
 
-/// One machine. Its disk outlives crashes of the store; a wiped disk is another store.
+/// A machine. Its disk survives crashes of the store; wiping the disk creates a new store identity.
 struct store_machine {
     turns::store_id identity = 0;
-    /// What is durable.
+    /// Durable changes.
     std::vector<turns::turn_change> disk;
     turns::store_map kept;
     std::unique_ptr<turns::store_fsm> store;
@@ -27,7 +27,7 @@
 
 class store_fleet {
   public:
-    /// @param random, now the world's; both have to outlive this object
+    /// `random` and `now` belong to the simulation and must outlive this object.
     store_fleet(std::size_t machine_count, random_source& random, const instant& now)
         : random_(random), now_(now) {
         for (std::size_t number = 0; number < machine_count; ++number) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Sends a request to whatever store is at the member's address when it arrives.
+    /// Sends a request to the member's address; the store running there on arrival receives it.
     template <class Request>
     void send(const turns::store_member& member, Request request,
               std::function<void(const turns::store_reply&)> receiver) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Delivers up to `count` messages in an order of the seed; some are lost.
+    /// Delivers up to `count` messages in random order; some are dropped.
     void deliver_some(std::size_t count) {
         for (std::size_t delivered = 0; delivered < count && !network_.empty(); ++delivered) {
             const std::size_t pick = random_.below(network_.size());
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Delivers all messages, also those that come of it.
+    /// Delivers all messages, including those sent as a result.
     void deliver_all() {
         while (!network_.empty()) {
             const std::function<void()> message = std::move(network_.back());
@@ -146,10 +146,10 @@
         }
     }
 
-    /// All messages under way are lost.
+    /// Drops all messages in flight.
     void lose_messages() { network_.clear(); }
 
-    /// All machines stop at once.
+    /// Stops all stores at once; disks are kept.
     void lose_power() {
         for (store_machine& dark : machines_) {
             dark.store.reset();
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Stores with disks, a forwarder and the planner of the groups, on a network that delays, reorders
-/// and loses messages at the choice of a seed. Machines crash, lose their disks, and are emptied
-/// and taken away. Programs continue their own turns and those of others.
+/// Simulation of turn stores, a forwarder and the store planner on a network that delays, reorders
+/// and drops messages by a seeded generator. Machines crash, lose their disks, and are retired.
+/// Programs continue their own turns and those of others.
 
 #include <algorithm>
 #include <set>
@@ -18,10 +18,10 @@
 
 /// When a machine may lose its disk.
 enum class disk_losses : std::uint8_t {
-    /// Once the group that lost the one before is whole again.
+    /// Only when every group is complete again after the previous loss.
     one_at_a_time,
-    /// At any time, also while a change is open, as long as each acknowledged turn and each
-    /// admitted request stays on the disk of another machine. All power is lost at times as well.
+    /// At any time, also during a membership change, as long as each acknowledged turn and each
+    /// admitted request is on the disk of another machine. Power losses of all machines occur too.
     in_series,
 };
 
@@ -52,8 +52,8 @@
         settle_down();
     }
 
-    /// A disk is lost, its successor copies all that there is, and before the directory hears of it
-    /// all power is lost together with a second disk.
+    /// Wipes a disk and lets its replacement copy all data; then, before the replacement has
+    /// reported this to the directory, loses power on all machines and wipes a second disk.
     void lose_a_second_disk_while_a_change_is_open() {
         fleet_.machine(0).store.reset();
         fleet_.wipe_disk(0);
@@ -75,10 +75,10 @@
         settle_down();
     }
 
-    /// True when a program that is new begins its first turn.
+    /// @return whether the first turn of a new program is admitted
     bool serves_new_programs() { return continues({}, "new-program"); }
 
-    /// Turns that were settled and can't be continued any more, by their own program or another.
+    /// @return settled turns that can't be continued, by their own program or by another one
     std::vector<std::string> lost_turns() {
         std::vector<std::string> lost;
         for (const auto& [turn, program] : forwarder_.settled()) {
@@ -96,7 +96,7 @@
     [[nodiscard]] int wipes() const { return wipes_; }
     [[nodiscard]] int crashes() const { return crashes_; }
     [[nodiscard]] int power_losses() const { return power_losses_; }
-    /// Disks that were lost while a change was open.
+    /// Number of disks lost while a group was incomplete or changing.
     [[nodiscard]] int wipes_in_change() const { return wipes_in_change_; }
     [[nodiscard]] int retired() const { return retired_; }
 
@@ -125,14 +125,14 @@
     }
 
     void plan() {
-        // Longer than the turns here are kept.
+        // Exceeds the retention of the simulated turns.
         planner_.update_incomplete_groups(state_, std::chrono::seconds(75), now_);
         if (const auto change = planner_.plan(state_, now_)) {
             state_.apply(*change);
         }
     }
 
-    /// One machine's loss is borne at a time: the next comes once the one before is made good.
+    /// @return whether every group is complete, has no open change, and all its stores run
     [[nodiscard]] bool whole() const {
         for (const turns::store_map& map : state_.stores().groups) {
             if (map.changing() ||
@@ -149,7 +149,7 @@
         return true;
     }
 
-    /// True when all that was acknowledged is on another machine's disk too.
+    /// @return whether every admitted request and settled turn is also on another machine's disk
     [[nodiscard]] bool outlives(std::size_t number) const {
         std::set<std::string> requests;
         std::set<std::string> turns;
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Machines that were emptied go, together with their disks.
+    /// Removes retired machines that belong to no group any more, with their disks.
     void take_away_emptied() {
         for (std::size_t number = 0; number < fleet_.size(); ++number) {
             store_machine& emptied = fleet_.machine(number);
@@ -234,7 +234,7 @@
         const std::uint64_t choice = random_.below(100);
         const std::size_t number = random_.below(fleet_.size());
         if (choice < 42) {
-            // Faster than messages are made, or the queue would only grow and delay everything.
+            // The delivery rate must exceed the rate of sends, or the queue grows without bound.
             fleet_.deliver_some(4 * groups());
         } else if (choice < 58) {
             fleet_.flush(number);
@@ -264,7 +264,7 @@
         }
     }
 
-    /// All stores learn the table and copy, and all messages arrive; the directory plans nothing.
+    /// Updates the group table of all stores, copies, and delivers all messages, without planning.
     void exchange() {
         now_ += std::chrono::milliseconds(20);
         for (std::size_t number = 0; number < fleet_.size(); ++number) {
@@ -283,9 +283,9 @@
         }
     }
 
-    /// Lets what is under way end, without further losses.
+    /// Stops the faults and runs until all pending changes and copies are complete.
     void settle_down() {
-        // What is still on its way must not make up for what the stores lack.
+        // Messages in flight must not compensate for data that the stores lost.
         fleet_.lose_messages();
         forwarder_.stop();
         for (int round = 0; round < 400; ++round) {
@@ -295,7 +295,7 @@
         }
     }
 
-    /// What a store answers, with all else at rest.
+    /// @return a store's reply, computed directly from its turn table
     turns::store_reply answer_of(const turns::addressed_request& question) {
         const store_machine& asked = fleet_.machine_at(question.store);
         const turns::turn_table& table = asked.store->turns();
--- a/tests/support/store_world_runs.hpp
+++ b/tests/support/store_world_runs.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Runs simulated worlds of stores over many seeds and checks what their programs were promised.
+/// Runs the store simulation with many seeds and checks its guarantees.
 
 #include <string>
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace tallyfold::tests {
 
-/// What worlds of several seeds went through, and how many broke a promise.
+/// Event counts over all seeds, and the number of runs that violated a guarantee.
 struct run_totals {
     int wipes = 0;
     int crashes = 0;
@@ -44,8 +44,8 @@
             world.forwarder().overdrawn() > 0) {
             ++sum.broken;
             sum.first_broken = "seed " + std::to_string(seed) +
-                               (serves ? " serves" : " serves nothing") + ", lost " +
-                               std::to_string(lost.size()) + ", told unknown " +
+                               (serves ? " serves" : " refuses new programs") + ", lost " +
+                               std::to_string(lost.size()) + ", false unknowns " +
                                std::to_string(world.forwarder().false_unknowns()) + ", overdrawn " +
                                std::to_string(world.forwarder().overdrawn());
         }
--- a/tests/support/suite.hpp
+++ b/tests/support/suite.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What every suite includes: CppUnit, and properties checked by rapidcheck with a pinned seed.
+/// Common header of all test suites: CppUnit, and rapidcheck properties with a fixed seed.
 
 #include <cppunit/TestAssert.h>
 #include <cppunit/TestFixture.h>
@@ -11,13 +11,13 @@
 
 namespace tallyfold::tests {
 
-/// Fails the test when rapidcheck finds a counterexample, which it prints.
+/// Checks a property with rapidcheck; fails the test and prints the counterexample if there is one.
 template <class Property>
 void check_property(const std::string& description, Property&& property) {
     CPPUNIT_ASSERT_MESSAGE(description, rc::check(description, std::forward<Property>(property)));
 }
 
-/// Arbitrary bytes, for decoders that must answer anything with a clear error.
+/// Generates arbitrary bytes, for decoders that must reject malformed input with an error.
 inline rc::Gen<std::string> any_bytes() {
     return rc::gen::container<std::string>(rc::gen::arbitrary<char>());
 }
--- a/tests/support/temporary_path.hpp
+++ b/tests/support/temporary_path.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A path under the system's folder for temporary files that a test has to itself.
+/// A unique path for a test in the system's folder for temporary files.
 
 #include <unistd.h>
 
@@ -10,8 +10,8 @@
 
 namespace tallyfold::tests {
 
-/// Nothing is there at first, whatever is there at the end is removed, and no other object has the
-/// same one: CppUnit makes all fixtures of a suite before it runs the first.
+/// Removes what exists at the path on construction and destruction. Paths are unique per object,
+/// since CppUnit constructs all fixtures of a suite before it runs the first test.
 class temporary_path {
   public:
     explicit temporary_path(const std::string& name)
