--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -10,7 +10,7 @@
 
 class platform_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(platform_test);
-    CPPUNIT_TEST(a_configuration_is_read);
+    CPPUNIT_TEST(configuration_is_parsed);
     CPPUNIT_TEST(each_bad_body_is_refused_with_its_reason);
     CPPUNIT_TEST(a_request_is_read_and_passed_on_with_our_marks);
     CPPUNIT_TEST(fields_that_the_system_sets_never_come_from_callers);
@@ -30,7 +30,7 @@
                R"("Limits":{"MaxBodyBytes":100}})";
     }
 
-    void a_configuration_is_read() {
+    void configuration_is_parsed() {
         const auto parsed = parse_configuration(body("4000", "s"));
         CPPUNIT_ASSERT(parsed.has_value());
         const routing::route& route = parsed->routes.front();
