--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -11,7 +11,7 @@
 class platform_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(platform_test);
     CPPUNIT_TEST(configuration_is_parsed);
-    CPPUNIT_TEST(each_bad_body_is_refused_with_its_reason);
+    CPPUNIT_TEST(malformed_configurations_are_rejected_with_a_reason);
     CPPUNIT_TEST(a_request_is_read_and_passed_on_with_our_marks);
     CPPUNIT_TEST(fields_that_the_system_sets_never_come_from_callers);
     CPPUNIT_TEST(who_calls_and_what_about_is_read);
@@ -49,7 +49,7 @@
         return invalid != nullptr ? invalid->status : 200;
     }
 
-    void each_bad_body_is_refused_with_its_reason() {
+    void malformed_configurations_are_rejected_with_a_reason() {
         const std::string good = body("4000", "s");
         CPPUNIT_ASSERT_EQUAL(200U, status_of(good));
         for (std::size_t cut = 0; cut < good.size(); ++cut) {
