--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST_SUITE(platform_test);
     CPPUNIT_TEST(configuration_is_parsed);
     CPPUNIT_TEST(malformed_configurations_are_rejected_with_a_reason);
-    CPPUNIT_TEST(a_request_is_read_and_passed_on_with_our_marks);
+    CPPUNIT_TEST(request_headers_are_parsed_and_system_headers_added);
     CPPUNIT_TEST(fields_that_the_system_sets_never_come_from_callers);
     CPPUNIT_TEST(who_calls_and_what_about_is_read);
     CPPUNIT_TEST(tenants_are_read);
@@ -63,7 +63,7 @@
         CPPUNIT_ASSERT(std::holds_alternative<directory::invalid_call>(other));
     }
 
-    void a_request_is_read_and_passed_on_with_our_marks() {
+    void request_headers_are_parsed_and_system_headers_added() {
         http::message_head head;
         head.headers.add("X-Request-Id", "abc");
         head.headers.add("X-Deadline-Ms", "4000");
