--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(configuration_is_parsed);
     CPPUNIT_TEST(malformed_configurations_are_rejected_with_a_reason);
     CPPUNIT_TEST(request_headers_are_parsed_and_system_headers_added);
-    CPPUNIT_TEST(fields_that_the_system_sets_never_come_from_callers);
+    CPPUNIT_TEST(callers_cannot_set_system_headers);
     CPPUNIT_TEST(who_calls_and_what_about_is_read);
     CPPUNIT_TEST(tenants_are_read);
     CPPUNIT_TEST(a_proof_of_not_running_is_told_from_a_failure);
@@ -96,7 +96,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("7"), *continued.find("Last-Event-Id"));
     }
 
-    void fields_that_the_system_sets_never_come_from_callers() {
+    void callers_cannot_set_system_headers() {
         static const std::vector<std::string> ours{"X-Hold",
                                                    "X-Pin-Ms",
                                                    "X-Kv-Backup",
