--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(malformed_configurations_are_rejected_with_a_reason);
     CPPUNIT_TEST(request_headers_are_parsed_and_system_headers_added);
     CPPUNIT_TEST(callers_cannot_set_system_headers);
-    CPPUNIT_TEST(who_calls_and_what_about_is_read);
+    CPPUNIT_TEST(credential_and_affinity_key_are_parsed);
     CPPUNIT_TEST(tenants_are_read);
     CPPUNIT_TEST(a_proof_of_not_running_is_told_from_a_failure);
     CPPUNIT_TEST(the_list_is_read_page_by_page);
@@ -137,7 +137,7 @@
         });
     }
 
-    void who_calls_and_what_about_is_read() {
+    void credential_and_affinity_key_are_parsed() {
         http::message_head head;
         const replica_calls calls;
         CPPUNIT_ASSERT(calls.read_request(head).credential.empty());
