--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(request_headers_are_parsed_and_system_headers_added);
     CPPUNIT_TEST(callers_cannot_set_system_headers);
     CPPUNIT_TEST(credential_and_affinity_key_are_parsed);
-    CPPUNIT_TEST(tenants_are_read);
+    CPPUNIT_TEST(tenants_are_parsed);
     CPPUNIT_TEST(a_proof_of_not_running_is_told_from_a_failure);
     CPPUNIT_TEST(the_list_is_read_page_by_page);
     CPPUNIT_TEST_SUITE_END();
@@ -150,7 +150,7 @@
         CPPUNIT_ASSERT(calls.read_request(head).credential.empty());
     }
 
-    void tenants_are_read() {
+    void tenants_are_parsed() {
         std::string text = body("4000", "s");
         text.pop_back();
         text += R"(,"Tenants":[{"Name":"n","ApiKeys":["k1","k2"],"Priority":1,"RatePerS":388,)"
