--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(callers_cannot_set_system_headers);
     CPPUNIT_TEST(credential_and_affinity_key_are_parsed);
     CPPUNIT_TEST(tenants_are_parsed);
-    CPPUNIT_TEST(a_proof_of_not_running_is_told_from_a_failure);
+    CPPUNIT_TEST(not_executed_header_is_distinguished_from_a_failure);
     CPPUNIT_TEST(the_list_is_read_page_by_page);
     CPPUNIT_TEST_SUITE_END();
 
@@ -167,7 +167,7 @@
         CPPUNIT_ASSERT_EQUAL(400U, status_of(shared));
     }
 
-    void a_proof_of_not_running_is_told_from_a_failure() {
+    void not_executed_header_is_distinguished_from_a_failure() {
         http::message_head failure;
         failure.status = 503;
         failure.headers.add("X-Request-Id", "abc");
