--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(credential_and_affinity_key_are_parsed);
     CPPUNIT_TEST(tenants_are_parsed);
     CPPUNIT_TEST(not_executed_header_is_distinguished_from_a_failure);
-    CPPUNIT_TEST(the_list_is_read_page_by_page);
+    CPPUNIT_TEST(replica_list_pages_are_parsed);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string body(const std::string& timeout, const std::string& service) {
@@ -180,7 +180,7 @@
         CPPUNIT_ASSERT(calls.read_answer(other).wrong_incarnation);
     }
 
-    void the_list_is_read_page_by_page() {
+    void replica_list_pages_are_parsed() {
         const replica_list list;
         CPPUNIT_ASSERT_EQUAL(std::string("/instances?PageToken=p-50"), list.list_target("p-50"));
         const auto page = list.read_list(
