--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -104,7 +104,7 @@
 
 class configuration_format_fixture_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_format_fixture_test);
-    CPPUNIT_TEST(a_whole_configuration_is_read);
+    CPPUNIT_TEST(complete_configuration_is_parsed);
     CPPUNIT_TEST(a_configuration_without_the_rest_is_read);
     CPPUNIT_TEST(each_type_of_route_is_read);
     CPPUNIT_TEST(numbers_below_zero_are_refused_by_name);
@@ -115,7 +115,7 @@
     CPPUNIT_TEST(each_field_of_a_replica_that_must_be_there_is_missed);
     CPPUNIT_TEST_SUITE_END();
 
-    void a_whole_configuration_is_read() {
+    void complete_configuration_is_parsed() {
         const auto parsed = parse_configuration(whole_configuration);
         CPPUNIT_ASSERT_MESSAGE(parsed ? "" : parsed.error().reason, parsed.has_value());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{18'446'744'073'709'551},
