--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr const char* whole_configuration = R"({
+constexpr const char* complete_configuration = R"({
   "Version": 18446744073709551,
   "Routes": [
     {"Name": "chat", "Hostname": "chat.example", "PathPrefix": "/chat/", "Type": "streaming",
@@ -116,7 +116,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     void complete_configuration_is_parsed() {
-        const auto parsed = parse_configuration(whole_configuration);
+        const auto parsed = parse_configuration(complete_configuration);
         CPPUNIT_ASSERT_MESSAGE(parsed ? "" : parsed.error().reason, parsed.has_value());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{18'446'744'073'709'551},
                              parsed->version);
@@ -200,7 +200,7 @@
     void each_field_that_must_be_there_is_missed() {
         for (const std::string name : {"Version", "Routes", "Services", "Name", "Hostname",
                                        "PathPrefix", "Type", "TimeoutMs", "Weight"}) {
-            const std::string reason = refusal_of(without(whole_configuration, name));
+            const std::string reason = refusal_of(without(complete_configuration, name));
             CPPUNIT_ASSERT_MESSAGE(reason, reason.find("'" + name + "'") != std::string::npos);
         }
     }
