--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -105,7 +105,7 @@
 class configuration_format_fixture_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_format_fixture_test);
     CPPUNIT_TEST(complete_configuration_is_parsed);
-    CPPUNIT_TEST(a_configuration_without_the_rest_is_read);
+    CPPUNIT_TEST(optional_fields_have_defaults);
     CPPUNIT_TEST(each_type_of_route_is_read);
     CPPUNIT_TEST(numbers_below_zero_are_refused_by_name);
     CPPUNIT_TEST(each_field_that_must_be_there_is_missed);
@@ -136,7 +136,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{15004}, parsed->limits.idle_timeout_ms);
     }
 
-    void a_configuration_without_the_rest_is_read() {
+    void optional_fields_have_defaults() {
         const auto parsed = parse_configuration(R"({"Version":1,"Routes":[],"Services":[]})");
         CPPUNIT_ASSERT(parsed.has_value());
         CPPUNIT_ASSERT(parsed->routes.empty() && parsed->services.empty());
