--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -106,7 +106,7 @@
     CPPUNIT_TEST_SUITE(configuration_format_fixture_test);
     CPPUNIT_TEST(complete_configuration_is_parsed);
     CPPUNIT_TEST(optional_fields_have_defaults);
-    CPPUNIT_TEST(each_type_of_route_is_read);
+    CPPUNIT_TEST(route_types_are_parsed);
     CPPUNIT_TEST(numbers_below_zero_are_refused_by_name);
     CPPUNIT_TEST(each_field_that_must_be_there_is_missed);
     CPPUNIT_TEST(a_page_of_the_list_is_read);
@@ -163,7 +163,7 @@
         CPPUNIT_ASSERT(route.services.empty());
     }
 
-    void each_type_of_route_is_read() {
+    void route_types_are_parsed() {
         assert_type("idempotent", false, true);
         assert_type("streaming", true, false);
         assert_type("unique", false, false);
