--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -107,7 +107,7 @@
     CPPUNIT_TEST(complete_configuration_is_parsed);
     CPPUNIT_TEST(optional_fields_have_defaults);
     CPPUNIT_TEST(route_types_are_parsed);
-    CPPUNIT_TEST(numbers_below_zero_are_refused_by_name);
+    CPPUNIT_TEST(invalid_numbers_are_rejected_with_the_field_name);
     CPPUNIT_TEST(each_field_that_must_be_there_is_missed);
     CPPUNIT_TEST(a_page_of_the_list_is_read);
     CPPUNIT_TEST(each_state_of_a_replica_is_read);
@@ -175,7 +175,7 @@
         return parsed.error().reason;
     }
 
-    void numbers_below_zero_are_refused_by_name() {
+    void invalid_numbers_are_rejected_with_the_field_name() {
         const std::string reason = " must be a number, and not below 0";
         CPPUNIT_ASSERT_EQUAL("Version" + reason,
                              refusal_of(R"({"Version":-1,"Routes":[],"Services":[]})"));
