--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -108,7 +108,7 @@
     CPPUNIT_TEST(optional_fields_have_defaults);
     CPPUNIT_TEST(route_types_are_parsed);
     CPPUNIT_TEST(invalid_numbers_are_rejected_with_the_field_name);
-    CPPUNIT_TEST(each_field_that_must_be_there_is_missed);
+    CPPUNIT_TEST(missing_required_fields_are_rejected);
     CPPUNIT_TEST(a_page_of_the_list_is_read);
     CPPUNIT_TEST(each_state_of_a_replica_is_read);
     CPPUNIT_TEST(each_page_is_asked_for_so);
@@ -197,7 +197,7 @@
         return text;
     }
 
-    void each_field_that_must_be_there_is_missed() {
+    void missing_required_fields_are_rejected() {
         for (const std::string name : {"Version", "Routes", "Services", "Name", "Hostname",
                                        "PathPrefix", "Type", "TimeoutMs", "Weight"}) {
             const std::string reason = refusal_of(without(complete_configuration, name));
