--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -109,7 +109,7 @@
     CPPUNIT_TEST(route_types_are_parsed);
     CPPUNIT_TEST(invalid_numbers_are_rejected_with_the_field_name);
     CPPUNIT_TEST(missing_required_fields_are_rejected);
-    CPPUNIT_TEST(a_page_of_the_list_is_read);
+    CPPUNIT_TEST(replica_list_page_is_parsed);
     CPPUNIT_TEST(each_state_of_a_replica_is_read);
     CPPUNIT_TEST(each_page_is_asked_for_so);
     CPPUNIT_TEST(each_field_of_a_replica_that_must_be_there_is_missed);
@@ -205,7 +205,7 @@
         }
     }
 
-    void a_page_of_the_list_is_read() {
+    void replica_list_page_is_parsed() {
         const auto page = replica_list().read_list(
             R"({"Instances":[{"Service":"large","Address":"10.0.0.1:80","Zone":"zone-a","Slots":12,)"
             R"("State":"draining","Id":"i-1"},{"Service":"small","Address":"10.0.0.2:81",)"
