--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -110,7 +110,7 @@
     CPPUNIT_TEST(invalid_numbers_are_rejected_with_the_field_name);
     CPPUNIT_TEST(missing_required_fields_are_rejected);
     CPPUNIT_TEST(replica_list_page_is_parsed);
-    CPPUNIT_TEST(each_state_of_a_replica_is_read);
+    CPPUNIT_TEST(replica_states_are_parsed);
     CPPUNIT_TEST(each_page_is_asked_for_so);
     CPPUNIT_TEST(each_field_of_a_replica_that_must_be_there_is_missed);
     CPPUNIT_TEST_SUITE_END();
@@ -240,7 +240,7 @@
         return page->backends.front().member.leaving;
     }
 
-    void each_state_of_a_replica_is_read() {
+    void replica_states_are_parsed() {
         CPPUNIT_ASSERT(!is_leaving("ready"));
         CPPUNIT_ASSERT(is_leaving("draining"));
         CPPUNIT_ASSERT(is_leaving("anything else"));
