--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -111,7 +111,7 @@
     CPPUNIT_TEST(missing_required_fields_are_rejected);
     CPPUNIT_TEST(replica_list_page_is_parsed);
     CPPUNIT_TEST(replica_states_are_parsed);
-    CPPUNIT_TEST(each_page_is_asked_for_so);
+    CPPUNIT_TEST(page_tokens_are_sent_and_parsed);
     CPPUNIT_TEST(each_field_of_a_replica_that_must_be_there_is_missed);
     CPPUNIT_TEST_SUITE_END();
 
@@ -246,7 +246,7 @@
         CPPUNIT_ASSERT(is_leaving("anything else"));
     }
 
-    void each_page_is_asked_for_so() {
+    void page_tokens_are_sent_and_parsed() {
         CPPUNIT_ASSERT_EQUAL(std::string("/instances"), replica_list().list_target(""));
         CPPUNIT_ASSERT_EQUAL(std::string("/instances?PageToken=p-50"),
                              replica_list().list_target("p-50"));
