--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -112,7 +112,7 @@
     CPPUNIT_TEST(replica_list_page_is_parsed);
     CPPUNIT_TEST(replica_states_are_parsed);
     CPPUNIT_TEST(page_tokens_are_sent_and_parsed);
-    CPPUNIT_TEST(each_field_of_a_replica_that_must_be_there_is_missed);
+    CPPUNIT_TEST(missing_required_replica_fields_are_rejected);
     CPPUNIT_TEST_SUITE_END();
 
     void complete_configuration_is_parsed() {
@@ -256,7 +256,7 @@
         }
     }
 
-    void each_field_of_a_replica_that_must_be_there_is_missed() {
+    void missing_required_replica_fields_are_rejected() {
         const std::string page =
             R"({"Instances":[{"Service":"s","Address":"10.0.0.1:80","Id":"i"}]})";
         CPPUNIT_ASSERT(replica_list().read_list(page).has_value());
