--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -14,7 +14,7 @@
 
 class platform_calls_fixture_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(platform_calls_fixture_test);
-    CPPUNIT_TEST(each_field_of_a_request_is_read);
+    CPPUNIT_TEST(request_headers_are_parsed);
     CPPUNIT_TEST(a_request_without_fields_is_read);
     CPPUNIT_TEST(an_engine_gets_these_fields);
     CPPUNIT_TEST(another_back_end_gets_these_fields);
@@ -42,7 +42,7 @@
         return head;
     }
 
-    void each_field_of_a_request_is_read() {
+    void request_headers_are_parsed() {
         const forwarding::request_metadata facts = replica_calls().read_request(caller_head());
         CPPUNIT_ASSERT_EQUAL(std::string("request-1"), facts.request);
         CPPUNIT_ASSERT(facts.caller_timeout == duration(milliseconds(4001)));
