--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -15,7 +15,7 @@
 class platform_calls_fixture_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(platform_calls_fixture_test);
     CPPUNIT_TEST(request_headers_are_parsed);
-    CPPUNIT_TEST(a_request_without_fields_is_read);
+    CPPUNIT_TEST(request_without_headers_has_defaults);
     CPPUNIT_TEST(an_engine_gets_these_fields);
     CPPUNIT_TEST(another_back_end_gets_these_fields);
     CPPUNIT_TEST(a_continued_stream_begins_after_our_event);
@@ -62,7 +62,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{1210}, facts.prompt[1].tokens);
     }
 
-    void a_request_without_fields_is_read() {
+    void request_without_headers_has_defaults() {
         const forwarding::request_metadata facts = replica_calls().read_request({});
         CPPUNIT_ASSERT(facts.request.empty() && facts.program.empty());
         CPPUNIT_ASSERT(!facts.caller_timeout && !facts.program_time_left);
