--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST_SUITE(platform_calls_fixture_test);
     CPPUNIT_TEST(request_headers_are_parsed);
     CPPUNIT_TEST(request_without_headers_has_defaults);
-    CPPUNIT_TEST(an_engine_gets_these_fields);
+    CPPUNIT_TEST(engine_request_headers_match_the_wire_format);
     CPPUNIT_TEST(another_back_end_gets_these_fields);
     CPPUNIT_TEST(a_continued_stream_begins_after_our_event);
     CPPUNIT_TEST(urgency_and_time_left_stay_within_their_bounds);
@@ -107,7 +107,7 @@
         return head;
     }
 
-    void an_engine_gets_these_fields() {
+    void engine_request_headers_match_the_wire_format() {
         CPPUNIT_ASSERT_EQUAL(std::string(R"(X-Request-Id: request-1
 X-Program-Id: program-2
 X-Program-Deadline-Ms: -73
