--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(request_headers_are_parsed);
     CPPUNIT_TEST(request_without_headers_has_defaults);
     CPPUNIT_TEST(engine_request_headers_match_the_wire_format);
-    CPPUNIT_TEST(another_back_end_gets_these_fields);
+    CPPUNIT_TEST(app_request_headers_match_the_wire_format);
     CPPUNIT_TEST(a_continued_stream_begins_after_our_event);
     CPPUNIT_TEST(urgency_and_time_left_stay_within_their_bounds);
     CPPUNIT_TEST(each_field_of_an_answer_is_read);
@@ -126,7 +126,7 @@
                              sent(head_with_fields_of_ours(), engine_marks()));
     }
 
-    void another_back_end_gets_these_fields() {
+    void app_request_headers_match_the_wire_format() {
         forwarding::attempt_headers marks;
         marks.time_left = milliseconds(1502);
         marks.incarnation = "instance-4";
