--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(request_without_headers_has_defaults);
     CPPUNIT_TEST(engine_request_headers_match_the_wire_format);
     CPPUNIT_TEST(app_request_headers_match_the_wire_format);
-    CPPUNIT_TEST(a_continued_stream_begins_after_our_event);
+    CPPUNIT_TEST(resumed_stream_replaces_last_event_id);
     CPPUNIT_TEST(urgency_and_time_left_stay_within_their_bounds);
     CPPUNIT_TEST(each_field_of_an_answer_is_read);
     CPPUNIT_TEST(each_call_of_operators_is_read);
@@ -138,7 +138,7 @@
                              sent(head, marks));
     }
 
-    void a_continued_stream_begins_after_our_event() {
+    void resumed_stream_replaces_last_event_id() {
         forwarding::attempt_headers marks = engine_marks();
         marks.last_event = "17";
         http::message_head head;
