--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -19,7 +19,7 @@
     CPPUNIT_TEST(engine_request_headers_match_the_wire_format);
     CPPUNIT_TEST(app_request_headers_match_the_wire_format);
     CPPUNIT_TEST(resumed_stream_replaces_last_event_id);
-    CPPUNIT_TEST(urgency_and_time_left_stay_within_their_bounds);
+    CPPUNIT_TEST(urgency_and_time_left_are_clamped);
     CPPUNIT_TEST(each_field_of_an_answer_is_read);
     CPPUNIT_TEST(each_call_of_operators_is_read);
     CPPUNIT_TEST(other_calls_of_operators_are_refused);
@@ -160,7 +160,7 @@
         return sent({}, marks);
     }
 
-    void urgency_and_time_left_stay_within_their_bounds() {
+    void urgency_and_time_left_are_clamped() {
         CPPUNIT_ASSERT_EQUAL(
             std::string("X-Deadline-Ms: 1\nX-Expected-Instance: i\nX-Request-Priority: 0\n"),
             bounded(milliseconds(-5), -1));
