--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST(app_request_headers_match_the_wire_format);
     CPPUNIT_TEST(resumed_stream_replaces_last_event_id);
     CPPUNIT_TEST(urgency_and_time_left_are_clamped);
-    CPPUNIT_TEST(each_field_of_an_answer_is_read);
+    CPPUNIT_TEST(response_headers_are_parsed);
     CPPUNIT_TEST(each_call_of_operators_is_read);
     CPPUNIT_TEST(other_calls_of_operators_are_refused);
     CPPUNIT_TEST(answers_to_operators_are_rendered_so);
@@ -169,7 +169,7 @@
             bounded(milliseconds(2), 10));
     }
 
-    void each_field_of_an_answer_is_read() {
+    void response_headers_are_parsed() {
         http::message_head head;
         head.status = 200;
         const forwarding::answer_metadata bare = replica_calls().read_answer(head);
