--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -21,7 +21,7 @@
     CPPUNIT_TEST(resumed_stream_replaces_last_event_id);
     CPPUNIT_TEST(urgency_and_time_left_are_clamped);
     CPPUNIT_TEST(response_headers_are_parsed);
-    CPPUNIT_TEST(each_call_of_operators_is_read);
+    CPPUNIT_TEST(operator_calls_are_parsed);
     CPPUNIT_TEST(other_calls_of_operators_are_refused);
     CPPUNIT_TEST(answers_to_operators_are_rendered_so);
     CPPUNIT_TEST(refusals_of_operators_calls_are_rendered_so);
@@ -195,7 +195,7 @@
         return operator_calls().parse({method, target, body});
     }
 
-    void each_call_of_operators_is_read() {
+    void operator_calls_are_parsed() {
         const std::string body = R"({"Version":7,"Routes":[],"Services":[]})";
         const auto replace = parsed("POST", "/v1/config/replace?x=1", body);
         CPPUNIT_ASSERT(std::holds_alternative<directory::replace_call>(replace));
