--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -22,7 +22,7 @@
     CPPUNIT_TEST(urgency_and_time_left_are_clamped);
     CPPUNIT_TEST(response_headers_are_parsed);
     CPPUNIT_TEST(operator_calls_are_parsed);
-    CPPUNIT_TEST(other_calls_of_operators_are_refused);
+    CPPUNIT_TEST(unknown_operator_calls_are_rejected);
     CPPUNIT_TEST(answers_to_operators_are_rendered_so);
     CPPUNIT_TEST(refusals_of_operators_calls_are_rendered_so);
     CPPUNIT_TEST_SUITE_END();
@@ -220,7 +220,7 @@
         return std::to_string(invalid.status) + " " + invalid.reason;
     }
 
-    void other_calls_of_operators_are_refused() {
+    void unknown_operator_calls_are_rejected() {
         const std::string none = "404 no such call";
         CPPUNIT_ASSERT_EQUAL(none, refusal("GET", "/v1/config/replace"));
         CPPUNIT_ASSERT_EQUAL(none, refusal("POST", "/v1/config/describe"));
