--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -23,7 +23,7 @@
     CPPUNIT_TEST(response_headers_are_parsed);
     CPPUNIT_TEST(operator_calls_are_parsed);
     CPPUNIT_TEST(unknown_operator_calls_are_rejected);
-    CPPUNIT_TEST(answers_to_operators_are_rendered_so);
+    CPPUNIT_TEST(operator_responses_match_the_wire_format);
     CPPUNIT_TEST(refusals_of_operators_calls_are_rendered_so);
     CPPUNIT_TEST_SUITE_END();
 
@@ -237,7 +237,7 @@
         return http::render_response(response, true);
     }
 
-    void answers_to_operators_are_rendered_so() {
+    void operator_responses_match_the_wire_format() {
         const operator_calls calls;
         const std::string ok = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
         CPPUNIT_ASSERT_EQUAL(ok + "Content-Length: 2\r\n\r\n{}", rendered(calls.accepted()));
