--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -24,7 +24,7 @@
     CPPUNIT_TEST(operator_calls_are_parsed);
     CPPUNIT_TEST(unknown_operator_calls_are_rejected);
     CPPUNIT_TEST(operator_responses_match_the_wire_format);
-    CPPUNIT_TEST(refusals_of_operators_calls_are_rendered_so);
+    CPPUNIT_TEST(operator_errors_match_the_wire_format);
     CPPUNIT_TEST_SUITE_END();
 
     static http::message_head caller_head() {
@@ -253,7 +253,7 @@
                              rendered(calls.redirect("10.0.0.1:80", "/v1/config/replace?x=1")));
     }
 
-    void refusals_of_operators_calls_are_rendered_so() {
+    void operator_errors_match_the_wire_format() {
         const operator_calls calls;
         CPPUNIT_ASSERT_EQUAL(std::string("HTTP/1.1 409 Conflict\r\n"
                                          "Content-Type: application/json\r\n"
