--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -94,7 +94,7 @@
         return marks;
     }
 
-    static http::message_head head_with_fields_of_ours() {
+    static http::message_head head_with_forged_system_headers() {
         http::message_head head = caller_head();
         for (const char* name :
              {"X-Expected-Instance", "X-Expected-Version", "X-Request-Priority", "X-Tenant-Id",
@@ -123,7 +123,7 @@
 X-Tenant-Id: tenant-5
 X-Request-Priority: 4
 )"),
-                             sent(head_with_fields_of_ours(), engine_marks()));
+                             sent(head_with_forged_system_headers(), engine_marks()));
     }
 
     void app_request_headers_match_the_wire_format() {
