--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -97,23 +97,24 @@
     }
 
     void callers_cannot_set_system_headers() {
-        static const std::vector<std::string> ours{"X-Hold",
-                                                   "X-Pin-Ms",
-                                                   "X-Kv-Backup",
-                                                   "Kv-From",
-                                                   "Kv-Fetch",
-                                                   "X-Expected-Instance",
-                                                   "X-Expected-Version",
-                                                   "X-Request-Priority",
-                                                   "X-Tenant-Id",
-                                                   "X-Credential",
-                                                   "X-Deadline-Ms"};
+        static const std::vector<std::string> system_headers{"X-Hold",
+                                                             "X-Pin-Ms",
+                                                             "X-Kv-Backup",
+                                                             "Kv-From",
+                                                             "Kv-Fetch",
+                                                             "X-Expected-Instance",
+                                                             "X-Expected-Version",
+                                                             "X-Request-Priority",
+                                                             "X-Tenant-Id",
+                                                             "X-Credential",
+                                                             "X-Deadline-Ms"};
         check_property("callers can't set header fields that the system sets", [] {
             http::message_head head;
             head.headers.add("X-Request-Id", "abc");
             const int count = *rc::gen::inRange(1, 12);
             for (int each = 0; each < count; ++each) {
-                std::string name = ours[*rc::gen::inRange<std::size_t>(0, ours.size())];
+                std::string name =
+                    system_headers[*rc::gen::inRange<std::size_t>(0, system_headers.size())];
                 for (char& letter : name) {
                     letter = *rc::gen::arbitrary<bool>() ? static_cast<char>(std::toupper(letter))
                                                          : static_cast<char>(std::tolower(letter));
