--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -74,8 +74,8 @@
     }
 
     /// Header fields of the request to a back end, one a line.
-    static std::string sent(const http::message_head& head,
-                            const forwarding::attempt_headers& marks) {
+    static std::string rendered_backend_headers(const http::message_head& head,
+                                                const forwarding::attempt_headers& marks) {
         std::string text;
         const http::header_list fields = replica_calls().backend_headers(head, marks);
         for (const http::header_field& field : fields.fields()) {
@@ -108,7 +108,8 @@
     }
 
     void engine_request_headers_match_the_wire_format() {
-        CPPUNIT_ASSERT_EQUAL(std::string(R"(X-Request-Id: request-1
+        CPPUNIT_ASSERT_EQUAL(
+            std::string(R"(X-Request-Id: request-1
 X-Program-Id: program-2
 X-Program-Deadline-Ms: -73
 X-Token-Budget: 90004
@@ -123,7 +124,7 @@
 X-Tenant-Id: tenant-5
 X-Request-Priority: 4
 )"),
-                             sent(head_with_forged_system_headers(), engine_marks()));
+            rendered_backend_headers(head_with_forged_system_headers(), engine_marks()));
     }
 
     void app_request_headers_match_the_wire_format() {
@@ -135,7 +136,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("X-Request-Id: request-2\n"
                                          "X-Deadline-Ms: 1502\n"
                                          "X-Expected-Instance: instance-4\n"),
-                             sent(head, marks));
+                             rendered_backend_headers(head, marks));
     }
 
     void resumed_stream_replaces_last_event_id() {
@@ -148,7 +149,7 @@
                                          "X-Tenant-Id: tenant-5\n"
                                          "Last-Event-Id: 17\n"
                                          "X-Request-Priority: 4\n"),
-                             sent(head, marks));
+                             rendered_backend_headers(head, marks));
     }
 
     static std::string bounded(duration time_left, std::int32_t urgency) {
@@ -157,7 +158,7 @@
         marks.urgency = urgency;
         marks.is_engine = true;
         marks.incarnation = "i";
-        return sent({}, marks);
+        return rendered_backend_headers({}, marks);
     }
 
     void urgency_and_time_left_are_clamped() {
