--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -152,7 +152,7 @@
                              rendered_backend_headers(head, marks));
     }
 
-    static std::string bounded(duration time_left, std::int32_t urgency) {
+    static std::string headers_with_limits(duration time_left, std::int32_t urgency) {
         forwarding::attempt_headers marks;
         marks.time_left = time_left;
         marks.urgency = urgency;
@@ -164,10 +164,10 @@
     void urgency_and_time_left_are_clamped() {
         CPPUNIT_ASSERT_EQUAL(
             std::string("X-Deadline-Ms: 1\nX-Expected-Instance: i\nX-Request-Priority: 0\n"),
-            bounded(milliseconds(-5), -1));
+            headers_with_limits(milliseconds(-5), -1));
         CPPUNIT_ASSERT_EQUAL(
             std::string("X-Deadline-Ms: 2\nX-Expected-Instance: i\nX-Request-Priority: 9\n"),
-            bounded(milliseconds(2), 10));
+            headers_with_limits(milliseconds(2), 10));
     }
 
     void response_headers_are_parsed() {
