--- a/tests/support/directory_group.hpp
+++ b/tests/support/directory_group.hpp
@@ -137,7 +137,7 @@
                 next.from,
                 first_format_.contains(next.from) ? format_version::v1 : format_version::v2, now_);
             if (const auto* message = std::get_if<consensus::replica_message>(&next.message.body)) {
-                const auto read = first ? replica_message_through_first_format(*message) : *message;
+                const auto read = first ? reencode_replica_message(*message) : *message;
                 if (read) {
                     node(to).receive(next.from, *read, now_);
                 }
--- a/tests/support/first_format.hpp
+++ b/tests/support/first_format.hpp
@@ -22,7 +22,7 @@
 }
 
 /// The same for a consensus message, whose commands are converted to the first format too.
-inline std::optional<consensus::replica_message> replica_message_through_first_format(
+inline std::optional<consensus::replica_message> reencode_replica_message(
     consensus::replica_message message) {
     if (!directory::to_first_format(message)) {
         return std::nullopt;
