--- a/tests/support/directory_group.hpp
+++ b/tests/support/directory_group.hpp
@@ -111,7 +111,7 @@
     }
 
   private:
-    struct message_under_way {
+    struct message_in_flight {
         instant arrives;
         node_name from;
         directory::addressed_message message;
@@ -125,7 +125,7 @@
 
     void deliver() {
         while (!network_.empty() && network_.front().arrives <= now_) {
-            const message_under_way next = std::move(network_.front());
+            const message_in_flight next = std::move(network_.front());
             network_.pop_front();
             const node_name& to = next.message.to;
             if (cut_.contains(next.from) || cut_.contains(to) || !nodes_.contains(to)) {
@@ -153,7 +153,7 @@
 
     instant now_{std::chrono::seconds(1)};
     std::map<node_name, std::unique_ptr<directory::directory_core>> nodes_;
-    std::deque<message_under_way> network_;
+    std::deque<message_in_flight> network_;
     std::set<node_name> cut_;
     std::set<node_name> first_format_;
     directory::request_token token_ = 0;
