--- a/tests/support/directory_group.hpp
+++ b/tests/support/directory_group.hpp
@@ -46,9 +46,9 @@
     /// Sets whether the node supports the first format only.
     void set_first_format(const node_name& address, bool first) {
         if (first) {
-            first_format_.insert(address);
+            first_format_nodes_.insert(address);
         } else {
-            first_format_.erase(address);
+            first_format_nodes_.erase(address);
         }
     }
 
@@ -132,10 +132,12 @@
                 continue;
             }
             using protocol::format_version;
-            const bool first = first_format_.contains(next.from) || first_format_.contains(to);
+            const bool first =
+                first_format_nodes_.contains(next.from) || first_format_nodes_.contains(to);
             node(to).record_peer_format(
                 next.from,
-                first_format_.contains(next.from) ? format_version::v1 : format_version::v2, now_);
+                first_format_nodes_.contains(next.from) ? format_version::v1 : format_version::v2,
+                now_);
             if (const auto* message = std::get_if<consensus::replica_message>(&next.message.body)) {
                 const auto read = first ? reencode_replica_message(*message) : *message;
                 if (read) {
@@ -155,7 +157,7 @@
     std::map<node_name, std::unique_ptr<directory::directory_core>> nodes_;
     std::deque<message_in_flight> network_;
     std::set<node_name> cut_;
-    std::set<node_name> first_format_;
+    std::set<node_name> first_format_nodes_;
     directory::request_token token_ = 0;
 };
 
