--- a/tests/support/directory_group.hpp
+++ b/tests/support/directory_group.hpp
@@ -41,8 +41,8 @@
     [[nodiscard]] instant now() const { return now_; }
 
     /// Drops all messages from and to this node until it is healed.
-    void cut(const node_name& address) { cut_.insert(address); }
-    void heal(const node_name& address) { cut_.erase(address); }
+    void cut(const node_name& address) { partitioned_.insert(address); }
+    void heal(const node_name& address) { partitioned_.erase(address); }
     /// Sets whether the node supports the first format only.
     void set_first_format(const node_name& address, bool first) {
         if (first) {
@@ -128,7 +128,8 @@
             const message_in_flight next = std::move(network_.front());
             network_.pop_front();
             const node_name& to = next.message.to;
-            if (cut_.contains(next.from) || cut_.contains(to) || !nodes_.contains(to)) {
+            if (partitioned_.contains(next.from) || partitioned_.contains(to) ||
+                !nodes_.contains(to)) {
                 continue;
             }
             using protocol::format_version;
@@ -156,7 +157,7 @@
     instant now_{std::chrono::seconds(1)};
     std::map<node_name, std::unique_ptr<directory::directory_core>> nodes_;
     std::deque<message_in_flight> network_;
-    std::set<node_name> cut_;
+    std::set<node_name> partitioned_;
     std::set<node_name> first_format_nodes_;
     directory::request_token token_ = 0;
 };
