--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -55,11 +55,11 @@
         begun.turn =
             std::make_unique<turns::begin_coordinator>(++last_operation_, question, known_);
         beginnings_.emplace(request, std::move(begun));
-        go_on_beginning(request);
+        advance_begin(request);
     }
 
     /// Sends the due requests of a random unfinished begin operation. Requires has_beginnings().
-    void continue_any_beginning() { go_on_beginning(any_of(beginnings_)); }
+    void continue_any_beginning() { advance_begin(any_of(beginnings_)); }
     /// Resends a random unfinished settlement. Requires has_settlements().
     void resend_any_settlement() { ask_settle(any_of(settlings_)); }
     [[nodiscard]] bool has_beginnings() const { return !beginnings_.empty(); }
@@ -120,7 +120,7 @@
                    question.body);
     }
 
-    void go_on_beginning(const std::string& request) {
+    void advance_begin(const std::string& request) {
         const auto found = beginnings_.find(request);
         if (found == beginnings_.end()) {
             return;
@@ -159,7 +159,7 @@
             taken.held = taken.held && fault_ != put_back::denied_turn;
             turn.on_reply(taken);
         }
-        go_on_beginning(request);
+        advance_begin(request);
     }
 
     void end_beginning(const std::string& request) {
