--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -114,7 +114,7 @@
 
     void ask(const std::string& request, const turns::addressed_request& question) {
         const auto take = [this, request](const turns::store_reply& body) {
-            take_begin(request, body);
+            on_begin_reply(request, body);
         };
         std::visit([&](const auto& body) { fleet_.send(question.store, body, take); },
                    question.body);
@@ -138,7 +138,7 @@
         }
     }
 
-    void take_begin(const std::string& request, const turns::store_reply& body) {
+    void on_begin_reply(const std::string& request, const turns::store_reply& body) {
         const auto found = beginnings_.find(request);
         if (found == beginnings_.end()) {
             return;
