--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -134,7 +134,7 @@
             }
         }
         if (!turn.is_undecided() || now_ >= found->second.until) {
-            end_beginning(request);
+            finish_begin(request);
         }
     }
 
@@ -162,7 +162,7 @@
         advance_begin(request);
     }
 
-    void end_beginning(const std::string& request) {
+    void finish_begin(const std::string& request) {
         const beginning ended = std::move(beginnings_.at(request));
         beginnings_.erase(request);
         const turns::begin_decision begun = ended.turn->outcome();
