--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -61,7 +61,7 @@
     /// Sends the due requests of a random unfinished begin operation. Requires has_beginnings().
     void continue_any_beginning() { advance_begin(any_of(beginnings_)); }
     /// Resends a random unfinished settlement. Requires has_settlements().
-    void resend_any_settlement() { ask_settle(any_of(settlings_)); }
+    void resend_any_settlement() { send_settle_requests(any_of(settlings_)); }
     [[nodiscard]] bool has_beginnings() const { return !beginnings_.empty(); }
     [[nodiscard]] bool has_settlements() const { return !settlings_.empty(); }
     /// Abandons all unfinished operations.
@@ -187,10 +187,10 @@
         }
         const turns::store_map& map = known_.groups[known_.group_of(ended.program)];
         settlings_.emplace(request, settling{turns::settle_operation(map), std::move(settlement)});
-        ask_settle(request);
+        send_settle_requests(request);
     }
 
-    void ask_settle(const std::string& request) {
+    void send_settle_requests(const std::string& request) {
         settling& ending = settlings_.at(request);
         ending.operation.switch_to_map(known_.groups[known_.group_of(ending.settlement.program)]);
         for (const turns::store_member& member : ending.operation.unanswered()) {
