--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -198,12 +198,12 @@
             asked.epoch = ending.operation.map().epoch;
             asked.settlement = ending.settlement;
             fleet_.send(member, asked, [this, request](const turns::store_reply& body) {
-                take_settle_reply(request, std::get<turns::settle_reply>(body));
+                on_settle_reply(request, std::get<turns::settle_reply>(body));
             });
         }
     }
 
-    void take_settle_reply(const std::string& request, const turns::settle_reply& reply) {
+    void on_settle_reply(const std::string& request, const turns::settle_reply& reply) {
         learn(reply.newer_map);
         const auto found = settlings_.find(request);
         if (found == settlings_.end()) {
