--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -241,7 +241,7 @@
         } else if (choice < 65) {
             forwarder_.begin_turn();
         } else if (choice < 70 && forwarder_.has_beginnings()) {
-            forwarder_.continue_any_beginning();
+            forwarder_.continue_random_begin();
         } else if (choice < 74 && forwarder_.has_settlements()) {
             forwarder_.resend_any_settlement();
         } else if (choice < 80) {
