--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -243,7 +243,7 @@
         } else if (choice < 70 && forwarder_.has_beginnings()) {
             forwarder_.continue_random_begin();
         } else if (choice < 74 && forwarder_.has_settlements()) {
-            forwarder_.resend_any_settlement();
+            forwarder_.resend_random_settlement();
         } else if (choice < 80) {
             fleet_.copy_more(number);
         } else if (choice < 88) {
