--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -240,7 +240,7 @@
             fleet_.flush(number);
         } else if (choice < 65) {
             forwarder_.begin_turn();
-        } else if (choice < 70 && forwarder_.has_beginnings()) {
+        } else if (choice < 70 && forwarder_.has_unfinished_begins()) {
             forwarder_.continue_random_begin();
         } else if (choice < 74 && forwarder_.has_settlements()) {
             forwarder_.resend_random_settlement();
