--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -63,7 +63,7 @@
     /// Resends a random unfinished settlement. Requires has_settlements().
     void resend_random_settlement() { send_settle_requests(any_of(settlings_)); }
     [[nodiscard]] bool has_unfinished_begins() const { return !beginnings_.empty(); }
-    [[nodiscard]] bool has_settlements() const { return !settlings_.empty(); }
+    [[nodiscard]] bool has_unfinished_settlements() const { return !settlings_.empty(); }
     /// Abandons all unfinished operations.
     void stop() {
         beginnings_.clear();
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -242,7 +242,7 @@
             forwarder_.begin_turn();
         } else if (choice < 70 && forwarder_.has_unfinished_begins()) {
             forwarder_.continue_random_begin();
-        } else if (choice < 74 && forwarder_.has_settlements()) {
+        } else if (choice < 74 && forwarder_.has_unfinished_settlements()) {
             forwarder_.resend_random_settlement();
         } else if (choice < 80) {
             fleet_.copy_more(number);
