--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -38,7 +38,7 @@
 
     void begin_turn() {
         const std::string request = "t" + std::to_string(++last_turn_);
-        beginning begun;
+        begin_attempt begun;
         begun.program = "program-" + std::to_string(random_.below(programs));
         if (!settled_.empty() && !random_.chance(0.3)) {
             auto chosen = settled_.begin();
@@ -99,7 +99,7 @@
         turns::settle_operation operation;
         turns::turn_settlement settlement;
     };
-    struct beginning {
+    struct begin_attempt {
         std::string program;
         std::string previous;
         std::unique_ptr<turns::begin_coordinator> turn;
@@ -163,7 +163,7 @@
     }
 
     void finish_begin(const std::string& request) {
-        const beginning ended = std::move(beginnings_.at(request));
+        const begin_attempt ended = std::move(beginnings_.at(request));
         beginnings_.erase(request);
         const turns::begin_decision begun = ended.turn->outcome();
         if (begun.result == turns::begin_result::unknown_previous) {
@@ -234,7 +234,7 @@
     int false_unknowns_ = 0;
     /// The newest group maps that the forwarder has received.
     turns::store_table known_;
-    std::map<std::string, beginning> beginnings_;
+    std::map<std::string, begin_attempt> beginnings_;
     std::map<std::string, settling> settlings_;
     std::map<std::string, std::string> settled_;
     std::map<std::string, token_count> admitted_;
