--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -54,19 +54,19 @@
         begun.until = now_ + std::chrono::milliseconds(1'500);
         begun.turn =
             std::make_unique<turns::begin_coordinator>(++last_operation_, question, known_);
-        beginnings_.emplace(request, std::move(begun));
+        begin_attempts_.emplace(request, std::move(begun));
         advance_begin(request);
     }
 
     /// Sends the due requests of a random unfinished begin operation. Requires has_beginnings().
-    void continue_random_begin() { advance_begin(any_of(beginnings_)); }
+    void continue_random_begin() { advance_begin(any_of(begin_attempts_)); }
     /// Resends a random unfinished settlement. Requires has_settlements().
     void resend_random_settlement() { send_settle_requests(any_of(settlings_)); }
-    [[nodiscard]] bool has_unfinished_begins() const { return !beginnings_.empty(); }
+    [[nodiscard]] bool has_unfinished_begins() const { return !begin_attempts_.empty(); }
     [[nodiscard]] bool has_unfinished_settlements() const { return !settlings_.empty(); }
     /// Abandons all unfinished operations.
     void stop() {
-        beginnings_.clear();
+        begin_attempts_.clear();
         settlings_.clear();
     }
 
@@ -121,8 +121,8 @@
     }
 
     void advance_begin(const std::string& request) {
-        const auto found = beginnings_.find(request);
-        if (found == beginnings_.end()) {
+        const auto found = begin_attempts_.find(request);
+        if (found == begin_attempts_.end()) {
             return;
         }
         turns::begin_coordinator& turn = *found->second.turn;
@@ -139,8 +139,8 @@
     }
 
     void on_begin_reply(const std::string& request, const turns::store_reply& body) {
-        const auto found = beginnings_.find(request);
-        if (found == beginnings_.end()) {
+        const auto found = begin_attempts_.find(request);
+        if (found == begin_attempts_.end()) {
             return;
         }
         turns::begin_coordinator& turn = *found->second.turn;
@@ -163,8 +163,8 @@
     }
 
     void finish_begin(const std::string& request) {
-        const begin_attempt ended = std::move(beginnings_.at(request));
-        beginnings_.erase(request);
+        const begin_attempt ended = std::move(begin_attempts_.at(request));
+        begin_attempts_.erase(request);
         const turns::begin_decision begun = ended.turn->outcome();
         if (begun.result == turns::begin_result::unknown_previous) {
             false_unknowns_ += settled_.contains(ended.previous) ? 1 : 0;
@@ -234,7 +234,7 @@
     int false_unknowns_ = 0;
     /// The newest group maps that the forwarder has received.
     turns::store_table known_;
-    std::map<std::string, begin_attempt> beginnings_;
+    std::map<std::string, begin_attempt> begin_attempts_;
     std::map<std::string, settling> settlings_;
     std::map<std::string, std::string> settled_;
     std::map<std::string, token_count> admitted_;
