--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -95,7 +95,7 @@
     static constexpr token_count program_budget = 20;
     static constexpr int programs = 12;
 
-    struct settling {
+    struct unfinished_settlement {
         turns::settle_operation operation;
         turns::turn_settlement settlement;
     };
@@ -186,12 +186,13 @@
             settlement.adopted = begun.history;
         }
         const turns::store_map& map = known_.groups[known_.group_of(ended.program)];
-        settlings_.emplace(request, settling{turns::settle_operation(map), std::move(settlement)});
+        settlings_.emplace(
+            request, unfinished_settlement{turns::settle_operation(map), std::move(settlement)});
         send_settle_requests(request);
     }
 
     void send_settle_requests(const std::string& request) {
-        settling& ending = settlings_.at(request);
+        unfinished_settlement& ending = settlings_.at(request);
         ending.operation.switch_to_map(known_.groups[known_.group_of(ending.settlement.program)]);
         for (const turns::store_member& member : ending.operation.unanswered()) {
             turns::settle_request asked;
@@ -235,7 +236,7 @@
     /// The newest group maps that the forwarder has received.
     turns::store_table known_;
     std::map<std::string, begin_attempt> begin_attempts_;
-    std::map<std::string, settling> settlings_;
+    std::map<std::string, unfinished_settlement> settlings_;
     std::map<std::string, std::string> settled_;
     std::map<std::string, token_count> admitted_;
     std::set<std::string> admitted_requests_;
