--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -61,13 +61,15 @@
     /// Sends the due requests of a random unfinished begin operation. Requires has_beginnings().
     void continue_random_begin() { advance_begin(any_of(begin_attempts_)); }
     /// Resends a random unfinished settlement. Requires has_settlements().
-    void resend_random_settlement() { send_settle_requests(any_of(settlings_)); }
+    void resend_random_settlement() { send_settle_requests(any_of(unfinished_settlements_)); }
     [[nodiscard]] bool has_unfinished_begins() const { return !begin_attempts_.empty(); }
-    [[nodiscard]] bool has_unfinished_settlements() const { return !settlings_.empty(); }
+    [[nodiscard]] bool has_unfinished_settlements() const {
+        return !unfinished_settlements_.empty();
+    }
     /// Abandons all unfinished operations.
     void stop() {
         begin_attempts_.clear();
-        settlings_.clear();
+        unfinished_settlements_.clear();
     }
 
     /// @return a random store of the group, from which the history is read
@@ -186,13 +188,13 @@
             settlement.adopted = begun.history;
         }
         const turns::store_map& map = known_.groups[known_.group_of(ended.program)];
-        settlings_.emplace(
+        unfinished_settlements_.emplace(
             request, unfinished_settlement{turns::settle_operation(map), std::move(settlement)});
         send_settle_requests(request);
     }
 
     void send_settle_requests(const std::string& request) {
-        unfinished_settlement& ending = settlings_.at(request);
+        unfinished_settlement& ending = unfinished_settlements_.at(request);
         ending.operation.switch_to_map(known_.groups[known_.group_of(ending.settlement.program)]);
         for (const turns::store_member& member : ending.operation.unanswered()) {
             turns::settle_request asked;
@@ -206,14 +208,14 @@
 
     void on_settle_reply(const std::string& request, const turns::settle_reply& reply) {
         learn(reply.newer_map);
-        const auto found = settlings_.find(request);
-        if (found == settlings_.end()) {
+        const auto found = unfinished_settlements_.find(request);
+        if (found == unfinished_settlements_.end()) {
             return;
         }
         found->second.operation.on_reply(reply);
         if (found->second.operation.is_durable()) {
             settled_.emplace(request, found->second.settlement.program);
-            settlings_.erase(found);
+            unfinished_settlements_.erase(found);
         }
     }
 
@@ -236,7 +238,7 @@
     /// The newest group maps that the forwarder has received.
     turns::store_table known_;
     std::map<std::string, begin_attempt> begin_attempts_;
-    std::map<std::string, unfinished_settlement> settlings_;
+    std::map<std::string, unfinished_settlement> unfinished_settlements_;
     std::map<std::string, std::string> settled_;
     std::map<std::string, token_count> admitted_;
     std::set<std::string> admitted_requests_;
