--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -59,9 +59,9 @@
     }
 
     /// Sends the due requests of a random unfinished begin operation. Requires has_beginnings().
-    void continue_random_begin() { advance_begin(any_of(begin_attempts_)); }
+    void continue_random_begin() { advance_begin(random_key(begin_attempts_)); }
     /// Resends a random unfinished settlement. Requires has_settlements().
-    void resend_random_settlement() { send_settle_requests(any_of(unfinished_settlements_)); }
+    void resend_random_settlement() { send_settle_requests(random_key(unfinished_settlements_)); }
     [[nodiscard]] bool has_unfinished_begins() const { return !begin_attempts_.empty(); }
     [[nodiscard]] bool has_unfinished_settlements() const {
         return !unfinished_settlements_.empty();
@@ -220,7 +220,7 @@
     }
 
     template <class Entries>
-    std::string any_of(const Entries& entries) {
+    std::string random_key(const Entries& entries) {
         auto entry = entries.begin();
         std::advance(entry, static_cast<std::ptrdiff_t>(random_.below(entries.size())));
         return entry->first;
