--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -114,7 +114,7 @@
         }
     }
 
-    void ask(const std::string& request, const turns::addressed_request& question) {
+    void send_begin_request(const std::string& request, const turns::addressed_request& question) {
         const auto take = [this, request](const turns::store_reply& body) {
             on_begin_reply(request, body);
         };
@@ -132,7 +132,7 @@
         if (turn.is_undecided() && now_ < found->second.until) {
             for (const turns::addressed_request& question :
                  turn.take_due_requests(now_, known_, choose)) {
-                ask(request, question);
+                send_begin_request(request, question);
             }
         }
         if (!turn.is_undecided() || now_ >= found->second.until) {
