--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -34,7 +34,7 @@
         : fleet_(fleet), fault_(fault), random_(random), now_(now) {}
 
     /// Merges newer group maps from the directory's table.
-    void learn_table(const turns::store_table& table) { known_.merge_newer(table); }
+    void learn_table(const turns::store_table& table) { group_maps_.merge_newer(table); }
 
     void begin_turn() {
         const std::string request = "t" + std::to_string(++last_turn_);
@@ -53,7 +53,7 @@
         question.budget = program_budget;
         begun.until = now_ + std::chrono::milliseconds(1'500);
         begun.turn =
-            std::make_unique<turns::begin_coordinator>(++last_operation_, question, known_);
+            std::make_unique<turns::begin_coordinator>(++last_operation_, question, group_maps_);
         begin_attempts_.emplace(request, std::move(begun));
         advance_begin(request);
     }
@@ -110,7 +110,7 @@
 
     void learn(const std::vector<turns::store_map>& newer) {
         for (const turns::store_map& map : newer) {
-            known_.merge_newer(map);
+            group_maps_.merge_newer(map);
         }
     }
 
@@ -131,7 +131,7 @@
         const auto choose = [this](const turns::store_map& map) { return nearest(map); };
         if (turn.is_undecided() && now_ < found->second.until) {
             for (const turns::addressed_request& question :
-                 turn.take_due_requests(now_, known_, choose)) {
+                 turn.take_due_requests(now_, group_maps_, choose)) {
                 send_begin_request(request, question);
             }
         }
@@ -187,7 +187,7 @@
             ++adopted_;
             settlement.adopted = begun.history;
         }
-        const turns::store_map& map = known_.groups[known_.group_of(ended.program)];
+        const turns::store_map& map = group_maps_.groups[group_maps_.group_of(ended.program)];
         unfinished_settlements_.emplace(
             request, unfinished_settlement{turns::settle_operation(map), std::move(settlement)});
         send_settle_requests(request);
@@ -195,7 +195,8 @@
 
     void send_settle_requests(const std::string& request) {
         unfinished_settlement& ending = unfinished_settlements_.at(request);
-        ending.operation.switch_to_map(known_.groups[known_.group_of(ending.settlement.program)]);
+        ending.operation.switch_to_map(
+            group_maps_.groups[group_maps_.group_of(ending.settlement.program)]);
         for (const turns::store_member& member : ending.operation.unanswered()) {
             turns::settle_request asked;
             asked.epoch = ending.operation.map().epoch;
@@ -236,7 +237,7 @@
     int refused_ = 0;
     int false_unknowns_ = 0;
     /// The newest group maps that the forwarder has received.
-    turns::store_table known_;
+    turns::store_table group_maps_;
     std::map<std::string, begin_attempt> begin_attempts_;
     std::map<std::string, unfinished_settlement> unfinished_settlements_;
     std::map<std::string, std::string> settled_;
