--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -216,7 +216,7 @@
     }
 
     /// Removes retired machines that belong to no group any more, with their disks.
-    void take_away_emptied() {
+    void remove_retired_machines() {
         for (std::size_t number = 0; number < fleet_.size(); ++number) {
             store_machine& emptied = fleet_.machine(number);
             const bool done = state_.retired().contains(emptied.identity) &&
@@ -250,7 +250,7 @@
             report(number);
         } else if (choice < 92) {
             plan();
-            take_away_emptied();
+            remove_retired_machines();
         } else if (choice < 95 && fleet_.machine(number).store) {
             fleet_.machine(number).store->learn_table(state_.stores());
         } else if (choice < 96) {
