--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -206,7 +206,7 @@
         }
     }
 
-    void empty_a_machine() {
+    void retire_random_machine() {
         const std::size_t number = random_.below(fleet_.size());
         if (retired_ == 0 && whole() && planner_.may_retire(state_, store_fleet::node_of(number))) {
             state_.apply(
@@ -258,7 +258,7 @@
         } else if (choice < 97) {
             lose_a_machine();
         } else if (choice < 98 && random_.chance(0.4)) {
-            empty_a_machine();
+            retire_random_machine();
         } else if (!fleet_.machine(number).store && !fleet_.machine(number).taken_away) {
             fleet_.start(number);
         }
