--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -188,7 +188,7 @@
         fleet_.wipe_disk(number);
     }
 
-    void lose_a_machine() {
+    void fail_random_machine() {
         if (losses_ == disk_losses::in_series) {
             lose_disks_in_series();
             return;
@@ -256,7 +256,7 @@
         } else if (choice < 96) {
             forwarder_.learn_table(state_.stores());
         } else if (choice < 97) {
-            lose_a_machine();
+            fail_random_machine();
         } else if (choice < 98 && random_.chance(0.4)) {
             retire_random_machine();
         } else if (!fleet_.machine(number).store && !fleet_.machine(number).taken_away) {
