--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -171,7 +171,7 @@
         fleet_.lose_power();
     }
 
-    void lose_disks_in_series() {
+    void wipe_random_disk() {
         const std::size_t number = random_.below(fleet_.size());
         if (random_.chance(0.1)) {
             lose_power();
@@ -190,7 +190,7 @@
 
     void fail_random_machine() {
         if (losses_ == disk_losses::in_series) {
-            lose_disks_in_series();
+            wipe_random_disk();
             return;
         }
         const std::size_t number = random_.below(fleet_.size());
