--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -150,7 +150,7 @@
     }
 
     /// @return whether every admitted request and settled turn is also on another machine's disk
-    [[nodiscard]] bool outlives(std::size_t number) const {
+    [[nodiscard]] bool data_survives_loss_of(std::size_t number) const {
         std::set<std::string> requests;
         std::set<std::string> turns;
         for (std::size_t other = 0; other < fleet_.size(); ++other) {
@@ -180,7 +180,7 @@
             planner_.start(now_);
         }
         fleet_.machine(number).store.reset();
-        if (!outlives(number)) {
+        if (!data_survives_loss_of(number)) {
             return;
         }
         ++wipes_;
