--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -133,7 +133,7 @@
     }
 
     /// @return whether every group is complete, has no open change, and all its stores run
-    [[nodiscard]] bool whole() const {
+    [[nodiscard]] bool groups_are_complete() const {
         for (const turns::store_map& map : state_.stores().groups) {
             if (map.changing() ||
                 map.current.size() != planner_settings(losses_borne_).group_size()) {
@@ -184,7 +184,7 @@
             return;
         }
         ++wipes_;
-        wipes_in_change_ += whole() ? 0 : 1;
+        wipes_in_change_ += groups_are_complete() ? 0 : 1;
         fleet_.wipe_disk(number);
     }
 
@@ -194,7 +194,7 @@
             return;
         }
         const std::size_t number = random_.below(fleet_.size());
-        if (!whole() || fleet_.machine(number).taken_away || random_.chance(0.3)) {
+        if (!groups_are_complete() || fleet_.machine(number).taken_away || random_.chance(0.3)) {
             return;
         }
         fleet_.machine(number).store.reset();
@@ -208,7 +208,8 @@
 
     void retire_random_machine() {
         const std::size_t number = random_.below(fleet_.size());
-        if (retired_ == 0 && whole() && planner_.may_retire(state_, store_fleet::node_of(number))) {
+        if (retired_ == 0 && groups_are_complete() &&
+            planner_.may_retire(state_, store_fleet::node_of(number))) {
             state_.apply(
                 directory::retire_store{store_fleet::node_of(number),
                                         planner_.disks_of(state_, store_fleet::node_of(number))});
