--- a/tests/support/store_fleet.hpp
+++ b/tests/support/store_fleet.hpp
@@ -22,7 +22,7 @@
     std::vector<turns::turn_change> disk;
     turns::store_map kept;
     std::unique_ptr<turns::store_fsm> store;
-    bool taken_away = false;
+    bool removed = false;
 };
 
 class store_fleet {
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -194,7 +194,7 @@
             return;
         }
         const std::size_t number = random_.below(fleet_.size());
-        if (!groups_are_complete() || fleet_.machine(number).taken_away || random_.chance(0.3)) {
+        if (!groups_are_complete() || fleet_.machine(number).removed || random_.chance(0.3)) {
             return;
         }
         fleet_.machine(number).store.reset();
@@ -222,8 +222,8 @@
             store_machine& emptied = fleet_.machine(number);
             const bool done = state_.retired().contains(emptied.identity) &&
                               !state_.stores().contains(emptied.identity);
-            if (done && !emptied.taken_away) {
-                emptied.taken_away = true;
+            if (done && !emptied.removed) {
+                emptied.removed = true;
                 emptied.store.reset();
                 emptied.disk.clear();
                 ++retired_;
@@ -260,7 +260,7 @@
             fail_random_machine();
         } else if (choice < 98 && random_.chance(0.4)) {
             retire_random_machine();
-        } else if (!fleet_.machine(number).store && !fleet_.machine(number).taken_away) {
+        } else if (!fleet_.machine(number).store && !fleet_.machine(number).removed) {
             fleet_.start(number);
         }
     }
@@ -269,7 +269,7 @@
     void exchange() {
         now_ += std::chrono::milliseconds(20);
         for (std::size_t number = 0; number < fleet_.size(); ++number) {
-            if (fleet_.machine(number).taken_away) {
+            if (fleet_.machine(number).removed) {
                 continue;
             }
             if (!fleet_.machine(number).store) {
