--- a/tests/support/store_fleet.hpp
+++ b/tests/support/store_fleet.hpp
@@ -20,7 +20,7 @@
     turns::store_id identity = 0;
     /// Durable changes.
     std::vector<turns::turn_change> disk;
-    turns::store_map kept;
+    turns::store_map durable_map;
     std::unique_ptr<turns::store_fsm> store;
     bool removed = false;
 };
@@ -58,7 +58,7 @@
         store_machine& wiped = machines_[number];
         wiped.identity = ++last_identity_;
         wiped.disk.clear();
-        wiped.kept = {};
+        wiped.durable_map = {};
     }
 
     void start(std::size_t number) {
@@ -67,7 +67,7 @@
         for (const turns::turn_change& change : started.disk) {
             recovered.apply(change, now_);
         }
-        started.store = std::make_unique<turns::store_fsm>(started.identity, started.kept,
+        started.store = std::make_unique<turns::store_fsm>(started.identity, started.durable_map,
                                                            std::move(recovered));
     }
 
@@ -78,7 +78,7 @@
         }
         const turns::store_write write = writer.store->begin_write();
         if (write.map.has_value()) {
-            writer.kept = *write.map;
+            writer.durable_map = *write.map;
         }
         writer.disk.insert(writer.disk.end(), write.changes.begin(), write.changes.end());
         for (turns::addressed_reply& reply : writer.store->finish_write(true, now_)) {
