--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -47,7 +47,7 @@
     void run(int steps) {
         for (int step = 0; step < steps; ++step) {
             now_ += std::chrono::milliseconds(random_.between(1, 12));
-            act();
+            perform_random_action();
         }
         settle_down();
     }
@@ -231,7 +231,7 @@
         }
     }
 
-    void act() {
+    void perform_random_action() {
         const std::uint64_t choice = random_.below(100);
         const std::size_t number = random_.below(fleet_.size());
         if (choice < 42) {
