--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -66,7 +66,7 @@
                           [](const turns::store_map& map) { return map.changing(); }));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, open);
         for (int round = 0; round < 60; ++round) {
-            exchange();
+            synchronize_stores();
         }
         CPPUNIT_ASSERT_EQUAL(state_.stores().epoch, fleet_.machine(0).store->copied_epoch());
         lose_power();
@@ -266,7 +266,7 @@
     }
 
     /// Updates the group table of all stores, copies, and delivers all messages, without planning.
-    void exchange() {
+    void synchronize_stores() {
         now_ += std::chrono::milliseconds(20);
         for (std::size_t number = 0; number < fleet_.size(); ++number) {
             if (fleet_.machine(number).removed) {
@@ -290,7 +290,7 @@
         fleet_.lose_messages();
         forwarder_.stop();
         for (int round = 0; round < 400; ++round) {
-            exchange();
+            synchronize_stores();
             report_all();
             plan();
         }
