--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -49,7 +49,7 @@
             now_ += std::chrono::milliseconds(random_.between(1, 12));
             perform_random_action();
         }
-        settle_down();
+        run_until_settled();
     }
 
     /// Wipes a disk and lets its replacement copy all data; then, before the replacement has
@@ -72,7 +72,7 @@
         lose_power();
         fleet_.wipe_disk(2);
         planner_.start(now_);
-        settle_down();
+        run_until_settled();
     }
 
     /// @return whether the first turn of a new program is admitted
@@ -285,7 +285,7 @@
     }
 
     /// Stops the faults and runs until all pending changes and copies are complete.
-    void settle_down() {
+    void run_until_settled() {
         // Messages in flight must not compensate for data that the stores lost.
         fleet_.lose_messages();
         forwarder_.stop();
