--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -76,14 +76,14 @@
     }
 
     /// @return whether the first turn of a new program is admitted
-    bool serves_new_programs() { return continues({}, "new-program"); }
+    bool serves_new_programs() { return admits_continuation({}, "new-program"); }
 
     /// @return settled turns that can't be continued, by their own program or by another one
     std::vector<std::string> lost_turns() {
         std::vector<std::string> lost;
         for (const auto& [turn, program] : forwarder_.settled()) {
             for (const std::string& asker : {program, std::string("checker-" + turn)}) {
-                if (!continues(turn, asker)) {
+                if (!admits_continuation(turn, asker)) {
                     lost.push_back(turn);
                 }
             }
@@ -320,7 +320,7 @@
             find.operation, asked.identity, {}, table.holds_turn(find.request)};
     }
 
-    bool continues(const std::string& turn, const std::string& program) {
+    bool admits_continuation(const std::string& turn, const std::string& program) {
         turns::begin_parameters question;
         question.reservation = {program, "c-" + turn, 1, 60'000};
         question.previous = turn;
