--- a/tests/support/store_fleet.hpp
+++ b/tests/support/store_fleet.hpp
@@ -105,7 +105,7 @@
             });
     }
 
-    void copy_more(std::size_t number) {
+    void continue_copy(std::size_t number) {
         if (!machines_[number].store) {
             return;
         }
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -246,7 +246,7 @@
         } else if (choice < 74 && forwarder_.has_unfinished_settlements()) {
             forwarder_.resend_random_settlement();
         } else if (choice < 80) {
-            fleet_.copy_more(number);
+            fleet_.continue_copy(number);
         } else if (choice < 88) {
             report(number);
         } else if (choice < 92) {
@@ -276,7 +276,7 @@
                 fleet_.start(number);
             }
             fleet_.machine(number).store->learn_table(state_.stores());
-            fleet_.copy_more(number);
+            fleet_.continue_copy(number);
         }
         fleet_.deliver_all();
         for (std::size_t number = 0; number < fleet_.size(); ++number) {
