--- a/tests/support/replica_group.hpp
+++ b/tests/support/replica_group.hpp
@@ -48,7 +48,7 @@
         if (random_.chance(0.3)) {
             read(1 + random_.below(first_.members.size()));
         }
-        pump();
+        process_ready();
         deliver_some();
     }
 
@@ -85,7 +85,7 @@
             for (auto& [id, replica] : replicas_) {
                 replica.tick(now_);
             }
-            pump();
+            process_ready();
             while (!network_.empty()) {
                 deliver(0);
             }
@@ -104,7 +104,7 @@
         while (now_ < end) {
             now_ += std::chrono::milliseconds(10);
             replicas_.at(id).tick(now_);
-            pump();
+            process_ready();
         }
     }
 
@@ -135,7 +135,7 @@
         }
     }
 
-    void pump() {
+    void process_ready() {
         for (auto& [id, replica] : replicas_) {
             while (replica.has_ready()) {
                 consensus::ready work = replica.take_ready();
@@ -215,7 +215,7 @@
         const auto target = replicas_.find(message.to);
         if (target != replicas_.end()) {
             target->second.step(message, now_);
-            pump();
+            process_ready();
         }
     }
 
