--- a/tests/support/replica_group.hpp
+++ b/tests/support/replica_group.hpp
@@ -139,7 +139,7 @@
         for (auto& [id, replica] : replicas_) {
             while (replica.has_ready()) {
                 consensus::ready work = replica.take_ready();
-                note_leader(id, replica);
+                check_leader(id, replica);
                 consensus::group_write write;
                 write.state = work.new_state;
                 write.base = work.received_snapshot;
@@ -161,7 +161,7 @@
         }
     }
 
-    void note_leader(consensus::replica_id id, const consensus::replica_fsm& replica) {
+    void check_leader(consensus::replica_id id, const consensus::replica_fsm& replica) {
         if (replica.role() != consensus::replica_role::leader) {
             return;
         }
