--- a/tests/support/replica_group.hpp
+++ b/tests/support/replica_group.hpp
@@ -151,7 +151,7 @@
                     replica.persisted(work.new_entries.back().index, work.new_entries.back().term);
                 }
                 for (const consensus::log_entry& entry : work.committed) {
-                    note_committed(entry);
+                    check_committed(entry);
                 }
                 for (const std::uint64_t token : work.confirmed_reads) {
                     note_read(token, replica.commit_index());
@@ -171,7 +171,7 @@
         }
     }
 
-    void note_committed(const consensus::log_entry& entry) {
+    void check_committed(const consensus::log_entry& entry) {
         const auto [known, added] = committed_.try_emplace(entry.index, entry);
         if (!added && !(known->second == entry)) {
             violation_ =
