--- a/tests/support/replica_group.hpp
+++ b/tests/support/replica_group.hpp
@@ -154,7 +154,7 @@
                     check_committed(entry);
                 }
                 for (const std::uint64_t token : work.confirmed_reads) {
-                    note_read(token, replica.commit_index());
+                    check_confirmed_read(token, replica.commit_index());
                 }
                 failed_reads_ += work.failed_reads.size();
             }
@@ -180,7 +180,7 @@
     }
 
     /// Checks that a confirmed read covers every entry committed when it was requested.
-    void note_read(std::uint64_t token, consensus::log_index seen) {
+    void check_confirmed_read(std::uint64_t token, consensus::log_index seen) {
         ++confirmed_reads_;
         if (seen < reads_.at(token)) {
             violation_ = "a read was confirmed at index " + std::to_string(seen) +
