--- a/tests/support/replica_group.hpp
+++ b/tests/support/replica_group.hpp
@@ -18,12 +18,12 @@
   public:
     replica_group(std::size_t size, std::uint64_t seed) : random_(seed) {
         for (std::size_t number = 1; number <= size; ++number) {
-            first_.members[number] = {"node-" + std::to_string(number), false};
+            initial_membership_.members[number] = {"node-" + std::to_string(number), false};
         }
-        for (const auto& [id, member] : first_.members) {
+        for (const auto& [id, member] : initial_membership_.members) {
             consensus::recovered_state start;
             start.state.term = 1;
-            start.base = {1, 1, first_, {}};
+            start.base = {1, 1, initial_membership_, {}};
             consensus::group_write write;
             write.state = start.state;
             write.base = start.base;
@@ -46,7 +46,7 @@
             propose("v" + std::to_string(++proposals_));
         }
         if (random_.chance(0.3)) {
-            read(1 + random_.below(first_.members.size()));
+            read(1 + random_.below(initial_membership_.members.size()));
         }
         process_ready();
         deliver_some();
@@ -75,7 +75,7 @@
 
     /// Runs without faults. @return whether a replica committed as leader within `steps` steps
     bool settle(int steps = 2000) {
-        for (const auto& [id, member] : first_.members) {
+        for (const auto& [id, member] : initial_membership_.members) {
             if (!replicas_.contains(id)) {
                 start(id);
             }
@@ -127,7 +127,7 @@
 
   private:
     void crash_or_restart() {
-        const consensus::replica_id id = 1 + random_.below(first_.members.size());
+        const consensus::replica_id id = 1 + random_.below(initial_membership_.members.size());
         if (replicas_.contains(id)) {
             crash(id);
         } else {
@@ -221,7 +221,7 @@
 
     random_source random_;
     instant now_{std::chrono::seconds(1000)};
-    consensus::membership first_;
+    consensus::membership initial_membership_;
     std::map<consensus::replica_id, consensus::durable_group> disks_;
     std::map<consensus::replica_id, consensus::replica_fsm> replicas_;
     std::vector<consensus::replica_message> network_;
