--- a/tests/support/store_fleet.hpp
+++ b/tests/support/store_fleet.hpp
@@ -151,8 +151,8 @@
 
     /// Stops all stores at once; disks are kept.
     void lose_power() {
-        for (store_machine& dark : machines_) {
-            dark.store.reset();
+        for (store_machine& stopped : machines_) {
+            stopped.store.reset();
         }
     }
 
