--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -22,7 +22,7 @@
     """A replica: an engine that streams events, or an app service that sends plain answers."""
 
     #: Failure modes of a faulty back end, which affect a share of its answers.
-    SICKNESSES = ("cut", "lost", "slow", "surplus", "refuse", "error")
+    FAILURE_MODES = ("cut", "lost", "slow", "surplus", "refuse", "error")
 
     def __init__(self, history, clock, name, service, address, engine, seed):
         self.history = history
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -235,7 +235,7 @@
 
     async def backend_sick(self):
         async def work(backend):
-            backend.sickness = self.random.choice(backend.SICKNESSES)
+            backend.sickness = self.random.choice(backend.FAILURE_MODES)
             await self.pause_between(1.0, 5.0)
             backend.sickness = ""
         await self.on_backend("backend_sick", work)
