--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -33,7 +33,7 @@
         self.random = random.Random(seed)
         self.incarnation = 0
         self.name = name
-        self.sickness = ""
+        self.failure_mode = ""
         self.state = "ready"
         self.server = None
         self.connections = set()
@@ -78,7 +78,7 @@
                                                   ("Content-Length", "0")]))
             await writer.drain()
             return True
-        sick = self.sickness if self.random.random() < 0.3 else ""
+        sick = self.failure_mode if self.random.random() < 0.3 else ""
         if sick == "refuse":
             writer.write(self._head(503, named + [("X-Not-Executed", "1"),
                                                   ("Content-Length", "0")]))
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -235,9 +235,9 @@
 
     async def backend_sick(self):
         async def work(backend):
-            backend.sickness = self.random.choice(backend.FAILURE_MODES)
+            backend.failure_mode = self.random.choice(backend.FAILURE_MODES)
             await self.pause_between(1.0, 5.0)
-            backend.sickness = ""
+            backend.failure_mode = ""
         await self.on_backend("backend_sick", work)
 
     async def backend_leave(self):
