--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -78,8 +78,8 @@
                                                   ("Content-Length", "0")]))
             await writer.drain()
             return True
-        sick = self.failure_mode if self.random.random() < 0.3 else ""
-        if sick == "refuse":
+        failure = self.failure_mode if self.random.random() < 0.3 else ""
+        if failure == "refuse":
             writer.write(self._head(503, named + [("X-Not-Executed", "1"),
                                                   ("Content-Length", "0")]))
             await writer.drain()
@@ -87,29 +87,29 @@
         run = Run(request, instance, self.service, method, target, body, at=self.clock(),
                   tenant=headers.get("x-tenant-id", ""), key=headers.get("x-credential", ""))
         self.history.runs.append(run)
-        await asyncio.sleep(self.random.uniform(0.005, 0.04) + (0.8 if sick == "slow" else 0))
-        if sick == "lost":
+        await asyncio.sleep(self.random.uniform(0.005, 0.04) + (0.8 if failure == "slow" else 0))
+        if failure == "lost":
             return False
-        run.status = 500 if sick == "error" else 200
+        run.status = 500 if failure == "error" else 200
         named.append(("X-Response-Signature", f"{instance}.{request}"))
         if self.engine and run.status == 200:
-            return await self._stream(run, named, sick, writer)
+            return await self._stream(run, named, failure, writer)
         run.pieces = [f"{instance}:{request}:" + "p" * self.random.randrange(800)]
         payload = run.pieces[0].encode()
-        sent = payload[:len(payload) // 2] if sick == "cut" else payload
+        sent = payload[:len(payload) // 2] if failure == "cut" else payload
         run.whole = sent == payload
         writer.write(self._head(run.status, named + [("Content-Length", str(len(payload)))]) + sent)
-        if sick == "surplus":
+        if failure == "surplus":
             writer.write(self._head(200, named + [("Content-Length", "5")]) + b"extra")
         await writer.drain()
         return run.whole
 
-    async def _stream(self, run, named, sick, writer):
+    async def _stream(self, run, named, failure, writer):
         writer.write(self._head(200, named + [("Content-Type", "text/event-stream"),
                                               ("Transfer-Encoding", "chunked")]))
         count = self.random.randint(2, 8)
         for number in range(1, count + 1):
-            if sick == "cut" and number == count:
+            if failure == "cut" and number == count:
                 return False
             piece = f"{run.request[:6]}-{number}-{self.random.randrange(1000)}"
             event = f"id: {number}\ndata: {piece}\n\n".encode()
