--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -72,15 +72,15 @@
     async def _answer(self, method, target, headers, body, writer):
         request = headers.get("x-request-id", "")
         instance = self.instance
-        named = [("X-Request-Id", request), ("Keep-Alive", "timeout=5")]
+        common_headers = [("X-Request-Id", request), ("Keep-Alive", "timeout=5")]
         if headers.get("x-expected-instance", instance) != instance:
-            writer.write(self._head(421, named + [("X-Not-Executed", "1"),
+            writer.write(self._head(421, common_headers + [("X-Not-Executed", "1"),
                                                   ("Content-Length", "0")]))
             await writer.drain()
             return True
         failure = self.failure_mode if self.random.random() < 0.3 else ""
         if failure == "refuse":
-            writer.write(self._head(503, named + [("X-Not-Executed", "1"),
+            writer.write(self._head(503, common_headers + [("X-Not-Executed", "1"),
                                                   ("Content-Length", "0")]))
             await writer.drain()
             return True
@@ -91,21 +91,21 @@
         if failure == "lost":
             return False
         run.status = 500 if failure == "error" else 200
-        named.append(("X-Response-Signature", f"{instance}.{request}"))
+        common_headers.append(("X-Response-Signature", f"{instance}.{request}"))
         if self.engine and run.status == 200:
-            return await self._stream(run, named, failure, writer)
+            return await self._stream(run, common_headers, failure, writer)
         run.pieces = [f"{instance}:{request}:" + "p" * self.random.randrange(800)]
         payload = run.pieces[0].encode()
         sent = payload[:len(payload) // 2] if failure == "cut" else payload
         run.whole = sent == payload
-        writer.write(self._head(run.status, named + [("Content-Length", str(len(payload)))]) + sent)
+        writer.write(self._head(run.status, common_headers + [("Content-Length", str(len(payload)))]) + sent)
         if failure == "surplus":
-            writer.write(self._head(200, named + [("Content-Length", "5")]) + b"extra")
+            writer.write(self._head(200, common_headers + [("Content-Length", "5")]) + b"extra")
         await writer.drain()
         return run.whole
 
-    async def _stream(self, run, named, failure, writer):
-        writer.write(self._head(200, named + [("Content-Type", "text/event-stream"),
+    async def _stream(self, run, common_headers, failure, writer):
+        writer.write(self._head(200, common_headers + [("Content-Type", "text/event-stream"),
                                               ("Transfer-Encoding", "chunked")]))
         count = self.random.randint(2, 8)
         for number in range(1, count + 1):
