--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -131,7 +131,7 @@
     def __init__(self, backends, address):
         self.backends = backends
         self.address = address
-        self.told = []
+        self.published = []
 
     def look(self):
         return [{"Id": backend.instance, "Service": backend.service,
@@ -140,7 +140,7 @@
                 for backend in self.backends if backend.state != "gone"]
 
     async def start(self):
-        self.told = self.look()
+        self.published = self.look()
         await asyncio.start_server(self._serve, *self.address)
         asyncio.ensure_future(self._lag())
 
@@ -148,13 +148,13 @@
         while True:
             seen = self.look()
             await asyncio.sleep(self.LAG)
-            self.told = seen
+            self.published = seen
 
     async def _serve(self, reader, writer):
         try:
             while True:
                 await read_request(reader)
-                body = json.dumps({"Instances": self.told, "NextPageToken": None}).encode()
+                body = json.dumps({"Instances": self.published, "NextPageToken": None}).encode()
                 writer.write(Backend._head(200, [("Content-Type", "application/json"),
                                                  ("Content-Length", str(len(body)))]) + body)
                 await writer.drain()
