--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -133,20 +133,20 @@
         self.address = address
         self.published = []
 
-    def look(self):
+    def current_members(self):
         return [{"Id": backend.instance, "Service": backend.service,
                  "Address": f"{backend.address[0]}:{backend.address[1]}", "Zone": "zone-a",
                  "Slots": 12, "State": backend.state, "ColdRemainingMs": 0}
                 for backend in self.backends if backend.state != "gone"]
 
     async def start(self):
-        self.published = self.look()
+        self.published = self.current_members()
         await asyncio.start_server(self._serve, *self.address)
         asyncio.ensure_future(self._lag())
 
     async def _lag(self):
         while True:
-            seen = self.look()
+            seen = self.current_members()
             await asyncio.sleep(self.LAG)
             self.published = seen
 
