--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -142,9 +142,9 @@
     async def start(self):
         self.published = self.current_members()
         await asyncio.start_server(self._serve, *self.address)
-        asyncio.ensure_future(self._lag())
+        asyncio.ensure_future(self._publish_delayed())
 
-    async def _lag(self):
+    async def _publish_delayed(self):
         while True:
             seen = self.current_members()
             await asyncio.sleep(self.LAG)
