--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -126,7 +126,7 @@
 class BackendList:
     """The platform's list of replicas, which is updated with a delay of LAG seconds."""
 
-    LAG = 0.5
+    UPDATE_DELAY = 0.5
 
     def __init__(self, backends, address):
         self.backends = backends
@@ -147,7 +147,7 @@
     async def _publish_delayed(self):
         while True:
             seen = self.current_members()
-            await asyncio.sleep(self.LAG)
+            await asyncio.sleep(self.UPDATE_DELAY)
             self.published = seen
 
     async def _serve(self, reader, writer):
