--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -19,7 +19,7 @@
 #: Maximum number of attempts to continue a turn at the end, and their time limit in seconds.
 #: Requests with an invalid key or over the tenant's limit, which stays exhausted for QUOTA_WINDOW,
 #: don't count.
-CONTINUATION_ATTEMPTS, GO_ON_SECONDS = 12, 60.0
+CONTINUATION_ATTEMPTS, CONTINUATION_SECONDS = 12, 60.0
 #: Number of consecutive calls to a newly added route.
 PROBES = 6
 #: Number of unused routes that some changes add, and their maximum in a configuration.
@@ -212,7 +212,7 @@
         status = 0
         tries = 0
         began = self.clock()
-        while tries < CONTINUATION_ATTEMPTS and self.clock() - began < GO_ON_SECONDS:
+        while tries < CONTINUATION_ATTEMPTS and self.clock() - began < CONTINUATION_SECONDS:
             attempt = await self.send_turn(self.turn(self.draw_id(), line, 0))
             if not attempt.tenant:
                 # The request had an invalid key, so its status says nothing about the turn.
