--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -207,7 +207,7 @@
         while not self.stopping:
             await self.run_program()
 
-    async def go_on_from(self, line):
+    async def continue_conversation(self, line):
         """Retries a turn that continues `line` until it is answered. Returns the last status."""
         status = 0
         tries = 0
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -121,7 +121,7 @@
     async def go_on(caller):
         for other, line in sample:
             if other is caller:
-                history.continued.append((line[0], await caller.go_on_from(line)))
+                history.continued.append((line[0], await caller.continue_conversation(line)))
 
     await asyncio.gather(*(go_on(caller) for caller in callers))
     history.disks_in_series = options.disks_in_series
