--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -118,12 +118,12 @@
     lines = [(caller, line) for caller in callers for line in caller.lines]
     sample = draw.sample(lines, min(CONTINUED, len(lines)))
 
-    async def go_on(caller):
+    async def continue_sample(caller):
         for other, line in sample:
             if other is caller:
                 history.continued.append((line[0], await caller.continue_conversation(line)))
 
-    await asyncio.gather(*(go_on(caller) for caller in callers))
+    await asyncio.gather(*(continue_sample(caller) for caller in callers))
     history.disks_in_series = options.disks_in_series
     for _ in range(10):
         history.read_back = await operator.read()
