--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -62,7 +62,7 @@
         self.tenant = tenant
         self.keys = keys
         #: Callers of other tenants, whose turns this one must not be able to continue.
-        self.strangers = []
+        self.other_tenant_callers = []
         self.stopping = False
         #: Completely answered turns to continue: (request, body of the whole conversation).
         self.lines = []
@@ -162,7 +162,7 @@
         line = None
         if self.lines and self.random.random() < 0.15:
             line = self.random.choice(self.lines)
-        stranger = self.random.choice(self.strangers) if self.strangers else None
+        stranger = self.random.choice(self.other_tenant_callers) if self.other_tenant_callers else None
         if stranger is not None and stranger.lines and self.random.random() < 0.05:
             attempt = self.turn(program, self.random.choice(stranger.lines), budget)
             attempt.foreign = True
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -89,7 +89,7 @@
     operator.probers = [Caller(history, clock, forwarders, f"prober-{number}", "open", keys,
                                operator.added) for number in range(PROBERS)]
     for caller in callers:
-        caller.strangers = [other for other in callers if other.tenant != caller.tenant]
+        caller.other_tenant_callers = [other for other in callers if other.tenant != caller.tenant]
     faults = Faults(cluster, backends, clock, draw.random())
     faults.pauses = (options.fault_gap / 8, options.fault_gap)
     faults.disks_in_series = options.disks_in_series
