--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -162,9 +162,9 @@
         line = None
         if self.lines and self.random.random() < 0.15:
             line = self.random.choice(self.lines)
-        stranger = self.random.choice(self.other_tenant_callers) if self.other_tenant_callers else None
-        if stranger is not None and stranger.lines and self.random.random() < 0.05:
-            attempt = self.turn(program, self.random.choice(stranger.lines), budget)
+        other_caller = self.random.choice(self.other_tenant_callers) if self.other_tenant_callers else None
+        if other_caller is not None and other_caller.lines and self.random.random() < 0.05:
+            attempt = self.turn(program, self.random.choice(other_caller.lines), budget)
             attempt.foreign = True
             await self.send_turn(attempt)
         for _ in range(self.random.randint(1, 6)):
