--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -13,7 +13,7 @@
 RETENTION_SECONDS = 600.0
 #: Time between the acknowledgement of a change and the callers' use of a route it added, in seconds:
 #: a node may still use a confirmation that it requested shortly before.
-ADDED_SETTLES = 0.1
+ADDED_ROUTE_DELAY = 0.1
 #: Time after its acknowledgement by which a change must be in force at every node, in seconds.
 IN_FORCE_SECONDS = 2.0
 #: Maximum number of attempts to continue a turn at the end, and their time limit in seconds.
@@ -175,7 +175,7 @@
             await asyncio.gather(*(self.call_tool() for _ in range(self.random.randint(0, 2))))
 
     def draw_tool(self):
-        settled = [path for path, at in self.added.items() if self.clock() - at >= ADDED_SETTLES]
+        settled = [path for path, at in self.added.items() if self.clock() - at >= ADDED_ROUTE_DELAY]
         if settled and self.random_of_added.random() < 0.3:
             # The newest routes are those that a node is most likely to lack.
             return "repeatable", self.random_of_added.choice(settled[-3:]) + "x"
@@ -188,7 +188,7 @@
     async def probe_added(self, path):
         """Calls a newly added route while some nodes may not have applied the change yet."""
         for _ in range(PROBES):
-            await asyncio.sleep(ADDED_SETTLES)
+            await asyncio.sleep(ADDED_ROUTE_DELAY)
             await self.exchange(
                 Attempt(self.draw_id(), "repeatable", "POST", path + "x", b"tool", self.clock()),
                 1.0)
