--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -23,7 +23,7 @@
 #: Number of consecutive calls to a newly added route.
 PROBES = 6
 #: Number of unused routes that some changes add, and their maximum in a configuration.
-FILLING_ROUTES, MAX_UNUSED_ROUTES = 1000, 4000
+UNUSED_ROUTES, MAX_UNUSED_ROUTES = 1000, 4000
 
 
 def own_path(version):
@@ -257,7 +257,7 @@
     def draw_filling(self):
         """Occasionally adds many unused routes to the next configuration, or removes all of them."""
         if self.random_of_filling.random() < 0.2:
-            self.filling = (self.filling + FILLING_ROUTES) % (MAX_UNUSED_ROUTES + FILLING_ROUTES)
+            self.filling = (self.filling + UNUSED_ROUTES) % (MAX_UNUSED_ROUTES + UNUSED_ROUTES)
 
     def configuration(self):
         def route(name, path, kind, service, attempts):
