--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -254,7 +254,7 @@
         self.own_route_of = None
         self.stopping = False
 
-    def draw_filling(self):
+    def draw_unused_routes(self):
         """Occasionally adds many unused routes to the next configuration, or removes all of them."""
         if self.random_of_filling.random() < 0.2:
             self.filling = (self.filling + UNUSED_ROUTES) % (MAX_UNUSED_ROUTES + UNUSED_ROUTES)
@@ -319,7 +319,7 @@
 
     async def change(self):
         """Sends a new configuration, retrying until it is acknowledged."""
-        self.draw_filling()
+        self.draw_unused_routes()
         body = json.dumps(self.configuration()).encode()
         while True:
             status, _ = await self.call("POST", "/v1/config/replace", body)
