--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -239,7 +239,7 @@
         self.nodes = nodes
         self.keys = keys
         self.random = random.Random(seed)
-        self.random_of_filling = random.Random(f"filling-{seed}")
+        self.unused_routes_random = random.Random(f"filling-{seed}")
         self.version = 1
         #: Acknowledged versions; every later configuration keeps the routes that they added.
         self.kept = []
@@ -256,7 +256,7 @@
 
     def draw_unused_routes(self):
         """Occasionally adds many unused routes to the next configuration, or removes all of them."""
-        if self.random_of_filling.random() < 0.2:
+        if self.unused_routes_random.random() < 0.2:
             self.filling = (self.filling + UNUSED_ROUTES) % (MAX_UNUSED_ROUTES + UNUSED_ROUTES)
 
     def configuration(self):
