--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -243,7 +243,7 @@
         self.version = 1
         #: Acknowledged versions; every later configuration keeps the routes that they added.
         self.kept = []
-        self.filling = 0
+        self.unused_routes = 0
         #: Times of acknowledgement by path of those routes.
         self.added = {}
         #: Callers of an unlimited tenant that call each route as soon as it is added.
@@ -257,7 +257,7 @@
     def draw_unused_routes(self):
         """Occasionally adds many unused routes to the next configuration, or removes all of them."""
         if self.unused_routes_random.random() < 0.2:
-            self.filling = (self.filling + UNUSED_ROUTES) % (MAX_UNUSED_ROUTES + UNUSED_ROUTES)
+            self.unused_routes = (self.unused_routes + UNUSED_ROUTES) % (MAX_UNUSED_ROUTES + UNUSED_ROUTES)
 
     def configuration(self):
         def route(name, path, kind, service, attempts):
@@ -272,7 +272,7 @@
         if self.in_force_prober is not None:
             spare.append(route("own", own_path(self.version), "idempotent", "apps", 3))
         spare += [route(f"filling-{number}", f"/filling/{number}/", "idempotent", "apps", 1)
-                  for number in range(self.filling)]
+                  for number in range(self.unused_routes)]
         routes = [route("turns", "/turns/", "streaming", "engines", 1),
                   route("look", "/look/", "idempotent", "apps", 3),
                   route("claim", "/claim/", "non_idempotent", "apps", 1)]
