--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -58,7 +58,7 @@
         self.added = added
         self.random = random.Random(seed)
         #: Separate generator, so that draws of added routes don't alter the other draws of a seed.
-        self.random_of_added = random.Random(f"added-{seed}")
+        self.added_routes_random = random.Random(f"added-{seed}")
         self.tenant = tenant
         self.keys = keys
         #: Callers of other tenants, whose turns this one must not be able to continue.
@@ -176,9 +176,9 @@
 
     def draw_tool(self):
         settled = [path for path, at in self.added.items() if self.clock() - at >= ADDED_ROUTE_DELAY]
-        if settled and self.random_of_added.random() < 0.3:
+        if settled and self.added_routes_random.random() < 0.3:
             # The newest routes are those that a node is most likely to lack.
-            return "repeatable", self.random_of_added.choice(settled[-3:]) + "x"
+            return "repeatable", self.added_routes_random.choice(settled[-3:]) + "x"
         return ("repeatable", "/look/x") if self.random.random() < 0.5 else ("once", "/claim/x")
 
     async def call_tool(self):
