--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -9,7 +9,7 @@
 from .http_text import read_body, read_message_head
 
 HOST = "soak.example"
-MOST_TOKENS = 8 * TOKENS_PER_EVENT
+MAX_TOKENS = 8 * TOKENS_PER_EVENT
 RETENTION_SECONDS = 600.0
 #: Time between the acknowledgement of a change and the callers' use of a route it added, in seconds:
 #: a node may still use a confirmation that it requested shortly before.
@@ -129,12 +129,12 @@
         body = f"[{self.draw_id()[:self.random.randint(4, 16)]}]".encode()
         return Attempt(self.draw_id(), "turn", "POST", "/turns/x", body, self.clock(),
                        program=program, previous=previous, budget=budget,
-                       most_tokens=MOST_TOKENS, tokens_per_event=TOKENS_PER_EVENT,
+                       most_tokens=MAX_TOKENS, tokens_per_event=TOKENS_PER_EVENT,
                        expected_body=before + body)
 
     async def send_turn(self, attempt):
         fields = [f"X-Program-Id: {attempt.program}", f"X-Session-Id: {attempt.program}",
-                  f"X-Token-Usage: {len(attempt.expected_body) // 2},{MOST_TOKENS}",
+                  f"X-Token-Usage: {len(attempt.expected_body) // 2},{MAX_TOKENS}",
                   f"X-Prefix-Hash: aa:10,{attempt.program[:8]}:{len(attempt.expected_body) // 2}"]
         if attempt.previous:
             fields.append(f"X-Previous-Turn: {attempt.previous}")
@@ -158,7 +158,7 @@
 
     async def run_program(self):
         program = self.draw_id()
-        budget = self.random.choice([0, 2 * MOST_TOKENS, 20 * MOST_TOKENS])
+        budget = self.random.choice([0, 2 * MAX_TOKENS, 20 * MAX_TOKENS])
         line = None
         if self.lines and self.random.random() < 0.15:
             line = self.random.choice(self.lines)
