--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -129,7 +129,7 @@
         body = f"[{self.draw_id()[:self.random.randint(4, 16)]}]".encode()
         return Attempt(self.draw_id(), "turn", "POST", "/turns/x", body, self.clock(),
                        program=program, previous=previous, budget=budget,
-                       most_tokens=MAX_TOKENS, tokens_per_event=TOKENS_PER_EVENT,
+                       max_tokens=MAX_TOKENS, tokens_per_event=TOKENS_PER_EVENT,
                        expected_body=before + body)
 
     async def send_turn(self, attempt):
--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -115,7 +115,7 @@
         if attempt.kind != "turn" or attempt.budget == 0:
             continue
         tokens[attempt.program] += len(attempt.pieces) * attempt.tokens_per_event
-        bound[attempt.program] = attempt.budget + attempt.most_tokens
+        bound[attempt.program] = attempt.budget + attempt.max_tokens
     return len(bound), [f"program {program} got {tokens[program]} tokens, bound {bound[program]}"
                         for program in bound if tokens[program] > bound[program]]
 
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -117,7 +117,7 @@
                                          attempts=[attempt(whole=False), later]))
 
     def test_an_overdrawn_budget_is_found(self):
-        turns = [attempt(str(number), program="p", budget=10, most_tokens=5, tokens_per_event=3,
+        turns = [attempt(str(number), program="p", budget=10, max_tokens=5, tokens_per_event=3,
                          pieces=["x", "y"]) for number in range(3)]
         self.assertTrue(self.violations(checks.budgets_hold, attempts=turns))
         self.assertFalse(self.violations(checks.budgets_hold, attempts=turns[:2]))
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -53,7 +53,7 @@
     program: str = ""
     previous: str = ""
     budget: int = 0
-    most_tokens: int = 0
+    max_tokens: int = 0
     tokens_per_event: int = 1
     #: Body that a back end must receive: the previous turns, then the new input.
     expected_body: bytes | None = None
