--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -65,7 +65,7 @@
         self.other_tenant_callers = []
         self.stopping = False
         #: Completely answered turns to continue: (request, body of the whole conversation).
-        self.lines = []
+        self.conversations = []
 
     def draw_id(self):
         return f"{self.random.getrandbits(64):016x}"
@@ -160,18 +160,18 @@
         program = self.draw_id()
         budget = self.random.choice([0, 2 * MAX_TOKENS, 20 * MAX_TOKENS])
         line = None
-        if self.lines and self.random.random() < 0.15:
-            line = self.random.choice(self.lines)
+        if self.conversations and self.random.random() < 0.15:
+            line = self.random.choice(self.conversations)
         other_caller = self.random.choice(self.other_tenant_callers) if self.other_tenant_callers else None
-        if other_caller is not None and other_caller.lines and self.random.random() < 0.05:
-            attempt = self.turn(program, self.random.choice(other_caller.lines), budget)
+        if other_caller is not None and other_caller.conversations and self.random.random() < 0.05:
+            attempt = self.turn(program, self.random.choice(other_caller.conversations), budget)
             attempt.foreign = True
             await self.send_turn(attempt)
         for _ in range(self.random.randint(1, 6)):
             line = await self.run_turn(program, line, budget)
             if line is None or self.stopping:
                 break
-            self.lines.append(line)
+            self.conversations.append(line)
             await asyncio.gather(*(self.call_tool() for _ in range(self.random.randint(0, 2))))
 
     def draw_tool(self):
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -115,7 +115,7 @@
     history.unended = len(unended)
     for task in unended:
         task.cancel()
-    lines = [(caller, line) for caller in callers for line in caller.lines]
+    lines = [(caller, line) for caller in callers for line in caller.conversations]
     sample = draw.sample(lines, min(CONTINUED, len(lines)))
 
     async def continue_sample(caller):
