--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -242,7 +242,7 @@
         self.unused_routes_random = random.Random(f"filling-{seed}")
         self.version = 1
         #: Acknowledged versions; every later configuration keeps the routes that they added.
-        self.kept = []
+        self.added_versions = []
         self.unused_routes = 0
         #: Times of acknowledgement by path of those routes.
         self.added = {}
@@ -268,7 +268,7 @@
         spare = [route(f"spare-{number}", f"/spare/{number}/", "idempotent", "apps", 1)
                  for number in range(self.version % 5)]
         spare += [route(f"added-{version}", f"/added/{version}/", "idempotent", "apps", 3)
-                  for version in (*self.kept, self.version)]
+                  for version in (*self.added_versions, self.version)]
         if self.in_force_prober is not None:
             spare.append(route("own", own_path(self.version), "idempotent", "apps", 3))
         spare += [route(f"filling-{number}", f"/filling/{number}/", "idempotent", "apps", 1)
@@ -326,7 +326,7 @@
             if status == 200:
                 self.history.changes.append(ConfigurationChange(self.version, self.clock()))
                 self.added[f"/added/{self.version}/"] = self.clock()
-                self.kept.append(self.version)
+                self.added_versions.append(self.version)
                 for prober in self.probers:
                     asyncio.ensure_future(prober.probe_added(f"/added/{self.version}/"))
                 if self.in_force_prober is not None:
