--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -251,7 +251,7 @@
         #: Caller that checks added and dropped routes once a change must be in force; may be None.
         self.in_force_prober = None
         #: Version whose own route the next change drops; None before the first change.
-        self.own_route_of = None
+        self.own_route_version = None
         self.stopping = False
 
     def draw_unused_routes(self):
@@ -287,8 +287,8 @@
 
     def probe_in_force(self):
         """Schedules the check that the change just acknowledged is in force at every forwarder."""
-        dropped = own_path(self.own_route_of) if self.own_route_of is not None else None
-        self.own_route_of = self.version
+        dropped = own_path(self.own_route_version) if self.own_route_version is not None else None
+        self.own_route_version = self.version
         asyncio.ensure_future(self.in_force_prober.probe_in_force(
             self.version, f"/added/{self.version}/", dropped))
 
