--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -79,20 +79,20 @@
         key = self.keys.current(self.tenant) if attempt.tenant else self.keys.forged()
         return [f"X-Credential: {key}", "X-Tenant-Id: open", "X-Hold: forged"]
 
-    async def exchange(self, attempt, patience, fields=(), forwarder=None):
+    async def exchange(self, attempt, timeout_seconds, fields=(), forwarder=None):
         """Sends one request on a new connection and records the answer in `attempt`."""
         self.history.attempts.append(attempt)
         identity = self.identify(attempt)
         writer = None
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_seconds):
                 address = forwarder or self.random.choice(self.forwarders)
                 attempt.forwarder = address[0]
                 attempt.by_earlier_build = address[0] in self.history.earlier_forwarders
                 reader, writer = await asyncio.open_connection(*address)
                 head = [f"{attempt.method} {attempt.target} HTTP/1.1", f"Host: {HOST}",
                         f"X-Request-Id: {attempt.request}",
-                        f"X-Deadline-Ms: {int(patience * 1000)}", *identity,
+                        f"X-Deadline-Ms: {int(timeout_seconds * 1000)}", *identity,
                         f"Content-Length: {len(attempt.body)}", *fields, "", ""]
                 writer.write("\r\n".join(head).encode() + attempt.body)
                 attempt.status, headers = await read_head(reader)
