--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -331,7 +331,7 @@
                     asyncio.ensure_future(prober.probe_added(f"/added/{self.version}/"))
                 if self.in_force_prober is not None:
                     self.probe_in_force()
-                self.keys.took()
+                self.keys.on_acknowledged()
                 self.version += self.random.randint(1, 3)
                 return
             await asyncio.sleep(0.2)
--- a/tests/platform/soak/tenants.py
+++ b/tests/platform/soak/tenants.py
@@ -37,7 +37,7 @@
                  "Priority": 0, "RatePerS": rate, "Burst": burst}
                 for name, (rate, burst) in TENANTS.items()]
 
-    def took(self):
+    def on_acknowledged(self):
         """Records that the latest configuration was acknowledged."""
         self.acknowledged.setdefault(self.generation, self.clock())
 
@@ -60,7 +60,7 @@
     def configuration():
         return None
 
-    def took(self):
+    def on_acknowledged(self):
         pass
 
 
