--- a/tests/platform/soak/tenants.py
+++ b/tests/platform/soak/tenants.py
@@ -7,7 +7,7 @@
 #: Written to the programs' settings: window in seconds, relative overshoot, and slack in requests.
 QUOTA_WINDOW, QUOTA_OVERSHOOT, QUOTA_SLACK = 5.0, 0.1, 20
 #: Time between the acknowledgement of a version and the callers' use of its keys, in seconds.
-KEY_SETTLES = 2.0
+KEY_USE_DELAY = 2.0
 #: Minimum time between the acknowledgement of a key generation and the next one, in seconds.
 GENERATION_GAP = 4.0
 
@@ -21,7 +21,7 @@
         self.clock = clock
         self.random = random.Random(seed)
         self.generation = 1
-        self.acknowledged = {0: -KEY_SETTLES}
+        self.acknowledged = {0: -KEY_USE_DELAY}
 
     @staticmethod
     def key(tenant, generation):
@@ -43,7 +43,7 @@
 
     def current(self, tenant):
         settled = [number for number, at in self.acknowledged.items()
-                   if self.clock() - at >= KEY_SETTLES]
+                   if self.clock() - at >= KEY_USE_DELAY]
         return self.key(tenant, max(settled))
 
     def forged(self):
