--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -5,7 +5,7 @@
 from .tenants import QUOTA_WINDOW, TENANTS, limit_of
 
 #: Statuses that guarantee that the request has not run and won't run.
-PROMISES = {402, 408, 421, 429, 503}
+NOT_RUN_STATUSES = {402, 408, 421, 429, 503}
 #: Time after an acknowledgement from which reads must return at least that version, in seconds.
 CONFIGURATION_BOUND = 2.0
 
@@ -36,7 +36,7 @@
 def refused_never_ran(history):
     """A request that was refused as not run has not run."""
     runs = runs_by_request(history)
-    refused = [attempt for attempt in history.attempts if attempt.status in PROMISES]
+    refused = [attempt for attempt in history.attempts if attempt.status in NOT_RUN_STATUSES]
     return len(refused), [f"{attempt.request} got {attempt.status} and ran"
                           for attempt in refused if runs[attempt.request]]
 
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -73,7 +73,7 @@
                                          attempts=[attempt(kind="repeatable")]))
 
     def test_a_refusal_that_ran_is_found(self):
-        for status in checks.PROMISES:
+        for status in checks.NOT_RUN_STATUSES:
             self.assertTrue(self.violations(checks.refused_never_ran, runs=[run()],
                                             attempts=[attempt(status=status)]))
 
