--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -252,7 +252,7 @@
     return 1, [f"{history.unended} callers or operators never ended"] if history.unended else []
 
 
-def was_calm(history, begin, end, processes):
+def had_no_fault(history, begin, end, processes):
     """True when no fault affected any of the processes between `begin` and `end`."""
     return not any(strike.process in processes and strike.began <= end and strike.ended >= begin
                    for strike in history.strikes)
@@ -261,7 +261,7 @@
 def in_touch(history, attempt):
     """True when forwarder and directory had no fault from CONTACT_SECONDS before the call."""
     processes = [history.forwarder_at.get(attempt.forwarder), *history.directory]
-    return was_calm(history, attempt.sent - CONTACT_SECONDS, attempt.ended, processes)
+    return had_no_fault(history, attempt.sent - CONTACT_SECONDS, attempt.ended, processes)
 
 
 def changes_are_in_force(history):
@@ -290,7 +290,7 @@
                      if attempt.kind == kind and begin <= attempt.sent <= end
                      and not attempt.target.startswith("/own/")
                      and attempt.status not in (402, 429)
-                     and was_calm(history, attempt.sent, attempt.ended,
+                     and had_no_fault(history, attempt.sent, attempt.ended,
                                   [history.forwarder_at.get(attempt.forwarder)])]
             served = sum(attempt.status == 200 and attempt.whole for attempt in asked)
             checked += len(asked)
