--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -212,7 +212,7 @@
     calls = [attempt for attempt in history.attempts if attempt.target.startswith("/added/")
              and (not attempt.by_earlier_build
                   or (attempt.sent > acknowledged[attempt.target] + CONFIGURATION_BOUND
-                      and in_touch(history, attempt)))]
+                      and had_contact(history, attempt)))]
     return len(calls), [f"{attempt.request} to {attempt.target} got 404 at {attempt.sent:.2f}"
                         for attempt in calls if attempt.status == 404]
 
@@ -258,7 +258,7 @@
                    for strike in history.strikes)
 
 
-def in_touch(history, attempt):
+def had_contact(history, attempt):
     """True when forwarder and directory had no fault from CONTACT_SECONDS before the call."""
     processes = [history.forwarder_at.get(attempt.forwarder), *history.directory]
     return had_no_fault(history, attempt.sent - CONTACT_SECONDS, attempt.ended, processes)
@@ -267,7 +267,7 @@
 def changes_are_in_force(history):
     """Once a change must be in force, its dropped routes aren't served and its added routes are."""
     runs = runs_by_request(history)
-    probes = [probe for probe in history.route_probes if in_touch(history, probe.attempt)]
+    probes = [probe for probe in history.route_probes if had_contact(history, probe.attempt)]
     dropped = [probe for probe in probes if probe.dropped]
     added = [probe.attempt for probe in probes if not probe.dropped]
     wrong = [f"{probe.attempt.request} at {probe.attempt.sent:.2f} through "
