--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -96,15 +96,15 @@
     for attempt in history.attempts:
         if attempt.kind == "turn" and attempt.status == 200 and attempt.whole:
             answered[attempt.request] = attempt.ended
-    going_on = [attempt for attempt in history.attempts
+    continuing = [attempt for attempt in history.attempts
                 if attempt.previous and not attempt.foreign and answered.get(attempt.previous, attempt.sent) < attempt.sent]
     wrong = [f"{attempt.request} got {attempt.status}: previous turn {attempt.previous} was lost"
-             for attempt in going_on if attempt.status in (404, 410)]
+             for attempt in continuing if attempt.status in (404, 410)]
     # A turn whose last disk was lost gets 503 (undecided), never 404 or 410.
     allowed = (200, 503) if history.disks_in_series else (200,)
     wrong += [f"{turn} cannot be continued after all faults: {status}"
               for turn, status in history.continued if status not in allowed]
-    return len(going_on) + len(history.continued), wrong
+    return len(continuing) + len(history.continued), wrong
 
 
 def budgets_hold(history):
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -47,9 +47,9 @@
         self.assertFalse(self.violations(checks.service_returns, attempts=served, returned=10.0))
 
     def test_only_turns_that_may_be_gone_may_stay_undecided(self):
-        going_on = self.after_the_return([503] * 5, previous="p")
-        self.assertTrue(self.violations(checks.service_returns, attempts=going_on, returned=10.0))
-        self.assertFalse(self.violations(checks.service_returns, attempts=going_on, returned=10.0,
+        continuing = self.after_the_return([503] * 5, previous="p")
+        self.assertTrue(self.violations(checks.service_returns, attempts=continuing, returned=10.0))
+        self.assertFalse(self.violations(checks.service_returns, attempts=continuing, returned=10.0,
                                          disks_in_series=True))
         first_turns = self.after_the_return([503] * 5)
         self.assertTrue(self.violations(checks.service_returns, attempts=first_turns,
