--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -63,7 +63,7 @@
         return self.process is not None and self.process.returncode is None
 
     @property
-    def has_begun(self):
+    def has_started(self):
         """True once the latest process has logged process_started: it accepts connections."""
         with (self.cluster.work / f"{self.name}.log").open("rb") as log:
             log.seek(self.log_begins)
--- a/tests/platform/soak/upgrade.py
+++ b/tests/platform/soak/upgrade.py
@@ -54,7 +54,7 @@
         a process that gets SIGTERM before it handles the signal doesn't exit with 0."""
         waited = 0.0
         while (node.name in self.faults.busy
-               or (not node.has_begun and waited < STARTED_SECONDS)):
+               or (not node.has_started and waited < STARTED_SECONDS)):
             await asyncio.sleep(0.1)
             waited += 0.1
         self.faults.busy.add(node.name)
