--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -56,7 +56,7 @@
         #: Number of times that the process was started.
         self.starts = 0
         #: Offset in the log file at which the output of the latest start begins.
-        self.log_begins = 0
+        self.log_offset = 0
 
     @property
     def running(self):
@@ -66,7 +66,7 @@
     def has_started(self):
         """True once the latest process has logged process_started: it accepts connections."""
         with (self.cluster.work / f"{self.name}.log").open("rb") as log:
-            log.seek(self.log_begins)
+            log.seek(self.log_offset)
             return b"name=process_started" in log.read()
 
     def write_settings(self):
@@ -104,7 +104,7 @@
         self.starts += 1
         self.asked = False
         log = (self.cluster.work / f"{self.name}.log").open("ab")
-        self.log_begins = log.tell()
+        self.log_offset = log.tell()
         self.process = await asyncio.create_subprocess_exec(
             str(self.build / f"tallyfold-{self.program}"), "--settings", str(settings),
             stdout=log, stderr=log)
