--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -148,7 +148,7 @@
             with max(files, key=lambda path: path.stat().st_mtime).open("ab") as file:
                 file.write(generator.randbytes(generator.randint(1, 400)))
 
-    def limit_files(self, size):
+    def limit_file_size(self, size):
         """Makes writes beyond `size` bytes of a file fail, as on a full disk."""
         if self.running:
             hard = resource.RLIM_INFINITY
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -205,9 +205,9 @@
 
     async def full_disk(self):
         async def work(node):
-            node.limit_files(0)
+            node.limit_file_size(0)
             await self.pause_between(0.5, 3.0)
-            node.limit_files(resource.RLIM_INFINITY)
+            node.limit_file_size(resource.RLIM_INFINITY)
         await self.on_node("full_disk", ("directory", "turn-store"), work)
 
     def draw_backend(self):
