--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -141,7 +141,7 @@
     def wipe(self):
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    def tear_tail(self, generator):
+    def append_torn_write(self, generator):
         """Appends random bytes to the newest turn file, as a write torn by a power loss may leave."""
         files = [path for path in self.folder.glob("*") if path.name.startswith("turns-")]
         if files:
@@ -192,7 +192,7 @@
             if node in lost_disks:
                 node.wipe()
             elif node.program == "turn-store":
-                node.tear_tail(generator)
+                node.append_torn_write(generator)
         await asyncio.sleep(dark_seconds)
         self.power.set()
         await asyncio.gather(*(self._start_late(node, generator.uniform(0, 0.3))
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -172,7 +172,7 @@
     async def torn_kill(self):
         async def work(node):
             await node.kill()
-            node.tear_tail(self.random)
+            node.append_torn_write(self.random)
             await node.start()
         await self.on_node("torn_kill", ("turn-store",), work)
 
