--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -180,7 +180,7 @@
                 await node.link.start()
             await node.start()
 
-    async def lose_power(self, lost_disks, dark_seconds, generator):
+    async def lose_power(self, lost_disks, outage_seconds, generator):
         """Kills all processes at once, wipes the disks of `lost_disks`, and starts all again."""
         self.power.clear()
         for node in self.nodes:
@@ -193,7 +193,7 @@
                 node.wipe()
             elif node.program == "turn-store":
                 node.append_torn_write(generator)
-        await asyncio.sleep(dark_seconds)
+        await asyncio.sleep(outage_seconds)
         self.power.set()
         await asyncio.gather(*(self._start_late(node, generator.uniform(0, 0.3))
                                for node in self.nodes))
