--- a/tests/platform/soak/faults_test.py
+++ b/tests/platform/soak/faults_test.py
@@ -35,7 +35,7 @@
     def of(self, program):
         return [node for node in self.nodes if node.program == program]
 
-    async def lose_power(self, lost_disks, _dark_seconds, _generator):
+    async def lose_power(self, lost_disks, _outage_seconds, _generator):
         for node in lost_disks:
             node.wipe()
 
