--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -195,11 +195,11 @@
                 node.append_torn_write(generator)
         await asyncio.sleep(outage_seconds)
         self.power.set()
-        await asyncio.gather(*(self._start_late(node, generator.uniform(0, 0.3))
+        await asyncio.gather(*(self._start_delayed(node, generator.uniform(0, 0.3))
                                for node in self.nodes))
 
     @staticmethod
-    async def _start_late(node, delay):
+    async def _start_delayed(node, delay):
         await asyncio.sleep(delay)
         await node.start()
 
