--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -71,7 +71,7 @@
 
     def write_settings(self):
         seeds = ", ".join(f'"{node.relayed}:{OPERATORS_PORT}"'
-                          for node in self.cluster.of("directory"))
+                          for node in self.cluster.nodes_of("directory"))
         path = self.cluster.work / f"{self.name}.toml"
         path.write_text(
             f'node = "{self.name}"\nzone = "zone-a"\nip = "{self.relayed}"\n'
@@ -171,7 +171,7 @@
         for program, first in (("directory", 1), ("turn-store", 11), ("forwarder", 21)):
             self.nodes += [Node(self, program, number, first + number) for number in range(3)]
 
-    def of(self, program):
+    def nodes_of(self, program):
         return [node for node in self.nodes if node.program == program]
 
     async def start(self):
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -147,7 +147,7 @@
         self.note_caught_up()
         if kind != "power" and not self.catching_up:
             program = kind if kind in self.losable() else "turn-store"
-            lost = [self.random.choice(self.cluster.of(program))]
+            lost = [self.random.choice(self.cluster.nodes_of(program))]
         self.note("lose_all_power", " ".join(node.name for node in lost) or "no disk")
         free = [node for node in self.cluster.nodes if node.name not in self.busy]
         self.busy.update(node.name for node in free)
@@ -252,7 +252,7 @@
         if self.random.random() > 0.3:
             return
         program = self.random.choice(["directory", "turn-store", "forwarder"])
-        nodes = [node for node in self.cluster.of(program) if node.name not in self.busy]
+        nodes = [node for node in self.cluster.nodes_of(program) if node.name not in self.busy]
         if len(nodes) < 3:
             return
         self.busy.update(node.name for node in nodes)
--- a/tests/platform/soak/faults_test.py
+++ b/tests/platform/soak/faults_test.py
@@ -32,7 +32,7 @@
         self.nodes = [StandInNode(program, number)
                       for program in ("directory", "turn-store") for number in range(3)]
 
-    def of(self, program):
+    def nodes_of(self, program):
         return [node for node in self.nodes if node.program == program]
 
     async def lose_power(self, lost_disks, _outage_seconds, _generator):
--- a/tests/platform/soak/record_forms.py
+++ b/tests/platform/soak/record_forms.py
@@ -108,11 +108,11 @@
     await cluster.start()
     try:
         operator = Operator(history, clock, [(node.own, OPERATORS_PORT)
-                                             for node in cluster.of("directory")], 3, NoKeys(),
+                                             for node in cluster.nodes_of("directory")], 3, NoKeys(),
                             addresses)
         await operator.change()
         callers = [Caller(history, clock, [(node.own, CALLERS_PORT)
-                                           for node in cluster.of("forwarder")], number, "open",
+                                           for node in cluster.nodes_of("forwarder")], number, "open",
                           NoKeys(), operator.added) for number in range(2)]
         tasks = [asyncio.ensure_future(caller.run()) for caller in callers]
         for _ in range(CHANGES):
@@ -122,7 +122,7 @@
             caller.stopping = True
         await asyncio.gather(*tasks)
         # A wiped node asks to join and copies the others' data, which records these messages.
-        for lost in (cluster.of("turn-store")[2], cluster.of("directory")[2]):
+        for lost in (cluster.nodes_of("turn-store")[2], cluster.nodes_of("directory")[2]):
             await lost.kill()
             lost.wipe()
             await lost.start()
@@ -147,7 +147,7 @@
     options.output.mkdir(parents=True, exist_ok=True)
     (options.output / "frames.txt").write_text("".join(
         f"{kind} {frame.hex()}\n" for kind, frame in sorted(recorder.frames.items())))
-    files = [path for node in (cluster.of("directory")[0], cluster.of("turn-store")[0])
+    files = [path for node in (cluster.nodes_of("directory")[0], cluster.nodes_of("turn-store")[0])
              for path in sorted(node.folder.rglob("*")) if path.is_file()]
     (options.output / "folders.txt").write_text("".join(
         f"{path.relative_to(work)} {path.read_bytes().hex()}\n" for path in files))
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -58,7 +58,7 @@
         history.has_keys = options.upgrade_tenants
         for node in cluster.nodes:
             node.build = pathlib.Path(options.upgrade_from)
-        history.earlier_forwarders = {node.own for node in cluster.of("forwarder")}
+        history.earlier_forwarders = {node.own for node in cluster.nodes_of("forwarder")}
     await cluster.start()
     try:
         faults = await play(options, history, clock, draw, cluster, backends)
@@ -71,12 +71,12 @@
     """Applies load and faults, then waits for recovery and reads turns and configuration back."""
     without_keys = options.upgrade_from and not options.upgrade_tenants
     keys = NoKeys() if without_keys else KeyRing(clock, draw.random())
-    operators = [(node.own, OPERATORS_PORT) for node in cluster.of("directory")]
+    operators = [(node.own, OPERATORS_PORT) for node in cluster.nodes_of("directory")]
     operator = Operator(history, clock, operators, draw.random(), keys,
                         cluster.addresses)
-    forwarders = [(node.own, CALLERS_PORT) for node in cluster.of("forwarder")]
-    history.forwarder_at = {node.own: node.name for node in cluster.of("forwarder")}
-    history.directory = [node.name for node in cluster.of("directory")]
+    forwarders = [(node.own, CALLERS_PORT) for node in cluster.nodes_of("forwarder")]
+    history.forwarder_at = {node.own: node.name for node in cluster.nodes_of("forwarder")}
+    history.directory = [node.name for node in cluster.nodes_of("directory")]
     if options.upgrade_from:
         operator.in_force_prober = Caller(history, clock, forwarders, "in-force", "open", keys,
                                           operator.added)
--- a/tests/platform/soak/upgrade.py
+++ b/tests/platform/soak/upgrade.py
@@ -39,7 +39,7 @@
 
     async def play(self, plan, with_faults):
         for newer, programs, mixed in parse_plan(plan):
-            nodes = [node for program in programs for node in self.cluster.of(program)]
+            nodes = [node for program in programs for node in self.cluster.nodes_of(program)]
             if mixed:
                 self.random.shuffle(nodes)
             began = self.cluster.clock()
