--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -65,7 +65,7 @@
     @contextlib.contextmanager
     def striking(self, *nodes):
         """Records a fault of `nodes` for the duration of the context."""
-        self.note_caught_up()
+        self.update_catching_up()
         count = sum(node.program in WITH_DISK for node in nodes)
         self.struck += count
         began = self.clock()
@@ -79,7 +79,7 @@
                 self.well_since = self.clock()
             self.busy.difference_update(node.name for node in nodes)
 
-    def note_caught_up(self):
+    def update_catching_up(self):
         since = self.wiped_back if self.disks_in_series else self.well_since
         well = self.disks_in_series or self.struck == 0
         if well and self.clock() - since >= CATCH_UP_SECONDS:
@@ -121,7 +121,7 @@
         await self.on_node("stop", ("directory", "turn-store", "forwarder"), work)
 
     async def wipe(self):
-        self.note_caught_up()
+        self.update_catching_up()
         if self.catching_up:
             return
 
@@ -144,7 +144,7 @@
             return
         lost = []
         kind = self.random.choice(["power", "turn-store", "turn-store", "directory"])
-        self.note_caught_up()
+        self.update_catching_up()
         if kind != "power" and not self.catching_up:
             program = kind if kind in self.losable() else "turn-store"
             lost = [self.random.choice(self.cluster.nodes_of(program))]
