--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -29,7 +29,7 @@
         #: A disk was lost, and its replacement hasn't had CATCH_UP_SECONDS to copy the data.
         self.catching_up = False
         #: Number of machines with a disk that have a fault now, and when the last such fault ended.
-        self.struck = 0
+        self.faulty_disk_machines = 0
         self.well_since = 0.0
         #: Allows the next disk loss CATCH_UP_SECONDS after the last wiped machine's restart, whatever
         #: faults the others have, so that disks may be lost before a copy is complete. Applies to
@@ -67,12 +67,12 @@
         """Records a fault of `nodes` for the duration of the context."""
         self.update_catching_up()
         count = sum(node.program in WITH_DISK for node in nodes)
-        self.struck += count
+        self.faulty_disk_machines += count
         began = self.clock()
         try:
             yield
         finally:
-            self.struck -= count
+            self.faulty_disk_machines -= count
             self.cluster.history.strikes += [Strike(node.name, began, self.clock())
                                              for node in nodes]
             if count:
@@ -81,7 +81,7 @@
 
     def update_catching_up(self):
         since = self.wiped_back if self.disks_in_series else self.well_since
-        well = self.disks_in_series or self.struck == 0
+        well = self.disks_in_series or self.faulty_disk_machines == 0
         if well and self.clock() - since >= CATCH_UP_SECONDS:
             self.catching_up = False
 
