--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -30,7 +30,7 @@
         self.catching_up = False
         #: Number of machines with a disk that have a fault now, and when the last such fault ended.
         self.faulty_disk_machines = 0
-        self.well_since = 0.0
+        self.last_fault_ended = 0.0
         #: Allows the next disk loss CATCH_UP_SECONDS after the last wiped machine's restart, whatever
         #: faults the others have, so that disks may be lost before a copy is complete. Applies to
         #: stores only: a directory can't recover from the loss of a majority of its disks.
@@ -76,11 +76,11 @@
             self.cluster.history.strikes += [Strike(node.name, began, self.clock())
                                              for node in nodes]
             if count:
-                self.well_since = self.clock()
+                self.last_fault_ended = self.clock()
             self.busy.difference_update(node.name for node in nodes)
 
     def update_catching_up(self):
-        since = self.wiped_back if self.disks_in_series else self.well_since
+        since = self.wiped_back if self.disks_in_series else self.last_fault_ended
         well = self.disks_in_series or self.faulty_disk_machines == 0
         if well and self.clock() - since >= CATCH_UP_SECONDS:
             self.catching_up = False
