--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -35,7 +35,7 @@
         #: faults the others have, so that disks may be lost before a copy is complete. Applies to
         #: stores only: a directory can't recover from the loss of a majority of its disks.
         self.disks_in_series = False
-        self.wiped_back = 0.0
+        self.wiped_restarted_at = 0.0
         self.stopping = False
         #: Minimum and maximum time between the starts of two faults, in seconds.
         self.pauses = (0.2, 1.5)
@@ -80,7 +80,7 @@
             self.busy.difference_update(node.name for node in nodes)
 
     def update_catching_up(self):
-        since = self.wiped_back if self.disks_in_series else self.last_fault_ended
+        since = self.wiped_restarted_at if self.disks_in_series else self.last_fault_ended
         well = self.disks_in_series or self.faulty_disk_machines == 0
         if well and self.clock() - since >= CATCH_UP_SECONDS:
             self.catching_up = False
@@ -127,12 +127,12 @@
 
         async def work(node):
             self.catching_up = True
-            self.wiped_back = float("inf")
+            self.wiped_restarted_at = float("inf")
             await node.kill()
             node.wipe()
             await self.pause_between(0.1, 1.0)
             await node.start()
-            self.wiped_back = self.clock()
+            self.wiped_restarted_at = self.clock()
         await self.on_node("wipe", self.losable(), work)
 
     def losable(self):
@@ -155,10 +155,10 @@
             if lost:
                 # Set here, since the catch-up time counts only from the restart of the machine.
                 self.catching_up = True
-                self.wiped_back = float("inf")
+                self.wiped_restarted_at = float("inf")
             await self.cluster.lose_power(lost, self.random.uniform(0.3, 2.0), self.random)
         if lost:
-            self.wiped_back = self.clock()
+            self.wiped_restarted_at = self.clock()
 
     async def close(self):
         """Injects the last fault of a run, a power loss."""
