--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -59,11 +59,11 @@
             return
         self.busy.add(node.name)
         self.note(kind, node.name)
-        with self.striking(node):
+        with self.recording_fault(node):
             await work(node)
 
     @contextlib.contextmanager
-    def striking(self, *nodes):
+    def recording_fault(self, *nodes):
         """Records a fault of `nodes` for the duration of the context."""
         self.update_catching_up()
         count = sum(node.program in WITH_DISK for node in nodes)
@@ -151,7 +151,7 @@
         self.note("lose_all_power", " ".join(node.name for node in lost) or "no disk")
         free = [node for node in self.cluster.nodes if node.name not in self.busy]
         self.busy.update(node.name for node in free)
-        with self.striking(*free):
+        with self.recording_fault(*free):
             if lost:
                 # Set here, since the catch-up time counts only from the restart of the machine.
                 self.catching_up = True
@@ -257,7 +257,7 @@
             return
         self.busy.update(node.name for node in nodes)
         self.note("kill_all_of_a_kind", program)
-        with self.striking(*nodes):
+        with self.recording_fault(*nodes):
             await asyncio.gather(*(node.kill() for node in nodes))
             await self.pause_between(0.1, 1.0)
             for node in nodes:
--- a/tests/platform/soak/upgrade.py
+++ b/tests/platform/soak/upgrade.py
@@ -59,7 +59,7 @@
             waited += 0.1
         self.faults.busy.add(node.name)
         self.faults.note("upgrade" if newer else "downgrade", node.name)
-        with self.faults.striking(node):
+        with self.faults.recording_fault(node):
             await node.stop()
             node.build = self.builds[newer]
             await node.start()
