--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -133,9 +133,9 @@
             await self.pause_between(0.1, 1.0)
             await node.start()
             self.wiped_restarted_at = self.clock()
-        await self.on_node("wipe", self.losable(), work)
+        await self.on_node("wipe", self.wipeable_programs(), work)
 
-    def losable(self):
+    def wipeable_programs(self):
         return ("turn-store",) if self.disks_in_series else WITH_DISK
 
     async def lose_all_power(self):
@@ -146,7 +146,7 @@
         kind = self.random.choice(["power", "turn-store", "turn-store", "directory"])
         self.update_catching_up()
         if kind != "power" and not self.catching_up:
-            program = kind if kind in self.losable() else "turn-store"
+            program = kind if kind in self.wipeable_programs() else "turn-store"
             lost = [self.random.choice(self.cluster.nodes_of(program))]
         self.note("lose_all_power", " ".join(node.name for node in lost) or "no disk")
         free = [node for node in self.cluster.nodes if node.name not in self.busy]
