--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -4,7 +4,7 @@
 
 from . import checks
 from .history import (Attempt, ConfigurationChange, ConfigurationRead, Ending, History, RouteProbe,
-                      Run, Strike)
+                      Run, FaultInterval)
 
 
 def attempt(request="a", kind="turn", **fields):
@@ -194,9 +194,9 @@
         self.assertTrue(self.in_force(503, dropped=False))
         self.assertFalse(self.in_force(200, dropped=False, ran=True))
         for process in ("forwarder-0", "directory-0"):
-            struck = [Strike(process, 7.5, 8.0)]
+            struck = [FaultInterval(process, 7.5, 8.0)]
             self.assertFalse(self.in_force(200, dropped=True, ran=True, strikes=struck))
-        for strike in (Strike("forwarder-0", 2.0, 6.5), Strike("turn-store-0", 9.0, 11.0)):
+        for strike in (FaultInterval("forwarder-0", 2.0, 6.5), FaultInterval("turn-store-0", 9.0, 11.0)):
             self.assertTrue(self.in_force(200, dropped=True, ran=True, strikes=[strike]))
 
     def test_a_roll_that_is_not_served_is_found(self):
@@ -208,7 +208,7 @@
                                    forwarder_at={"f": "forwarder-0"})
         self.assertTrue(roll([200] * 5 + [503] * 5))
         self.assertFalse(roll([200] * 10))
-        self.assertFalse(roll([200] * 5 + [0] * 5, [Strike("forwarder-0", 4.5, 6.0)]))
+        self.assertFalse(roll([200] * 5 + [0] * 5, [FaultInterval("forwarder-0", 4.5, 6.0)]))
 
     def test_the_earlier_build_may_not_know_an_added_route_until_it_is_in_force(self):
         def called(sent, earlier, strikes=()):
@@ -220,7 +220,7 @@
         self.assertTrue(called(10.2, earlier=False))
         self.assertFalse(called(10.2, earlier=True))
         self.assertTrue(called(12.1, earlier=True))
-        self.assertFalse(called(12.1, True, [Strike("forwarder-0", 11.0, 12.5)]))
+        self.assertFalse(called(12.1, True, [FaultInterval("forwarder-0", 11.0, 12.5)]))
 
     def test_a_process_that_ends_by_itself_is_found(self):
         self.assertTrue(self.violations(checks.processes_stay_up,
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -7,7 +7,7 @@
 import signal
 from collections import Counter
 
-from .history import Strike
+from .history import FaultInterval
 
 #: Time after the restart of a wiped machine within which its disk is copied again, in seconds.
 CATCH_UP_SECONDS = 4.4
@@ -73,7 +73,7 @@
             yield
         finally:
             self.faulty_disk_machines -= count
-            self.cluster.history.strikes += [Strike(node.name, began, self.clock())
+            self.cluster.history.strikes += [FaultInterval(node.name, began, self.clock())
                                              for node in nodes]
             if count:
                 self.last_fault_ended = self.clock()
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -87,7 +87,7 @@
 
 
 @dataclass
-class Strike:
+class FaultInterval:
     """An interval in which a process was down, stopped, slowed down or partitioned."""
 
     process: str
