--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -95,10 +95,10 @@
     faults.disks_in_series = options.disks_in_series
     if options.kinds:
         faults.kinds = [getattr(faults, kind) for kind in options.kinds.split(",")]
-    strikes = options.upgrade_faults or not options.upgrade_from
+    inject_faults = options.upgrade_faults or not options.upgrade_from
     work_tasks = [asyncio.ensure_future(caller.run()) for caller in callers]
     work_tasks.append(asyncio.ensure_future(operator.run()))
-    fault_task = asyncio.ensure_future(faults.run()) if strikes else None
+    fault_task = asyncio.ensure_future(faults.run()) if inject_faults else None
     if options.upgrade_from:
         upgrade = Upgrade(cluster, options.upgrade_from, faults, f"upgrade-{options.seed}")
         await upgrade.play(options.upgrade_plan, options.upgrade_faults)
