--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -255,7 +255,7 @@
 def had_no_fault(history, begin, end, processes):
     """True when no fault affected any of the processes between `begin` and `end`."""
     return not any(strike.process in processes and strike.began <= end and strike.ended >= begin
-                   for strike in history.strikes)
+                   for strike in history.fault_intervals)
 
 
 def had_contact(history, attempt):
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -177,7 +177,7 @@
     def test_work_that_never_ends_is_found(self):
         self.assertTrue(self.violations(checks.work_ends, unended=1))
 
-    def in_force(self, status, dropped, ran=False, strikes=()):
+    def in_force(self, status, dropped, ran=False, fault_intervals=()):
         """Returns the violations of one probe of a route that a change dropped or added."""
         probe = RouteProbe(attempt(kind="repeatable", sent=10.0, ended=10.1, status=status,
                                    forwarder="f", target="/own/2/x" if dropped else "/added/3/x"),
@@ -185,7 +185,7 @@
         return self.violations(checks.changes_are_in_force, route_probes=[probe],
                                attempts=[probe.attempt], runs=[run()] if ran else [],
                                forwarder_at={"f": "forwarder-0"}, directory=["directory-0"],
-                               strikes=list(strikes))
+                               fault_intervals=list(fault_intervals))
 
     def test_a_change_that_is_not_in_force_is_found(self):
         self.assertTrue(self.in_force(200, dropped=True, ran=True))
@@ -195,27 +195,27 @@
         self.assertFalse(self.in_force(200, dropped=False, ran=True))
         for process in ("forwarder-0", "directory-0"):
             struck = [FaultInterval(process, 7.5, 8.0)]
-            self.assertFalse(self.in_force(200, dropped=True, ran=True, strikes=struck))
+            self.assertFalse(self.in_force(200, dropped=True, ran=True, fault_intervals=struck))
         for strike in (FaultInterval("forwarder-0", 2.0, 6.5), FaultInterval("turn-store-0", 9.0, 11.0)):
-            self.assertTrue(self.in_force(200, dropped=True, ran=True, strikes=[strike]))
+            self.assertTrue(self.in_force(200, dropped=True, ran=True, fault_intervals=[strike]))
 
     def test_a_roll_that_is_not_served_is_found(self):
-        def roll(statuses, strikes=()):
+        def roll(statuses, fault_intervals=()):
             asked = [attempt(str(number), sent=5.0, ended=5.1, status=status, forwarder="f")
                      for number, status in enumerate(statuses)]
             return self.violations(checks.planned_rolls_serve, attempts=asked,
-                                   planned_rolls=[(4.0, 9.0)], strikes=list(strikes),
+                                   planned_rolls=[(4.0, 9.0)], fault_intervals=list(fault_intervals),
                                    forwarder_at={"f": "forwarder-0"})
         self.assertTrue(roll([200] * 5 + [503] * 5))
         self.assertFalse(roll([200] * 10))
         self.assertFalse(roll([200] * 5 + [0] * 5, [FaultInterval("forwarder-0", 4.5, 6.0)]))
 
     def test_the_earlier_build_may_not_know_an_added_route_until_it_is_in_force(self):
-        def called(sent, earlier, strikes=()):
+        def called(sent, earlier, fault_intervals=()):
             call = attempt(kind="repeatable", target="/added/3/x", status=404, sent=sent,
                            ended=sent, by_earlier_build=earlier, forwarder="f")
             return self.violations(checks.added_routes_are_known, attempts=[call],
-                                   changes=[ConfigurationChange(3, 10.0)], strikes=list(strikes),
+                                   changes=[ConfigurationChange(3, 10.0)], fault_intervals=list(fault_intervals),
                                    forwarder_at={"f": "forwarder-0"})
         self.assertTrue(called(10.2, earlier=False))
         self.assertFalse(called(10.2, earlier=True))
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -73,7 +73,7 @@
             yield
         finally:
             self.faulty_disk_machines -= count
-            self.cluster.history.strikes += [FaultInterval(node.name, began, self.clock())
+            self.cluster.history.fault_intervals += [FaultInterval(node.name, began, self.clock())
                                              for node in nodes]
             if count:
                 self.last_fault_ended = self.clock()
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -113,7 +113,7 @@
     reads: list = field(default_factory=list)
     changes: list = field(default_factory=list)
     endings: list = field(default_factory=list)
-    strikes: list = field(default_factory=list)
+    fault_intervals: list = field(default_factory=list)
     #: Calls to routes that a change added or dropped, once it must be in force.
     route_probes: list = field(default_factory=list)
     #: Planned rolling replacements without concurrent faults: (begin, end).
