--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -254,8 +254,8 @@
 
 def had_no_fault(history, begin, end, processes):
     """True when no fault affected any of the processes between `begin` and `end`."""
-    return not any(strike.process in processes and strike.began <= end and strike.ended >= begin
-                   for strike in history.fault_intervals)
+    return not any(interval.process in processes and interval.began <= end and interval.ended >= begin
+                   for interval in history.fault_intervals)
 
 
 def had_contact(history, attempt):
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -196,8 +196,8 @@
         for process in ("forwarder-0", "directory-0"):
             struck = [FaultInterval(process, 7.5, 8.0)]
             self.assertFalse(self.in_force(200, dropped=True, ran=True, fault_intervals=struck))
-        for strike in (FaultInterval("forwarder-0", 2.0, 6.5), FaultInterval("turn-store-0", 9.0, 11.0)):
-            self.assertTrue(self.in_force(200, dropped=True, ran=True, fault_intervals=[strike]))
+        for interval in (FaultInterval("forwarder-0", 2.0, 6.5), FaultInterval("turn-store-0", 9.0, 11.0)):
+            self.assertTrue(self.in_force(200, dropped=True, ran=True, fault_intervals=[interval]))
 
     def test_a_roll_that_is_not_served_is_found(self):
         def roll(statuses, fault_intervals=()):
