--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -249,7 +249,7 @@
 
 def work_ends(history):
     """Callers and the operator, which retries a change until it succeeds, finish their work."""
-    return 1, [f"{history.unended} callers or operators never ended"] if history.unended else []
+    return 1, [f"{history.unfinished} callers or operators never ended"] if history.unfinished else []
 
 
 def had_no_fault(history, begin, end, processes):
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -175,7 +175,7 @@
             self.assertEqual(count > bound and gap < 0.05, bool(found))
 
     def test_work_that_never_ends_is_found(self):
-        self.assertTrue(self.violations(checks.work_ends, unended=1))
+        self.assertTrue(self.violations(checks.work_ends, unfinished=1))
 
     def in_force(self, status, dropped, ran=False, fault_intervals=()):
         """Returns the violations of one probe of a route that a change dropped or added."""
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -128,7 +128,7 @@
     #: Whether the configuration has tenants, whose keys callers send.
     has_keys: bool = True
     #: Number of callers and operators that didn't finish within the time limit after `stopping`.
-    unended: int = 0
+    unfinished: int = 0
     #: Whether disks may have been lost before their copies were complete, so that turns may be lost.
     disks_in_series: bool = False
     #: Time at which all machines were up after the last fault; None when there was none.
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -111,9 +111,9 @@
     await asyncio.sleep(checks.RECOVERY_SECONDS + SETTLE_SECONDS)
     for worker in (*callers, operator):
         worker.stopping = True
-    _, unended = await asyncio.wait(work_tasks, timeout=END_SECONDS)
-    history.unended = len(unended)
-    for task in unended:
+    _, unfinished = await asyncio.wait(work_tasks, timeout=END_SECONDS)
+    history.unfinished = len(unfinished)
+    for task in unfinished:
         task.cancel()
     lines = [(caller, line) for caller in callers for line in caller.conversations]
     sample = draw.sample(lines, min(CONTINUED, len(lines)))
