--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -151,12 +151,12 @@
     """RECOVERY_SECONDS after the last fault, turns and calls are served again."""
     wrong = []
     checked = 0
-    if history.returned is None:
+    if history.machines_up_at is None:
         return 0, wrong
     for kind in ("turn", "repeatable", "once"):
         asked = [attempt for attempt in history.attempts
                  if attempt.kind == kind and attempt.tenant and not attempt.foreign
-                 and attempt.sent >= history.returned + RECOVERY_SECONDS
+                 and attempt.sent >= history.machines_up_at + RECOVERY_SECONDS
                  and attempt.status not in (402, 429) and not attempt.target.startswith("/own/")
                  and not may_be_lost(history, attempt)]
         served = sum(attempt.status == 200 and attempt.whole for attempt in asked)
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -39,21 +39,21 @@
 
     def test_service_that_does_not_return_is_found(self):
         refused = self.after_the_return([200] * 5 + [503] * 5)
-        self.assertTrue(self.violations(checks.service_returns, attempts=refused, returned=10.0))
+        self.assertTrue(self.violations(checks.service_returns, attempts=refused, machines_up_at=10.0))
         before_the_bound = [attempt(sent=15.0, status=503, tenant="open")]
         self.assertFalse(self.violations(checks.service_returns, attempts=before_the_bound,
-                                         returned=10.0))
+                                         machines_up_at=10.0))
         served = self.after_the_return([200] * 10)
-        self.assertFalse(self.violations(checks.service_returns, attempts=served, returned=10.0))
+        self.assertFalse(self.violations(checks.service_returns, attempts=served, machines_up_at=10.0))
 
     def test_only_turns_that_may_be_gone_may_stay_undecided(self):
         continuing = self.after_the_return([503] * 5, previous="p")
-        self.assertTrue(self.violations(checks.service_returns, attempts=continuing, returned=10.0))
-        self.assertFalse(self.violations(checks.service_returns, attempts=continuing, returned=10.0,
+        self.assertTrue(self.violations(checks.service_returns, attempts=continuing, machines_up_at=10.0))
+        self.assertFalse(self.violations(checks.service_returns, attempts=continuing, machines_up_at=10.0,
                                          disks_in_series=True))
         first_turns = self.after_the_return([503] * 5)
         self.assertTrue(self.violations(checks.service_returns, attempts=first_turns,
-                                        returned=10.0, disks_in_series=True))
+                                        machines_up_at=10.0, disks_in_series=True))
         forgotten = [("t", 404)]
         self.assertTrue(self.violations(checks.history_is_kept, continued=forgotten,
                                         disks_in_series=True))
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -132,6 +132,6 @@
     #: Whether disks may have been lost before their copies were complete, so that turns may be lost.
     disks_in_series: bool = False
     #: Time at which all machines were up after the last fault; None when there was none.
-    returned: float | None = None
+    machines_up_at: float | None = None
     #: Version that was read back at the end; None without an answer.
     read_back: int | None = None
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -107,7 +107,7 @@
     if fault_task is not None:
         await faults.close()
         await fault_task
-    history.returned = clock()
+    history.machines_up_at = clock()
     await asyncio.sleep(checks.RECOVERY_SECONDS + SETTLE_SECONDS)
     for worker in (*callers, operator):
         worker.stopping = True
