--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -284,7 +284,7 @@
     """During a planned rolling replacement, the forwarders that are up serve requests."""
     wrong = []
     checked = 0
-    for begin, end in history.planned_rolls:
+    for begin, end in history.rolling_replacements:
         for kind in ("turn", "repeatable", "once"):
             asked = [attempt for attempt in history.attempts
                      if attempt.kind == kind and begin <= attempt.sent <= end
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -204,7 +204,7 @@
             asked = [attempt(str(number), sent=5.0, ended=5.1, status=status, forwarder="f")
                      for number, status in enumerate(statuses)]
             return self.violations(checks.planned_rolls_serve, attempts=asked,
-                                   planned_rolls=[(4.0, 9.0)], fault_intervals=list(fault_intervals),
+                                   rolling_replacements=[(4.0, 9.0)], fault_intervals=list(fault_intervals),
                                    forwarder_at={"f": "forwarder-0"})
         self.assertTrue(roll([200] * 5 + [503] * 5))
         self.assertFalse(roll([200] * 10))
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -117,7 +117,7 @@
     #: Calls to routes that a change added or dropped, once it must be in force.
     route_probes: list = field(default_factory=list)
     #: Planned rolling replacements without concurrent faults: (begin, end).
-    planned_rolls: list = field(default_factory=list)
+    rolling_replacements: list = field(default_factory=list)
     #: Names of the forwarders by callers' address, and names of the directory nodes.
     forwarder_at: dict = field(default_factory=dict)
     directory: list = field(default_factory=list)
--- a/tests/platform/soak/upgrade.py
+++ b/tests/platform/soak/upgrade.py
@@ -47,7 +47,7 @@
                 await self.replace(node, newer)
                 await asyncio.sleep(self.random.uniform(*GAP))
             if not with_faults:
-                self.cluster.history.planned_rolls.append((began, self.cluster.clock()))
+                self.cluster.history.rolling_replacements.append((began, self.cluster.clock()))
 
     async def replace(self, node, newer):
         """Restarts a node from the other build, once no fault affects it and its process has started:
