--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -30,7 +30,7 @@
 CONTINUED = 60
 SETTLE_SECONDS = 6.0
 #: Time limit for callers and the operator to finish after they are told to stop, in seconds.
-END_SECONDS = 30.0
+SHUTDOWN_SECONDS = 30.0
 #: Number of callers that call each route as soon as it is added.
 PROBERS = 2
 
@@ -111,7 +111,7 @@
     await asyncio.sleep(checks.RECOVERY_SECONDS + SETTLE_SECONDS)
     for worker in (*callers, operator):
         worker.stopping = True
-    _, unfinished = await asyncio.wait(work_tasks, timeout=END_SECONDS)
+    _, unfinished = await asyncio.wait(work_tasks, timeout=SHUTDOWN_SECONDS)
     history.unfinished = len(unfinished)
     for task in unfinished:
         task.cancel()
