--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -27,7 +27,7 @@
 
 ENGINES, APPS = 4, 4
 #: Number of conversations that are continued at the end.
-CONTINUED = 60
+CONTINUED_CONVERSATIONS = 60
 SETTLE_SECONDS = 6.0
 #: Time limit for callers and the operator to finish after they are told to stop, in seconds.
 SHUTDOWN_SECONDS = 30.0
@@ -116,7 +116,7 @@
     for task in unfinished:
         task.cancel()
     lines = [(caller, line) for caller in callers for line in caller.conversations]
-    sample = draw.sample(lines, min(CONTINUED, len(lines)))
+    sample = draw.sample(lines, min(CONTINUED_CONVERSATIONS, len(lines)))
 
     async def continue_sample(caller):
         for other, line in sample:
