--- a/tests/platform/soak/record_forms.py
+++ b/tests/platform/soak/record_forms.py
@@ -56,7 +56,7 @@
         passed = link._pump
 
         async def pump(reader, writer, direction):
-            await passed(Tee(reader, self), writer, direction)
+            await passed(FrameTap(reader, self), writer, direction)
 
         link._pump = pump
 
@@ -66,7 +66,7 @@
             self.frames[kind] = frame
 
 
-class Tee:
+class FrameTap:
     """Stream reader that passes each complete frame to the recorder."""
 
     def __init__(self, reader, recorder):
