--- a/tests/platform/soak/record_forms.py
+++ b/tests/platform/soak/record_forms.py
@@ -28,7 +28,7 @@
 #: Time for the replacements of wiped disks to join and copy the data, in seconds.
 CATCH_UP_SECONDS = 8.0
 #: Maximum length of a recorded message, in bytes, so that fixtures stay readable.
-LONGEST = 4000
+MAX_FRAME_BYTES = 4000
 #: Kind number of consensus messages, which are distinguished by the kind of their body.
 REPLICA_ENVELOPE = 0
 
@@ -62,7 +62,7 @@
 
     def take(self, frame):
         kind = kind_of(frame[4:])
-        if len(frame) <= LONGEST and len(frame) > len(self.frames.get(kind, b"")):
+        if len(frame) <= MAX_FRAME_BYTES and len(frame) > len(self.frames.get(kind, b"")):
             self.frames[kind] = frame
 
 
