--- a/tests/platform/soak/record_forms.py
+++ b/tests/platform/soak/record_forms.py
@@ -53,10 +53,10 @@
         self.frames = {}
 
     def record(self, link):
-        passed = link._pump
+        original_pump = link._pump
 
         async def pump(reader, writer, direction):
-            await passed(FrameTap(reader, self), writer, direction)
+            await original_pump(FrameTap(reader, self), writer, direction)
 
         link._pump = pump
 
