--- a/tests/platform/soak/record_forms.py
+++ b/tests/platform/soak/record_forms.py
@@ -72,17 +72,17 @@
     def __init__(self, reader, recorder):
         self.reader = reader
         self.recorder = recorder
-        self.held = b""
+        self.buffer = b""
 
     async def read(self, size):
         data = await self.reader.read(size)
-        self.held += data
-        while len(self.held) >= 4:
-            end = 4 + struct.unpack_from("<I", self.held)[0]
-            if len(self.held) < end:
+        self.buffer += data
+        while len(self.buffer) >= 4:
+            end = 4 + struct.unpack_from("<I", self.buffer)[0]
+            if len(self.buffer) < end:
                 break
-            self.recorder.take(self.held[:end])
-            self.held = self.held[end:]
+            self.recorder.take(self.buffer[:end])
+            self.buffer = self.buffer[end:]
         return data
 
 
