--- a/tests/platform/soak/faults_test.py
+++ b/tests/platform/soak/faults_test.py
@@ -7,7 +7,7 @@
 from .history import History
 
 
-class StandInNode:
+class FakeNode:
     def __init__(self, program, number):
         self.program = program
         self.name = f"{program}-{number}"
@@ -29,7 +29,7 @@
         self.history = History()
         self.power = asyncio.Event()
         self.power.set()
-        self.nodes = [StandInNode(program, number)
+        self.nodes = [FakeNode(program, number)
                       for program in ("directory", "turn-store") for number in range(3)]
 
     def nodes_of(self, program):
