--- a/tests/platform/soak/faults_test.py
+++ b/tests/platform/soak/faults_test.py
@@ -24,7 +24,7 @@
         self.wiped += 1
 
 
-class StandInCluster:
+class FakeCluster:
     def __init__(self):
         self.history = History()
         self.power = asyncio.Event()
@@ -46,7 +46,7 @@
         which the directory cannot elect a leader."""
 
         async def play(seed):
-            cluster = StandInCluster()
+            cluster = FakeCluster()
             now = 100.0
             faults = Faults(cluster, [], lambda: now, seed)
 
