--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -33,25 +33,25 @@
         for name, _, violations in checks.check_all(good):
             self.assertEqual([], violations, name)
 
-    def after_the_return(self, statuses, **fields):
+    def attempts_after_recovery(self, statuses, **fields):
         return [attempt(str(number), sent=30.0, status=status, tenant="open", **fields)
                 for number, status in enumerate(statuses)]
 
     def test_service_that_does_not_return_is_found(self):
-        refused = self.after_the_return([200] * 5 + [503] * 5)
+        refused = self.attempts_after_recovery([200] * 5 + [503] * 5)
         self.assertTrue(self.violations(checks.service_returns, attempts=refused, machines_up_at=10.0))
         before_the_bound = [attempt(sent=15.0, status=503, tenant="open")]
         self.assertFalse(self.violations(checks.service_returns, attempts=before_the_bound,
                                          machines_up_at=10.0))
-        served = self.after_the_return([200] * 10)
+        served = self.attempts_after_recovery([200] * 10)
         self.assertFalse(self.violations(checks.service_returns, attempts=served, machines_up_at=10.0))
 
     def test_only_turns_that_may_be_gone_may_stay_undecided(self):
-        continuing = self.after_the_return([503] * 5, previous="p")
+        continuing = self.attempts_after_recovery([503] * 5, previous="p")
         self.assertTrue(self.violations(checks.service_returns, attempts=continuing, machines_up_at=10.0))
         self.assertFalse(self.violations(checks.service_returns, attempts=continuing, machines_up_at=10.0,
                                          disks_in_series=True))
-        first_turns = self.after_the_return([503] * 5)
+        first_turns = self.attempts_after_recovery([503] * 5)
         self.assertTrue(self.violations(checks.service_returns, attempts=first_turns,
                                         machines_up_at=10.0, disks_in_series=True))
         forgotten = [("t", 404)]
