--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -139,7 +139,7 @@
         self.assertFalse(self.violations(checks.keys_stay_inside, attempts=[mine],
                                          runs=[run(tenant="open")]))
 
-    def test_a_stranger_that_ran_or_was_served_is_found(self):
+    def test_an_invalid_key_that_ran_or_was_served_is_found(self):
         self.assertTrue(self.violations(checks.strangers_never_run, runs=[run()],
                                         attempts=[attempt(status=401)]))
         self.assertTrue(self.violations(checks.strangers_never_run, attempts=[attempt()]))
