--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -146,7 +146,7 @@
         self.assertFalse(self.violations(checks.strangers_never_run,
                                          attempts=[attempt(status=401)]))
 
-    def test_a_stranger_on_a_dropped_route_may_be_told_that_there_is_none(self):
+    def test_an_invalid_key_may_get_404_on_a_dropped_route(self):
         for dropped, status, found in ((True, 404, False), (False, 404, True), (True, 200, True)):
             asked = attempt(status=status)
             probe = RouteProbe(asked, 2, dropped)
