--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -161,7 +161,7 @@
         self.assertTrue(self.violations(checks.proper_keys_are_let_in,
                                         attempts=[attempt(tenant="open", status=401)]))
 
-    def test_a_turn_on_from_another_tenants_is_found(self):
+    def test_continuing_another_tenants_turn_is_found(self):
         self.assertTrue(self.violations(checks.others_turns_are_unknown, runs=[run()],
                                         attempts=[attempt(tenant="open", foreign=True)]))
 
