--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -199,7 +199,7 @@
         for interval in (FaultInterval("forwarder-0", 2.0, 6.5), FaultInterval("turn-store-0", 9.0, 11.0)):
             self.assertTrue(self.in_force(200, dropped=True, ran=True, fault_intervals=[interval]))
 
-    def test_a_roll_that_is_not_served_is_found(self):
+    def test_unserved_requests_during_a_rolling_replacement_are_found(self):
         def roll(statuses, fault_intervals=()):
             asked = [attempt(str(number), sent=5.0, ended=5.1, status=status, forwarder="f")
                      for number, status in enumerate(statuses)]
