--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -106,7 +106,7 @@
         self.assertTrue(self.violations(checks.bodies_arrive_unchanged, runs=[run()],
                                         attempts=[attempt(expected_body=b"line")]))
 
-    def test_a_forgotten_turn_is_found(self):
+    def test_a_lost_turn_is_found(self):
         later = attempt("b", previous="a", sent=3.0, status=404, whole=False)
         self.assertTrue(self.violations(checks.history_is_kept, attempts=[attempt(), later]))
         self.assertTrue(self.violations(checks.history_is_kept, continued=[("a", 503)]))
