--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -46,7 +46,7 @@
         served = self.attempts_after_recovery([200] * 10)
         self.assertFalse(self.violations(checks.service_returns, attempts=served, machines_up_at=10.0))
 
-    def test_only_turns_that_may_be_gone_may_stay_undecided(self):
+    def test_only_possibly_lost_turns_may_stay_undecided(self):
         continuing = self.attempts_after_recovery([503] * 5, previous="p")
         self.assertTrue(self.violations(checks.service_returns, attempts=continuing, machines_up_at=10.0))
         self.assertFalse(self.violations(checks.service_returns, attempts=continuing, machines_up_at=10.0,
