--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -88,7 +88,7 @@
         self.assertTrue(self.violations(checks.answers_are_their_own, runs=[run()],
                                         attempts=[attempt(signature="")]))
 
-    def test_an_answer_that_looks_whole_is_found(self):
+    def test_an_incomplete_or_altered_answer_is_found(self):
         self.assertTrue(self.violations(checks.answers_are_their_own, runs=[run(whole=False)],
                                         attempts=[attempt()]))
         self.assertTrue(self.violations(checks.answers_are_their_own, runs=[run()],
