--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -157,7 +157,7 @@
                                         attempts=[asked],
                                         route_probes=[RouteProbe(asked, 2, True)]))
 
-    def test_a_proper_key_that_is_called_unknown_is_found(self):
+    def test_a_valid_key_that_gets_401_is_found(self):
         self.assertTrue(self.violations(checks.proper_keys_are_let_in,
                                         attempts=[attempt(tenant="open", status=401)]))
 
