--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -58,7 +58,7 @@
         self.assertTrue(self.violations(checks.history_is_kept, continued=forgotten,
                                         disks_in_series=True))
 
-    def test_an_added_route_that_is_called_unknown_is_found(self):
+    def test_an_added_route_that_gets_404_is_found(self):
         unknown = attempt(kind="repeatable", target="/added/7/x", status=404, tenant="open")
         self.assertTrue(self.violations(checks.added_routes_are_known, attempts=[unknown]))
         refused = attempt(kind="repeatable", target="/added/7/x", status=503, tenant="open")
