--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -210,7 +210,7 @@
         self.assertFalse(roll([200] * 10))
         self.assertFalse(roll([200] * 5 + [0] * 5, [FaultInterval("forwarder-0", 4.5, 6.0)]))
 
-    def test_the_earlier_build_may_not_know_an_added_route_until_it_is_in_force(self):
+    def test_the_earlier_build_may_answer_404_until_a_change_is_in_force(self):
         def called(sent, earlier, fault_intervals=()):
             call = attempt(kind="repeatable", target="/added/3/x", status=404, sent=sent,
                            ended=sent, by_earlier_build=earlier, forwarder="f")
