--- a/scripts/lib/loss_account.py
+++ b/scripts/lib/loss_account.py
@@ -82,7 +82,7 @@
     return (number(turn, "total_ms") - number(turn, "first_byte_ms")) / (number(turn, "events") - 1)
 
 
-def spent(turn):
+def phase_times(turn):
     """Milliseconds of a turn: at the stores, queued at the forwarder, until the first event, and generating."""
     store, waited = number(turn, "store_ms"), number(turn, "waited_ms")
     first, total = number(turn, "first_byte_ms"), number(turn, "total_ms")
@@ -98,7 +98,7 @@
              "from s  turns    stores      waited   to first event  generating  pace x idle  not cached %  continued"]
     idle = account.idle_gap()
     for window, turns in sorted(account.turns.items()):
-        parts = list(zip(*(spent(turn) for turn in turns)))
+        parts = list(zip(*(phase_times(turn) for turn in turns)))
         cells = " ".join(f"{quantile(part, .5):5}/{quantile(part, .95):5}" for part in parts)
         gaps = [gap_of(turn) for turn in turns if number(turn, "events") > 2]
         slow = quantile(gaps, .5) / idle if idle else 0
--- a/tests/platform/loss_account_test.py
+++ b/tests/platform/loss_account_test.py
@@ -39,7 +39,7 @@
         self.assertEqual(["r3"], [call["request"] for call in self.account.plain[4]])
 
     def test_a_turns_time_is_split_without_rest(self):
-        parts = loss_account.spent(self.account.turns[4][0])
+        parts = loss_account.phase_times(self.account.turns[4][0])
         self.assertEqual((4, 40, 106, 300), parts)
         self.assertEqual(450, sum(parts))
 
