--- a/scripts/lib/loss_account.py
+++ b/scripts/lib/loss_account.py
@@ -74,11 +74,11 @@
 
     def idle_gap(self):
         """Time between events on a lightly loaded engine, in ms: a low quantile of the day's gaps."""
-        gaps = [gap_of(turn) for turns in self.turns.values() for turn in turns if number(turn, "events") > 2]
+        gaps = [event_gap(turn) for turns in self.turns.values() for turn in turns if number(turn, "events") > 2]
         return quantile(gaps, 0.05)
 
 
-def gap_of(turn):
+def event_gap(turn):
     return (number(turn, "total_ms") - number(turn, "first_byte_ms")) / (number(turn, "events") - 1)
 
 
@@ -100,7 +100,7 @@
     for window, turns in sorted(account.turns.items()):
         parts = list(zip(*(phase_times(turn) for turn in turns)))
         cells = " ".join(f"{quantile(part, .5):5}/{quantile(part, .95):5}" for part in parts)
-        gaps = [gap_of(turn) for turn in turns if number(turn, "events") > 2]
+        gaps = [event_gap(turn) for turn in turns if number(turn, "events") > 2]
         slow = quantile(gaps, .5) / idle if idle else 0
         uncached = 100 * sum(number(turn, "cached") == 0 for turn in turns) / len(turns)
         text.append(f"{window:6} {len(turns):6} {cells} {slow:11.2f} {uncached:12.1f} "
