--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -123,9 +123,9 @@
         if attempt.status == 200:
             attempt.pieces.append(body.decode())
 
-    def turn(self, program, line, budget):
-        """Returns an attempt at a turn that continues `line`: (request, body so far), or None."""
-        previous, before = line or ("", b"")
+    def turn(self, program, conversation, budget):
+        """Returns an attempt at a turn that continues `conversation`: (request, body so far), or None."""
+        previous, before = conversation or ("", b"")
         body = f"[{self.draw_id()[:self.random.randint(4, 16)]}]".encode()
         return Attempt(self.draw_id(), "turn", "POST", "/turns/x", body, self.clock(),
                        program=program, previous=previous, budget=budget,
@@ -142,10 +142,10 @@
             fields.append(f"X-Token-Budget: {attempt.budget}")
         return await self.exchange(attempt, 3.0, fields)
 
-    async def run_turn(self, program, line, budget):
-        """Sends a turn, with retries. Returns the new line; None when it failed."""
+    async def run_turn(self, program, conversation, budget):
+        """Sends a turn, with retries. Returns the new conversation; None when it failed."""
         for _ in range(4):
-            attempt = await self.send_turn(self.turn(program, line, budget))
+            attempt = await self.send_turn(self.turn(program, conversation, budget))
             if attempt.status == 200 and attempt.whole:
                 output = "".join(piece + "\n" for piece in attempt.pieces).encode()
                 return attempt.request, attempt.expected_body + output
@@ -159,19 +159,19 @@
     async def run_program(self):
         program = self.draw_id()
         budget = self.random.choice([0, 2 * MAX_TOKENS, 20 * MAX_TOKENS])
-        line = None
+        conversation = None
         if self.conversations and self.random.random() < 0.15:
-            line = self.random.choice(self.conversations)
+            conversation = self.random.choice(self.conversations)
         other_caller = self.random.choice(self.other_tenant_callers) if self.other_tenant_callers else None
         if other_caller is not None and other_caller.conversations and self.random.random() < 0.05:
             attempt = self.turn(program, self.random.choice(other_caller.conversations), budget)
             attempt.foreign = True
             await self.send_turn(attempt)
         for _ in range(self.random.randint(1, 6)):
-            line = await self.run_turn(program, line, budget)
-            if line is None or self.stopping:
+            conversation = await self.run_turn(program, conversation, budget)
+            if conversation is None or self.stopping:
                 break
-            self.conversations.append(line)
+            self.conversations.append(conversation)
             await asyncio.gather(*(self.call_tool() for _ in range(self.random.randint(0, 2))))
 
     def draw_tool(self):
@@ -207,13 +207,13 @@
         while not self.stopping:
             await self.run_program()
 
-    async def continue_conversation(self, line):
-        """Retries a turn that continues `line` until it is answered. Returns the last status."""
+    async def continue_conversation(self, conversation):
+        """Retries a turn that continues `conversation` until it is answered. Returns the last status."""
         status = 0
         tries = 0
         began = self.clock()
         while tries < CONTINUATION_ATTEMPTS and self.clock() - began < CONTINUATION_SECONDS:
-            attempt = await self.send_turn(self.turn(self.draw_id(), line, 0))
+            attempt = await self.send_turn(self.turn(self.draw_id(), conversation, 0))
             if not attempt.tenant:
                 # The request had an invalid key, so its status says nothing about the turn.
                 continue
