--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -97,12 +97,12 @@
         run.pieces = [f"{instance}:{request}:" + "p" * self.random.randrange(800)]
         payload = run.pieces[0].encode()
         sent = payload[:len(payload) // 2] if failure == "cut" else payload
-        run.whole = sent == payload
+        run.complete = sent == payload
         writer.write(self._head(run.status, common_headers + [("Content-Length", str(len(payload)))]) + sent)
         if failure == "surplus":
             writer.write(self._head(200, common_headers + [("Content-Length", "5")]) + b"extra")
         await writer.drain()
-        return run.whole
+        return run.complete
 
     async def _stream(self, run, common_headers, failure, writer):
         writer.write(self._head(200, common_headers + [("Content-Type", "text/event-stream"),
@@ -117,7 +117,7 @@
             writer.write(b"%x\r\n" % len(event) + event + b"\r\n")
             await writer.drain()
             await asyncio.sleep(0.01)
-        run.whole = True
+        run.complete = True
         writer.write(b"0\r\n\r\n")
         await writer.drain()
         return True
--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -100,7 +100,7 @@
                 attempt.answered_id = headers.get("x-request-id", "")
                 attempt.retry_after = headers.get("retry-after", "")
                 await self._read_answer(attempt, headers, reader)
-                attempt.whole = True
+                attempt.complete = True
         except (OSError, asyncio.IncompleteReadError, TimeoutError, ValueError):
             pass
         finally:
@@ -146,7 +146,7 @@
         """Sends a turn, with retries. Returns the new conversation; None when it failed."""
         for _ in range(4):
             attempt = await self.send_turn(self.turn(program, conversation, budget))
-            if attempt.status == 200 and attempt.whole:
+            if attempt.status == 200 and attempt.complete:
                 output = "".join(piece + "\n" for piece in attempt.pieces).encode()
                 return attempt.request, attempt.expected_body + output
             if attempt.status in (402, 404):
@@ -222,7 +222,7 @@
                 await asyncio.sleep(float(attempt.retry_after or 0.3))
                 continue
             tries += 1
-            status = attempt.status if attempt.whole else 0
+            status = attempt.status if attempt.complete else 0
             if status == 200:
                 break
             await asyncio.sleep(0.3)
--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -51,23 +51,23 @@
 def answers_are_their_own(history):
     """A successful answer is the complete answer of a back end to the same request."""
     runs = runs_by_request(history)
-    whole = [attempt for attempt in history.attempts if attempt.status == 200 and attempt.whole]
+    complete = [attempt for attempt in history.attempts if attempt.status == 200 and attempt.complete]
     wrong = []
-    for attempt in whole:
+    for attempt in complete:
         if attempt.answered_id != attempt.request:
             wrong.append(f"{attempt.request} got the answer to {attempt.answered_id}")
         elif not attempt.signature:
             wrong.append(f"{attempt.request} got a success without a signature")
-        elif not any(run.whole and run.pieces == attempt.pieces for run in runs[attempt.request]):
+        elif not any(run.complete and run.pieces == attempt.pieces for run in runs[attempt.request]):
             wrong.append(f"{attempt.request} got a complete answer that no back end sent")
-    return len(whole), wrong
+    return len(complete), wrong
 
 
 def streams_keep_their_order(history):
     """An interrupted stream consists of the first events of one run, without duplicates."""
     runs = runs_by_request(history)
     broken = [attempt for attempt in history.attempts
-              if attempt.kind == "turn" and attempt.status == 200 and not attempt.whole]
+              if attempt.kind == "turn" and attempt.status == 200 and not attempt.complete]
     return len(broken), [
         f"{attempt.request} was interrupted after events that no run began with" for attempt in broken
         if not any(run.pieces[:len(attempt.pieces)] == attempt.pieces
@@ -94,7 +94,7 @@
     """A turn that continues a completely answered one is never refused as unknown."""
     answered = {}
     for attempt in history.attempts:
-        if attempt.kind == "turn" and attempt.status == 200 and attempt.whole:
+        if attempt.kind == "turn" and attempt.status == 200 and attempt.complete:
             answered[attempt.request] = attempt.ended
     continuing = [attempt for attempt in history.attempts
                 if attempt.previous and not attempt.foreign and answered.get(attempt.previous, attempt.sent) < attempt.sent]
@@ -159,7 +159,7 @@
                  and attempt.sent >= history.machines_up_at + RECOVERY_SECONDS
                  and attempt.status not in (402, 429) and not attempt.target.startswith("/own/")
                  and not may_be_lost(history, attempt)]
-        served = sum(attempt.status == 200 and attempt.whole for attempt in asked)
+        served = sum(attempt.status == 200 and attempt.complete for attempt in asked)
         checked += len(asked)
         if served < SERVED_SHARE * len(asked):
             wrong.append(f"{kind}: {served} of {len(asked)} served")
@@ -292,7 +292,7 @@
                      and attempt.status not in (402, 429)
                      and had_no_fault(history, attempt.sent, attempt.ended,
                                   [history.forwarder_at.get(attempt.forwarder)])]
-            served = sum(attempt.status == 200 and attempt.whole for attempt in asked)
+            served = sum(attempt.status == 200 and attempt.complete for attempt in asked)
             checked += len(asked)
             if served < SERVED_SHARE * len(asked):
                 wrong.append(f"{kind}: {served} of {len(asked)} served from {begin:.1f} to {end:.1f}")
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -10,14 +10,14 @@
 def attempt(request="a", kind="turn", **fields):
     values = {"method": "POST", "target": "/t/", "body": b"in", "sent": 1.0, "ended": 2.0,
               "status": 200, "signature": "s", "answered_id": request, "pieces": ["x", "y"],
-              "whole": True, "retry_after": ""}
+              "complete": True, "retry_after": ""}
     values.update(fields)
     return Attempt(request, kind, **values)
 
 
 def run(request="a", **fields):
     values = {"backend": "e", "service": "s", "method": "POST", "target": "/t/", "body": b"in",
-              "pieces": ["x", "y"], "status": 200, "whole": True}
+              "pieces": ["x", "y"], "status": 200, "complete": True}
     values.update(fields)
     return Run(request, **values)
 
@@ -89,7 +89,7 @@
                                         attempts=[attempt(signature="")]))
 
     def test_an_incomplete_or_altered_answer_is_found(self):
-        self.assertTrue(self.violations(checks.answers_are_their_own, runs=[run(whole=False)],
+        self.assertTrue(self.violations(checks.answers_are_their_own, runs=[run(complete=False)],
                                         attempts=[attempt()]))
         self.assertTrue(self.violations(checks.answers_are_their_own, runs=[run()],
                                         attempts=[attempt(pieces=["x"])]))
@@ -97,7 +97,7 @@
     def test_a_stream_with_a_gap_or_a_double_is_found(self):
         for pieces in (["y"], ["x", "x"]):
             self.assertTrue(self.violations(checks.streams_keep_their_order, runs=[run()],
-                                            attempts=[attempt(pieces=pieces, whole=False)]))
+                                            attempts=[attempt(pieces=pieces, complete=False)]))
 
     def test_a_changed_body_and_an_unknown_request_are_found(self):
         self.assertTrue(self.violations(checks.bodies_arrive_unchanged, runs=[run(body=b"other")],
@@ -107,14 +107,14 @@
                                         attempts=[attempt(expected_body=b"line")]))
 
     def test_a_lost_turn_is_found(self):
-        later = attempt("b", previous="a", sent=3.0, status=404, whole=False)
+        later = attempt("b", previous="a", sent=3.0, status=404, complete=False)
         self.assertTrue(self.violations(checks.history_is_kept, attempts=[attempt(), later]))
         self.assertTrue(self.violations(checks.history_is_kept, continued=[("a", 503)]))
 
     def test_a_turn_that_never_ended_may_be_unknown(self):
-        later = attempt("b", previous="a", sent=3.0, status=404, whole=False)
+        later = attempt("b", previous="a", sent=3.0, status=404, complete=False)
         self.assertFalse(self.violations(checks.history_is_kept,
-                                         attempts=[attempt(whole=False), later]))
+                                         attempts=[attempt(complete=False), later]))
 
     def test_an_overdrawn_budget_is_found(self):
         turns = [attempt(str(number), program="p", budget=10, max_tokens=5, tokens_per_event=3,
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -17,7 +17,7 @@
     pieces: list = field(default_factory=list)
     status: int = 0
     #: Whether the back end sent its complete answer.
-    whole: bool = False
+    complete: bool = False
     at: float = 0.0
     #: Tenant and key that the back end received; the key must be empty.
     tenant: str = ""
@@ -40,7 +40,7 @@
     signature: str = ""
     answered_id: str = ""
     pieces: list = field(default_factory=list)
-    whole: bool = False
+    complete: bool = False
     retry_after: str = ""
     #: Tenant of the caller; empty when the request had an invalid key.
     tenant: str = ""
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -142,7 +142,7 @@
 
 
 def report(options, history, faults):
-    served = sum(attempt.status == 200 and attempt.whole for attempt in history.attempts)
+    served = sum(attempt.status == 200 and attempt.complete for attempt in history.attempts)
     print(f"seed {options.seed}, {options.seconds} s, {len(history.attempts)} requests, {served} "
           f"served, {len(history.runs)} runs at back ends, {len(history.changes)} configurations")
     print("faults: " + ", ".join(f"{kind} {count}"
