--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -165,7 +165,7 @@
         other_caller = self.random.choice(self.other_tenant_callers) if self.other_tenant_callers else None
         if other_caller is not None and other_caller.conversations and self.random.random() < 0.05:
             attempt = self.turn(program, self.random.choice(other_caller.conversations), budget)
-            attempt.foreign = True
+            attempt.continues_other_tenant = True
             await self.send_turn(attempt)
         for _ in range(self.random.randint(1, 6)):
             conversation = await self.run_turn(program, conversation, budget)
--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -97,7 +97,7 @@
         if attempt.kind == "turn" and attempt.status == 200 and attempt.complete:
             answered[attempt.request] = attempt.ended
     continuing = [attempt for attempt in history.attempts
-                if attempt.previous and not attempt.foreign and answered.get(attempt.previous, attempt.sent) < attempt.sent]
+                if attempt.previous and not attempt.continues_other_tenant and answered.get(attempt.previous, attempt.sent) < attempt.sent]
     wrong = [f"{attempt.request} got {attempt.status}: previous turn {attempt.previous} was lost"
              for attempt in continuing if attempt.status in (404, 410)]
     # A turn whose last disk was lost gets 503 (undecided), never 404 or 410.
@@ -155,7 +155,7 @@
         return 0, wrong
     for kind in ("turn", "repeatable", "once"):
         asked = [attempt for attempt in history.attempts
-                 if attempt.kind == kind and attempt.tenant and not attempt.foreign
+                 if attempt.kind == kind and attempt.tenant and not attempt.continues_other_tenant
                  and attempt.sent >= history.machines_up_at + RECOVERY_SECONDS
                  and attempt.status not in (402, 429) and not attempt.target.startswith("/own/")
                  and not may_be_lost(history, attempt)]
@@ -220,9 +220,9 @@
 def others_turns_are_unknown(history):
     """A turn of another tenant can't be continued."""
     runs = runs_by_request(history)
-    foreign = [attempt for attempt in history.attempts if attempt.foreign]
-    return len(foreign), [f"{attempt.request} of {attempt.tenant} continued {attempt.previous} of another tenant"
-                          for attempt in foreign if runs[attempt.request]]
+    continues_other_tenant = [attempt for attempt in history.attempts if attempt.continues_other_tenant]
+    return len(continues_other_tenant), [f"{attempt.request} of {attempt.tenant} continued {attempt.previous} of another tenant"
+                          for attempt in continues_other_tenant if runs[attempt.request]]
 
 
 def limits_hold(history):
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -163,7 +163,7 @@
 
     def test_continuing_another_tenants_turn_is_found(self):
         self.assertTrue(self.violations(checks.others_turns_are_unknown, runs=[run()],
-                                        attempts=[attempt(tenant="open", foreign=True)]))
+                                        attempts=[attempt(tenant="open", continues_other_tenant=True)]))
 
     def test_a_limit_that_is_exceeded_is_found(self):
         bound = int(checks.limit_of("tight"))
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -45,7 +45,7 @@
     #: Tenant of the caller; empty when the request had an invalid key.
     tenant: str = ""
     #: Whether it continues another tenant's turn.
-    foreign: bool = False
+    continues_other_tenant: bool = False
     #: Address of the forwarder, and whether it ran the earlier build.
     forwarder: str = ""
     by_earlier_build: bool = False
