--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -8,7 +8,7 @@
 import shutil
 import signal
 
-from .history import Ending
+from .history import ProcessExit
 from .links import Link
 from .tenants import QUOTA_OVERSHOOT, QUOTA_SLACK, QUOTA_WINDOW
 
@@ -114,7 +114,7 @@
     async def _watch(self, process):
         code = await process.wait()
         self.cluster.history.endings.append(
-            Ending(self.name, self.cluster.clock(), code, self.asked and code in (0, -9)))
+            ProcessExit(self.name, self.cluster.clock(), code, self.asked and code in (0, -9)))
 
     def send(self, number):
         if self.running:
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -76,7 +76,7 @@
 
 
 @dataclass
-class Ending:
+class ProcessExit:
     """The end of a process."""
 
     process: str
