--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -138,8 +138,8 @@
 def processes_stay_up(history):
     """A process ends only when it is killed, or with code 0 after a request to stop."""
     wrong = [f"{ending.process} ended with {ending.code} at {ending.at:.2f}"
-             for ending in history.endings if not ending.asked]
-    return len(history.endings), wrong
+             for ending in history.process_exits if not ending.asked]
+    return len(history.process_exits), wrong
 
 
 def may_be_lost(history, attempt):
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -28,7 +28,7 @@
 
     def test_a_good_history_has_no_violations(self):
         good = History(runs=[run(tenant="open")], attempts=[attempt(tenant="open")], reads=[ConfigurationRead(9, 3)],
-                       changes=[ConfigurationChange(3, 1)], endings=[ProcessExit("p", 1, 0, True)],
+                       changes=[ConfigurationChange(3, 1)], process_exits=[ProcessExit("p", 1, 0, True)],
                        continued=[("a", 200)], read_back=3)
         for name, _, violations in checks.check_all(good):
             self.assertEqual([], violations, name)
@@ -224,7 +224,7 @@
 
     def test_a_process_that_ends_by_itself_is_found(self):
         self.assertTrue(self.violations(checks.processes_stay_up,
-                                        endings=[ProcessExit("p", 1, 139, False)]))
+                                        process_exits=[ProcessExit("p", 1, 139, False)]))
 
 
 if __name__ == "__main__":
--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -113,7 +113,7 @@
 
     async def _watch(self, process):
         code = await process.wait()
-        self.cluster.history.endings.append(
+        self.cluster.history.process_exits.append(
             ProcessExit(self.name, self.cluster.clock(), code, self.asked and code in (0, -9)))
 
     def send(self, number):
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -112,7 +112,7 @@
     attempts: list = field(default_factory=list)
     reads: list = field(default_factory=list)
     changes: list = field(default_factory=list)
-    endings: list = field(default_factory=list)
+    process_exits: list = field(default_factory=list)
     fault_intervals: list = field(default_factory=list)
     #: Calls to routes that a change added or dropped, once it must be in force.
     route_probes: list = field(default_factory=list)
