--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -137,8 +137,8 @@
 
 def processes_stay_up(history):
     """A process ends only when it is killed, or with code 0 after a request to stop."""
-    wrong = [f"{ending.process} ended with {ending.code} at {ending.at:.2f}"
-             for ending in history.process_exits if not ending.asked]
+    wrong = [f"{process_exit.process} ended with {process_exit.code} at {process_exit.at:.2f}"
+             for process_exit in history.process_exits if not process_exit.asked]
     return len(history.process_exits), wrong
 
 
