--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -138,7 +138,7 @@
 def processes_stay_up(history):
     """A process ends only when it is killed, or with code 0 after a request to stop."""
     wrong = [f"{process_exit.process} ended with {process_exit.code} at {process_exit.at:.2f}"
-             for process_exit in history.process_exits if not process_exit.asked]
+             for process_exit in history.process_exits if not process_exit.stop_requested]
     return len(history.process_exits), wrong
 
 
--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -49,7 +49,7 @@
         #: Folder of the programs used at the next start.
         self.build = cluster.build
         self.process = None
-        self.asked = False
+        self.stop_requested = False
         self.starting = asyncio.Lock()
         port = DIRECTORY_PORT if program == "directory" else STORE_PORT
         self.link = Link(self.name, (self.relayed, port), (self.own, port))
@@ -102,7 +102,7 @@
     async def _start(self):
         settings = self.write_settings()
         self.starts += 1
-        self.asked = False
+        self.stop_requested = False
         log = (self.cluster.work / f"{self.name}.log").open("ab")
         self.log_offset = log.tell()
         self.process = await asyncio.create_subprocess_exec(
@@ -114,7 +114,7 @@
     async def _watch(self, process):
         code = await process.wait()
         self.cluster.history.process_exits.append(
-            ProcessExit(self.name, self.cluster.clock(), code, self.asked and code in (0, -9)))
+            ProcessExit(self.name, self.cluster.clock(), code, self.stop_requested and code in (0, -9)))
 
     def send(self, number):
         if self.running:
@@ -122,19 +122,19 @@
                 os.kill(self.process.pid, number)
 
     async def kill(self):
-        self.asked = True
+        self.stop_requested = True
         self.send(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
 
     async def stop(self):
         """Sends SIGTERM; after GRACE_SECONDS sends SIGKILL, which counts as a violation."""
-        self.asked = True
+        self.stop_requested = True
         self.send(signal.SIGTERM)
         try:
             await asyncio.wait_for(self.process.wait(), GRACE_SECONDS)
         except TimeoutError:
-            self.asked = False
+            self.stop_requested = False
             self.send(signal.SIGKILL)
             await self.process.wait()
 
@@ -184,7 +184,7 @@
         """Kills all processes at once, wipes the disks of `lost_disks`, and starts all again."""
         self.power.clear()
         for node in self.nodes:
-            node.asked = True
+            node.stop_requested = True
             node.send(signal.SIGKILL)
         await asyncio.gather(*(node.kill() for node in self.nodes))
         for node in self.nodes:
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -83,7 +83,7 @@
     at: float
     code: int
     #: Whether it was killed, or exited with 0 after a request to stop.
-    asked: bool
+    stop_requested: bool
 
 
 @dataclass
