--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -184,14 +184,14 @@
     On a route that a change dropped, 404 is allowed too.
     """
     runs = runs_by_request(history)
-    strange = [attempt for attempt in history.attempts if not attempt.tenant]
+    invalid_key_attempts = [attempt for attempt in history.attempts if not attempt.tenant]
     dropped = {probe.attempt.request for probe in history.route_probes if probe.dropped}
     wrong = []
-    for attempt in strange:
+    for attempt in invalid_key_attempts:
         allowed = (0, 401, 503, 404) if attempt.request in dropped else (0, 401, 503)
         if runs[attempt.request] or attempt.status not in allowed:
             wrong.append(f"{attempt.request} with an invalid key got {attempt.status}")
-    return len(strange), wrong
+    return len(invalid_key_attempts), wrong
 
 
 def proper_keys_are_let_in(history):
