--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -196,9 +196,9 @@
 
 def proper_keys_are_let_in(history):
     """A key that every configuration in force contains never gets 401."""
-    proper = [attempt for attempt in history.attempts if attempt.tenant]
-    return len(proper), [f"{attempt.request} of {attempt.tenant} got 401 at {attempt.sent:.2f}"
-                         for attempt in proper if attempt.status == 401]
+    valid_key_attempts = [attempt for attempt in history.attempts if attempt.tenant]
+    return len(valid_key_attempts), [f"{attempt.request} of {attempt.tenant} got 401 at {attempt.sent:.2f}"
+                         for attempt in valid_key_attempts if attempt.status == 401]
 
 
 def added_routes_are_known(history):
