--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -142,7 +142,7 @@
     return len(history.process_exits), wrong
 
 
-def may_be_lost(history, attempt):
+def previous_may_be_lost(history, attempt):
     """True for a 503 to a turn that continues one whose last disk may be lost."""
     return history.disks_in_series and attempt.previous and attempt.status == 503
 
@@ -158,7 +158,7 @@
                  if attempt.kind == kind and attempt.tenant and not attempt.continues_other_tenant
                  and attempt.sent >= history.machines_up_at + RECOVERY_SECONDS
                  and attempt.status not in (402, 429) and not attempt.target.startswith("/own/")
-                 and not may_be_lost(history, attempt)]
+                 and not previous_may_be_lost(history, attempt)]
         served = sum(attempt.status == 200 and attempt.complete for attempt in asked)
         checked += len(asked)
         if served < SERVED_SHARE * len(asked):
