--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -70,7 +70,7 @@
     def draw_id(self):
         return f"{self.random.getrandbits(64):016x}"
 
-    def identify(self, attempt):
+    def credential_headers(self, attempt):
         """Returns the credential header fields; a small share of requests gets an invalid key."""
         if not self.keys.in_use:
             attempt.tenant = self.tenant
@@ -82,7 +82,7 @@
     async def exchange(self, attempt, timeout_seconds, fields=(), forwarder=None):
         """Sends one request on a new connection and records the answer in `attempt`."""
         self.history.attempts.append(attempt)
-        identity = self.identify(attempt)
+        identity = self.credential_headers(attempt)
         writer = None
         try:
             async with asyncio.timeout(timeout_seconds):
