--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -41,15 +41,15 @@
     def clock():
         return time.monotonic() - started
 
-    draw = random.Random(options.seed)
+    generator = random.Random(options.seed)
     history = History()
     addresses = Addresses(options.network)
     cluster = Cluster(history, clock, options.build, work, addresses)
     backends = [Backend(history, clock, f"engine-{number}", "engines",
-                        (addresses.own(41 + number), 7700), True, draw.random())
+                        (addresses.own(41 + number), 7700), True, generator.random())
                 for number in range(ENGINES)]
     backends += [Backend(history, clock, f"app-{number}", "apps",
-                         (addresses.own(51 + number), 7700), False, draw.random())
+                         (addresses.own(51 + number), 7700), False, generator.random())
                  for number in range(APPS)]
     for backend in backends:
         await backend.start()
@@ -61,18 +61,18 @@
         history.earlier_forwarders = {node.own for node in cluster.nodes_of("forwarder")}
     await cluster.start()
     try:
-        faults = await play(options, history, clock, draw, cluster, backends)
+        faults = await play(options, history, clock, generator, cluster, backends)
     finally:
         await cluster.stop()
     return history, faults
 
 
-async def play(options, history, clock, draw, cluster, backends):
+async def play(options, history, clock, generator, cluster, backends):
     """Applies load and faults, then waits for recovery and reads turns and configuration back."""
     without_keys = options.upgrade_from and not options.upgrade_tenants
-    keys = NoKeys() if without_keys else KeyRing(clock, draw.random())
+    keys = NoKeys() if without_keys else KeyRing(clock, generator.random())
     operators = [(node.own, OPERATORS_PORT) for node in cluster.nodes_of("directory")]
-    operator = Operator(history, clock, operators, draw.random(), keys,
+    operator = Operator(history, clock, operators, generator.random(), keys,
                         cluster.addresses)
     forwarders = [(node.own, CALLERS_PORT) for node in cluster.nodes_of("forwarder")]
     history.forwarder_at = {node.own: node.name for node in cluster.nodes_of("forwarder")}
@@ -83,14 +83,14 @@
     await operator.change()
     await asyncio.sleep(1.0)
     names = list(TENANTS) if keys.in_use else ["open"]
-    callers = [Caller(history, clock, forwarders, draw.random(), names[number % len(names)], keys,
+    callers = [Caller(history, clock, forwarders, generator.random(), names[number % len(names)], keys,
                       operator.added)
                for number in range(options.callers)]
     operator.probers = [Caller(history, clock, forwarders, f"prober-{number}", "open", keys,
                                operator.added) for number in range(PROBERS)]
     for caller in callers:
         caller.other_tenant_callers = [other for other in callers if other.tenant != caller.tenant]
-    faults = Faults(cluster, backends, clock, draw.random())
+    faults = Faults(cluster, backends, clock, generator.random())
     faults.pauses = (options.fault_gap / 8, options.fault_gap)
     faults.disks_in_series = options.disks_in_series
     if options.kinds:
@@ -116,7 +116,7 @@
     for task in unfinished:
         task.cancel()
     lines = [(caller, line) for caller in callers for line in caller.conversations]
-    sample = draw.sample(lines, min(CONTINUED_CONVERSATIONS, len(lines)))
+    sample = generator.sample(lines, min(CONTINUED_CONVERSATIONS, len(lines)))
 
     async def continue_sample(caller):
         for other, line in sample:
