--- a/tests/support/directory_group.hpp
+++ b/tests/support/directory_group.hpp
@@ -2,7 +2,7 @@
 /// @file
 /// Simulated directory nodes on a network with a fixed delay, in virtual time. A node can be
 /// partitioned from the others while tests still query its core directly, and can be limited to the
-/// first message format, as in the previous build.
+/// first message format.
 
 #include <deque>
 #include <map>
--- a/tests/support/first_format.hpp
+++ b/tests/support/first_format.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Emulates a node of the previous build by encoding and decoding messages in the first format.
+/// Emulates a node that supports only the first message format, by encoding and decoding messages
+/// in that format.
 
 #include <optional>
 
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -58,9 +58,10 @@
         advance_begin(request);
     }
 
-    /// Sends the due requests of a random unfinished begin operation. Requires has_beginnings().
+    /// Sends the due requests of a random unfinished begin operation. Requires
+    /// has_unfinished_begins().
     void continue_random_begin() { advance_begin(random_key(begin_attempts_)); }
-    /// Resends a random unfinished settlement. Requires has_settlements().
+    /// Resends a random unfinished settlement. Requires has_unfinished_settlements().
     void resend_random_settlement() { send_settle_requests(random_key(unfinished_settlements_)); }
     [[nodiscard]] bool has_unfinished_begins() const { return !begin_attempts_.empty(); }
     [[nodiscard]] bool has_unfinished_settlements() const {
