--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -98,7 +98,8 @@
         payload = run.pieces[0].encode()
         sent = payload[:len(payload) // 2] if failure == "cut" else payload
         run.complete = sent == payload
-        writer.write(self._head(run.status, common_headers + [("Content-Length", str(len(payload)))]) + sent)
+        writer.write(self._head(run.status, common_headers + [("Content-Length",
+                                                               str(len(payload)))]) + sent)
         if failure == "surplus":
             writer.write(self._head(200, common_headers + [("Content-Length", "5")]) + b"extra")
         await writer.drain()
--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -11,8 +11,8 @@
 HOST = "soak.example"
 MAX_TOKENS = 8 * TOKENS_PER_EVENT
 RETENTION_SECONDS = 600.0
-#: Time between the acknowledgement of a change and the callers' use of a route it added, in seconds:
-#: a node may still use a confirmation that it requested shortly before.
+#: Time between the acknowledgement of a change and the callers' use of a route it added, in
+#: seconds: a node may still use a confirmation that it requested shortly before.
 ADDED_ROUTE_DELAY = 0.1
 #: Time after its acknowledgement by which a change must be in force at every node, in seconds.
 IN_FORCE_SECONDS = 2.0
@@ -124,7 +124,7 @@
             attempt.pieces.append(body.decode())
 
     def turn(self, program, conversation, budget):
-        """Returns an attempt at a turn that continues `conversation`: (request, body so far), or None."""
+        """Returns an attempt that continues `conversation`: (request, body so far), or None."""
         previous, before = conversation or ("", b"")
         body = f"[{self.draw_id()[:self.random.randint(4, 16)]}]".encode()
         return Attempt(self.draw_id(), "turn", "POST", "/turns/x", body, self.clock(),
@@ -175,7 +175,8 @@
             await asyncio.gather(*(self.call_tool() for _ in range(self.random.randint(0, 2))))
 
     def draw_tool(self):
-        settled = [path for path, at in self.added.items() if self.clock() - at >= ADDED_ROUTE_DELAY]
+        settled = [path for path, at in self.added.items()
+                   if self.clock() - at >= ADDED_ROUTE_DELAY]
         if settled and self.added_routes_random.random() < 0.3:
             # The newest routes are those that a node is most likely to lack.
             return "repeatable", self.added_routes_random.choice(settled[-3:]) + "x"
@@ -208,7 +209,7 @@
             await self.run_program()
 
     async def continue_conversation(self, conversation):
-        """Retries a turn that continues `conversation` until it is answered. Returns the last status."""
+        """Retries a turn after `conversation` until it is answered. Returns the last status."""
         status = 0
         tries = 0
         began = self.clock()
@@ -255,9 +256,10 @@
         self.stopping = False
 
     def draw_unused_routes(self):
-        """Occasionally adds many unused routes to the next configuration, or removes all of them."""
+        """Occasionally adds many unused routes to the next configuration, or removes them."""
         if self.unused_routes_random.random() < 0.2:
-            self.unused_routes = (self.unused_routes + UNUSED_ROUTES) % (MAX_UNUSED_ROUTES + UNUSED_ROUTES)
+            self.unused_routes = (self.unused_routes + UNUSED_ROUTES) % (
+                MAX_UNUSED_ROUTES + UNUSED_ROUTES)
 
     def configuration(self):
         def route(name, path, kind, service, attempts):
--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -51,7 +51,8 @@
 def answers_are_their_own(history):
     """A successful answer is the complete answer of a back end to the same request."""
     runs = runs_by_request(history)
-    complete = [attempt for attempt in history.attempts if attempt.status == 200 and attempt.complete]
+    complete = [attempt for attempt in history.attempts
+                if attempt.status == 200 and attempt.complete]
     wrong = []
     for attempt in complete:
         if attempt.answered_id != attempt.request:
@@ -69,7 +70,8 @@
     broken = [attempt for attempt in history.attempts
               if attempt.kind == "turn" and attempt.status == 200 and not attempt.complete]
     return len(broken), [
-        f"{attempt.request} was interrupted after events that no run began with" for attempt in broken
+        f"{attempt.request} was interrupted after events that no run began with"
+        for attempt in broken
         if not any(run.pieces[:len(attempt.pieces)] == attempt.pieces
                    for run in runs[attempt.request])]
 
@@ -97,7 +99,8 @@
         if attempt.kind == "turn" and attempt.status == 200 and attempt.complete:
             answered[attempt.request] = attempt.ended
     continuing = [attempt for attempt in history.attempts
-                if attempt.previous and not attempt.continues_other_tenant and answered.get(attempt.previous, attempt.sent) < attempt.sent]
+                if attempt.previous and not attempt.continues_other_tenant
+                  and answered.get(attempt.previous, attempt.sent) < attempt.sent]
     wrong = [f"{attempt.request} got {attempt.status}: previous turn {attempt.previous} was lost"
              for attempt in continuing if attempt.status in (404, 410)]
     # A turn whose last disk was lost gets 503 (undecided), never 404 or 410.
@@ -197,7 +200,8 @@
 def proper_keys_are_let_in(history):
     """A key that every configuration in force contains never gets 401."""
     valid_key_attempts = [attempt for attempt in history.attempts if attempt.tenant]
-    return len(valid_key_attempts), [f"{attempt.request} of {attempt.tenant} got 401 at {attempt.sent:.2f}"
+    return len(valid_key_attempts), [
+        f"{attempt.request} of {attempt.tenant} got 401 at {attempt.sent:.2f}"
                          for attempt in valid_key_attempts if attempt.status == 401]
 
 
@@ -254,7 +258,8 @@
 
 def had_no_fault(history, begin, end, processes):
     """True when no fault affected any of the processes between `begin` and `end`."""
-    return not any(interval.process in processes and interval.began <= end and interval.ended >= begin
+    return not any(interval.process in processes
+                   and interval.began <= end and interval.ended >= begin
                    for interval in history.fault_intervals)
 
 
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -3,8 +3,8 @@
 import unittest
 
 from . import checks
-from .history import (Attempt, ConfigurationChange, ConfigurationRead, ProcessExit, History, RouteProbe,
-                      Run, FaultInterval)
+from .history import (Attempt, ConfigurationChange, ConfigurationRead, ProcessExit, History,
+                      RouteProbe, Run, FaultInterval)
 
 
 def attempt(request="a", kind="turn", **fields):
@@ -27,8 +27,9 @@
         return check(History(**parts))[1]
 
     def test_a_good_history_has_no_violations(self):
-        good = History(runs=[run(tenant="open")], attempts=[attempt(tenant="open")], reads=[ConfigurationRead(9, 3)],
-                       changes=[ConfigurationChange(3, 1)], process_exits=[ProcessExit("p", 1, 0, True)],
+        good = History(runs=[run(tenant="open")], attempts=[attempt(tenant="open")],
+                       reads=[ConfigurationRead(9, 3)], changes=[ConfigurationChange(3, 1)],
+                       process_exits=[ProcessExit("p", 1, 0, True)],
                        continued=[("a", 200)], read_back=3)
         for name, _, violations in checks.check_all(good):
             self.assertEqual([], violations, name)
@@ -196,7 +197,8 @@
         for process in ("forwarder-0", "directory-0"):
             struck = [FaultInterval(process, 7.5, 8.0)]
             self.assertFalse(self.in_force(200, dropped=True, ran=True, fault_intervals=struck))
-        for interval in (FaultInterval("forwarder-0", 2.0, 6.5), FaultInterval("turn-store-0", 9.0, 11.0)):
+        for interval in (FaultInterval("forwarder-0", 2.0, 6.5),
+                         FaultInterval("turn-store-0", 9.0, 11.0)):
             self.assertTrue(self.in_force(200, dropped=True, ran=True, fault_intervals=[interval]))
 
     def test_unserved_requests_during_a_rolling_replacement_are_found(self):
@@ -204,7 +206,8 @@
             asked = [attempt(str(number), sent=5.0, ended=5.1, status=status, forwarder="f")
                      for number, status in enumerate(statuses)]
             return self.violations(checks.planned_rolls_serve, attempts=asked,
-                                   rolling_replacements=[(4.0, 9.0)], fault_intervals=list(fault_intervals),
+                                   rolling_replacements=[(4.0, 9.0)],
+                                   fault_intervals=list(fault_intervals),
                                    forwarder_at={"f": "forwarder-0"})
         self.assertTrue(roll([200] * 5 + [503] * 5))
         self.assertFalse(roll([200] * 10))
@@ -215,7 +218,8 @@
             call = attempt(kind="repeatable", target="/added/3/x", status=404, sent=sent,
                            ended=sent, by_earlier_build=earlier, forwarder="f")
             return self.violations(checks.added_routes_are_known, attempts=[call],
-                                   changes=[ConfigurationChange(3, 10.0)], fault_intervals=list(fault_intervals),
+                                   changes=[ConfigurationChange(3, 10.0)],
+                                   fault_intervals=list(fault_intervals),
                                    forwarder_at={"f": "forwarder-0"})
         self.assertTrue(called(10.2, earlier=False))
         self.assertFalse(called(10.2, earlier=True))
--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -114,7 +114,8 @@
     async def _watch(self, process):
         code = await process.wait()
         self.cluster.history.process_exits.append(
-            ProcessExit(self.name, self.cluster.clock(), code, self.stop_requested and code in (0, -9)))
+            ProcessExit(self.name, self.cluster.clock(), code,
+                        self.stop_requested and code in (0, -9)))
 
     def send(self, number):
         if self.running:
--- a/tests/platform/soak/history.py
+++ b/tests/platform/soak/history.py
@@ -129,7 +129,7 @@
     has_keys: bool = True
     #: Number of callers and operators that didn't finish within the time limit after `stopping`.
     unfinished: int = 0
-    #: Whether disks may have been lost before their copies were complete, so that turns may be lost.
+    #: Whether disks may be lost before their copies are complete, so that turns may be lost.
     disks_in_series: bool = False
     #: Time at which all machines were up after the last fault; None when there was none.
     machines_up_at: float | None = None
--- a/tests/platform/soak/links.py
+++ b/tests/platform/soak/links.py
@@ -63,5 +63,5 @@
                 await self.healed.wait()
             writer.write(data)
             await writer.drain()
-        # When one side closes, abort both, as when a process dies.
+        # Aborts both connections when either side closes.
         raise ConnectionResetError
--- a/tests/platform/soak/upgrade.py
+++ b/tests/platform/soak/upgrade.py
@@ -7,8 +7,8 @@
 #: Range of the pause between two replacements, in seconds: long enough for a process to reconnect,
 #: so that configuration changes are checked while the builds are mixed.
 GAP = (3.5, 4.5)
-#: Time after which a process that hasn't logged its start is assumed to have been killed by a fault,
-#: in seconds.
+#: Time in seconds after which a process that hasn't logged its start is assumed to have been killed
+#: by a fault.
 STARTED_SECONDS = 10.0
 #: Order in which a step for all programs replaces them.
 ORDER = ("turn-store", "directory", "forwarder")
