--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -224,9 +224,10 @@
 def others_turns_are_unknown(history):
     """A turn of another tenant can't be continued."""
     runs = runs_by_request(history)
-    continues_other_tenant = [attempt for attempt in history.attempts if attempt.continues_other_tenant]
-    return len(continues_other_tenant), [f"{attempt.request} of {attempt.tenant} continued {attempt.previous} of another tenant"
-                          for attempt in continues_other_tenant if runs[attempt.request]]
+    foreign_turns = [attempt for attempt in history.attempts if attempt.continues_other_tenant]
+    return len(foreign_turns), [
+        f"{attempt.request} of {attempt.tenant} continued {attempt.previous} of another tenant"
+                          for attempt in foreign_turns if runs[attempt.request]]
 
 
 def limits_hold(history):
