--- a/tests/platform/soak/checks.py
+++ b/tests/platform/soak/checks.py
@@ -202,7 +202,7 @@
     valid_key_attempts = [attempt for attempt in history.attempts if attempt.tenant]
     return len(valid_key_attempts), [
         f"{attempt.request} of {attempt.tenant} got 401 at {attempt.sent:.2f}"
-                         for attempt in valid_key_attempts if attempt.status == 401]
+        for attempt in valid_key_attempts if attempt.status == 401]
 
 
 def added_routes_are_known(history):
@@ -227,7 +227,7 @@
     foreign_turns = [attempt for attempt in history.attempts if attempt.continues_other_tenant]
     return len(foreign_turns), [
         f"{attempt.request} of {attempt.tenant} continued {attempt.previous} of another tenant"
-                          for attempt in foreign_turns if runs[attempt.request]]
+        for attempt in foreign_turns if runs[attempt.request]]
 
 
 def limits_hold(history):
