--- a/tests/platform/platform_test.cpp
+++ b/tests/platform/platform_test.cpp
@@ -10,14 +10,14 @@
 
 class platform_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(platform_test);
-    CPPUNIT_TEST(a_configuration_is_read);
-    CPPUNIT_TEST(each_bad_body_is_refused_with_its_reason);
-    CPPUNIT_TEST(a_request_is_read_and_passed_on_with_our_marks);
-    CPPUNIT_TEST(fields_that_the_system_sets_never_come_from_callers);
-    CPPUNIT_TEST(who_calls_and_what_about_is_read);
-    CPPUNIT_TEST(tenants_are_read);
-    CPPUNIT_TEST(a_proof_of_not_running_is_told_from_a_failure);
-    CPPUNIT_TEST(the_list_is_read_page_by_page);
+    CPPUNIT_TEST(configuration_is_parsed);
+    CPPUNIT_TEST(malformed_configurations_are_rejected_with_a_reason);
+    CPPUNIT_TEST(request_headers_are_parsed_and_system_headers_added);
+    CPPUNIT_TEST(callers_cannot_set_system_headers);
+    CPPUNIT_TEST(credential_and_affinity_key_are_parsed);
+    CPPUNIT_TEST(tenants_are_parsed);
+    CPPUNIT_TEST(not_executed_header_is_distinguished_from_a_failure);
+    CPPUNIT_TEST(replica_list_pages_are_parsed);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string body(const std::string& timeout, const std::string& service) {
@@ -30,7 +30,7 @@
                R"("Limits":{"MaxBodyBytes":100}})";
     }
 
-    void a_configuration_is_read() {
+    void configuration_is_parsed() {
         const auto parsed = parse_configuration(body("4000", "s"));
         CPPUNIT_ASSERT(parsed.has_value());
         const routing::route& route = parsed->routes.front();
@@ -49,7 +49,7 @@
         return invalid != nullptr ? invalid->status : 200;
     }
 
-    void each_bad_body_is_refused_with_its_reason() {
+    void malformed_configurations_are_rejected_with_a_reason() {
         const std::string good = body("4000", "s");
         CPPUNIT_ASSERT_EQUAL(200U, status_of(good));
         for (std::size_t cut = 0; cut < good.size(); ++cut) {
@@ -63,7 +63,7 @@
         CPPUNIT_ASSERT(std::holds_alternative<directory::invalid_call>(other));
     }
 
-    void a_request_is_read_and_passed_on_with_our_marks() {
+    void request_headers_are_parsed_and_system_headers_added() {
         http::message_head head;
         head.headers.add("X-Request-Id", "abc");
         head.headers.add("X-Deadline-Ms", "4000");
@@ -89,31 +89,32 @@
         CPPUNIT_ASSERT_EQUAL(std::string("kept"), *sent.find("X-Other"));
         CPPUNIT_ASSERT(sent.find("Connection") == nullptr);
         CPPUNIT_ASSERT(sent.find("Last-Event-Id") == nullptr);
-        // A continued stream begins after the last event that has been passed on.
+        // A resumed stream continues after the last event forwarded to the caller.
         head.headers.add("Last-Event-Id", "3");
         const http::header_list continued =
             calls.backend_headers(head, {std::chrono::milliseconds(1500), "i-1", 0, true, {}, "7"});
         CPPUNIT_ASSERT_EQUAL(std::string("7"), *continued.find("Last-Event-Id"));
     }
 
-    void fields_that_the_system_sets_never_come_from_callers() {
-        static const std::vector<std::string> ours{"X-Hold",
-                                                   "X-Pin-Ms",
-                                                   "X-Kv-Backup",
-                                                   "Kv-From",
-                                                   "Kv-Fetch",
-                                                   "X-Expected-Instance",
-                                                   "X-Expected-Version",
-                                                   "X-Request-Priority",
-                                                   "X-Tenant-Id",
-                                                   "X-Credential",
-                                                   "X-Deadline-Ms"};
-        check_property("whatever a caller sends under our names goes nowhere", [] {
+    void callers_cannot_set_system_headers() {
+        static const std::vector<std::string> system_headers{"X-Hold",
+                                                             "X-Pin-Ms",
+                                                             "X-Kv-Backup",
+                                                             "Kv-From",
+                                                             "Kv-Fetch",
+                                                             "X-Expected-Instance",
+                                                             "X-Expected-Version",
+                                                             "X-Request-Priority",
+                                                             "X-Tenant-Id",
+                                                             "X-Credential",
+                                                             "X-Deadline-Ms"};
+        check_property("callers can't set header fields that the system sets", [] {
             http::message_head head;
             head.headers.add("X-Request-Id", "abc");
             const int count = *rc::gen::inRange(1, 12);
             for (int each = 0; each < count; ++each) {
-                std::string name = ours[*rc::gen::inRange<std::size_t>(0, ours.size())];
+                std::string name =
+                    system_headers[*rc::gen::inRange<std::size_t>(0, system_headers.size())];
                 for (char& letter : name) {
                     letter = *rc::gen::arbitrary<bool>() ? static_cast<char>(std::toupper(letter))
                                                          : static_cast<char>(std::tolower(letter));
@@ -137,7 +138,7 @@
         });
     }
 
-    void who_calls_and_what_about_is_read() {
+    void credential_and_affinity_key_are_parsed() {
         http::message_head head;
         const replica_calls calls;
         CPPUNIT_ASSERT(calls.read_request(head).credential.empty());
@@ -145,12 +146,12 @@
         head.headers.add("Cookie", "a=1; X-Affinity-Key=17;b=2");
         CPPUNIT_ASSERT_EQUAL(std::string("key"), calls.read_request(head).credential);
         CPPUNIT_ASSERT_EQUAL(std::string("17"), calls.read_request(head).object);
-        // Several keys are none: which of them counts can't be said.
+        // A request with several credentials is ambiguous and counts as having none.
         head.headers.add("x-credential", "other");
         CPPUNIT_ASSERT(calls.read_request(head).credential.empty());
     }
 
-    void tenants_are_read() {
+    void tenants_are_parsed() {
         std::string text = body("4000", "s");
         text.pop_back();
         text += R"(,"Tenants":[{"Name":"n","ApiKeys":["k1","k2"],"Priority":1,"RatePerS":388,)"
@@ -167,7 +168,7 @@
         CPPUNIT_ASSERT_EQUAL(400U, status_of(shared));
     }
 
-    void a_proof_of_not_running_is_told_from_a_failure() {
+    void not_executed_header_is_distinguished_from_a_failure() {
         http::message_head failure;
         failure.status = 503;
         failure.headers.add("X-Request-Id", "abc");
@@ -180,7 +181,7 @@
         CPPUNIT_ASSERT(calls.read_answer(other).wrong_incarnation);
     }
 
-    void the_list_is_read_page_by_page() {
+    void replica_list_pages_are_parsed() {
         const replica_list list;
         CPPUNIT_ASSERT_EQUAL(std::string("/instances?PageToken=p-50"), list.list_target("p-50"));
         const auto page = list.read_list(
--- a/tests/platform/soak/backends.py
+++ b/tests/platform/soak/backends.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the replicas of the users' platform and for its list of them."""
+"""Simulated replicas of the users' platform, and its list of replicas."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 
 async def read_request(reader):
-    """Returns (method, target, headers, body); None at the end of the connection."""
+    """Returns (method, target, headers, body). IncompleteReadError at its end."""
     first, headers = await read_message_head(reader)
     method, target, _ = first.split(" ", 2)
     body = await read_body(reader, headers)
@@ -19,10 +19,10 @@
 
 
 class Backend:
-    """One replica: an engine that streams events, or an app service with whole answers."""
+    """A replica: an engine that streams events, or an app service that sends plain answers."""
 
-    #: What share of the answers misbehaves while the back end is sick, and how.
-    SICKNESSES = ("cut", "lost", "slow", "surplus", "refuse", "error")
+    #: Failure modes of a faulty back end, which affect a share of its answers.
+    FAILURE_MODES = ("cut", "lost", "slow", "surplus", "refuse", "error")
 
     def __init__(self, history, clock, name, service, address, engine, seed):
         self.history = history
@@ -33,7 +33,7 @@
         self.random = random.Random(seed)
         self.incarnation = 0
         self.name = name
-        self.sickness = ""
+        self.failure_mode = ""
         self.state = "ready"
         self.server = None
         self.connections = set()
@@ -72,44 +72,45 @@
     async def _answer(self, method, target, headers, body, writer):
         request = headers.get("x-request-id", "")
         instance = self.instance
-        named = [("X-Request-Id", request), ("Keep-Alive", "timeout=5")]
+        common_headers = [("X-Request-Id", request), ("Keep-Alive", "timeout=5")]
         if headers.get("x-expected-instance", instance) != instance:
-            writer.write(self._head(421, named + [("X-Not-Executed", "1"),
+            writer.write(self._head(421, common_headers + [("X-Not-Executed", "1"),
                                                   ("Content-Length", "0")]))
             await writer.drain()
             return True
-        sick = self.sickness if self.random.random() < 0.3 else ""
-        if sick == "refuse":
-            writer.write(self._head(503, named + [("X-Not-Executed", "1"),
+        failure = self.failure_mode if self.random.random() < 0.3 else ""
+        if failure == "refuse":
+            writer.write(self._head(503, common_headers + [("X-Not-Executed", "1"),
                                                   ("Content-Length", "0")]))
             await writer.drain()
             return True
         run = Run(request, instance, self.service, method, target, body, at=self.clock(),
                   tenant=headers.get("x-tenant-id", ""), key=headers.get("x-credential", ""))
         self.history.runs.append(run)
-        await asyncio.sleep(self.random.uniform(0.005, 0.04) + (0.8 if sick == "slow" else 0))
-        if sick == "lost":
+        await asyncio.sleep(self.random.uniform(0.005, 0.04) + (0.8 if failure == "slow" else 0))
+        if failure == "lost":
             return False
-        run.status = 500 if sick == "error" else 200
-        named.append(("X-Response-Signature", f"{instance}.{request}"))
+        run.status = 500 if failure == "error" else 200
+        common_headers.append(("X-Response-Signature", f"{instance}.{request}"))
         if self.engine and run.status == 200:
-            return await self._stream(run, named, sick, writer)
+            return await self._stream(run, common_headers, failure, writer)
         run.pieces = [f"{instance}:{request}:" + "p" * self.random.randrange(800)]
         payload = run.pieces[0].encode()
-        sent = payload[:len(payload) // 2] if sick == "cut" else payload
-        run.whole = sent == payload
-        writer.write(self._head(run.status, named + [("Content-Length", str(len(payload)))]) + sent)
-        if sick == "surplus":
-            writer.write(self._head(200, named + [("Content-Length", "5")]) + b"extra")
+        sent = payload[:len(payload) // 2] if failure == "cut" else payload
+        run.complete = sent == payload
+        writer.write(self._head(run.status, common_headers + [("Content-Length",
+                                                               str(len(payload)))]) + sent)
+        if failure == "surplus":
+            writer.write(self._head(200, common_headers + [("Content-Length", "5")]) + b"extra")
         await writer.drain()
-        return run.whole
+        return run.complete
 
-    async def _stream(self, run, named, sick, writer):
-        writer.write(self._head(200, named + [("Content-Type", "text/event-stream"),
+    async def _stream(self, run, common_headers, failure, writer):
+        writer.write(self._head(200, common_headers + [("Content-Type", "text/event-stream"),
                                               ("Transfer-Encoding", "chunked")]))
         count = self.random.randint(2, 8)
         for number in range(1, count + 1):
-            if sick == "cut" and number == count:
+            if failure == "cut" and number == count:
                 return False
             piece = f"{run.request[:6]}-{number}-{self.random.randrange(1000)}"
             event = f"id: {number}\ndata: {piece}\n\n".encode()
@@ -117,44 +118,44 @@
             writer.write(b"%x\r\n" % len(event) + event + b"\r\n")
             await writer.drain()
             await asyncio.sleep(0.01)
-        run.whole = True
+        run.complete = True
         writer.write(b"0\r\n\r\n")
         await writer.drain()
         return True
 
 
 class BackendList:
-    """The platform's list, which lags behind."""
+    """The platform's list of replicas, which is updated with a delay of LAG seconds."""
 
-    LAG = 0.5
+    UPDATE_DELAY = 0.5
 
     def __init__(self, backends, address):
         self.backends = backends
         self.address = address
-        self.told = []
+        self.published = []
 
-    def look(self):
+    def current_members(self):
         return [{"Id": backend.instance, "Service": backend.service,
                  "Address": f"{backend.address[0]}:{backend.address[1]}", "Zone": "zone-a",
                  "Slots": 12, "State": backend.state, "ColdRemainingMs": 0}
                 for backend in self.backends if backend.state != "gone"]
 
     async def start(self):
-        self.told = self.look()
+        self.published = self.current_members()
         await asyncio.start_server(self._serve, *self.address)
-        asyncio.ensure_future(self._lag())
+        asyncio.ensure_future(self._publish_delayed())
 
-    async def _lag(self):
+    async def _publish_delayed(self):
         while True:
-            seen = self.look()
-            await asyncio.sleep(self.LAG)
-            self.told = seen
+            seen = self.current_members()
+            await asyncio.sleep(self.UPDATE_DELAY)
+            self.published = seen
 
     async def _serve(self, reader, writer):
         try:
             while True:
                 await read_request(reader)
-                body = json.dumps({"Instances": self.told, "NextPageToken": None}).encode()
+                body = json.dumps({"Instances": self.published, "NextPageToken": None}).encode()
                 writer.write(Backend._head(200, [("Content-Type", "application/json"),
                                                  ("Content-Length", str(len(body)))]) + body)
                 await writer.drain()
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// A simulated forwarder: begins and settles turns of a few programs at the stores of a fleet, and
-/// keeps what it was promised, for the checks.
+/// records the acknowledged results for the checks.
 
 #include <algorithm>
 #include <map>
@@ -15,36 +15,36 @@
 
 namespace tallyfold::tests {
 
-/// What of the promises is taken out, to show that the checks notice it.
+/// Defect that is injected to verify that the checks detect it.
 enum class put_back : std::uint8_t {
     nothing,
-    /// A store that joins counts as copied at once.
+    /// A joining store is reported as copied at once.
     no_copy,
-    /// What stores say of a program's other turns is left out.
+    /// The ledger of a program's other turns is removed from the stores' replies.
     blind_ledger,
-    /// Stores of other groups deny what they hold.
+    /// Stores of other groups report turns that they hold as missing.
     denied_turn,
 };
 
 class simulated_forwarder {
   public:
-    /// @param random, now the world's; they and `fleet` have to outlive this object
+    /// `random` and `now` belong to the simulation; they and `fleet` must outlive this object.
     simulated_forwarder(store_fleet& fleet, put_back fault, random_source& random,
                         const instant& now)
         : fleet_(fleet), fault_(fault), random_(random), now_(now) {}
 
-    /// Takes over what is newer in the directory's table.
-    void learn_table(const turns::store_table& table) { known_.merge_newer(table); }
+    /// Merges newer group maps from the directory's table.
+    void learn_table(const turns::store_table& table) { group_maps_.merge_newer(table); }
 
     void begin_turn() {
         const std::string request = "t" + std::to_string(++last_turn_);
-        beginning begun;
+        begin_attempt begun;
         begun.program = "program-" + std::to_string(random_.below(programs));
         if (!settled_.empty() && !random_.chance(0.3)) {
             auto chosen = settled_.begin();
             std::advance(chosen, static_cast<std::ptrdiff_t>(random_.below(settled_.size())));
             begun.previous = chosen->first;
-            // Most programs continue their own turns.
+            // Most turns continue a turn of the same program.
             begun.program = random_.chance(0.6) ? chosen->second : begun.program;
         }
         turns::begin_parameters question;
@@ -53,38 +53,41 @@
         question.budget = program_budget;
         begun.until = now_ + std::chrono::milliseconds(1'500);
         begun.turn =
-            std::make_unique<turns::begin_coordinator>(++last_operation_, question, known_);
-        beginnings_.emplace(request, std::move(begun));
-        go_on_beginning(request);
+            std::make_unique<turns::begin_coordinator>(++last_operation_, question, group_maps_);
+        begin_attempts_.emplace(request, std::move(begun));
+        advance_begin(request);
     }
 
-    /// Sends what is due for one beginning under way. Needs has_beginnings().
-    void continue_any_beginning() { go_on_beginning(any_of(beginnings_)); }
-    /// Sends one settlement under way again. Needs has_settlements().
-    void resend_any_settlement() { ask_settle(any_of(settlings_)); }
-    [[nodiscard]] bool has_beginnings() const { return !beginnings_.empty(); }
-    [[nodiscard]] bool has_settlements() const { return !settlings_.empty(); }
-    /// Gives up all that is under way.
+    /// Sends the due requests of a random unfinished begin operation. Requires
+    /// has_unfinished_begins().
+    void continue_random_begin() { advance_begin(random_key(begin_attempts_)); }
+    /// Resends a random unfinished settlement. Requires has_unfinished_settlements().
+    void resend_random_settlement() { send_settle_requests(random_key(unfinished_settlements_)); }
+    [[nodiscard]] bool has_unfinished_begins() const { return !begin_attempts_.empty(); }
+    [[nodiscard]] bool has_unfinished_settlements() const {
+        return !unfinished_settlements_.empty();
+    }
+    /// Abandons all unfinished operations.
     void stop() {
-        beginnings_.clear();
-        settlings_.clear();
+        begin_attempts_.clear();
+        unfinished_settlements_.clear();
     }
 
-    /// @return the store that sends the history: any, as a forwarder's nearest may be
+    /// @return a random store of the group, from which the history is read
     turns::store_id nearest(const turns::store_map& map) {
         return map.current.empty() ? 0 : map.current[random_.below(map.current.size())].id;
     }
 
-    /// Program of each turn that was answered whole.
+    /// Program of each durably settled turn.
     [[nodiscard]] const std::map<std::string, std::string>& settled() const { return settled_; }
     [[nodiscard]] const std::set<std::string>& admitted_requests() const {
         return admitted_requests_;
     }
     [[nodiscard]] int adopted() const { return adopted_; }
     [[nodiscard]] int refused() const { return refused_; }
-    /// Beginnings that were answered that a settled turn doesn't exist.
+    /// Number of begin operations whose settled previous turn was reported as unknown.
     [[nodiscard]] int false_unknowns() const { return false_unknowns_; }
-    /// Programs whose admitted turns exceed their budget.
+    /// Number of programs whose admitted turns exceed their budget.
     [[nodiscard]] int overdrawn() const {
         return static_cast<int>(std::count_if(admitted_.begin(), admitted_.end(), [](auto& entry) {
             return entry.second > program_budget;
@@ -95,11 +98,11 @@
     static constexpr token_count program_budget = 20;
     static constexpr int programs = 12;
 
-    struct settling {
+    struct unfinished_settlement {
         turns::settle_operation operation;
         turns::turn_settlement settlement;
     };
-    struct beginning {
+    struct begin_attempt {
         std::string program;
         std::string previous;
         std::unique_ptr<turns::begin_coordinator> turn;
@@ -108,39 +111,39 @@
 
     void learn(const std::vector<turns::store_map>& newer) {
         for (const turns::store_map& map : newer) {
-            known_.merge_newer(map);
+            group_maps_.merge_newer(map);
         }
     }
 
-    void ask(const std::string& request, const turns::addressed_request& question) {
+    void send_begin_request(const std::string& request, const turns::addressed_request& question) {
         const auto take = [this, request](const turns::store_reply& body) {
-            take_begin(request, body);
+            on_begin_reply(request, body);
         };
         std::visit([&](const auto& body) { fleet_.send(question.store, body, take); },
                    question.body);
     }
 
-    void go_on_beginning(const std::string& request) {
-        const auto found = beginnings_.find(request);
-        if (found == beginnings_.end()) {
+    void advance_begin(const std::string& request) {
+        const auto found = begin_attempts_.find(request);
+        if (found == begin_attempts_.end()) {
             return;
         }
         turns::begin_coordinator& turn = *found->second.turn;
         const auto choose = [this](const turns::store_map& map) { return nearest(map); };
         if (turn.is_undecided() && now_ < found->second.until) {
             for (const turns::addressed_request& question :
-                 turn.take_due_requests(now_, known_, choose)) {
-                ask(request, question);
+                 turn.take_due_requests(now_, group_maps_, choose)) {
+                send_begin_request(request, question);
             }
         }
         if (!turn.is_undecided() || now_ >= found->second.until) {
-            end_beginning(request);
+            finish_begin(request);
         }
     }
 
-    void take_begin(const std::string& request, const turns::store_reply& body) {
-        const auto found = beginnings_.find(request);
-        if (found == beginnings_.end()) {
+    void on_begin_reply(const std::string& request, const turns::store_reply& body) {
+        const auto found = begin_attempts_.find(request);
+        if (found == begin_attempts_.end()) {
             return;
         }
         turns::begin_coordinator& turn = *found->second.turn;
@@ -159,12 +162,12 @@
             taken.held = taken.held && fault_ != put_back::denied_turn;
             turn.on_reply(taken);
         }
-        go_on_beginning(request);
+        advance_begin(request);
     }
 
-    void end_beginning(const std::string& request) {
-        const beginning ended = std::move(beginnings_.at(request));
-        beginnings_.erase(request);
+    void finish_begin(const std::string& request) {
+        const begin_attempt ended = std::move(begin_attempts_.at(request));
+        begin_attempts_.erase(request);
         const turns::begin_decision begun = ended.turn->outcome();
         if (begun.result == turns::begin_result::unknown_previous) {
             false_unknowns_ += settled_.contains(ended.previous) ? 1 : 0;
@@ -185,39 +188,41 @@
             ++adopted_;
             settlement.adopted = begun.history;
         }
-        const turns::store_map& map = known_.groups[known_.group_of(ended.program)];
-        settlings_.emplace(request, settling{turns::settle_operation(map), std::move(settlement)});
-        ask_settle(request);
+        const turns::store_map& map = group_maps_.groups[group_maps_.group_of(ended.program)];
+        unfinished_settlements_.emplace(
+            request, unfinished_settlement{turns::settle_operation(map), std::move(settlement)});
+        send_settle_requests(request);
     }
 
-    void ask_settle(const std::string& request) {
-        settling& ending = settlings_.at(request);
-        ending.operation.switch_to_map(known_.groups[known_.group_of(ending.settlement.program)]);
+    void send_settle_requests(const std::string& request) {
+        unfinished_settlement& ending = unfinished_settlements_.at(request);
+        ending.operation.switch_to_map(
+            group_maps_.groups[group_maps_.group_of(ending.settlement.program)]);
         for (const turns::store_member& member : ending.operation.unanswered()) {
             turns::settle_request asked;
             asked.epoch = ending.operation.map().epoch;
             asked.settlement = ending.settlement;
             fleet_.send(member, asked, [this, request](const turns::store_reply& body) {
-                take_settle_reply(request, std::get<turns::settle_reply>(body));
+                on_settle_reply(request, std::get<turns::settle_reply>(body));
             });
         }
     }
 
-    void take_settle_reply(const std::string& request, const turns::settle_reply& reply) {
+    void on_settle_reply(const std::string& request, const turns::settle_reply& reply) {
         learn(reply.newer_map);
-        const auto found = settlings_.find(request);
-        if (found == settlings_.end()) {
+        const auto found = unfinished_settlements_.find(request);
+        if (found == unfinished_settlements_.end()) {
             return;
         }
         found->second.operation.on_reply(reply);
         if (found->second.operation.is_durable()) {
             settled_.emplace(request, found->second.settlement.program);
-            settlings_.erase(found);
+            unfinished_settlements_.erase(found);
         }
     }
 
     template <class Entries>
-    std::string any_of(const Entries& entries) {
+    std::string random_key(const Entries& entries) {
         auto entry = entries.begin();
         std::advance(entry, static_cast<std::ptrdiff_t>(random_.below(entries.size())));
         return entry->first;
@@ -232,10 +237,10 @@
     int adopted_ = 0;
     int refused_ = 0;
     int false_unknowns_ = 0;
-    /// The groups as the forwarder knows them.
-    turns::store_table known_;
-    std::map<std::string, beginning> beginnings_;
-    std::map<std::string, settling> settlings_;
+    /// The newest group maps that the forwarder has received.
+    turns::store_table group_maps_;
+    std::map<std::string, begin_attempt> begin_attempts_;
+    std::map<std::string, unfinished_settlement> unfinished_settlements_;
     std::map<std::string, std::string> settled_;
     std::map<std::string, token_count> admitted_;
     std::set<std::string> admitted_requests_;
