--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t read_size = 16U << 10U;
 /// Bytes that the other machine doesn't acknowledge for this long end the connection. Chosen, not
 /// measured: several retransmissions within a zone or between zones.
-constexpr duration silence_limit = std::chrono::milliseconds(2'500);
+constexpr duration unacknowledged_timeout = std::chrono::milliseconds(2'500);
 /// Completion of an operation as a tuple, so that errors are values.
 constexpr auto as_values = asio::experimental::as_tuple(asio::use_awaitable);
 
@@ -60,7 +60,7 @@
 connection::connection(asio::ip::tcp::socket socket, message_kind kind, std::size_t max_head_bytes)
     : socket_(std::move(socket)), watchdog_(socket_.get_executor()), parser_(kind, max_head_bytes) {
     if (socket_.is_open()) {
-        net::tune_socket(socket_, silence_limit);
+        net::tune_socket(socket_, unacknowledged_timeout);
     }
 }
 
@@ -116,7 +116,7 @@
         close();
         co_return tl::unexpected(failure);
     }
-    net::tune_socket(socket_, silence_limit);
+    net::tune_socket(socket_, unacknowledged_timeout);
     co_return tl::expected<void, io_failure>{};
 }
 
--- a/src/tallyfold/plane/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -15,12 +15,12 @@
 constexpr auto retry_pause = std::chrono::milliseconds(60);
 /// Bytes that another machine doesn't acknowledge for this long end the connection. Chosen, not
 /// measured: below the 1.5 s that a begin at the stores may take.
-constexpr duration silence_limit = std::chrono::milliseconds(1'200);
+constexpr duration unacknowledged_timeout = std::chrono::milliseconds(1'200);
 /// An idle connection is probed after this time. Chosen, not measured.
 constexpr std::chrono::seconds idle_limit(3);
 
 void tune(asio::ip::tcp::socket& socket) {
-    net::tune_socket(socket, silence_limit);
+    net::tune_socket(socket, unacknowledged_timeout);
     net::probe_when_idle(socket, idle_limit);
 }
 
