--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -58,7 +58,9 @@
 }
 
 connection::connection(asio::ip::tcp::socket socket, message_kind kind, std::size_t max_head_bytes)
-    : socket_(std::move(socket)), watchdog_(socket_.get_executor()), parser_(kind, max_head_bytes) {
+    : socket_(std::move(socket)),
+      deadline_timer_(socket_.get_executor()),
+      parser_(kind, max_head_bytes) {
     if (socket_.is_open()) {
         net::tune_socket(socket_, unacknowledged_timeout);
     }
@@ -71,8 +73,8 @@
 void connection::arm(instant deadline) {
     expired_ = false;
     const std::uint64_t number = ++armed_;
-    watchdog_.expires_at(std::chrono::steady_clock::time_point(deadline.time_since_epoch()));
-    watchdog_.async_wait([weak = weak_from_this(), number](const std::error_code& error) {
+    deadline_timer_.expires_at(std::chrono::steady_clock::time_point(deadline.time_since_epoch()));
+    deadline_timer_.async_wait([weak = weak_from_this(), number](const std::error_code& error) {
         const auto self = weak.lock();
         if (error || !self || self->armed_ != number) {
             return;
@@ -229,7 +231,7 @@
 void connection::close() {
     disarm();
     ++watch_;
-    watchdog_.cancel();
+    deadline_timer_.cancel();
     // The other side may have ended it before, and nothing is left to do about a socket that fails.
     std::error_code ignored;
     if (socket_.is_open()) {
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -84,7 +84,7 @@
     tl::expected<void, io_failure> parse_input();
 
     asio::ip::tcp::socket socket_;
-    asio::steady_timer watchdog_;
+    asio::steady_timer deadline_timer_;
     message_parser parser_;
     std::string input_;
     std::uint64_t watch_ = 0;
