--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -72,11 +72,11 @@
 
 void connection::arm(instant deadline) {
     expired_ = false;
-    const std::uint64_t number = ++armed_;
+    const std::uint64_t number = ++deadline_id_;
     deadline_timer_.expires_at(std::chrono::steady_clock::time_point(deadline.time_since_epoch()));
     deadline_timer_.async_wait([weak = weak_from_this(), number](const std::error_code& error) {
         const auto self = weak.lock();
-        if (error || !self || self->armed_ != number) {
+        if (error || !self || self->deadline_id_ != number) {
             return;
         }
         self->expired_ = true;
@@ -87,7 +87,7 @@
 }
 
 void connection::disarm() {
-    ++armed_;
+    ++deadline_id_;
 }
 
 io_failure connection::failure_of(const std::error_code& error) const {
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -88,7 +88,7 @@
     message_parser parser_;
     std::string input_;
     std::uint64_t watch_ = 0;
-    std::uint64_t armed_ = 0;
+    std::uint64_t deadline_id_ = 0;
     bool expired_ = false;
 };
 
