--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -210,12 +210,12 @@
 }
 
 void connection::watch_close(std::function<void()> closed) {
-    const std::uint64_t number = ++watch_;
+    const std::uint64_t number = ++close_watch_id_;
     socket_.async_wait(asio::ip::tcp::socket::wait_read, [weak = weak_from_this(), number,
                                                           closed = std::move(closed)](
                                                              const std::error_code& error) {
         const auto self = weak.lock();
-        if (error || !self || self->watch_ != number || !self->socket_.is_open()) {
+        if (error || !self || self->close_watch_id_ != number || !self->socket_.is_open()) {
             return;
         }
         if (peek(self->socket_) == next_input::end) {
@@ -230,7 +230,7 @@
 
 void connection::close() {
     disarm();
-    ++watch_;
+    ++close_watch_id_;
     deadline_timer_.cancel();
     // The other side may have ended it before, and nothing is left to do about a socket that fails.
     std::error_code ignored;
@@ -246,7 +246,7 @@
         std::error_code ignored;
         socket_.set_option(asio::socket_base::linger(true, 0), ignored);
         disarm();
-        ++watch_;
+        ++close_watch_id_;
         socket_.close(ignored);
     }
 }
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -66,7 +66,7 @@
 
     /// Calls `closed` once when the other side closes while nothing is read here.
     void watch_close(std::function<void()> closed);
-    void stop_watching() { ++watch_; }
+    void stop_watching() { ++close_watch_id_; }
     /// True when an idle connection has bytes or an end waiting, and so cannot be used again.
     [[nodiscard]] bool stale();
 
@@ -87,7 +87,7 @@
     asio::steady_timer deadline_timer_;
     message_parser parser_;
     std::string input_;
-    std::uint64_t watch_ = 0;
+    std::uint64_t close_watch_id_ = 0;
     std::uint64_t deadline_id_ = 0;
     bool expired_ = false;
 };
