--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -70,7 +70,7 @@
     close();
 }
 
-void connection::arm(instant deadline) {
+void connection::start_deadline(instant deadline) {
     expired_ = false;
     const std::uint64_t number = ++deadline_id_;
     deadline_timer_.expires_at(std::chrono::steady_clock::time_point(deadline.time_since_epoch()));
@@ -110,7 +110,7 @@
     if (!endpoint) {
         co_return tl::unexpected(io_failure::refused);
     }
-    arm(deadline);
+    start_deadline(deadline);
     const auto [error] = co_await socket_.async_connect(*endpoint, as_values);
     disarm();
     if (error) {
@@ -125,7 +125,7 @@
 asio::awaitable<tl::expected<void, io_failure>> connection::fill(instant deadline) {
     const auto self = shared_from_this();
     std::array<char, read_size> buffer;
-    arm(deadline);
+    start_deadline(deadline);
     const auto [error, count] =
         co_await socket_.async_read_some(asio::buffer(buffer.data(), buffer.size()), as_values);
     disarm();
@@ -200,7 +200,7 @@
 asio::awaitable<tl::expected<void, io_failure>> connection::write(std::string bytes,
                                                                   instant deadline) {
     const auto self = shared_from_this();
-    arm(deadline);
+    start_deadline(deadline);
     const auto [error, count] = co_await asio::async_write(socket_, asio::buffer(bytes), as_values);
     disarm();
     if (error) {
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -77,7 +77,7 @@
     [[nodiscard]] bool open() const { return socket_.is_open(); }
 
   private:
-    void arm(instant deadline);
+    void start_deadline(instant deadline);
     void disarm();
     io_failure failure_of(const std::error_code& error) const;
     asio::awaitable<tl::expected<void, io_failure>> fill(instant deadline);
