--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -86,7 +86,7 @@
     });
 }
 
-void connection::disarm() {
+void connection::cancel_deadline() {
     ++deadline_id_;
 }
 
@@ -112,7 +112,7 @@
     }
     start_deadline(deadline);
     const auto [error] = co_await socket_.async_connect(*endpoint, as_values);
-    disarm();
+    cancel_deadline();
     if (error) {
         const io_failure failure = failure_of(error);
         close();
@@ -128,7 +128,7 @@
     start_deadline(deadline);
     const auto [error, count] =
         co_await socket_.async_read_some(asio::buffer(buffer.data(), buffer.size()), as_values);
-    disarm();
+    cancel_deadline();
     if (error) {
         co_return tl::unexpected(failure_of(error));
     }
@@ -202,7 +202,7 @@
     const auto self = shared_from_this();
     start_deadline(deadline);
     const auto [error, count] = co_await asio::async_write(socket_, asio::buffer(bytes), as_values);
-    disarm();
+    cancel_deadline();
     if (error) {
         co_return tl::unexpected(failure_of(error));
     }
@@ -229,7 +229,7 @@
 }
 
 void connection::close() {
-    disarm();
+    cancel_deadline();
     ++close_watch_id_;
     deadline_timer_.cancel();
     // The other side may have ended it before, and nothing is left to do about a socket that fails.
@@ -245,7 +245,7 @@
         // A connection that fails here has ended already, and not in order.
         std::error_code ignored;
         socket_.set_option(asio::socket_base::linger(true, 0), ignored);
-        disarm();
+        cancel_deadline();
         ++close_watch_id_;
         socket_.close(ignored);
     }
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -78,7 +78,7 @@
 
   private:
     void start_deadline(instant deadline);
-    void disarm();
+    void cancel_deadline();
     io_failure failure_of(const std::error_code& error) const;
     asio::awaitable<tl::expected<void, io_failure>> fill(instant deadline);
     tl::expected<void, io_failure> parse_input();
