--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -122,7 +122,7 @@
     co_return tl::expected<void, io_failure>{};
 }
 
-asio::awaitable<tl::expected<void, io_failure>> connection::fill(instant deadline) {
+asio::awaitable<tl::expected<void, io_failure>> connection::read_some(instant deadline) {
     const auto self = shared_from_this();
     std::array<char, read_size> buffer;
     start_deadline(deadline);
@@ -152,7 +152,7 @@
 
 asio::awaitable<tl::expected<void, io_failure>> connection::wait_for_message(instant deadline) {
     if (input_.empty()) {
-        co_return co_await fill(deadline);
+        co_return co_await read_some(deadline);
     }
     co_return tl::expected<void, io_failure>{};
 }
@@ -164,7 +164,7 @@
         if (!parsed || parser_.head_complete()) {
             co_return parsed;
         }
-        const auto filled = co_await fill(deadline);
+        const auto filled = co_await read_some(deadline);
         if (!filled) {
             const bool between = filled.error() == io_failure::closed && !parser_.started();
             const bool cut = filled.error() == io_failure::closed && !between;
@@ -185,7 +185,7 @@
         if (!piece.empty() || parser_.complete()) {
             co_return piece;
         }
-        const auto filled = co_await fill(deadline);
+        const auto filled = co_await read_some(deadline);
         if (filled) {
             continue;
         }
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -80,7 +80,7 @@
     void start_deadline(instant deadline);
     void cancel_deadline();
     io_failure failure_of(const std::error_code& error) const;
-    asio::awaitable<tl::expected<void, io_failure>> fill(instant deadline);
+    asio::awaitable<tl::expected<void, io_failure>> read_some(instant deadline);
     tl::expected<void, io_failure> parse_input();
 
     asio::ip::tcp::socket socket_;
