--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -164,11 +164,11 @@
         if (!parsed || parser_.head_complete()) {
             co_return parsed;
         }
-        const auto filled = co_await read_some(deadline);
-        if (!filled) {
-            const bool between = filled.error() == io_failure::closed && !parser_.started();
-            const bool cut = filled.error() == io_failure::closed && !between;
-            co_return tl::unexpected(cut ? io_failure::broken : filled.error());
+        const auto received = co_await read_some(deadline);
+        if (!received) {
+            const bool between = received.error() == io_failure::closed && !parser_.started();
+            const bool cut = received.error() == io_failure::closed && !between;
+            co_return tl::unexpected(cut ? io_failure::broken : received.error());
         }
     }
 }
@@ -185,15 +185,15 @@
         if (!piece.empty() || parser_.complete()) {
             co_return piece;
         }
-        const auto filled = co_await read_some(deadline);
-        if (filled) {
+        const auto received = co_await read_some(deadline);
+        if (received) {
             continue;
         }
-        if (filled.error() == io_failure::closed && parser_.finish()) {
+        if (received.error() == io_failure::closed && parser_.finish()) {
             co_return std::string{};
         }
-        const bool cut = filled.error() == io_failure::closed;
-        co_return tl::unexpected(cut ? io_failure::broken : filled.error());
+        const bool cut = received.error() == io_failure::closed;
+        co_return tl::unexpected(cut ? io_failure::broken : received.error());
     }
 }
 
