--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -21,7 +21,7 @@
 /// measured: several retransmissions within a zone or between zones.
 constexpr duration unacknowledged_timeout = std::chrono::milliseconds(2'500);
 /// Completion of an operation as a tuple, so that errors are values.
-constexpr auto as_values = asio::experimental::as_tuple(asio::use_awaitable);
+constexpr auto as_result_tuple = asio::experimental::as_tuple(asio::use_awaitable);
 
 /// What an idle connection would read next.
 enum class next_input : std::uint8_t { nothing_yet, bytes, end };
@@ -111,7 +111,7 @@
         co_return tl::unexpected(io_failure::refused);
     }
     start_deadline(deadline);
-    const auto [error] = co_await socket_.async_connect(*endpoint, as_values);
+    const auto [error] = co_await socket_.async_connect(*endpoint, as_result_tuple);
     cancel_deadline();
     if (error) {
         const io_failure failure = failure_of(error);
@@ -126,8 +126,8 @@
     const auto self = shared_from_this();
     std::array<char, read_size> buffer;
     start_deadline(deadline);
-    const auto [error, count] =
-        co_await socket_.async_read_some(asio::buffer(buffer.data(), buffer.size()), as_values);
+    const auto [error, count] = co_await socket_.async_read_some(
+        asio::buffer(buffer.data(), buffer.size()), as_result_tuple);
     cancel_deadline();
     if (error) {
         co_return tl::unexpected(failure_of(error));
@@ -201,7 +201,8 @@
                                                                   instant deadline) {
     const auto self = shared_from_this();
     start_deadline(deadline);
-    const auto [error, count] = co_await asio::async_write(socket_, asio::buffer(bytes), as_values);
+    const auto [error, count] =
+        co_await asio::async_write(socket_, asio::buffer(bytes), as_result_tuple);
     cancel_deadline();
     if (error) {
         co_return tl::unexpected(failure_of(error));
