--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -24,17 +24,17 @@
 constexpr auto as_result_tuple = asio::experimental::as_tuple(asio::use_awaitable);
 
 /// What an idle connection would read next.
-enum class next_input : std::uint8_t { nothing_yet, bytes, end };
+enum class pending_input : std::uint8_t { nothing_yet, bytes, end };
 
-next_input peek(asio::ip::tcp::socket& socket) {
+pending_input peek(asio::ip::tcp::socket& socket) {
     char byte = 0;
     const ssize_t count =
         ::recv(socket.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
     if (count > 0) {
-        return next_input::bytes;
+        return pending_input::bytes;
     }
     const bool nothing = count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    return nothing ? next_input::nothing_yet : next_input::end;
+    return nothing ? pending_input::nothing_yet : pending_input::end;
 }
 
 }  // namespace
@@ -219,14 +219,14 @@
         if (error || !self || self->close_watch_id_ != number || !self->socket_.is_open()) {
             return;
         }
-        if (peek(self->socket_) == next_input::end) {
+        if (peek(self->socket_) == pending_input::end) {
             closed();
         }
     });
 }
 
 bool connection::stale() {
-    return !socket_.is_open() || !input_.empty() || peek(socket_) != next_input::nothing_yet;
+    return !socket_.is_open() || !input_.empty() || peek(socket_) != pending_input::nothing_yet;
 }
 
 void connection::close() {
