--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -166,8 +166,9 @@
         }
         const auto received = co_await read_some(deadline);
         if (!received) {
-            const bool between = received.error() == io_failure::closed && !parser_.started();
-            const bool cut = received.error() == io_failure::closed && !between;
+            const bool before_message =
+                received.error() == io_failure::closed && !parser_.started();
+            const bool cut = received.error() == io_failure::closed && !before_message;
             co_return tl::unexpected(cut ? io_failure::broken : received.error());
         }
     }
