--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -168,8 +168,8 @@
         if (!received) {
             const bool before_message =
                 received.error() == io_failure::closed && !parser_.started();
-            const bool cut = received.error() == io_failure::closed && !before_message;
-            co_return tl::unexpected(cut ? io_failure::broken : received.error());
+            const bool truncated = received.error() == io_failure::closed && !before_message;
+            co_return tl::unexpected(truncated ? io_failure::broken : received.error());
         }
     }
 }
@@ -193,8 +193,8 @@
         if (received.error() == io_failure::closed && parser_.finish()) {
             co_return std::string{};
         }
-        const bool cut = received.error() == io_failure::closed;
-        co_return tl::unexpected(cut ? io_failure::broken : received.error());
+        const bool truncated = received.error() == io_failure::closed;
+        co_return tl::unexpected(truncated ? io_failure::broken : received.error());
     }
 }
 
