--- a/src/tallyfold/plane/http/endpoint_server_shell.cpp
+++ b/src/tallyfold/plane/http/endpoint_server_shell.cpp
@@ -13,7 +13,7 @@
 /// hundred.
 constexpr std::size_t max_head_bytes = 16U << 10U;
 /// Chosen, not measured: a kept connection without a request is closed after this time.
-constexpr duration idle_limit = std::chrono::seconds(30);
+constexpr duration idle_timeout = std::chrono::seconds(30);
 /// Chosen, not measured: time for a whole request to arrive, large configurations too.
 constexpr duration request_limit = std::chrono::seconds(10);
 /// Chosen, not measured: time for an answer to leave.
@@ -90,7 +90,7 @@
 
 asio::awaitable<void> endpoint_server::serve(connection_pointer caller) {
     while (caller->open()) {
-        const auto waited = co_await caller->wait_for_message(steady_now() + idle_limit);
+        const auto waited = co_await caller->wait_for_message(steady_now() + idle_timeout);
         if (!waited) {
             co_return;
         }
