--- a/src/tallyfold/plane/http/endpoint_server_shell.cpp
+++ b/src/tallyfold/plane/http/endpoint_server_shell.cpp
@@ -15,7 +15,7 @@
 /// Chosen, not measured: a kept connection without a request is closed after this time.
 constexpr duration idle_timeout = std::chrono::seconds(30);
 /// Chosen, not measured: time for a whole request to arrive, large configurations too.
-constexpr duration request_limit = std::chrono::seconds(10);
+constexpr duration request_timeout = std::chrono::seconds(10);
 /// Chosen, not measured: time for an answer to leave.
 constexpr duration write_limit = std::chrono::seconds(10);
 
@@ -95,7 +95,7 @@
             co_return;
         }
         const std::optional<answer> given =
-            co_await answer_request(caller, steady_now() + request_limit);
+            co_await answer_request(caller, steady_now() + request_timeout);
         if (!given.has_value()) {
             co_return;
         }
