--- a/src/tallyfold/plane/http/endpoint_server_shell.cpp
+++ b/src/tallyfold/plane/http/endpoint_server_shell.cpp
@@ -17,7 +17,7 @@
 /// Chosen, not measured: time for a whole request to arrive, large configurations too.
 constexpr duration request_timeout = std::chrono::seconds(10);
 /// Chosen, not measured: time for an answer to leave.
-constexpr duration write_limit = std::chrono::seconds(10);
+constexpr duration write_timeout = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -101,7 +101,7 @@
         }
         const bool keep = given->keep_alive;
         const auto written = co_await caller->write(render_response(given->response, keep),
-                                                    steady_now() + write_limit);
+                                                    steady_now() + write_timeout);
         if (!written || !keep) {
             caller->close();
             co_return;
