--- a/src/tallyfold/plane/http/endpoint_server_shell.cpp
+++ b/src/tallyfold/plane/http/endpoint_server_shell.cpp
@@ -63,14 +63,14 @@
 
 asio::awaitable<std::optional<endpoint_server::answer>> endpoint_server::answer_request(
     connection_pointer caller, instant deadline) {
-    answer given;
+    answer reply;
     const auto read = co_await caller->read_head(deadline);
     if (!read && read.error() != io_failure::malformed) {
         co_return std::nullopt;
     }
     if (!read) {
-        given.response.status = 400;
-        co_return given;
+        reply.response.status = 400;
+        co_return reply;
     }
     const message_head head = caller->head();
     std::optional<std::string> body = co_await read_body(caller, deadline);
@@ -78,14 +78,14 @@
         co_return std::nullopt;
     }
     if (body->size() > max_body_bytes_) {
-        given.response.status = 413;
-        co_return given;
+        reply.response.status = 413;
+        co_return reply;
     }
-    given.keep_alive = head.keep_alive;
+    reply.keep_alive = head.keep_alive;
     // Named, since GCC 12 destroys aggregate temporaries of a co_await twice.
     endpoint_request request{head.method, head.target, std::move(*body)};
-    given.response = co_await on_request_(std::move(request));
-    co_return given;
+    reply.response = co_await on_request_(std::move(request));
+    co_return reply;
 }
 
 asio::awaitable<void> endpoint_server::serve(connection_pointer caller) {
@@ -94,13 +94,13 @@
         if (!waited) {
             co_return;
         }
-        const std::optional<answer> given =
+        const std::optional<answer> reply =
             co_await answer_request(caller, steady_now() + request_timeout);
-        if (!given.has_value()) {
+        if (!reply.has_value()) {
             co_return;
         }
-        const bool keep = given->keep_alive;
-        const auto written = co_await caller->write(render_response(given->response, keep),
+        const bool keep = reply->keep_alive;
+        const auto written = co_await caller->write(render_response(reply->response, keep),
                                                     steady_now() + write_timeout);
         if (!written || !keep) {
             caller->close();
