--- a/src/tallyfold/plane/http/message.cpp
+++ b/src/tallyfold/plane/http/message.cpp
@@ -75,10 +75,10 @@
 header_list header_list::end_to_end() const {
     header_list kept;
     for (const header_field& field : fields_) {
-        const bool fixed =
+        const bool hop_by_hop =
             std::any_of(hop_by_hop_names.begin(), hop_by_hop_names.end(),
                         [&](std::string_view name) { return same_name(field.name, name); });
-        if (!fixed && !has_token("connection", field.name)) {
+        if (!hop_by_hop && !has_token("connection", field.name)) {
             kept.add(field.name, field.value);
         }
     }
