--- a/src/tallyfold/plane/http/message_parser.cpp
+++ b/src/tallyfold/plane/http/message_parser.cpp
@@ -18,7 +18,7 @@
     bool complete = false;
     std::string body;
 
-    void begin() {
+    void reset() {
         http_parser_init(&parser, kind == message_kind::request ? HTTP_REQUEST : HTTP_RESPONSE);
         parser.data = this;
         head = {};
@@ -112,7 +112,7 @@
     : state_(std::make_unique<state>()) {
     state_->kind = kind;
     state_->max_head_bytes = max_head_bytes;
-    state_->begin();
+    state_->reset();
 }
 
 message_parser::~message_parser() = default;
@@ -209,7 +209,7 @@
 }
 
 void message_parser::next_message() {
-    state_->begin();
+    state_->reset();
 }
 
 }  // namespace tallyfold::http
