--- a/src/tallyfold/plane/http/message_parser.cpp
+++ b/src/tallyfold/plane/http/message_parser.cpp
@@ -32,7 +32,7 @@
         body.clear();
     }
 
-    void add_to_name(std::string_view part) {
+    void append_field_name(std::string_view part) {
         if (in_value) {
             store_field();
         }
@@ -126,7 +126,7 @@
             return 0;
         };
         settings.on_header_field = [](http_parser* parser, const char* at, std::size_t length) {
-            state_of<state>(parser).add_to_name({at, length});
+            state_of<state>(parser).append_field_name({at, length});
             return 0;
         };
         settings.on_header_value = [](http_parser* parser, const char* at, std::size_t length) {
