--- a/src/tallyfold/plane/http/message_parser.cpp
+++ b/src/tallyfold/plane/http/message_parser.cpp
@@ -39,7 +39,7 @@
         field_name += part;
     }
 
-    void add_to_value(std::string_view part) {
+    void append_field_value(std::string_view part) {
         in_value = true;
         field_value += part;
     }
@@ -130,7 +130,7 @@
             return 0;
         };
         settings.on_header_value = [](http_parser* parser, const char* at, std::size_t length) {
-            state_of<state>(parser).add_to_value({at, length});
+            state_of<state>(parser).append_field_value({at, length});
             return 0;
         };
         settings.on_headers_complete = [](http_parser* parser) {
