--- a/src/tallyfold/plane/http/message_parser.cpp
+++ b/src/tallyfold/plane/http/message_parser.cpp
@@ -54,7 +54,7 @@
     }
 
     /// Bytes of the head as it stands on the wire, about.
-    [[nodiscard]] std::size_t head_size() const {
+    [[nodiscard]] std::size_t approximate_head_size() const {
         // The colon and space of a field, and the two characters that end its line.
         constexpr std::size_t line_overhead = 4;
         std::size_t size = head.target.size() + line_overhead;
@@ -154,7 +154,8 @@
 
 bool message_parser::head_fits(std::size_t consumed) {
     state_->head_bytes += consumed;
-    const std::size_t size = state_->head_complete ? state_->head_size() : state_->head_bytes;
+    const std::size_t size =
+        state_->head_complete ? state_->approximate_head_size() : state_->head_bytes;
     return size <= state_->max_head_bytes;
 }
 
