--- a/src/tallyfold/plane/http/message_parser.cpp
+++ b/src/tallyfold/plane/http/message_parser.cpp
@@ -78,14 +78,14 @@
         }
     }
 
-    [[nodiscard]] bool without_body() const {
+    [[nodiscard]] bool status_forbids_body() const {
         const unsigned status = parser.status_code;
         return kind == message_kind::response &&
                (status / 100 == 1 || status == 204 || status == 304);
     }
 
     [[nodiscard]] body_framing framing() const {
-        if (without_body()) {
+        if (status_forbids_body()) {
             return body_framing::none;
         }
         if ((parser.flags & F_CHUNKED) != 0) {
