--- a/src/tallyfold/plane/http/message_parser.cpp
+++ b/src/tallyfold/plane/http/message_parser.cpp
@@ -118,7 +118,7 @@
 message_parser::~message_parser() = default;
 
 const http_parser_settings& message_parser::callbacks() {
-    static const http_parser_settings chosen = [] {
+    static const http_parser_settings handlers = [] {
         http_parser_settings settings;
         http_parser_settings_init(&settings);
         settings.on_url = [](http_parser* parser, const char* at, std::size_t length) {
@@ -149,7 +149,7 @@
         };
         return settings;
     }();
-    return chosen;
+    return handlers;
 }
 
 bool message_parser::head_fits(std::size_t consumed) {
