--- a/src/tallyfold/plane/http/message_parser.cpp
+++ b/src/tallyfold/plane/http/message_parser.cpp
@@ -185,9 +185,10 @@
     if (state_->complete) {
         return true;
     }
-    const bool ends_so = state_->head_complete && state_->head.framing == body_framing::until_close;
-    state_->complete = ends_so;
-    return ends_so;
+    const bool ends_at_close =
+        state_->head_complete && state_->head.framing == body_framing::until_close;
+    state_->complete = ends_at_close;
+    return ends_at_close;
 }
 
 bool message_parser::head_complete() const {
