--- a/src/tallyfold/plane/http/whole_events.cpp
+++ b/src/tallyfold/plane/http/whole_events.cpp
@@ -54,9 +54,9 @@
 }  // namespace
 
 std::string whole_events::feed(std::string_view bytes) {
-    held_ += bytes;
+    partial_ += bytes;
     std::string passed;
-    std::string_view rest = held_;
+    std::string_view rest = partial_;
     while (in_order_) {
         const std::size_t end = end_of_event(rest);
         if (end == std::string_view::npos) {
@@ -68,7 +68,7 @@
         }
         rest.remove_prefix(end);
     }
-    held_ = std::string(rest);
+    partial_ = std::string(rest);
     return passed;
 }
 
--- a/src/tallyfold/plane/http/whole_events.hpp
+++ b/src/tallyfold/plane/http/whole_events.hpp
@@ -18,9 +18,9 @@
     /// haven't been passed before
     std::string feed(std::string_view bytes);
     /// What has come of an event that isn't whole.
-    [[nodiscard]] const std::string& partial() const { return held_; }
+    [[nodiscard]] const std::string& partial() const { return partial_; }
     /// The stream broke off: a further answer begins.
-    void begin_anew() { held_.clear(); }
+    void begin_anew() { partial_.clear(); }
     /// Identifier of the last event that was passed; empty while none had one.
     [[nodiscard]] const std::string& last_id() const { return last_id_; }
     [[nodiscard]] std::uint64_t passed() const { return passed_; }
@@ -31,7 +31,7 @@
     /// True when the event is to be passed.
     bool take(std::string_view event);
 
-    std::string held_;
+    std::string partial_;
     std::string last_id_;
     std::uint64_t passed_ = 0;
     /// The identifiers so far are numbers, each one more than the one before.
