--- a/src/tallyfold/plane/http/whole_events.cpp
+++ b/src/tallyfold/plane/http/whole_events.cpp
@@ -63,7 +63,7 @@
             break;
         }
         const std::string_view event = rest.substr(0, end);
-        if (take(event)) {
+        if (accept_event(event)) {
             passed += event;
         }
         rest.remove_prefix(end);
@@ -72,7 +72,7 @@
     return passed;
 }
 
-bool whole_events::take(std::string_view event) {
+bool whole_events::accept_event(std::string_view event) {
     const std::string_view id = id_of(event);
     if (id.empty()) {
         return true;
--- a/src/tallyfold/plane/http/whole_events.hpp
+++ b/src/tallyfold/plane/http/whole_events.hpp
@@ -29,7 +29,7 @@
 
   private:
     /// True when the event is to be passed.
-    bool take(std::string_view event);
+    bool accept_event(std::string_view event);
 
     std::string partial_;
     std::string last_id_;
