--- a/src/tallyfold/plane/http/whole_events.cpp
+++ b/src/tallyfold/plane/http/whole_events.cpp
@@ -83,11 +83,11 @@
         if (*number <= *last) {
             return false;
         }
-        if (*number != *last + 1 && consecutive_ && passed_ > 1) {
+        if (*number != *last + 1 && ids_consecutive_ && passed_ > 1) {
             in_order_ = false;
             return false;
         }
-        consecutive_ = consecutive_ && *number == *last + 1;
+        ids_consecutive_ = ids_consecutive_ && *number == *last + 1;
     }
     last_id_ = id;
     ++passed_;
--- a/src/tallyfold/plane/http/whole_events.hpp
+++ b/src/tallyfold/plane/http/whole_events.hpp
@@ -35,7 +35,7 @@
     std::string last_id_;
     std::uint64_t passed_ = 0;
     /// The identifiers so far are numbers, each one more than the one before.
-    bool consecutive_ = true;
+    bool ids_consecutive_ = true;
     bool in_order_ = true;
 };
 
