--- a/src/tallyfold/plane/http/whole_events.cpp
+++ b/src/tallyfold/plane/http/whole_events.cpp
@@ -44,7 +44,7 @@
     return id;
 }
 
-std::optional<std::uint64_t> number_in(std::string_view text) {
+std::optional<std::uint64_t> parse_number(std::string_view text) {
     std::uint64_t number = 0;
     const auto [end, failure] = std::from_chars(text.data(), text.data() + text.size(), number);
     const bool whole = failure == std::errc{} && end == text.data() + text.size();
@@ -77,8 +77,8 @@
     if (id.empty()) {
         return true;
     }
-    const auto number = number_in(id);
-    const auto last = number_in(last_id_);
+    const auto number = parse_number(id);
+    const auto last = parse_number(last_id_);
     if (number && last) {
         if (*number <= *last) {
             return false;
