--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -29,7 +29,7 @@
     return carrier;
 }
 
-std::optional<format_opening> opening_in(const peer_message& message) {
+std::optional<format_opening> parse_offer(const peer_message& message) {
     const auto* carrier = std::get_if<turns::find_reply>(&message);
     const turns::store_id numbers = number_bits << known_shift | number_bits;
     if (carrier == nullptr || carrier->operation != 0 ||
--- a/src/tallyfold/plane/messaging/format_opening.hpp
+++ b/src/tallyfold/plane/messaging/format_opening.hpp
@@ -28,7 +28,7 @@
 
 peer_message to_message(const format_opening& opening);
 /// The opening that a message stands for; nothing for any other message.
-std::optional<format_opening> opening_in(const peer_message& message);
+std::optional<format_opening> parse_offer(const peer_message& message);
 
 /// What one side of a connection knows of the other's forms.
 class format_agreement {
--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -60,7 +60,7 @@
     if (!message) {
         // The next frame begins where this one ends: what else the connection carries goes on.
         log_skipped(payload, message.error());
-    } else if (const auto opening = opening_in(*message)) {
+    } else if (const auto opening = parse_offer(*message)) {
         on_opening(*opening);
     } else if (on_message_) {
         on_message_(*message);
--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -38,7 +38,7 @@
             CPPUNIT_ASSERT(bytes.has_value());
             const auto read = decode_payload(*bytes, format_version::v1);
             CPPUNIT_ASSERT(read.has_value());
-            CPPUNIT_ASSERT(opening_in(*read) == opening);
+            CPPUNIT_ASSERT(parse_offer(*read) == opening);
         }
     }
 
@@ -48,10 +48,10 @@
                            turns::find_reply reply;
                            reply.operation = operation | 1U;
                            reply.store = store;
-                           RC_ASSERT(!opening_in(reply));
+                           RC_ASSERT(!parse_offer(reply));
                        });
-        CPPUNIT_ASSERT(!opening_in(turns::find_reply{}));
-        CPPUNIT_ASSERT(!opening_in(directory::node_report{}));
+        CPPUNIT_ASSERT(!parse_offer(turns::find_reply{}));
+        CPPUNIT_ASSERT(!parse_offer(directory::node_report{}));
     }
 
     void two_that_know_the_second_format_use_it_both_ways() {
