--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -8,7 +8,7 @@
 
 /// In place of a store's identity, with the two numbers below it. Operations are numbered from 1
 /// on, so no reply to one has the number 0 beside it.
-constexpr turns::store_id opening_mark = 0x7466'6F72'6D73'0000U;
+constexpr turns::store_id offer_marker = 0x7466'6F72'6D73'0000U;
 constexpr unsigned known_shift = 8;
 constexpr turns::store_id number_bits = 0xFF;
 
@@ -25,7 +25,7 @@
 
 peer_message to_message(const format_opening& opening) {
     turns::find_reply carrier;
-    carrier.store = opening_mark | turns::store_id{opening.known} << known_shift | opening.follows;
+    carrier.store = offer_marker | turns::store_id{opening.known} << known_shift | opening.follows;
     return carrier;
 }
 
@@ -33,7 +33,7 @@
     const auto* carrier = std::get_if<turns::find_reply>(&message);
     const turns::store_id numbers = number_bits << known_shift | number_bits;
     if (carrier == nullptr || carrier->operation != 0 ||
-        (carrier->store & ~numbers) != opening_mark) {
+        (carrier->store & ~numbers) != offer_marker) {
         return std::nullopt;
     }
     return format_opening{static_cast<format_number>(carrier->store >> known_shift & number_bits),
