--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -40,7 +40,7 @@
                           static_cast<format_number>(carrier->store & number_bits)};
 }
 
-format_opening format_agreement::first_opening() const {
+format_opening format_agreement::initial_offer() const {
     return {number_of(protocol::newest_format), number_of(sends_)};
 }
 
--- a/src/tallyfold/plane/messaging/format_opening.hpp
+++ b/src/tallyfold/plane/messaging/format_opening.hpp
@@ -34,7 +34,7 @@
 class format_agreement {
   public:
     /// The opening that begins a connection, from the side that made it.
-    [[nodiscard]] format_opening first_opening() const;
+    [[nodiscard]] format_opening initial_offer() const;
     /// The other side's opening has come. @return what to answer at once, if anything; from then on
     /// sends() is the form to send in
     std::optional<format_opening> receive(const format_opening& opening);
--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -68,7 +68,7 @@
 }
 
 void frame_channel::open_formats() {
-    queue(encode_frame(to_message(formats_.first_opening())));
+    queue(encode_frame(to_message(formats_.initial_offer())));
 }
 
 void frame_channel::on_opening(const format_opening& opening) {
--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -57,7 +57,7 @@
     void two_that_know_the_second_format_use_it_both_ways() {
         format_agreement caller;
         format_agreement server;
-        const auto answer = server.receive(caller.first_opening());
+        const auto answer = server.receive(caller.initial_offer());
         CPPUNIT_ASSERT(answer.has_value());
         CPPUNIT_ASSERT(server.sends() == format_version::v2);
         CPPUNIT_ASSERT(server.reads() == format_version::v1);
