--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -67,7 +67,7 @@
     }
 }
 
-void frame_channel::open_formats() {
+void frame_channel::send_format_offer() {
     queue(encode_frame(to_message(formats_.initial_offer())));
 }
 
--- a/src/tallyfold/plane/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -29,7 +29,7 @@
     /// Starts to read. Both handlers may be called until close().
     void start(message_handler on_message, close_handler on_close);
     /// Says which forms this node knows; to be called by the side that made the connection.
-    void open_formats();
+    void send_format_offer();
     /// Queues a message, unless the other side couldn't read it. A peer that doesn't read is
     /// dropped once the queue is full.
     void send(const peer_message& message);
--- a/src/tallyfold/plane/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -85,7 +85,7 @@
                 link->lost(reason);
             }
         });
-    channel_->open_formats();
+    channel_->send_format_offer();
     if (on_state_) {
         on_state_(true, {});
     }
