--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-peer_message to_message(const format_opening& opening) {
+peer_message to_message(const format_opening& offer) {
     turns::find_reply carrier;
-    carrier.store = offer_marker | turns::store_id{opening.known} << known_shift | opening.follows;
+    carrier.store = offer_marker | turns::store_id{offer.known} << known_shift | offer.follows;
     return carrier;
 }
 
@@ -44,9 +44,9 @@
     return {number_of(protocol::newest_format), number_of(sends_)};
 }
 
-std::optional<format_opening> format_agreement::receive(const format_opening& opening) {
-    reads_ = limited(opening.follows);
-    common_ = limited(opening.known);
+std::optional<format_opening> format_agreement::receive(const format_opening& offer) {
+    reads_ = limited(offer.follows);
+    common_ = limited(offer.known);
     if (common_ == sends_) {
         return std::nullopt;
     }
--- a/src/tallyfold/plane/messaging/format_opening.hpp
+++ b/src/tallyfold/plane/messaging/format_opening.hpp
@@ -26,7 +26,7 @@
     bool operator==(const format_opening&) const = default;
 };
 
-peer_message to_message(const format_opening& opening);
+peer_message to_message(const format_opening& offer);
 /// The opening that a message stands for; nothing for any other message.
 std::optional<format_opening> parse_offer(const peer_message& message);
 
@@ -37,7 +37,7 @@
     [[nodiscard]] format_opening initial_offer() const;
     /// The other side's opening has come. @return what to answer at once, if anything; from then on
     /// sends() is the form to send in
-    std::optional<format_opening> receive(const format_opening& opening);
+    std::optional<format_opening> receive(const format_opening& offer);
 
     /// The form of what comes from the other side now.
     [[nodiscard]] protocol::format_version reads() const { return reads_; }
--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -60,8 +60,8 @@
     if (!message) {
         // The next frame begins where this one ends: what else the connection carries goes on.
         log_skipped(payload, message.error());
-    } else if (const auto opening = parse_offer(*message)) {
-        on_format_offer(*opening);
+    } else if (const auto offer = parse_offer(*message)) {
+        on_format_offer(*offer);
     } else if (on_message_) {
         on_message_(*message);
     }
@@ -71,8 +71,8 @@
     queue(encode_frame(to_message(formats_.initial_offer())));
 }
 
-void frame_channel::on_format_offer(const format_opening& opening) {
-    if (const auto answer = formats_.receive(opening)) {
+void frame_channel::on_format_offer(const format_opening& offer) {
+    if (const auto answer = formats_.receive(offer)) {
         queue(encode_frame(to_message(*answer)));
     }
 }
--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -34,11 +34,11 @@
     void an_opening_travels_as_a_message_of_the_first_format() {
         for (int known = 1; known < 256; ++known) {
             const format_opening opening{static_cast<format_number>(known), 1};
-            const auto bytes = protocol::encode_as(to_message(opening), format_version::v1);
+            const auto bytes = protocol::encode_as(to_message(offer), format_version::v1);
             CPPUNIT_ASSERT(bytes.has_value());
             const auto read = decode_payload(*bytes, format_version::v1);
             CPPUNIT_ASSERT(read.has_value());
-            CPPUNIT_ASSERT(parse_offer(*read) == opening);
+            CPPUNIT_ASSERT(parse_offer(*read) == offer);
         }
     }
 
