--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -23,35 +23,35 @@
 
 }  // namespace
 
-peer_message to_message(const format_opening& offer) {
+peer_message to_message(const format_offer& offer) {
     turns::find_reply carrier;
     carrier.store = offer_marker | turns::store_id{offer.known} << known_shift | offer.follows;
     return carrier;
 }
 
-std::optional<format_opening> parse_offer(const peer_message& message) {
+std::optional<format_offer> parse_offer(const peer_message& message) {
     const auto* carrier = std::get_if<turns::find_reply>(&message);
     const turns::store_id numbers = number_bits << known_shift | number_bits;
     if (carrier == nullptr || carrier->operation != 0 ||
         (carrier->store & ~numbers) != offer_marker) {
         return std::nullopt;
     }
-    return format_opening{static_cast<format_number>(carrier->store >> known_shift & number_bits),
-                          static_cast<format_number>(carrier->store & number_bits)};
+    return format_offer{static_cast<format_number>(carrier->store >> known_shift & number_bits),
+                        static_cast<format_number>(carrier->store & number_bits)};
 }
 
-format_opening format_agreement::initial_offer() const {
+format_offer format_agreement::initial_offer() const {
     return {number_of(protocol::newest_format), number_of(sends_)};
 }
 
-std::optional<format_opening> format_agreement::receive(const format_opening& offer) {
+std::optional<format_offer> format_agreement::receive(const format_offer& offer) {
     reads_ = limited(offer.follows);
     common_ = limited(offer.known);
     if (common_ == sends_) {
         return std::nullopt;
     }
     sends_ = common_;
-    return format_opening{number_of(protocol::newest_format), number_of(sends_)};
+    return format_offer{number_of(protocol::newest_format), number_of(sends_)};
 }
 
 }  // namespace tallyfold::messaging
--- a/src/tallyfold/plane/messaging/format_opening.hpp
+++ b/src/tallyfold/plane/messaging/format_opening.hpp
@@ -17,27 +17,27 @@
 /// Number of a form, which may be later than those that this build knows.
 using format_number = std::uint8_t;
 
-struct format_opening {
+struct format_offer {
     /// The newest form that the sender knows; it knows all earlier ones too.
     format_number known = 0;
     /// The form of what the sender sends after this.
     format_number follows = 0;
 
-    bool operator==(const format_opening&) const = default;
+    bool operator==(const format_offer&) const = default;
 };
 
-peer_message to_message(const format_opening& offer);
+peer_message to_message(const format_offer& offer);
 /// The opening that a message stands for; nothing for any other message.
-std::optional<format_opening> parse_offer(const peer_message& message);
+std::optional<format_offer> parse_offer(const peer_message& message);
 
 /// What one side of a connection knows of the other's forms.
 class format_agreement {
   public:
     /// The opening that begins a connection, from the side that made it.
-    [[nodiscard]] format_opening initial_offer() const;
+    [[nodiscard]] format_offer initial_offer() const;
     /// The other side's opening has come. @return what to answer at once, if anything; from then on
     /// sends() is the form to send in
-    std::optional<format_opening> receive(const format_opening& offer);
+    std::optional<format_offer> receive(const format_offer& offer);
 
     /// The form of what comes from the other side now.
     [[nodiscard]] protocol::format_version reads() const { return reads_; }
--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -71,7 +71,7 @@
     queue(encode_frame(to_message(formats_.initial_offer())));
 }
 
-void frame_channel::on_format_offer(const format_opening& offer) {
+void frame_channel::on_format_offer(const format_offer& offer) {
     if (const auto answer = formats_.receive(offer)) {
         queue(encode_frame(to_message(*answer)));
     }
--- a/src/tallyfold/plane/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -42,7 +42,7 @@
     void read_more();
     bool take_frames();
     void take_frame(std::string_view payload);
-    void on_format_offer(const format_opening& offer);
+    void on_format_offer(const format_offer& offer);
     void queue(std::string frame);
     void log_skipped(std::string_view payload, const protocol::decode_error& error);
     void log_withheld(const peer_message& message, const protocol::encode_error& error);
--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -33,7 +33,7 @@
 
     void an_opening_travels_as_a_message_of_the_first_format() {
         for (int known = 1; known < 256; ++known) {
-            const format_opening opening{static_cast<format_number>(known), 1};
+            const format_offer opening{static_cast<format_number>(known), 1};
             const auto bytes = protocol::encode_as(to_message(offer), format_version::v1);
             CPPUNIT_ASSERT(bytes.has_value());
             const auto read = decode_payload(*bytes, format_version::v1);
@@ -74,7 +74,7 @@
     void a_later_build_is_met_in_the_newest_form_that_both_know() {
         format_agreement server;
         const auto answer = server.receive({9, 1});
-        CPPUNIT_ASSERT(answer == (format_opening{2, 2}));
+        CPPUNIT_ASSERT(answer == (format_offer{2, 2}));
         CPPUNIT_ASSERT(server.common() == format_version::v2);
         CPPUNIT_ASSERT(!server.receive({9, 2}).has_value());
     }
