--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -40,11 +40,11 @@
                         static_cast<format_number>(carrier->store & number_bits)};
 }
 
-format_offer format_agreement::initial_offer() const {
+format_offer format_negotiation::initial_offer() const {
     return {number_of(protocol::newest_format), number_of(sends_)};
 }
 
-std::optional<format_offer> format_agreement::receive(const format_offer& offer) {
+std::optional<format_offer> format_negotiation::receive(const format_offer& offer) {
     reads_ = limited(offer.follows);
     common_ = limited(offer.known);
     if (common_ == sends_) {
--- a/src/tallyfold/plane/messaging/format_opening.hpp
+++ b/src/tallyfold/plane/messaging/format_opening.hpp
@@ -31,7 +31,7 @@
 std::optional<format_offer> parse_offer(const peer_message& message);
 
 /// What one side of a connection knows of the other's forms.
-class format_agreement {
+class format_negotiation {
   public:
     /// The opening that begins a connection, from the side that made it.
     [[nodiscard]] format_offer initial_offer() const;
--- a/src/tallyfold/plane/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -65,7 +65,7 @@
     std::string input_;
     std::deque<std::string> output_;
     std::size_t queued_bytes_ = 0;
-    format_agreement formats_;
+    format_negotiation formats_;
     std::uint64_t skipped_ = 0;
     std::uint64_t withheld_ = 0;
     bool writing_ = false;
--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -55,8 +55,8 @@
     }
 
     void two_that_know_the_second_format_use_it_both_ways() {
-        format_agreement caller;
-        format_agreement server;
+        format_negotiation caller;
+        format_negotiation server;
         const auto answer = server.receive(caller.initial_offer());
         CPPUNIT_ASSERT(answer.has_value());
         CPPUNIT_ASSERT(server.sends() == format_version::v2);
@@ -64,7 +64,7 @@
         const auto last = caller.receive(*answer);
         CPPUNIT_ASSERT(last.has_value());
         CPPUNIT_ASSERT(!server.receive(*last).has_value());
-        for (const format_agreement* side : {&caller, &server}) {
+        for (const format_negotiation* side : {&caller, &server}) {
             CPPUNIT_ASSERT(side->sends() == format_version::v2);
             CPPUNIT_ASSERT(side->reads() == format_version::v2);
             CPPUNIT_ASSERT(side->common() == format_version::v2);
@@ -72,7 +72,7 @@
     }
 
     void a_later_build_is_met_in_the_newest_form_that_both_know() {
-        format_agreement server;
+        format_negotiation server;
         const auto answer = server.receive({9, 1});
         CPPUNIT_ASSERT(answer == (format_offer{2, 2}));
         CPPUNIT_ASSERT(server.common() == format_version::v2);
