--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -9,7 +9,7 @@
 /// In place of a store's identity, with the two numbers below it. Operations are numbered from 1
 /// on, so no reply to one has the number 0 beside it.
 constexpr turns::store_id offer_marker = 0x7466'6F72'6D73'0000U;
-constexpr unsigned known_shift = 8;
+constexpr unsigned newest_supported_shift = 8;
 constexpr turns::store_id number_bits = 0xFF;
 
 format_number number_of(protocol::format_version format) {
@@ -25,19 +25,21 @@
 
 peer_message to_message(const format_offer& offer) {
     turns::find_reply carrier;
-    carrier.store = offer_marker | turns::store_id{offer.known} << known_shift | offer.follows;
+    carrier.store =
+        offer_marker | turns::store_id{offer.known} << newest_supported_shift | offer.follows;
     return carrier;
 }
 
 std::optional<format_offer> parse_offer(const peer_message& message) {
     const auto* carrier = std::get_if<turns::find_reply>(&message);
-    const turns::store_id numbers = number_bits << known_shift | number_bits;
+    const turns::store_id numbers = number_bits << newest_supported_shift | number_bits;
     if (carrier == nullptr || carrier->operation != 0 ||
         (carrier->store & ~numbers) != offer_marker) {
         return std::nullopt;
     }
-    return format_offer{static_cast<format_number>(carrier->store >> known_shift & number_bits),
-                        static_cast<format_number>(carrier->store & number_bits)};
+    return format_offer{
+        static_cast<format_number>(carrier->store >> newest_supported_shift & number_bits),
+        static_cast<format_number>(carrier->store & number_bits)};
 }
 
 format_offer format_negotiation::initial_offer() const {
