--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -25,8 +25,9 @@
 
 peer_message to_message(const format_offer& offer) {
     turns::find_reply carrier;
-    carrier.store =
-        offer_marker | turns::store_id{offer.known} << newest_supported_shift | offer.follows;
+    carrier.store = offer_marker |
+                    turns::store_id{offer.newest_supported} << newest_supported_shift |
+                    offer.follows;
     return carrier;
 }
 
@@ -48,7 +49,7 @@
 
 std::optional<format_offer> format_negotiation::receive(const format_offer& offer) {
     reads_ = limited(offer.follows);
-    common_ = limited(offer.known);
+    common_ = limited(offer.newest_supported);
     if (common_ == sends_) {
         return std::nullopt;
     }
--- a/src/tallyfold/plane/messaging/format_opening.hpp
+++ b/src/tallyfold/plane/messaging/format_opening.hpp
@@ -19,7 +19,7 @@
 
 struct format_offer {
     /// The newest form that the sender knows; it knows all earlier ones too.
-    format_number known = 0;
+    format_number newest_supported = 0;
     /// The form of what the sender sends after this.
     format_number follows = 0;
 
