--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -27,7 +27,7 @@
     turns::find_reply carrier;
     carrier.store = offer_marker |
                     turns::store_id{offer.newest_supported} << newest_supported_shift |
-                    offer.follows;
+                    offer.next_format;
     return carrier;
 }
 
@@ -48,7 +48,7 @@
 }
 
 std::optional<format_offer> format_negotiation::receive(const format_offer& offer) {
-    reads_ = limited(offer.follows);
+    reads_ = limited(offer.next_format);
     common_ = limited(offer.newest_supported);
     if (common_ == sends_) {
         return std::nullopt;
--- a/src/tallyfold/plane/messaging/format_opening.hpp
+++ b/src/tallyfold/plane/messaging/format_opening.hpp
@@ -21,7 +21,7 @@
     /// The newest form that the sender knows; it knows all earlier ones too.
     format_number newest_supported = 0;
     /// The form of what the sender sends after this.
-    format_number follows = 0;
+    format_number next_format = 0;
 
     bool operator==(const format_offer&) const = default;
 };
