--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -10,7 +10,7 @@
 /// on, so no reply to one has the number 0 beside it.
 constexpr turns::store_id offer_marker = 0x7466'6F72'6D73'0000U;
 constexpr unsigned newest_supported_shift = 8;
-constexpr turns::store_id number_bits = 0xFF;
+constexpr turns::store_id number_mask = 0xFF;
 
 format_number number_of(protocol::format_version format) {
     return static_cast<format_number>(format);
@@ -33,14 +33,14 @@
 
 std::optional<format_offer> parse_offer(const peer_message& message) {
     const auto* carrier = std::get_if<turns::find_reply>(&message);
-    const turns::store_id numbers = number_bits << newest_supported_shift | number_bits;
+    const turns::store_id numbers = number_mask << newest_supported_shift | number_mask;
     if (carrier == nullptr || carrier->operation != 0 ||
         (carrier->store & ~numbers) != offer_marker) {
         return std::nullopt;
     }
     return format_offer{
-        static_cast<format_number>(carrier->store >> newest_supported_shift & number_bits),
-        static_cast<format_number>(carrier->store & number_bits)};
+        static_cast<format_number>(carrier->store >> newest_supported_shift & number_mask),
+        static_cast<format_number>(carrier->store & number_mask)};
 }
 
 format_offer format_negotiation::initial_offer() const {
