--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -17,7 +17,7 @@
 }
 
 /// The form with this number, or the newest that this build knows.
-protocol::format_version limited(format_number number) {
+protocol::format_version newest_usable(format_number number) {
     return std::min(protocol::newest_format, static_cast<protocol::format_version>(number));
 }
 
@@ -48,8 +48,8 @@
 }
 
 std::optional<format_offer> format_negotiation::receive(const format_offer& offer) {
-    reads_ = limited(offer.next_format);
-    common_ = limited(offer.newest_supported);
+    reads_ = newest_usable(offer.next_format);
+    common_ = newest_usable(offer.newest_supported);
     if (common_ == sends_) {
         return std::nullopt;
     }
