--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -48,7 +48,7 @@
 }
 
 std::optional<format_offer> format_negotiation::receive(const format_offer& offer) {
-    reads_ = newest_usable(offer.next_format);
+    receive_format_ = newest_usable(offer.next_format);
     common_ = newest_usable(offer.newest_supported);
     if (common_ == sends_) {
         return std::nullopt;
--- a/src/tallyfold/plane/messaging/format_opening.hpp
+++ b/src/tallyfold/plane/messaging/format_opening.hpp
@@ -40,14 +40,14 @@
     std::optional<format_offer> receive(const format_offer& offer);
 
     /// The form of what comes from the other side now.
-    [[nodiscard]] protocol::format_version reads() const { return reads_; }
+    [[nodiscard]] protocol::format_version reads() const { return receive_format_; }
     /// The form in which to send now.
     [[nodiscard]] protocol::format_version sends() const { return sends_; }
     /// The newest form that both know, as far as the other has said.
     [[nodiscard]] protocol::format_version common() const { return common_; }
 
   private:
-    protocol::format_version reads_ = protocol::oldest_format;
+    protocol::format_version receive_format_ = protocol::oldest_format;
     protocol::format_version sends_ = protocol::oldest_format;
     protocol::format_version common_ = protocol::oldest_format;
 };
