--- a/src/tallyfold/plane/messaging/format_opening.hpp
+++ b/src/tallyfold/plane/messaging/format_opening.hpp
@@ -40,7 +40,7 @@
     std::optional<format_offer> receive(const format_offer& offer);
 
     /// The form of what comes from the other side now.
-    [[nodiscard]] protocol::format_version reads() const { return receive_format_; }
+    [[nodiscard]] protocol::format_version receive_format() const { return receive_format_; }
     /// The form in which to send now.
     [[nodiscard]] protocol::format_version sends() const { return sends_; }
     /// The newest form that both know, as far as the other has said.
--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -56,7 +56,7 @@
 }
 
 void frame_channel::take_frame(std::string_view payload) {
-    const auto message = decode_payload(payload, formats_.reads());
+    const auto message = decode_payload(payload, formats_.receive_format());
     if (!message) {
         // The next frame begins where this one ends: what else the connection carries goes on.
         log_skipped(payload, message.error());
@@ -92,7 +92,7 @@
         logging::event_id::frame_skipped,
         "peer=" + peer_address() + " kind=" + (kind ? std::to_string(*kind) : std::string("-")) +
             " bytes=" + std::to_string(payload.size()) +
-            " format=" + protocol::to_string(formats_.reads()) +
+            " format=" + protocol::to_string(formats_.receive_format()) +
             " skipped=" + std::to_string(skipped_) + " reason=\"" + error.reason + "\"");
 }
 
