--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -44,17 +44,17 @@
 }
 
 format_offer format_negotiation::initial_offer() const {
-    return {number_of(protocol::newest_format), number_of(sends_)};
+    return {number_of(protocol::newest_format), number_of(send_format_)};
 }
 
 std::optional<format_offer> format_negotiation::receive(const format_offer& offer) {
     receive_format_ = newest_usable(offer.next_format);
     common_ = newest_usable(offer.newest_supported);
-    if (common_ == sends_) {
+    if (common_ == send_format_) {
         return std::nullopt;
     }
-    sends_ = common_;
-    return format_offer{number_of(protocol::newest_format), number_of(sends_)};
+    send_format_ = common_;
+    return format_offer{number_of(protocol::newest_format), number_of(send_format_)};
 }
 
 }  // namespace tallyfold::messaging
