--- a/src/tallyfold/plane/messaging/format_opening.hpp
+++ b/src/tallyfold/plane/messaging/format_opening.hpp
@@ -42,7 +42,7 @@
     /// The form of what comes from the other side now.
     [[nodiscard]] protocol::format_version receive_format() const { return receive_format_; }
     /// The form in which to send now.
-    [[nodiscard]] protocol::format_version sends() const { return send_format_; }
+    [[nodiscard]] protocol::format_version send_format() const { return send_format_; }
     /// The newest form that both know, as far as the other has said.
     [[nodiscard]] protocol::format_version common() const { return common_; }
 
--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -102,8 +102,9 @@
     }
     logging::write_event(logging::event_id::message_withheld,
                          "peer=" + peer_address() + " kind=" + std::to_string(message.index()) +
-                             " format=" + protocol::to_string(formats_.sends()) + " withheld=" +
-                             std::to_string(withheld_) + " lacking=\"" + error.lacking + "\"");
+                             " format=" + protocol::to_string(formats_.send_format()) +
+                             " withheld=" + std::to_string(withheld_) + " lacking=\"" +
+                             error.lacking + "\"");
 }
 
 void frame_channel::refuse(const std::string& reason) {
@@ -117,7 +118,7 @@
     if (!open()) {
         return;
     }
-    auto frame = encode_frame(message, formats_.sends());
+    auto frame = encode_frame(message, formats_.send_format());
     if (!frame) {
         log_withheld(message, frame.error());
         return;
--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -59,13 +59,13 @@
         format_negotiation server;
         const auto answer = server.receive(caller.initial_offer());
         CPPUNIT_ASSERT(answer.has_value());
-        CPPUNIT_ASSERT(server.sends() == format_version::v2);
+        CPPUNIT_ASSERT(server.send_format() == format_version::v2);
         CPPUNIT_ASSERT(server.receive_format() == format_version::v1);
         const auto last = caller.receive(*answer);
         CPPUNIT_ASSERT(last.has_value());
         CPPUNIT_ASSERT(!server.receive(*last).has_value());
         for (const format_negotiation* side : {&caller, &server}) {
-            CPPUNIT_ASSERT(side->sends() == format_version::v2);
+            CPPUNIT_ASSERT(side->send_format() == format_version::v2);
             CPPUNIT_ASSERT(side->receive_format() == format_version::v2);
             CPPUNIT_ASSERT(side->common() == format_version::v2);
         }
