--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_opening.cpp
@@ -49,11 +49,11 @@
 
 std::optional<format_offer> format_negotiation::receive(const format_offer& offer) {
     receive_format_ = newest_usable(offer.next_format);
-    common_ = newest_usable(offer.newest_supported);
-    if (common_ == send_format_) {
+    common_format_ = newest_usable(offer.newest_supported);
+    if (common_format_ == send_format_) {
         return std::nullopt;
     }
-    send_format_ = common_;
+    send_format_ = common_format_;
     return format_offer{number_of(protocol::newest_format), number_of(send_format_)};
 }
 
