--- a/src/tallyfold/plane/messaging/format_opening.hpp
+++ b/src/tallyfold/plane/messaging/format_opening.hpp
@@ -44,7 +44,7 @@
     /// The form in which to send now.
     [[nodiscard]] protocol::format_version send_format() const { return send_format_; }
     /// The newest form that both know, as far as the other has said.
-    [[nodiscard]] protocol::format_version common() const { return common_format_; }
+    [[nodiscard]] protocol::format_version common_format() const { return common_format_; }
 
   private:
     protocol::format_version receive_format_ = protocol::oldest_format;
--- a/src/tallyfold/plane/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -34,7 +34,7 @@
     /// dropped once the queue is full.
     void send(const peer_message& message);
     /// The newest form that both sides know; the first one until the other has said more.
-    [[nodiscard]] protocol::format_version peer_format() const { return formats_.common(); }
+    [[nodiscard]] protocol::format_version peer_format() const { return formats_.common_format(); }
     void close();
     [[nodiscard]] bool open() const { return socket_.is_open(); }
 
--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -67,7 +67,7 @@
         for (const format_negotiation* side : {&caller, &server}) {
             CPPUNIT_ASSERT(side->send_format() == format_version::v2);
             CPPUNIT_ASSERT(side->receive_format() == format_version::v2);
-            CPPUNIT_ASSERT(side->common() == format_version::v2);
+            CPPUNIT_ASSERT(side->common_format() == format_version::v2);
         }
     }
 
@@ -75,7 +75,7 @@
         format_negotiation server;
         const auto answer = server.receive({9, 1});
         CPPUNIT_ASSERT(answer == (format_offer{2, 2}));
-        CPPUNIT_ASSERT(server.common() == format_version::v2);
+        CPPUNIT_ASSERT(server.common_format() == format_version::v2);
         CPPUNIT_ASSERT(!server.receive({9, 2}).has_value());
     }
 
