--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -56,7 +56,7 @@
 }
 
 void frame_channel::take_frame(std::string_view payload) {
-    const auto message = decode_payload(payload, formats_.receive_format());
+    const auto message = decode_payload(payload, negotiation_.receive_format());
     if (!message) {
         // The next frame begins where this one ends: what else the connection carries goes on.
         log_skipped(payload, message.error());
@@ -68,11 +68,11 @@
 }
 
 void frame_channel::send_format_offer() {
-    queue(encode_frame(to_message(formats_.initial_offer())));
+    queue(encode_frame(to_message(negotiation_.initial_offer())));
 }
 
 void frame_channel::on_format_offer(const format_offer& offer) {
-    if (const auto answer = formats_.receive(offer)) {
+    if (const auto answer = negotiation_.receive(offer)) {
         queue(encode_frame(to_message(*answer)));
     }
 }
@@ -92,7 +92,7 @@
         logging::event_id::frame_skipped,
         "peer=" + peer_address() + " kind=" + (kind ? std::to_string(*kind) : std::string("-")) +
             " bytes=" + std::to_string(payload.size()) +
-            " format=" + protocol::to_string(formats_.receive_format()) +
+            " format=" + protocol::to_string(negotiation_.receive_format()) +
             " skipped=" + std::to_string(skipped_) + " reason=\"" + error.reason + "\"");
 }
 
@@ -102,7 +102,7 @@
     }
     logging::write_event(logging::event_id::message_withheld,
                          "peer=" + peer_address() + " kind=" + std::to_string(message.index()) +
-                             " format=" + protocol::to_string(formats_.send_format()) +
+                             " format=" + protocol::to_string(negotiation_.send_format()) +
                              " withheld=" + std::to_string(withheld_) + " lacking=\"" +
                              error.lacking + "\"");
 }
@@ -118,7 +118,7 @@
     if (!open()) {
         return;
     }
-    auto frame = encode_frame(message, formats_.send_format());
+    auto frame = encode_frame(message, negotiation_.send_format());
     if (!frame) {
         log_withheld(message, frame.error());
         return;
--- a/src/tallyfold/plane/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -34,7 +34,9 @@
     /// dropped once the queue is full.
     void send(const peer_message& message);
     /// The newest form that both sides know; the first one until the other has said more.
-    [[nodiscard]] protocol::format_version peer_format() const { return formats_.common_format(); }
+    [[nodiscard]] protocol::format_version peer_format() const {
+        return negotiation_.common_format();
+    }
     void close();
     [[nodiscard]] bool open() const { return socket_.is_open(); }
 
@@ -65,7 +67,7 @@
     std::string input_;
     std::deque<std::string> output_;
     std::size_t queued_bytes_ = 0;
-    format_negotiation formats_;
+    format_negotiation negotiation_;
     std::uint64_t skipped_ = 0;
     std::uint64_t withheld_ = 0;
     bool writing_ = false;
