--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -27,13 +27,13 @@
                 return;
             }
             self->input_.append(self->buffer_.data(), count);
-            if (self->take_frames() && self->open()) {
+            if (self->process_frames() && self->open()) {
                 self->read_more();
             }
         });
 }
 
-bool frame_channel::take_frames() {
+bool frame_channel::process_frames() {
     std::size_t offset = 0;
     while (input_.size() - offset >= frame_header_size) {
         std::uint32_t length = 0;
--- a/src/tallyfold/plane/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -42,7 +42,7 @@
 
   private:
     void read_more();
-    bool take_frames();
+    bool process_frames();
     void take_frame(std::string_view payload);
     void on_format_offer(const format_offer& offer);
     void queue(std::string frame);
