--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -45,7 +45,7 @@
         if (input_.size() - offset < frame_header_size + length) {
             break;
         }
-        take_frame(std::string_view(input_).substr(offset + frame_header_size, length));
+        process_frame(std::string_view(input_).substr(offset + frame_header_size, length));
         offset += frame_header_size + length;
         if (!open()) {
             return false;
@@ -55,7 +55,7 @@
     return true;
 }
 
-void frame_channel::take_frame(std::string_view payload) {
+void frame_channel::process_frame(std::string_view payload) {
     const auto message = decode_payload(payload, negotiation_.receive_format());
     if (!message) {
         // The next frame begins where this one ends: what else the connection carries goes on.
--- a/src/tallyfold/plane/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -43,7 +43,7 @@
   private:
     void read_more();
     bool process_frames();
-    void take_frame(std::string_view payload);
+    void process_frame(std::string_view payload);
     void on_format_offer(const format_offer& offer);
     void queue(std::string frame);
     void log_skipped(std::string_view payload, const protocol::decode_error& error);
