--- a/src/tallyfold/plane/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -19,7 +19,7 @@
 /// An idle connection is probed after this time. Chosen, not measured.
 constexpr std::chrono::seconds idle_limit(3);
 
-void tune(asio::ip::tcp::socket& socket) {
+void configure_socket(asio::ip::tcp::socket& socket) {
     net::tune_socket(socket, unacknowledged_timeout);
     net::probe_when_idle(socket, idle_limit);
 }
@@ -72,7 +72,7 @@
         retry_later();
         return;
     }
-    tune(socket_);
+    configure_socket(socket_);
     channel_ = std::make_shared<frame_channel>(std::move(socket_));
     channel_->start(
         [weak = weak_from_this()](const peer_message& message) {
@@ -158,7 +158,7 @@
             return;
         }
         if (!error) {
-            tune(socket);
+            configure_socket(socket);
             auto channel = std::make_shared<frame_channel>(std::move(socket));
             std::weak_ptr<frame_channel> weak = channel;
             channel->start(
