--- a/src/tallyfold/plane/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -12,7 +12,7 @@
 constexpr auto connect_timeout = std::chrono::milliseconds(250);
 /// Pause before the next attempt. Chosen, not measured: a restarted process is reached within a
 /// tenth of a second, and one that is away costs some 16 packets a second.
-constexpr auto retry_pause = std::chrono::milliseconds(60);
+constexpr auto retry_delay = std::chrono::milliseconds(60);
 /// Bytes that another machine doesn't acknowledge for this long end the connection. Chosen, not
 /// measured: below the 1.5 s that a begin at the stores may take.
 constexpr duration unacknowledged_timeout = std::chrono::milliseconds(1'200);
@@ -104,7 +104,7 @@
 
 void peer_link::retry_later() {
     const std::uint64_t number = ++attempt_;
-    timer_.expires_after(retry_pause);
+    timer_.expires_after(retry_delay);
     timer_.async_wait([weak = weak_from_this(), number](const std::error_code& error) {
         const auto self = weak.lock();
         if (!error && self && self->attempt_ == number) {
