--- a/src/tallyfold/plane/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -17,11 +17,11 @@
 /// measured: below the 1.5 s that a begin at the stores may take.
 constexpr duration unacknowledged_timeout = std::chrono::milliseconds(1'200);
 /// An idle connection is probed after this time. Chosen, not measured.
-constexpr std::chrono::seconds idle_limit(3);
+constexpr std::chrono::seconds keepalive_idle(3);
 
 void configure_socket(asio::ip::tcp::socket& socket) {
     net::tune_socket(socket, unacknowledged_timeout);
-    net::probe_when_idle(socket, idle_limit);
+    net::probe_when_idle(socket, keepalive_idle);
 }
 
 }  // namespace
