--- a/src/tallyfold/plane/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -82,7 +82,7 @@
         },
         [weak = weak_from_this()](const std::string& reason) {
             if (const auto link = weak.lock()) {
-                link->lost(reason);
+                link->on_lost(reason);
             }
         });
     channel_->send_format_offer();
@@ -91,7 +91,7 @@
     }
 }
 
-void peer_link::lost(const std::string& reason) {
+void peer_link::on_lost(const std::string& reason) {
     channel_.reset();
     if (stopped_) {
         return;
@@ -124,7 +124,7 @@
         return;
     }
     channel_->close();
-    lost(reason);
+    on_lost(reason);
 }
 
 void peer_link::stop() {
--- a/src/tallyfold/plane/messaging/peer_link_shell.hpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.hpp
@@ -46,7 +46,7 @@
     /// @param error unset when the connection is made
     void on_attempt_ended(const std::error_code& error);
     void retry_later();
-    void lost(const std::string& reason);
+    void on_lost(const std::string& reason);
 
     asio::io_context& loop_;
     std::string address_;
