--- a/src/tallyfold/plane/process/mechanisms.cpp
+++ b/src/tallyfold/plane/process/mechanisms.cpp
@@ -41,7 +41,7 @@
 
 void disabled_mechanisms::add(std::string_view name) {
     if (const named_mechanism* known = find(name)) {
-        off_.insert(known->second);
+        disabled_.insert(known->second);
     }
 }
 
--- a/src/tallyfold/plane/process/mechanisms.hpp
+++ b/src/tallyfold/plane/process/mechanisms.hpp
@@ -51,11 +51,11 @@
   public:
     /// @param name one for which is_mechanism() is true
     void add(std::string_view name);
-    [[nodiscard]] bool contains(mechanism asked) const { return off_.contains(asked); }
-    [[nodiscard]] bool empty() const { return off_.empty(); }
+    [[nodiscard]] bool contains(mechanism asked) const { return disabled_.contains(asked); }
+    [[nodiscard]] bool empty() const { return disabled_.empty(); }
 
   private:
-    std::set<mechanism> off_;
+    std::set<mechanism> disabled_;
 };
 
 }  // namespace tallyfold::settings
