--- a/src/tallyfold/plane/process/node_settings.cpp
+++ b/src/tallyfold/plane/process/node_settings.cpp
@@ -58,9 +58,9 @@
     return static_cast<std::uint16_t>(reader.integer_or(key, 0, least, max_port));
 }
 
-duration milliseconds(settings_reader& reader, const std::string& key, std::int64_t usual,
+duration milliseconds(settings_reader& reader, const std::string& key, std::int64_t default_value,
                       std::int64_t least, std::int64_t most) {
-    return std::chrono::milliseconds(reader.integer_or(key, usual, least, most));
+    return std::chrono::milliseconds(reader.integer_or(key, default_value, least, most));
 }
 
 /// Which machine this is, how others reach it, and its disk.
