--- a/src/tallyfold/plane/process/node_settings.cpp
+++ b/src/tallyfold/plane/process/node_settings.cpp
@@ -54,13 +54,13 @@
     return value;
 }
 
-std::uint16_t port(settings_reader& reader, const std::string& key, std::int64_t least) {
-    return static_cast<std::uint16_t>(reader.integer_or(key, 0, least, max_port));
+std::uint16_t port(settings_reader& reader, const std::string& key, std::int64_t min_value) {
+    return static_cast<std::uint16_t>(reader.integer_or(key, 0, min_value, max_port));
 }
 
 duration milliseconds(settings_reader& reader, const std::string& key, std::int64_t default_value,
-                      std::int64_t least, std::int64_t most) {
-    return std::chrono::milliseconds(reader.integer_or(key, default_value, least, most));
+                      std::int64_t min_value, std::int64_t most) {
+    return std::chrono::milliseconds(reader.integer_or(key, default_value, min_value, most));
 }
 
 /// Which machine this is, how others reach it, and its disk.
