--- a/src/tallyfold/plane/process/node_settings.cpp
+++ b/src/tallyfold/plane/process/node_settings.cpp
@@ -59,8 +59,8 @@
 }
 
 duration milliseconds(settings_reader& reader, const std::string& key, std::int64_t default_value,
-                      std::int64_t min_value, std::int64_t most) {
-    return std::chrono::milliseconds(reader.integer_or(key, default_value, min_value, most));
+                      std::int64_t min_value, std::int64_t max_value) {
+    return std::chrono::milliseconds(reader.integer_or(key, default_value, min_value, max_value));
 }
 
 /// Which machine this is, how others reach it, and its disk.
