--- a/src/tallyfold/plane/process/node_settings.cpp
+++ b/src/tallyfold/plane/process/node_settings.cpp
@@ -93,7 +93,7 @@
 }
 
 /// How a forwarder chooses engines and when calls wait.
-void read_choices(settings_reader& reader, node_settings& read) {
+void read_scheduling(settings_reader& reader, node_settings& read) {
     read.policy_file = reader.text_or("policy_file", {});
     read.max_slowdown =
         reader.real_or("most_slowdown", default_max_slowdown, 0, max_accepted_slowdown);
@@ -168,7 +168,7 @@
     read.file = file;
     read_machine(reader, read);
     read_interfaces(reader, read);
-    read_choices(reader, read);
+    read_scheduling(reader, read);
     read_times(reader, read);
     read_quota(reader, read);
     read_keys(reader, read);
