--- a/tests/plane/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -19,14 +19,14 @@
     CPPUNIT_TEST(events_split_at_any_byte_read_the_same);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr std::size_t bound = 16U << 10U;
+    static constexpr std::size_t max_head_bytes = 16U << 10U;
 
     void a_request_split_at_any_byte_reads_the_same() {
         const std::string text =
             "POST /a/b?c=d HTTP/1.1\r\nHost: h.example\r\nTransfer-Encoding: chunked\r\n\r\n"
             "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
         for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-            message_parser parser(message_kind::request, bound);
+            message_parser parser(message_kind::request, max_head_bytes);
             CPPUNIT_ASSERT(parser.feed(text.substr(0, cut)).has_value());
             CPPUNIT_ASSERT(parser.feed(text.substr(cut)).has_value());
             CPPUNIT_ASSERT(parser.complete());
@@ -38,7 +38,7 @@
     }
 
     void bytes_behind_a_message_are_left_alone() {
-        message_parser parser(message_kind::response, bound);
+        message_parser parser(message_kind::response, max_head_bytes);
         const std::string first = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         const auto consumed = parser.feed(first + "HTTP/1.1 200 OK\r\n");
         CPPUNIT_ASSERT(consumed.has_value());
@@ -47,7 +47,7 @@
     }
 
     void an_answer_without_a_length_ends_with_its_connection() {
-        message_parser parser(message_kind::response, bound);
+        message_parser parser(message_kind::response, max_head_bytes);
         CPPUNIT_ASSERT(parser.feed("HTTP/1.1 200 OK\r\n\r\nsome").has_value());
         CPPUNIT_ASSERT(parser.head().framing == body_framing::until_close);
         CPPUNIT_ASSERT(!parser.complete());
@@ -56,11 +56,11 @@
     }
 
     void a_cut_answer_is_not_whole() {
-        message_parser counted(message_kind::response, bound);
+        message_parser counted(message_kind::response, max_head_bytes);
         CPPUNIT_ASSERT(
             counted.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsome").has_value());
         CPPUNIT_ASSERT(!counted.finish());
-        message_parser chunked(message_kind::response, bound);
+        message_parser chunked(message_kind::response, max_head_bytes);
         CPPUNIT_ASSERT(
             chunked.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n")
                 .has_value());
@@ -68,7 +68,7 @@
     }
 
     void bytes_that_are_no_answer_are_refused() {
-        message_parser parser(message_kind::response, bound);
+        message_parser parser(message_kind::response, max_head_bytes);
         CPPUNIT_ASSERT(!parser.feed("\x01\x02 nonsense\r\n\r\n").has_value());
     }
 
