--- a/tests/plane/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -9,7 +9,7 @@
 
 class message_parser_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(message_parser_test);
-    CPPUNIT_TEST(a_request_split_at_any_byte_reads_the_same);
+    CPPUNIT_TEST(parses_request_split_at_any_byte);
     CPPUNIT_TEST(bytes_behind_a_message_are_left_alone);
     CPPUNIT_TEST(an_answer_without_a_length_ends_with_its_connection);
     CPPUNIT_TEST(a_cut_answer_is_not_whole);
@@ -21,7 +21,7 @@
 
     static constexpr std::size_t max_head_bytes = 16U << 10U;
 
-    void a_request_split_at_any_byte_reads_the_same() {
+    void parses_request_split_at_any_byte() {
         const std::string text =
             "POST /a/b?c=d HTTP/1.1\r\nHost: h.example\r\nTransfer-Encoding: chunked\r\n\r\n"
             "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
