--- a/tests/plane/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -10,7 +10,7 @@
 class message_parser_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(message_parser_test);
     CPPUNIT_TEST(parses_request_split_at_any_byte);
-    CPPUNIT_TEST(bytes_behind_a_message_are_left_alone);
+    CPPUNIT_TEST(stops_at_end_of_message);
     CPPUNIT_TEST(an_answer_without_a_length_ends_with_its_connection);
     CPPUNIT_TEST(a_cut_answer_is_not_whole);
     CPPUNIT_TEST(bytes_that_are_no_answer_are_refused);
@@ -37,7 +37,7 @@
         }
     }
 
-    void bytes_behind_a_message_are_left_alone() {
+    void stops_at_end_of_message() {
         message_parser parser(message_kind::response, max_head_bytes);
         const std::string first = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         const auto consumed = parser.feed(first + "HTTP/1.1 200 OK\r\n");
