--- a/tests/plane/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST_SUITE(message_parser_test);
     CPPUNIT_TEST(parses_request_split_at_any_byte);
     CPPUNIT_TEST(stops_at_end_of_message);
-    CPPUNIT_TEST(an_answer_without_a_length_ends_with_its_connection);
+    CPPUNIT_TEST(response_without_length_ends_at_close);
     CPPUNIT_TEST(a_cut_answer_is_not_whole);
     CPPUNIT_TEST(bytes_that_are_no_answer_are_refused);
     CPPUNIT_TEST(a_head_over_its_bound_is_told_apart);
@@ -46,7 +46,7 @@
         CPPUNIT_ASSERT(parser.complete());
     }
 
-    void an_answer_without_a_length_ends_with_its_connection() {
+    void response_without_length_ends_at_close() {
         message_parser parser(message_kind::response, max_head_bytes);
         CPPUNIT_ASSERT(parser.feed("HTTP/1.1 200 OK\r\n\r\nsome").has_value());
         CPPUNIT_ASSERT(parser.head().framing == body_framing::until_close);
