--- a/tests/plane/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(parses_request_split_at_any_byte);
     CPPUNIT_TEST(stops_at_end_of_message);
     CPPUNIT_TEST(response_without_length_ends_at_close);
-    CPPUNIT_TEST(a_cut_answer_is_not_whole);
+    CPPUNIT_TEST(truncated_response_is_incomplete);
     CPPUNIT_TEST(bytes_that_are_no_answer_are_refused);
     CPPUNIT_TEST(a_head_over_its_bound_is_told_apart);
     CPPUNIT_TEST(fields_of_one_connection_are_not_passed_on);
@@ -55,7 +55,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("some"), parser.take_body());
     }
 
-    void a_cut_answer_is_not_whole() {
+    void truncated_response_is_incomplete() {
         message_parser counted(message_kind::response, max_head_bytes);
         CPPUNIT_ASSERT(
             counted.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsome").has_value());
