--- a/tests/plane/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(stops_at_end_of_message);
     CPPUNIT_TEST(response_without_length_ends_at_close);
     CPPUNIT_TEST(truncated_response_is_incomplete);
-    CPPUNIT_TEST(bytes_that_are_no_answer_are_refused);
+    CPPUNIT_TEST(rejects_malformed_response);
     CPPUNIT_TEST(a_head_over_its_bound_is_told_apart);
     CPPUNIT_TEST(fields_of_one_connection_are_not_passed_on);
     CPPUNIT_TEST(events_split_at_any_byte_read_the_same);
@@ -67,7 +67,7 @@
         CPPUNIT_ASSERT(!chunked.finish());
     }
 
-    void bytes_that_are_no_answer_are_refused() {
+    void rejects_malformed_response() {
         message_parser parser(message_kind::response, max_head_bytes);
         CPPUNIT_ASSERT(!parser.feed("\x01\x02 nonsense\r\n\r\n").has_value());
     }
