--- a/tests/plane/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(response_without_length_ends_at_close);
     CPPUNIT_TEST(truncated_response_is_incomplete);
     CPPUNIT_TEST(rejects_malformed_response);
-    CPPUNIT_TEST(a_head_over_its_bound_is_told_apart);
+    CPPUNIT_TEST(reports_head_over_size_limit);
     CPPUNIT_TEST(fields_of_one_connection_are_not_passed_on);
     CPPUNIT_TEST(events_split_at_any_byte_read_the_same);
     CPPUNIT_TEST_SUITE_END();
@@ -72,7 +72,7 @@
         CPPUNIT_ASSERT(!parser.feed("\x01\x02 nonsense\r\n\r\n").has_value());
     }
 
-    void a_head_over_its_bound_is_told_apart() {
+    void reports_head_over_size_limit() {
         message_parser parser(message_kind::request, 64);
         const auto fed = parser.feed("GET / HTTP/1.1\r\nA: " + std::string(100, 'x'));
         CPPUNIT_ASSERT(!fed.has_value());
