--- a/tests/plane/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(truncated_response_is_incomplete);
     CPPUNIT_TEST(rejects_malformed_response);
     CPPUNIT_TEST(reports_head_over_size_limit);
-    CPPUNIT_TEST(fields_of_one_connection_are_not_passed_on);
+    CPPUNIT_TEST(removes_hop_by_hop_fields);
     CPPUNIT_TEST(events_split_at_any_byte_read_the_same);
     CPPUNIT_TEST_SUITE_END();
 
@@ -85,7 +85,7 @@
         CPPUNIT_ASSERT(at_once.error() == parse_failure::head_too_large);
     }
 
-    void fields_of_one_connection_are_not_passed_on() {
+    void removes_hop_by_hop_fields() {
         header_list headers;
         headers.add("Connection", "close, X-Hop");
         headers.add("X-Hop", "1");
