--- a/tests/plane/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(rejects_malformed_response);
     CPPUNIT_TEST(reports_head_over_size_limit);
     CPPUNIT_TEST(removes_hop_by_hop_fields);
-    CPPUNIT_TEST(events_split_at_any_byte_read_the_same);
+    CPPUNIT_TEST(reads_events_split_at_any_byte);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t max_head_bytes = 16U << 10U;
@@ -96,7 +96,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("X-Kept"), kept.fields().front().name);
     }
 
-    void events_split_at_any_byte_read_the_same() {
+    void reads_events_split_at_any_byte() {
         const std::string text =
             "id: 1\ndata: one\n\nid: 2\nx-weight-versions: 4\ndata: two\n\nid: 3\ndata: cut";
         for (std::size_t cut = 0; cut <= text.size(); ++cut) {
