--- a/tests/plane/http/whole_events_test.cpp
+++ b/tests/plane/http/whole_events_test.cpp
@@ -8,7 +8,7 @@
 
 class whole_events_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(whole_events_test);
-    CPPUNIT_TEST(what_breaks_off_inside_an_event_is_held_back);
+    CPPUNIT_TEST(withholds_incomplete_event);
     CPPUNIT_TEST(a_continued_stream_has_each_event_once);
     CPPUNIT_TEST(a_missing_event_is_noticed);
     CPPUNIT_TEST(events_without_identifiers_pass);
@@ -26,7 +26,7 @@
         return text;
     }
 
-    void what_breaks_off_inside_an_event_is_held_back() {
+    void withholds_incomplete_event() {
         whole_events stream;
         CPPUNIT_ASSERT_EQUAL(event(1), stream.feed(event(1) + "id: 2\ndata: te"));
         CPPUNIT_ASSERT_EQUAL(std::string("1"), stream.last_id());
