--- a/tests/plane/http/whole_events_test.cpp
+++ b/tests/plane/http/whole_events_test.cpp
@@ -9,7 +9,7 @@
 class whole_events_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(whole_events_test);
     CPPUNIT_TEST(withholds_incomplete_event);
-    CPPUNIT_TEST(a_continued_stream_has_each_event_once);
+    CPPUNIT_TEST(drops_repeated_events_after_resume);
     CPPUNIT_TEST(a_missing_event_is_noticed);
     CPPUNIT_TEST(events_without_identifiers_pass);
     CPPUNIT_TEST(any_break_and_any_overlap_give_the_same_stream);
@@ -34,7 +34,7 @@
         CPPUNIT_ASSERT_EQUAL(event(2), stream.feed(event(2)));
     }
 
-    void a_continued_stream_has_each_event_once() {
+    void drops_repeated_events_after_resume() {
         whole_events stream;
         stream.feed(events(1, 4));
         stream.begin_anew();
