--- a/tests/plane/http/whole_events_test.cpp
+++ b/tests/plane/http/whole_events_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(whole_events_test);
     CPPUNIT_TEST(withholds_incomplete_event);
     CPPUNIT_TEST(drops_repeated_events_after_resume);
-    CPPUNIT_TEST(a_missing_event_is_noticed);
+    CPPUNIT_TEST(detects_missing_event_after_resume);
     CPPUNIT_TEST(events_without_identifiers_pass);
     CPPUNIT_TEST(any_break_and_any_overlap_give_the_same_stream);
     CPPUNIT_TEST_SUITE_END();
@@ -42,7 +42,7 @@
         CPPUNIT_ASSERT(stream.in_order());
     }
 
-    void a_missing_event_is_noticed() {
+    void detects_missing_event_after_resume() {
         whole_events stream;
         stream.feed(events(1, 4));
         stream.begin_anew();
