--- a/tests/plane/http/whole_events_test.cpp
+++ b/tests/plane/http/whole_events_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST(withholds_incomplete_event);
     CPPUNIT_TEST(drops_repeated_events_after_resume);
     CPPUNIT_TEST(detects_missing_event_after_resume);
-    CPPUNIT_TEST(events_without_identifiers_pass);
+    CPPUNIT_TEST(forwards_events_without_identifiers);
     CPPUNIT_TEST(any_break_and_any_overlap_give_the_same_stream);
     CPPUNIT_TEST_SUITE_END();
 
@@ -50,7 +50,7 @@
         CPPUNIT_ASSERT(!stream.in_order());
     }
 
-    void events_without_identifiers_pass() {
+    void forwards_events_without_identifiers() {
         whole_events stream;
         const std::string text = "data: a\r\n\r\ndata: b\n\n";
         CPPUNIT_ASSERT_EQUAL(text, stream.feed(text));
