--- a/tests/plane/http/whole_events_test.cpp
+++ b/tests/plane/http/whole_events_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(drops_repeated_events_after_resume);
     CPPUNIT_TEST(detects_missing_event_after_resume);
     CPPUNIT_TEST(forwards_events_without_identifiers);
-    CPPUNIT_TEST(any_break_and_any_overlap_give_the_same_stream);
+    CPPUNIT_TEST(resumed_stream_equals_original);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string event(int number) {
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT_EQUAL(text, stream.feed(text));
     }
 
-    void any_break_and_any_overlap_give_the_same_stream() {
+    void resumed_stream_equals_original() {
         check_property("a stream cut anywhere and continued has each event once, in order", [] {
             const int count = *rc::gen::inRange(3, 30);
             const std::string whole = events(1, count);
