--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -20,7 +20,7 @@
 
 class format_opening_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(format_opening_test);
-    CPPUNIT_TEST(an_opening_travels_as_a_message_of_the_first_format);
+    CPPUNIT_TEST(offer_is_encodable_in_first_format);
     CPPUNIT_TEST(replies_of_stores_are_no_openings);
     CPPUNIT_TEST(two_that_know_the_second_format_use_it_both_ways);
     CPPUNIT_TEST(a_later_build_is_met_in_the_newest_form_that_both_know);
@@ -31,7 +31,7 @@
 
     static constexpr const char* address = "127.0.99.7:17178";
 
-    void an_opening_travels_as_a_message_of_the_first_format() {
+    void offer_is_encodable_in_first_format() {
         for (int known = 1; known < 256; ++known) {
             const format_offer opening{static_cast<format_number>(known), 1};
             const auto bytes = protocol::encode_as(to_message(offer), format_version::v1);
