--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -21,7 +21,7 @@
 class format_opening_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(format_opening_test);
     CPPUNIT_TEST(offer_is_encodable_in_first_format);
-    CPPUNIT_TEST(replies_of_stores_are_no_openings);
+    CPPUNIT_TEST(store_reply_is_not_an_offer);
     CPPUNIT_TEST(two_that_know_the_second_format_use_it_both_ways);
     CPPUNIT_TEST(a_later_build_is_met_in_the_newest_form_that_both_know);
     CPPUNIT_TEST(a_link_and_a_server_agree);
@@ -42,7 +42,7 @@
         }
     }
 
-    void replies_of_stores_are_no_openings() {
+    void store_reply_is_not_an_offer() {
         check_property("an answered operation is no opening",
                        [](std::uint64_t operation, std::uint64_t store) {
                            turns::find_reply reply;
