--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -22,7 +22,7 @@
     CPPUNIT_TEST_SUITE(format_opening_test);
     CPPUNIT_TEST(offer_is_encodable_in_first_format);
     CPPUNIT_TEST(store_reply_is_not_an_offer);
-    CPPUNIT_TEST(two_that_know_the_second_format_use_it_both_ways);
+    CPPUNIT_TEST(both_sides_use_newest_common_format);
     CPPUNIT_TEST(a_later_build_is_met_in_the_newest_form_that_both_know);
     CPPUNIT_TEST(a_link_and_a_server_agree);
     CPPUNIT_TEST(whoever_says_nothing_is_sent_the_first_format_alone);
@@ -54,7 +54,7 @@
         CPPUNIT_ASSERT(!parse_offer(directory::node_report{}));
     }
 
-    void two_that_know_the_second_format_use_it_both_ways() {
+    void both_sides_use_newest_common_format() {
         format_negotiation caller;
         format_negotiation server;
         const auto answer = server.receive(caller.initial_offer());
