--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -23,7 +23,7 @@
     CPPUNIT_TEST(offer_is_encodable_in_first_format);
     CPPUNIT_TEST(store_reply_is_not_an_offer);
     CPPUNIT_TEST(both_sides_use_newest_common_format);
-    CPPUNIT_TEST(a_later_build_is_met_in_the_newest_form_that_both_know);
+    CPPUNIT_TEST(newer_peer_uses_newest_common_format);
     CPPUNIT_TEST(a_link_and_a_server_agree);
     CPPUNIT_TEST(whoever_says_nothing_is_sent_the_first_format_alone);
     CPPUNIT_TEST(a_frame_that_cannot_be_read_is_passed_over);
@@ -71,7 +71,7 @@
         }
     }
 
-    void a_later_build_is_met_in_the_newest_form_that_both_know() {
+    void newer_peer_uses_newest_common_format() {
         format_negotiation server;
         const auto answer = server.receive({9, 1});
         CPPUNIT_ASSERT(answer == (format_offer{2, 2}));
