--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -24,7 +24,7 @@
     CPPUNIT_TEST(store_reply_is_not_an_offer);
     CPPUNIT_TEST(both_sides_use_newest_common_format);
     CPPUNIT_TEST(newer_peer_uses_newest_common_format);
-    CPPUNIT_TEST(a_link_and_a_server_agree);
+    CPPUNIT_TEST(link_and_server_negotiate_format);
     CPPUNIT_TEST(whoever_says_nothing_is_sent_the_first_format_alone);
     CPPUNIT_TEST(a_frame_that_cannot_be_read_is_passed_over);
     CPPUNIT_TEST_SUITE_END();
@@ -89,7 +89,7 @@
         }
     }
 
-    void a_link_and_a_server_agree() {
+    void link_and_server_negotiate_format() {
         asio::io_context loop;
         peer_server server(loop, address);
         int reports = 0;
