--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -25,7 +25,7 @@
     CPPUNIT_TEST(both_sides_use_newest_common_format);
     CPPUNIT_TEST(newer_peer_uses_newest_common_format);
     CPPUNIT_TEST(link_and_server_negotiate_format);
-    CPPUNIT_TEST(whoever_says_nothing_is_sent_the_first_format_alone);
+    CPPUNIT_TEST(peer_without_offer_gets_first_format);
     CPPUNIT_TEST(a_frame_that_cannot_be_read_is_passed_over);
     CPPUNIT_TEST_SUITE_END();
 
@@ -132,7 +132,7 @@
         return payloads;
     }
 
-    void whoever_says_nothing_is_sent_the_first_format_alone() {
+    void peer_without_offer_gets_first_format() {
         asio::io_context loop;
         peer_server server(loop, address);
         CPPUNIT_ASSERT_EQUAL(std::string{},
