--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -26,7 +26,7 @@
     CPPUNIT_TEST(newer_peer_uses_newest_common_format);
     CPPUNIT_TEST(link_and_server_negotiate_format);
     CPPUNIT_TEST(peer_without_offer_gets_first_format);
-    CPPUNIT_TEST(a_frame_that_cannot_be_read_is_passed_over);
+    CPPUNIT_TEST(skips_undecodable_frame);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr const char* address = "127.0.99.7:17178";
@@ -158,7 +158,7 @@
                              std::get<directory::node_report_answer>(*answer).configuration);
     }
 
-    void a_frame_that_cannot_be_read_is_passed_over() {
+    void skips_undecodable_frame() {
         asio::io_context loop;
         peer_server server(loop, address);
         int requests = 0;
