--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_opening_test.cpp
@@ -82,9 +82,9 @@
     /// Handles what is ready, until nothing comes any more.
     static void run(asio::io_context& loop) {
         // A loopback connection delivers within far less.
-        constexpr std::chrono::milliseconds quiet_time{100};
+        constexpr std::chrono::milliseconds idle_time{100};
         loop.restart();
-        while (loop.run_for(quiet_time) > 0) {
+        while (loop.run_for(idle_time) > 0) {
             loop.restart();
         }
     }
