--- a/tests/plane/process/node_settings_test.cpp
+++ b/tests/plane/process/node_settings_test.cpp
@@ -9,7 +9,7 @@
 
 class node_settings_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(node_settings_test);
-    CPPUNIT_TEST(what_is_left_out_has_its_default);
+    CPPUNIT_TEST(missing_keys_have_defaults);
     CPPUNIT_TEST(a_file_of_the_production_build_is_enough);
     CPPUNIT_TEST(a_node_behind_a_relay_listens_at_another_address);
     CPPUNIT_TEST(every_problem_is_named);
@@ -20,7 +20,7 @@
         "node = \"n\"\nzone = \"z\"\nip = \"10.0.0.1\"\nseeds = [\"10.0.0.2:80\"]\n"
         "directory_port = 71\nstore_port = 72\n";
 
-    void what_is_left_out_has_its_default() {
+    void missing_keys_have_defaults() {
         const auto read = read_node_settings(file_.write(whole));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT(read->policy_file.empty());
