--- a/tests/plane/process/node_settings_test.cpp
+++ b/tests/plane/process/node_settings_test.cpp
@@ -10,7 +10,7 @@
 class node_settings_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(node_settings_test);
     CPPUNIT_TEST(missing_keys_have_defaults);
-    CPPUNIT_TEST(a_file_of_the_production_build_is_enough);
+    CPPUNIT_TEST(accepts_settings_file_of_first_release);
     CPPUNIT_TEST(a_node_behind_a_relay_listens_at_another_address);
     CPPUNIT_TEST(every_problem_is_named);
     CPPUNIT_TEST(mechanisms_are_switched_off_by_name);
@@ -31,7 +31,7 @@
     }
 
     /// The keys of the template with which the build of the first form (docs/FORMATS.md) starts.
-    void a_file_of_the_production_build_is_enough() {
+    void accepts_settings_file_of_first_release() {
         const auto read = read_node_settings(file_.write(
             std::string(whole) +
             "first_start = \"false\"\ndata_folder = \"/data\"\nlosses_borne = 1\n"
