--- a/tests/plane/process/node_settings_test.cpp
+++ b/tests/plane/process/node_settings_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST_SUITE(node_settings_test);
     CPPUNIT_TEST(missing_keys_have_defaults);
     CPPUNIT_TEST(accepts_settings_file_of_first_release);
-    CPPUNIT_TEST(a_node_behind_a_relay_listens_at_another_address);
+    CPPUNIT_TEST(listen_address_may_differ_from_advertised);
     CPPUNIT_TEST(every_problem_is_named);
     CPPUNIT_TEST(mechanisms_are_switched_off_by_name);
     CPPUNIT_TEST_SUITE_END();
@@ -43,7 +43,7 @@
         CPPUNIT_ASSERT(!read->refuses_stale_keys);
     }
 
-    void a_node_behind_a_relay_listens_at_another_address() {
+    void listen_address_may_differ_from_advertised() {
         const auto read =
             read_node_settings(file_.write(std::string(whole) + "listen_ip = \"10.0.9.1\"\n"));
         CPPUNIT_ASSERT(read.has_value());
