--- a/tests/plane/process/node_settings_test.cpp
+++ b/tests/plane/process/node_settings_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(missing_keys_have_defaults);
     CPPUNIT_TEST(accepts_settings_file_of_first_release);
     CPPUNIT_TEST(listen_address_may_differ_from_advertised);
-    CPPUNIT_TEST(every_problem_is_named);
+    CPPUNIT_TEST(reports_every_invalid_key);
     CPPUNIT_TEST(mechanisms_are_switched_off_by_name);
     CPPUNIT_TEST_SUITE_END();
 
@@ -52,7 +52,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.9.1:72"), read->store_listener());
     }
 
-    void every_problem_is_named() {
+    void reports_every_invalid_key() {
         const auto read = read_node_settings(
             file_.write("node = 7\nseeds = [\"host:80\"]\ngrace_seconds = 0\nspeed = 1\n"));
         CPPUNIT_ASSERT(!read.has_value());
