--- a/tests/plane/process/node_settings_test.cpp
+++ b/tests/plane/process/node_settings_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(accepts_settings_file_of_first_release);
     CPPUNIT_TEST(listen_address_may_differ_from_advertised);
     CPPUNIT_TEST(reports_every_invalid_key);
-    CPPUNIT_TEST(mechanisms_are_switched_off_by_name);
+    CPPUNIT_TEST(disables_mechanisms_by_name);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr const char* whole =
@@ -66,7 +66,7 @@
         }
     }
 
-    void mechanisms_are_switched_off_by_name() {
+    void disables_mechanisms_by_name() {
         const auto read = read_node_settings(
             file_.write(std::string(whole) +
                         "switched_off = [\"continuation\"]\nplacement = \"round_robin\"\n"));
