--- a/tests/plane/process/node_settings_test.cpp
+++ b/tests/plane/process/node_settings_test.cpp
@@ -16,12 +16,12 @@
     CPPUNIT_TEST(disables_mechanisms_by_name);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr const char* whole =
+    static constexpr const char* required_keys =
         "node = \"n\"\nzone = \"z\"\nip = \"10.0.0.1\"\nseeds = [\"10.0.0.2:80\"]\n"
         "directory_port = 71\nstore_port = 72\n";
 
     void missing_keys_have_defaults() {
-        const auto read = read_node_settings(file_.write(whole));
+        const auto read = read_node_settings(file_.write(required_keys));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT(read->policy_file.empty());
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, read->losses_borne);
@@ -33,7 +33,7 @@
     /// The keys of the template with which the build of the first form (docs/FORMATS.md) starts.
     void accepts_settings_file_of_first_release() {
         const auto read = read_node_settings(file_.write(
-            std::string(whole) +
+            std::string(required_keys) +
             "first_start = \"false\"\ndata_folder = \"/data\"\nlosses_borne = 1\n"
             "callers_address = \"10.0.0.1:80\"\nreadiness_address = \"10.0.0.1:81\"\n"
             "operators_address = \"\"\nmetrics_port = 9464\n"
@@ -44,8 +44,8 @@
     }
 
     void listen_address_may_differ_from_advertised() {
-        const auto read =
-            read_node_settings(file_.write(std::string(whole) + "listen_ip = \"10.0.9.1\"\n"));
+        const auto read = read_node_settings(
+            file_.write(std::string(required_keys) + "listen_ip = \"10.0.9.1\"\n"));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:71"), read->directory_address());
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.9.1:71"), read->directory_listener());
@@ -68,14 +68,14 @@
 
     void disables_mechanisms_by_name() {
         const auto read = read_node_settings(
-            file_.write(std::string(whole) +
+            file_.write(std::string(required_keys) +
                         "switched_off = [\"continuation\"]\nplacement = \"round_robin\"\n"));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT(read->disabled.contains(mechanism::stream_resume));
         CPPUNIT_ASSERT(!read->disabled.contains(mechanism::silence));
         CPPUNIT_ASSERT_EQUAL(std::string("round_robin"), read->placement);
         const auto wrong = read_node_settings(file_.write(
-            std::string(whole) + "switched_off = [\"magic\"]\nplacement = \"oracle\"\n"));
+            std::string(required_keys) + "switched_off = [\"magic\"]\nplacement = \"oracle\"\n"));
         CPPUNIT_ASSERT(!wrong.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, wrong.error().size());
     }
