--- a/src/tallyfold/plane/messaging/format_opening.cpp
+++ b/src/tallyfold/plane/messaging/format_negotiation.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/messaging/format_opening.hpp"
+#include "tallyfold/plane/messaging/format_negotiation.hpp"
 
 #include <algorithm>
 
--- a/src/tallyfold/plane/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -15,7 +15,7 @@
 #include <string>
 #include <string_view>
 
-#include "tallyfold/plane/messaging/format_opening.hpp"
+#include "tallyfold/plane/messaging/format_negotiation.hpp"
 
 namespace tallyfold::messaging {
 
--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_negotiation_test.cpp
@@ -2,7 +2,7 @@
 /// Two nodes agree on the form of their messages over a real connection, also when one of them is
 /// of the build that says nothing of forms and closes a connection over what it doesn't know.
 
-#include "tallyfold/plane/messaging/format_opening.hpp"
+#include "tallyfold/plane/messaging/format_negotiation.hpp"
 
 #include <asio/io_context.hpp>
 #include <asio/read.hpp>
@@ -18,8 +18,8 @@
 using namespace messaging;
 using protocol::format_version;
 
-class format_opening_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(format_opening_test);
+class format_negotiation_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(format_negotiation_test);
     CPPUNIT_TEST(offer_is_encodable_in_first_format);
     CPPUNIT_TEST(store_reply_is_not_an_offer);
     CPPUNIT_TEST(both_sides_use_newest_common_format);
@@ -177,6 +177,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(format_opening_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(format_negotiation_test);
 
 }  // namespace tallyfold::tests
