--- a/tests/plane/messaging/format_negotiation_test.cpp
+++ b/tests/plane/messaging/format_negotiation_test.cpp
@@ -33,7 +33,7 @@
 
     void offer_is_encodable_in_first_format() {
         for (int known = 1; known < 256; ++known) {
-            const format_offer opening{static_cast<format_number>(known), 1};
+            const format_offer offer{static_cast<format_number>(known), 1};
             const auto bytes = protocol::encode_as(to_message(offer), format_version::v1);
             CPPUNIT_ASSERT(bytes.has_value());
             const auto read = decode_payload(*bytes, format_version::v1);
