--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -15,15 +15,14 @@
 
 namespace {
 
-/// Chosen, not measured: bytes that one read takes at most.
+/// Maximum number of bytes per read.
 constexpr std::size_t read_size = 16U << 10U;
-/// Bytes that the other machine doesn't acknowledge for this long end the connection. Chosen, not
-/// measured: several retransmissions within a zone or between zones.
+/// Time after which unacknowledged data closes the connection; allows several retransmissions.
 constexpr duration unacknowledged_timeout = std::chrono::milliseconds(2'500);
-/// Completion of an operation as a tuple, so that errors are values.
+/// Completion token that returns the error code and the result as a tuple instead of throwing.
 constexpr auto as_result_tuple = asio::experimental::as_tuple(asio::use_awaitable);
 
-/// What an idle connection would read next.
+/// Result of peeking at the input of an idle connection.
 enum class pending_input : std::uint8_t { nothing_yet, bytes, end };
 
 pending_input peek(asio::ip::tcp::socket& socket) {
@@ -80,7 +79,7 @@
             return;
         }
         self->expired_ = true;
-        // Fails only on a closed socket, whose operations have ended already.
+        // Fails only on a closed socket, which has no pending operations.
         std::error_code ignored;
         self->socket_.cancel(ignored);
     });
@@ -234,7 +233,7 @@
     cancel_deadline();
     ++close_watch_id_;
     deadline_timer_.cancel();
-    // The other side may have ended it before, and nothing is left to do about a socket that fails.
+    // Errors are ignored: the peer may have closed the connection already.
     std::error_code ignored;
     if (socket_.is_open()) {
         socket_.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
@@ -244,7 +243,7 @@
 
 void connection::abort() {
     if (socket_.is_open()) {
-        // A connection that fails here has ended already, and not in order.
+        // Errors are ignored: they mean that the connection has failed already.
         std::error_code ignored;
         socket_.set_option(asio::socket_base::linger(true, 0), ignored);
         cancel_deadline();
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -1,10 +1,9 @@
 #pragma once
 /// @file
-/// One TCP connection that speaks HTTP/1.1, with a deadline on each operation. Belongs to the
-/// loop thread; every call is made there.
+/// HTTP/1.1 connection over TCP with a deadline for each operation. Used by clients and servers.
 ///
-/// Owns the socket and what has been read of the current message. Relies on message_parser for the
-/// syntax. Deadlines are points on steady_now()'s time line.
+/// Owns the socket and the input of the current message; message_parser handles the syntax. All
+/// calls are made on the loop thread. Deadlines are absolute times of steady_now().
 
 #include <asio/awaitable.hpp>
 #include <asio/ip/tcp.hpp>
@@ -21,27 +20,26 @@
 namespace tallyfold::http {
 
 enum class io_failure : std::uint8_t {
-    /// The other side closed in order, where nothing was under way.
+    /// The peer closed the connection between messages.
     closed,
-    /// It broke off: a reset, or an end inside a message.
+    /// The connection was reset, or was closed within a message.
     broken,
-    /// The deadline has passed.
     timed_out,
-    /// Nothing listens at the address, or it isn't one.
+    /// The connection was refused, or the address is invalid.
     refused,
     malformed,
     head_too_large,
 };
 
-/// A short name for logs.
+/// Name of the failure in logs.
 std::string_view name_of(io_failure failure);
 
 using tallyfold::steady_now;
 
 class connection : public std::enable_shared_from_this<connection> {
   public:
-    /// @param kind what is read here: requests at a server, responses at a client
-    /// @param max_head_bytes of first line and headers together
+    /// @param kind kind of the messages read: requests in a server, responses in a client
+    /// @param max_head_bytes limit of the first line and the header fields together
     connection(asio::ip::tcp::socket socket, message_kind kind, std::size_t max_head_bytes);
     ~connection();
     connection(const connection&) = delete;
@@ -49,30 +47,29 @@
 
     /// Connects to "ip:port".
     asio::awaitable<tl::expected<void, io_failure>> connect(std::string address, instant deadline);
-    /// Reads until the head of the next message is whole.
+    /// Reads until the head of the next message is complete.
     asio::awaitable<tl::expected<void, io_failure>> read_head(instant deadline);
     /// Waits for the first byte of the next message.
     asio::awaitable<tl::expected<void, io_failure>> wait_for_message(instant deadline);
-    /// Body bytes as they come; an empty text once the message is complete.
+    /// Reads the next body bytes; an empty string once the message is complete.
     asio::awaitable<tl::expected<std::string, io_failure>> read_body_piece(instant deadline);
-    /// Writes all of `bytes`, or fails.
     asio::awaitable<tl::expected<void, io_failure>> write(std::string bytes, instant deadline);
 
     [[nodiscard]] const message_head& head() const { return parser_.head(); }
     [[nodiscard]] bool message_started() const { return parser_.started() || !input_.empty(); }
     [[nodiscard]] bool message_complete() const { return parser_.complete(); }
-    /// Makes ready to read the next message.
+    /// Resets the parser for the next message.
     void next_message() { parser_.next_message(); }
 
-    /// Calls `closed` once when the other side closes while nothing is read here.
+    /// Calls `closed` at most once, when the peer closes the connection while no read is pending.
     void watch_close(std::function<void()> closed);
     void stop_watching() { ++close_watch_id_; }
-    /// True when an idle connection has bytes or an end waiting, and so cannot be used again.
+    /// True when an idle connection has unread bytes or is closed, so that it can't be reused.
     [[nodiscard]] bool stale();
 
-    /// Ends it in order.
+    /// Shuts the connection down gracefully.
     void close();
-    /// Ends it with a reset, so that an unfinished answer never looks whole.
+    /// Resets the connection, so that the peer can't mistake a truncated response for a whole one.
     void abort();
     [[nodiscard]] bool open() const { return socket_.is_open(); }
 
--- a/src/tallyfold/plane/http/endpoint_messages.hpp
+++ b/src/tallyfold/plane/http/endpoint_messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Requests and answers of a node's own interfaces. Pure.
+/// Requests and responses of a node's own HTTP interfaces. Pure.
 
 #include <string>
 #include <vector>
@@ -11,7 +11,7 @@
 
 struct endpoint_request {
     std::string method;
-    /// Path and query.
+    /// Path and query string.
     std::string target;
     std::string body;
 };
@@ -23,7 +23,7 @@
     std::vector<header_field> headers;
 };
 
-/// The answer as bytes, with its length.
+/// Renders the response with its Content-Length.
 std::string render_response(const endpoint_response& response, bool keep_alive);
 
 }  // namespace tallyfold::http
--- a/src/tallyfold/plane/http/endpoint_server_shell.cpp
+++ b/src/tallyfold/plane/http/endpoint_server_shell.cpp
@@ -9,14 +9,12 @@
 
 namespace {
 
-/// Bytes of a request line and its headers. Chosen, not measured: operators' tools send a few
-/// hundred.
+/// Limit of a request line and its header fields together.
 constexpr std::size_t max_head_bytes = 16U << 10U;
-/// Chosen, not measured: a kept connection without a request is closed after this time.
+/// Time after which a connection without a request is closed.
 constexpr duration idle_timeout = std::chrono::seconds(30);
-/// Chosen, not measured: time for a whole request to arrive, large configurations too.
+/// Time limit for receiving a whole request, including large configurations.
 constexpr duration request_timeout = std::chrono::seconds(10);
-/// Chosen, not measured: time for an answer to leave.
 constexpr duration write_timeout = std::chrono::seconds(10);
 
 }  // namespace
@@ -82,7 +80,7 @@
         co_return reply;
     }
     reply.keep_alive = head.keep_alive;
-    // Named, since GCC 12 destroys aggregate temporaries of a co_await twice.
+    // A named variable, because GCC 12 destroys aggregate temporaries in a co_await twice.
     endpoint_request request{head.method, head.target, std::move(*body)};
     reply.response = co_await on_request_(std::move(request));
     co_return reply;
--- a/src/tallyfold/plane/http/endpoint_server_shell.hpp
+++ b/src/tallyfold/plane/http/endpoint_server_shell.hpp
@@ -1,14 +1,11 @@
 #pragma once
 /// @file
-/// A small HTTP server for a node's own interfaces: operators, readiness, metrics. Belongs to the
-/// loop thread.
+/// HTTP server for a node's own interfaces: operators, readiness and metrics. Owns the listener;
+/// runs on the loop thread. The handler has to limit its own run time.
 ///
-/// The program API has another server, http_server on RESTinio. This one stands beside it because a
-/// node of the forwarding plane has one loop thread on Asio, and callers' connections need what
-/// RESTinio doesn't offer: breaking an answer off, and reading on while a request is handled
-/// (docs/design/platform.md, "What was weighed"). Both of a node's servers so share `connection`.
-///
-/// Owns the listener and its connections. Relies on the handler to bound its own time.
+/// The program API uses http_server (RESTinio) instead. Nodes of the forwarding plane need a server
+/// on their Asio loop that shares `connection` with the listener for callers, which has to abort a
+/// response and to read while a request is handled; RESTinio supports neither.
 
 #include <asio/awaitable.hpp>
 #include <asio/io_context.hpp>
@@ -27,7 +24,7 @@
     using handler = std::function<asio::awaitable<endpoint_response>(endpoint_request)>;
 
     /// @param address "ip:port" to listen on
-    /// @param max_body_bytes of a request; a longer one is answered with 413
+    /// @param max_body_bytes limit of a request body; larger requests get status 413
     endpoint_server(asio::io_context& loop, std::string address, std::size_t max_body_bytes);
     /// @return an error text, or empty
     std::string start(handler on_request);
@@ -35,18 +32,17 @@
   private:
     struct answer {
         endpoint_response response;
-        /// The connection may serve another request.
         bool keep_alive = false;
     };
 
     void accept();
     asio::awaitable<void> serve(connection_pointer caller);
-    /// Reads the rest of a request and handles it. @return the answer; nothing when the caller has
-    /// left or its time is over
+    /// Reads a request and handles it. @return the response; nullopt when the caller disconnected
+    /// or the deadline passed
     asio::awaitable<std::optional<answer>> answer_request(connection_pointer caller,
                                                           instant deadline);
-    /// @return the body, cut just beyond the bound when it is too long; nothing when the caller has
-    /// left or its time is over
+    /// Reads the body until it is complete or exceeds the limit. @return nullopt when the caller
+    /// disconnected or the deadline passed
     asio::awaitable<std::optional<std::string>> read_body(connection_pointer caller,
                                                           instant deadline);
 
--- a/src/tallyfold/plane/http/event_stream.hpp
+++ b/src/tallyfold/plane/http/event_stream.hpp
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
-/// Reads the events out of a text/event-stream body as it passes. Pure.
-///
-/// Owns the data gathered so far. Relies on the caller to feed all bytes in order.
+/// Incremental parser of text/event-stream bodies. Pure; owns the event data read so far. The
+/// caller feeds all bytes in order.
 
 #include <cstdint>
 #include <optional>
@@ -11,19 +10,18 @@
 
 namespace tallyfold::http {
 
-/// Value of a line of one field, without the space that may follow the colon; nothing when the line
-/// is of another field. @param name with its colon, for example "data:"
+/// Value of a field line, without the optional space after the colon; nullopt for any other field.
+/// @param name the field name with its colon, for example "data:"
 std::optional<std::string_view> event_field(std::string_view line, std::string_view name);
 
-/// Gathers the data of each whole event, followed by a line feed. Bytes may be split anywhere.
+/// Collects the data of all complete events. Input may be split at any byte.
 class event_stream_reader {
   public:
-    /// Takes bytes as they come.
     void feed(std::string_view bytes);
-    /// Data of the whole events so far, each followed by a line feed.
+    /// Data of all complete events, each followed by a line feed.
     [[nodiscard]] const std::string& data() const { return data_; }
     [[nodiscard]] std::uint64_t events() const { return events_; }
-    /// True when the bytes so far end between two events.
+    /// True when the input so far ends at an event boundary.
     [[nodiscard]] bool at_boundary() const { return line_.empty() && !in_event_; }
 
   private:
--- a/src/tallyfold/plane/http/message.cpp
+++ b/src/tallyfold/plane/http/message.cpp
@@ -22,7 +22,7 @@
     return text;
 }
 
-/// Calls `visit` with each member of a comma-separated value.
+/// Calls `visit` with each element of a comma-separated list.
 template <class Visit>
 void for_each_token(std::string_view value, Visit visit) {
     while (!value.empty()) {
--- a/src/tallyfold/plane/http/message.hpp
+++ b/src/tallyfold/plane/http/message.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The head of an HTTP/1.1 message, as it stood on the wire. Pure; relies on nothing.
+/// Head of an HTTP/1.1 message and its list of header fields. Pure values.
 
 #include <cstdint>
 #include <optional>
@@ -15,36 +15,36 @@
     std::string value;
 };
 
-/// True when two header names are the same; their case does not matter.
+/// Compares two header names, ignoring case.
 bool same_name(std::string_view left, std::string_view right);
 
-/// Header fields in the order of the wire, duplicates kept.
+/// Header fields in wire order, including duplicates.
 class header_list {
   public:
     void add(std::string name, std::string value);
-    /// Value of the first field of that name; null when there is none.
+    /// Value of the first field of that name; nullptr when there is none.
     [[nodiscard]] const std::string* find(std::string_view name) const;
-    /// True when a comma-separated field of that name holds `token`.
+    /// True when a field of that name has `token` in its comma-separated list, ignoring case.
     [[nodiscard]] bool has_token(std::string_view name, std::string_view token) const;
     [[nodiscard]] const std::vector<header_field>& fields() const { return fields_; }
-    /// The list without the fields that concern one connection only (RFC 9110, 7.6.1).
+    /// Copy without the hop-by-hop fields (RFC 9110, 7.6.1).
     [[nodiscard]] header_list end_to_end() const;
 
   private:
     std::vector<header_field> fields_;
 };
 
-/// How the end of a body shows.
+/// How the end of a body is determined.
 enum class body_framing : std::uint8_t { none, length, chunked, until_close };
 
 struct message_head {
     std::string method;
-    /// Path and query, as sent.
+    /// Path and query string, as received.
     std::string target;
     unsigned status = 0;
     header_list headers;
     body_framing framing = body_framing::none;
-    /// Only with body_framing::length.
+    /// Set only with body_framing::length.
     std::uint64_t content_length = 0;
     /// False when the sender closes the connection after this message.
     bool keep_alive = true;
@@ -52,7 +52,7 @@
     [[nodiscard]] std::string_view path() const;
 };
 
-/// The standard text of a status.
+/// Standard reason phrase of a status.
 std::string_view reason_of(unsigned status);
 
 }  // namespace tallyfold::http
--- a/src/tallyfold/plane/http/message_parser.cpp
+++ b/src/tallyfold/plane/http/message_parser.cpp
@@ -53,9 +53,9 @@
         in_value = false;
     }
 
-    /// Bytes of the head as it stands on the wire, about.
+    /// Approximate size of the head on the wire, in bytes.
     [[nodiscard]] std::size_t approximate_head_size() const {
-        // The colon and space of a field, and the two characters that end its line.
+        // The colon and the space of a field, and CR LF.
         constexpr std::size_t line_overhead = 4;
         std::size_t size = head.target.size() + line_overhead;
         for (const header_field& field : head.headers.fields()) {
@@ -100,7 +100,7 @@
 
 namespace {
 
-/// The parser's own state, which its callbacks get.
+/// The state object that a callback's parser belongs to.
 template <class State>
 State& state_of(http_parser* parser) {
     return *static_cast<State*>(parser->data);
@@ -143,7 +143,7 @@
         };
         settings.on_message_complete = [](http_parser* parser) {
             state_of<state>(parser).complete = true;
-            // What follows belongs to another message.
+            // Pauses, since the following bytes belong to the next message.
             http_parser_pause(parser, 1);
             return 0;
         };
--- a/src/tallyfold/plane/http/message_parser.hpp
+++ b/src/tallyfold/plane/http/message_parser.hpp
@@ -1,9 +1,8 @@
 #pragma once
 /// @file
-/// Incremental parser of one HTTP/1.1 message after another, on http_parser. Pure: bytes in,
-/// head and body out.
+/// Incremental parser of a sequence of HTTP/1.1 messages, based on http_parser. Does no I/O.
 ///
-/// Owns the head and the body bytes of the current message. Relies on http_parser for the syntax.
+/// Owns the head and the unread body bytes of the current message.
 
 #include <cstdint>
 #include <memory>
@@ -18,7 +17,7 @@
 namespace tallyfold::http {
 
 enum class parse_failure : std::uint8_t {
-    /// Not HTTP/1.1, or a wish to leave HTTP (upgrade).
+    /// Not HTTP/1.1, or a protocol upgrade.
     malformed,
     head_too_large,
 };
@@ -27,32 +26,33 @@
 
 class message_parser {
   public:
-    /// @param max_head_bytes bytes of request line and headers together that are accepted
+    /// @param max_head_bytes limit of the first line and the header fields together
     message_parser(message_kind kind, std::size_t max_head_bytes);
     ~message_parser();
     message_parser(const message_parser&) = delete;
     message_parser& operator=(const message_parser&) = delete;
 
-    /// Consumes bytes up to the end of the current message at most.
-    /// @return bytes consumed; fewer than given only when the message is complete
+    /// Parses bytes up to the end of the current message.
+    /// @return number of bytes consumed; less than given only when the message is complete
     tl::expected<std::size_t, parse_failure> feed(std::string_view bytes);
-    /// The sender closed its side. @return false when the message is cut short by it
+    /// Handles the end of the input. @return false when the message is truncated
     [[nodiscard]] bool finish();
 
     [[nodiscard]] bool head_complete() const;
     [[nodiscard]] bool complete() const;
-    /// True once a byte of the current message was seen.
+    /// True once a byte of the current message has been parsed.
     [[nodiscard]] bool started() const;
     [[nodiscard]] const message_head& head() const;
-    /// Takes the body bytes that have gathered, without their framing.
+    /// Returns and clears the body bytes decoded since the last call.
     std::string take_body();
-    /// Makes ready for the next message on the connection.
+    /// Resets the parser for the next message.
     void next_message();
 
   private:
     struct state;
     static const http_parser_settings& callbacks();
-    /// @param consumed bytes of the head that were parsed just now
+    /// Adds to the size of the head and checks its limit.
+    /// @param consumed number of bytes that the last call has parsed
     bool head_fits(std::size_t consumed);
 
     std::unique_ptr<state> state_;
--- a/src/tallyfold/plane/http/whole_events.cpp
+++ b/src/tallyfold/plane/http/whole_events.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Position after the blank line that ends the first event; npos while it isn't whole.
+/// Position after the blank line that ends the first event; npos when it is incomplete.
 std::size_t end_of_event(std::string_view bytes) {
     std::size_t line = 0;
     while (line < bytes.size()) {
--- a/src/tallyfold/plane/http/whole_events.hpp
+++ b/src/tallyfold/plane/http/whole_events.hpp
@@ -1,10 +1,9 @@
 #pragma once
 /// @file
-/// Passes a text/event-stream on event by event, so that it can be continued by a further answer:
-/// what breaks off inside an event is held back, and an event isn't passed twice. Pure.
+/// Filter that forwards a text/event-stream in whole events, so that a further response can resume
+/// it: incomplete events are held back and repeated ones dropped. Pure; owns the incomplete event.
 ///
-/// Owns the bytes of the event that isn't whole. Relies on events' identifiers, where they are
-/// numbers, to tell a repeated or a missing one.
+/// Detects repeated and missing events by their identifiers, where these are numbers.
 
 #include <cstdint>
 #include <string>
@@ -14,27 +13,27 @@
 
 class whole_events {
   public:
-    /// Takes bytes as they come, split anywhere. @return those of the events that are whole now and
-    /// haven't been passed before
+    /// Adds input, which may be split at any byte. @return the events that are complete now and
+    /// haven't been returned before
     std::string feed(std::string_view bytes);
-    /// What has come of an event that isn't whole.
+    /// Bytes of the incomplete event at the end of the input.
     [[nodiscard]] const std::string& partial() const { return partial_; }
-    /// The stream broke off: a further answer begins.
+    /// Drops the incomplete event, before the first bytes of a further response.
     void begin_anew() { partial_.clear(); }
-    /// Identifier of the last event that was passed; empty while none had one.
+    /// Identifier of the last event returned; empty when none had an identifier.
     [[nodiscard]] const std::string& last_id() const { return last_id_; }
     [[nodiscard]] std::uint64_t passed() const { return passed_; }
-    /// False once an event has come that doesn't follow the last one: a piece is missing.
+    /// False once an event is missing; no further events are returned then.
     [[nodiscard]] bool in_order() const { return in_order_; }
 
   private:
-    /// True when the event is to be passed.
+    /// True when the event is to be returned; updates the identifiers.
     bool accept_event(std::string_view event);
 
     std::string partial_;
     std::string last_id_;
     std::uint64_t passed_ = 0;
-    /// The identifiers so far are numbers, each one more than the one before.
+    /// False once numeric identifiers have differed by more than one.
     bool ids_consecutive_ = true;
     bool in_order_ = true;
 };
--- a/tests/plane/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -77,7 +77,7 @@
         const auto fed = parser.feed("GET / HTTP/1.1\r\nA: " + std::string(100, 'x'));
         CPPUNIT_ASSERT(!fed.has_value());
         CPPUNIT_ASSERT(fed.error() == parse_failure::head_too_large);
-        // Also when the head's end comes with the bytes that exceed the bound.
+        // The limit also holds for a head that arrives in a single read.
         message_parser whole(message_kind::request, 64);
         const auto at_once =
             whole.feed("GET / HTTP/1.1\r\nA: " + std::string(100, 'x') + "\r\n\r\n");
