--- a/src/tallyfold/plane/messaging/format_negotiation.cpp
+++ b/src/tallyfold/plane/messaging/format_negotiation.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// In place of a store's identity, with the two numbers below it. Operations are numbered from 1
-/// on, so no reply to one has the number 0 beside it.
+/// Replaces the store's identifier in an offer; its two lowest bytes hold the format numbers.
+/// Offers have operation number 0, which no real reply has: operations are numbered from 1.
 constexpr turns::store_id offer_marker = 0x7466'6F72'6D73'0000U;
 constexpr unsigned newest_supported_shift = 8;
 constexpr turns::store_id number_mask = 0xFF;
@@ -16,7 +16,7 @@
     return static_cast<format_number>(format);
 }
 
-/// The form with this number, or the newest that this build knows.
+/// The format with this number, or the newest one of this build when that is older.
 protocol::format_version newest_usable(format_number number) {
     return std::min(protocol::newest_format, static_cast<protocol::format_version>(number));
 }
--- a/src/tallyfold/plane/messaging/format_negotiation.hpp
+++ b/src/tallyfold/plane/messaging/format_negotiation.hpp
@@ -1,11 +1,11 @@
 #pragma once
 /// @file
-/// How two nodes agree on the form of their messages. Each side says which forms it knows, and from
-/// where on it sends in the newest one that both know. Pure.
+/// Negotiation of the message format between two nodes. Each side offers the newest format that it
+/// supports and announces when it switches to the newest common one. Pure.
 ///
-/// A build that knows the first form alone says nothing, and closes a connection over which a kind
-/// of message comes that it doesn't know. So an opening travels as a reply to a question that was
-/// never asked: each build reads it, and one without openings ignores it.
+/// Builds that support only the first format send no offer and close the connection on an unknown
+/// kind of message. An offer is therefore encoded as a reply to an operation that doesn't exist:
+/// every build can decode it, and builds without negotiation ignore it.
 
 #include <cstdint>
 #include <optional>
@@ -14,36 +14,36 @@
 
 namespace tallyfold::messaging {
 
-/// Number of a form, which may be later than those that this build knows.
+/// Number of a format; may be newer than the formats of this build.
 using format_number = std::uint8_t;
 
 struct format_offer {
-    /// The newest form that the sender knows; it knows all earlier ones too.
+    /// The newest format that the sender supports, as well as all older ones.
     format_number newest_supported = 0;
-    /// The form of what the sender sends after this.
+    /// Format of the sender's messages after this offer.
     format_number next_format = 0;
 
     bool operator==(const format_offer&) const = default;
 };
 
 peer_message to_message(const format_offer& offer);
-/// The opening that a message stands for; nothing for any other message.
+/// The offer that a message encodes; nullopt for any other message.
 std::optional<format_offer> parse_offer(const peer_message& message);
 
-/// What one side of a connection knows of the other's forms.
+/// State of the negotiation on one side of a connection.
 class format_negotiation {
   public:
-    /// The opening that begins a connection, from the side that made it.
+    /// The first offer on a connection, sent by the side that connects.
     [[nodiscard]] format_offer initial_offer() const;
-    /// The other side's opening has come. @return what to answer at once, if anything; from then on
-    /// sends() is the form to send in
+    /// Handles an offer of the peer. @return the offer to answer with, if any, which has to be sent
+    /// before any message in the new send_format()
     std::optional<format_offer> receive(const format_offer& offer);
 
-    /// The form of what comes from the other side now.
+    /// Format of the messages received from now on.
     [[nodiscard]] protocol::format_version receive_format() const { return receive_format_; }
-    /// The form in which to send now.
+    /// Format of the messages to send from now on.
     [[nodiscard]] protocol::format_version send_format() const { return send_format_; }
-    /// The newest form that both know, as far as the other has said.
+    /// The newest common format; the oldest one until the peer has sent an offer.
     [[nodiscard]] protocol::format_version common_format() const { return common_format_; }
 
   private:
--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -39,7 +39,7 @@
         std::uint32_t length = 0;
         std::memcpy(&length, input_.data() + offset, sizeof(length));
         if (length > largest_frame) {
-            refuse("a frame of " + std::to_string(length) + " bytes");
+            refuse("frame of " + std::to_string(length) + " bytes exceeds the size limit");
             return false;
         }
         if (input_.size() - offset < frame_header_size + length) {
@@ -58,7 +58,7 @@
 void frame_channel::process_frame(std::string_view payload) {
     const auto message = decode_payload(payload, negotiation_.receive_format());
     if (!message) {
-        // The next frame begins where this one ends: what else the connection carries goes on.
+        // The connection stays open: the length of the frame is known, so the next one can be read.
         log_skipped(payload, message.error());
     } else if (const auto offer = parse_offer(*message)) {
         on_format_offer(*offer);
@@ -108,7 +108,7 @@
 }
 
 void frame_channel::refuse(const std::string& reason) {
-    // The other side sees the connection end and can't tell why.
+    // Logged here because the peer sees only that the connection is closed.
     logging::write_event(logging::event_id::frame_refused,
                          "peer=" + peer_address() + " reason=\"" + reason + "\"");
     fail(reason);
@@ -129,7 +129,7 @@
 void frame_channel::queue(std::string frame) {
     queued_bytes_ += frame.size();
     if (queued_bytes_ > max_queued_bytes) {
-        fail("its queue is full");
+        fail("send queue is full");
         return;
     }
     output_.push_back(std::move(frame));
@@ -168,10 +168,10 @@
 }
 
 void frame_channel::close() {
-    // The channel has ended whether the socket closes in order or not.
+    // Errors are ignored: the socket is closed in any case.
     std::error_code ignored;
     socket_.close(ignored);
-    // The handlers stay alive until the call under way has returned.
+    // on_message_ is kept: close() may be called from within it.
     on_close_ = nullptr;
 }
 
--- a/src/tallyfold/plane/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -1,11 +1,11 @@
 #pragma once
 /// @file
-/// One TCP connection that carries frames both ways. Belongs to the loop thread.
+/// TCP connection that carries frames in both directions. Owns the socket, the send queue and the
+/// state of the format negotiation; runs on the loop thread.
 ///
-/// Owns the socket, the frames that wait to be sent, and what both sides have agreed on
-/// (format_agreement). Relies on peer_message for the frames' form. A frame that can't be read is
-/// skipped, and a message that the other side couldn't read isn't sent; both are logged. A frame
-/// that is too long ends the connection.
+/// - A frame that can't be decoded is skipped and logged.
+/// - A message that the negotiated format can't represent isn't sent, and is logged.
+/// - A frame over the size limit closes the connection.
 
 #include <array>
 #include <asio/ip/tcp.hpp>
@@ -26,14 +26,14 @@
 
     explicit frame_channel(asio::ip::tcp::socket socket);
 
-    /// Starts to read. Both handlers may be called until close().
+    /// Starts reading. Both handlers may be called until close().
     void start(message_handler on_message, close_handler on_close);
-    /// Says which forms this node knows; to be called by the side that made the connection.
+    /// Starts the format negotiation; called by the side that has connected.
     void send_format_offer();
-    /// Queues a message, unless the other side couldn't read it. A peer that doesn't read is
-    /// dropped once the queue is full.
+    /// Queues a message if the negotiated format can represent it. A full queue closes the
+    /// connection: the peer has stopped reading.
     void send(const peer_message& message);
-    /// The newest form that both sides know; the first one until the other has said more.
+    /// The newest common format; the oldest one until the peer has sent an offer.
     [[nodiscard]] protocol::format_version peer_format() const {
         return negotiation_.common_format();
     }
@@ -50,14 +50,13 @@
     void log_withheld(const peer_message& message, const protocol::encode_error& error);
     [[nodiscard]] std::string peer_address() const;
     void write_next();
-    /// Ends the connection, and logs why: what came over it can't be read.
+    /// Logs a protocol violation of the peer and closes the connection.
     void refuse(const std::string& reason);
     void fail(const std::string& reason);
 
-    /// Bytes that may wait for one peer. Chosen, not measured: beyond it the peer has stopped
-    /// reading, and a node's memory is for many peers.
+    /// Limit of the bytes queued for one peer.
     static constexpr std::size_t max_queued_bytes = 8U << 20U;
-    /// Chosen, not measured: bytes that one read takes at most.
+    /// Maximum number of bytes per read.
     static constexpr std::size_t read_size = 16U << 10U;
 
     asio::ip::tcp::socket socket_;
--- a/src/tallyfold/plane/messaging/link_log.hpp
+++ b/src/tallyfold/plane/messaging/link_log.hpp
@@ -1,13 +1,13 @@
 #pragma once
 /// @file
-/// Log lines of connections to other nodes.
+/// Log events of connections to other nodes.
 
 #include <string>
 #include <string_view>
 
 namespace tallyfold::messaging {
 
-/// Tells that the connection to a node has come up, or was lost for `reason`.
+/// Logs that the connection to a node was established, or was lost for `reason`.
 void log_link(const std::string& address, std::string_view role, bool up,
               const std::string& reason);
 
--- a/src/tallyfold/plane/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -7,16 +7,15 @@
 
 namespace {
 
-/// Short, since the opening packet to a machine that is just coming back is lost, and the system
-/// itself sends it again only after a second.
+/// Shorter than the kernel's first SYN retransmission, which comes after 1 s: the SYN to a machine
+/// that is restarting is lost.
 constexpr auto connect_timeout = std::chrono::milliseconds(250);
-/// Pause before the next attempt. Chosen, not measured: a restarted process is reached within a
-/// tenth of a second, and one that is away costs some 16 packets a second.
+/// Delay before the next attempt to connect.
 constexpr auto retry_delay = std::chrono::milliseconds(60);
-/// Bytes that another machine doesn't acknowledge for this long end the connection. Chosen, not
-/// measured: below the 1.5 s that a begin at the stores may take.
+/// Time after which unacknowledged data closes the connection; below the 1.5 s limit of a begin
+/// operation on the stores.
 constexpr duration unacknowledged_timeout = std::chrono::milliseconds(1'200);
-/// An idle connection is probed after this time. Chosen, not measured.
+/// Idle time before the first TCP keepalive probe.
 constexpr std::chrono::seconds keepalive_idle(3);
 
 void configure_socket(asio::ip::tcp::socket& socket) {
@@ -50,7 +49,7 @@
     timer_.async_wait([weak = weak_from_this(), number](const std::error_code& error) {
         const auto self = weak.lock();
         if (!error && self && self->attempt_ == number) {
-            // Ends the attempt; a socket that can't be closed leaves nothing to do.
+            // Cancels the attempt; errors of closing are ignored.
             std::error_code ignored;
             self->socket_.close(ignored);
         }
@@ -68,7 +67,7 @@
     ++attempt_;
     timer_.cancel();
     if (error) {
-        // Not logged: the link's state hasn't changed, and it is tried several times a second.
+        // Not logged: the link was down before, and attempts are made several times a second.
         retry_later();
         return;
     }
@@ -131,7 +130,7 @@
     stopped_ = true;
     ++attempt_;
     timer_.cancel();
-    // The link has ended whether the socket closes in order or not.
+    // Errors are ignored: the socket is closed in any case.
     std::error_code ignored;
     socket_.close(ignored);
     if (channel_) {
--- a/src/tallyfold/plane/messaging/peer_link_shell.hpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.hpp
@@ -1,10 +1,11 @@
 #pragma once
 /// @file
-/// Connections between nodes of the forwarding plane: peer_link to one other node, made again
-/// whenever it breaks, and peer_server for those that others make. Belong to the loop thread.
+/// Connections between nodes of the forwarding plane: peer_link is the outgoing connection to one
+/// node and reconnects when it is lost; peer_server accepts connections. Both run on the loop
+/// thread.
 ///
-/// A link owns its socket and the pauses between attempts. Messages aren't kept over a lost
-/// connection: callers send again what they still need once the link is up.
+/// A link owns its socket and its retry timer. Messages are lost with a connection: users send what
+/// they still need again when the link is up.
 
 #include <asio/io_context.hpp>
 #include <asio/steady_timer.hpp>
@@ -19,7 +20,7 @@
 class peer_link : public std::enable_shared_from_this<peer_link> {
   public:
     using message_handler = std::function<void(const peer_message&)>;
-    /// @param up false when the connection was lost, with the reason
+    /// @param up false when the connection was lost for `reason`
     using state_handler = std::function<void(bool up, const std::string& reason)>;
 
     peer_link(asio::io_context& loop, std::string address);
@@ -27,15 +28,15 @@
     peer_link(const peer_link&) = delete;
     peer_link& operator=(const peer_link&) = delete;
 
-    /// Connects, and goes on doing so until stop().
+    /// Connects and reconnects until stop().
     void start(message_handler on_message, state_handler on_state);
-    /// Sends when connected; drops the message otherwise.
+    /// Sends the message if connected; drops it otherwise.
     void send(const peer_message& message);
-    /// Gives the connection up and makes a new one: the peer has been silent for too long.
+    /// Closes the connection and makes a new one, for a peer that doesn't respond.
     void reconnect(const std::string& reason);
     void stop();
     [[nodiscard]] bool connected() const { return channel_ && channel_->open(); }
-    /// The newest form that both sides know; the first one while that isn't known.
+    /// The newest common format; the oldest one until the peer has sent an offer.
     [[nodiscard]] protocol::format_version peer_format() const {
         return connected() ? channel_->peer_format() : protocol::oldest_format;
     }
@@ -43,7 +44,7 @@
 
   private:
     void connect();
-    /// @param error unset when the connection is made
+    /// @param error set when the attempt failed
     void on_attempt_ended(const std::error_code& error);
     void retry_later();
     void on_lost(const std::string& reason);
@@ -55,17 +56,17 @@
     channel_pointer channel_;
     message_handler on_message_;
     state_handler on_state_;
-    /// Number of the attempt under way; handlers of earlier ones do nothing.
+    /// Number of the current attempt; handlers of earlier ones do nothing.
     std::uint64_t attempt_ = 0;
     bool stopped_ = false;
 };
 
 using link_pointer = std::shared_ptr<peer_link>;
 
-/// Accepts connections of other nodes.
+/// Accepts connections from other nodes.
 class peer_server {
   public:
-    /// Handles one message; answers may be sent on the channel.
+    /// Handles one message; replies may be sent on the channel.
     using message_handler =
         std::function<void(const channel_pointer& channel, const peer_message&)>;
 
--- a/src/tallyfold/plane/messaging/peer_message.hpp
+++ b/src/tallyfold/plane/messaging/peer_message.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The messages that nodes of the forwarding plane send to each other.
+/// Messages between nodes of the forwarding plane, and their encoding as frames.
 
 #include <cstdint>
 #include <optional>
@@ -17,7 +17,7 @@
 
 namespace tallyfold::messaging {
 
-/// A replica's message, with the address at which its sender is reached.
+/// Consensus message of a replica, with the name of the sending node.
 struct replica_envelope {
     node_name from;
     consensus::replica_message message;
@@ -37,23 +37,23 @@
                  discovery::failure_report, directory::configuration_request,
                  directory::configuration_part>;
 
-/// Frames longer than this are refused: nothing that is sent comes near it.
+/// Limit of a frame's payload, far above the size of any valid message; longer frames are rejected.
 constexpr std::size_t largest_frame = 32U << 20U;
-/// Each frame starts with its length in four bytes.
+/// A frame starts with the length of its payload in four bytes.
 constexpr std::size_t frame_header_size = 4;
 
-/// Kinds of the first form; a build that knows no other can't read further ones.
+/// Number of message kinds in the first format; builds without newer formats can't decode others.
 constexpr std::size_t kinds_in_first_format = 14;
 
-/// One message as a frame of the newest form.
+/// Encodes a message as a frame in the newest format.
 std::string encode_frame(const peer_message& message);
-/// One message as a frame of one form; an error when that form can't hold it.
+/// Encodes a message as a frame; an error when the format can't represent the message.
 tl::expected<std::string, protocol::encode_error> encode_frame(const peer_message& message,
                                                                protocol::format_version format);
-/// The message that a frame's payload holds.
+/// Decodes the payload of a frame.
 tl::expected<peer_message, protocol::decode_error> decode_payload(
     std::string_view payload, protocol::format_version format = protocol::newest_format);
-/// Number of the kind that a payload says it is of; nothing when it is too short.
+/// Number of the message kind in a payload; nullopt when the payload is too short.
 std::optional<std::uint32_t> kind_of_payload(std::string_view payload);
 
 }  // namespace tallyfold::messaging
--- a/tests/plane/messaging/format_negotiation_test.cpp
+++ b/tests/plane/messaging/format_negotiation_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Two nodes agree on the form of their messages over a real connection, also when one of them is
-/// of the build that says nothing of forms and closes a connection over what it doesn't know.
+/// Format negotiation over real connections, also with a peer of the first build, which sends no
+/// offer and closes the connection on an unknown kind of message.
 
 #include "tallyfold/plane/messaging/format_negotiation.hpp"
 
@@ -43,7 +43,7 @@
     }
 
     void store_reply_is_not_an_offer() {
-        check_property("an answered operation is no opening",
+        check_property("a reply to an operation is not an offer",
                        [](std::uint64_t operation, std::uint64_t store) {
                            turns::find_reply reply;
                            reply.operation = operation | 1U;
@@ -79,9 +79,9 @@
         CPPUNIT_ASSERT(!server.receive({9, 2}).has_value());
     }
 
-    /// Handles what is ready, until nothing comes any more.
+    /// Runs the loop until no event occurs for `idle_time`.
     static void run(asio::io_context& loop) {
-        // A loopback connection delivers within far less.
+        // Well above the latency of a loopback connection.
         constexpr std::chrono::milliseconds idle_time{100};
         loop.restart();
         while (loop.run_for(idle_time) > 0) {
@@ -118,7 +118,7 @@
         link->stop();
     }
 
-    /// All whole frames that have come, without their headers.
+    /// Payloads of all frames received so far.
     static std::vector<std::string> received(asio::ip::tcp::socket& socket) {
         std::string bytes(socket.available(), '\0');
         asio::read(socket, asio::buffer(bytes));
