--- a/src/tallyfold/plane/process/instruments.hpp
+++ b/src/tallyfold/plane/process/instruments.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Registers counters, gauges and histograms without labels, by their name and help. The registry
-/// owns them and has to outlive whoever uses them.
+/// Helpers that register metrics without labels. The registry owns the metrics and has to outlive
+/// the references.
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
--- a/src/tallyfold/plane/process/mechanisms.hpp
+++ b/src/tallyfold/plane/process/mechanisms.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Which of a forwarder's mechanisms are switched off, one by one, to measure what each is worth;
-/// none in service. Plain values, by the names that docs/CONFIGURATION.md lists.
+/// Mechanisms of a forwarder that the settings can switch off, for ablation experiments; none is
+/// off in production. Plain values.
 
 #include <cstdint>
 #include <set>
@@ -11,45 +11,47 @@
 namespace tallyfold::settings {
 
 enum class mechanism : std::uint8_t {
-    /// The stores tell which engine holds a turn's prompt.
+    /// The stores report which engine has a turn's prompt cached.
     prompt_holders,
-    /// A program goes to the engine that rendezvous hashing of its identifier gives, the same at
-    /// every forwarder.
+    /// Requests of a program go to the engine selected by rendezvous hashing of its identifier, the
+    /// same at every forwarder.
     program_affinity,
-    /// Calls wait at the forwarder while engines are slow or full.
+    /// Requests queue at the forwarder while engines are slow or full.
     bounded_running,
-    /// Full back ends are asked again while a request has time.
+    /// Requests that back ends reject as overloaded are retried after a delay, within their
+    /// deadline.
     back_off,
-    /// A resumable stream that breaks off goes on within its answer.
+    /// An interrupted resumable stream is continued within the same response.
     stream_resume,
-    /// The policy's level for the engines' own order; off, the route's priority.
+    /// Engines get the policy's urgency as priority; when off, the priority of the route.
     urgency,
-    /// Back ends that keep calls without a byte are left out for a while.
+    /// Back ends that send no byte of a response are ejected for a while.
     silence,
-    /// Back ends that fail are left out for a while.
+    /// Back ends that fail are ejected for a while.
     ejection,
-    /// Requests that reach a node just before it knows its routes wait a moment.
+    /// Requests that arrive before the node has its first routes wait briefly.
     startup_wait,
-    /// Each node keeps to a few back ends of a service.
+    /// Each node uses a subset of the back ends of a service.
     backend_subset,
-    /// Permits of tenants are held for calls to come; off, each call asks for its own.
+    /// Permits of tenants are prefetched; when off, each request acquires its own.
     spare_permits,
-    /// Calls of programs under way wait for a permit that is about to be free.
+    /// Requests of running programs wait for a permit that is about to be released.
     permit_wait,
-    /// Nodes tell each other which back ends broke calls off; those get fewer requests for a while.
+    /// Nodes share which back ends aborted requests; these get fewer requests for a while.
     backend_distrust,
-    /// Requests about an object go to the back end that rendezvous hashing of its name gives, the
-    /// same at every forwarder.
+    /// Requests for an object go to the back end selected by rendezvous hashing of its name, the
+    /// same
+    /// at every forwarder.
     object_affinity,
 };
 
-/// @param name as in docs/CONFIGURATION.md
+/// @param name the name in the setting "switched_off"
 bool is_mechanism(std::string_view name);
 
-/// The mechanisms that are switched off.
+/// Set of the mechanisms that are switched off.
 class disabled_mechanisms {
   public:
-    /// @param name one for which is_mechanism() is true
+    /// @param name a name for which is_mechanism() is true
     void add(std::string_view name);
     [[nodiscard]] bool contains(mechanism asked) const { return disabled_.contains(asked); }
     [[nodiscard]] bool empty() const { return disabled_.empty(); }
--- a/src/tallyfold/plane/process/node_main.hpp
+++ b/src/tallyfold/plane/process/node_main.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The main function of a node of the forwarding plane.
+/// Common main function of the programs of the forwarding plane.
 
 #include <string>
 
@@ -10,7 +10,8 @@
 
 namespace tallyfold::settings {
 
-/// @param run runs the node until a stop is asked for, and gives its exit code
+/// Loads the settings, opens the log and runs the node.
+/// @param run runs the node until it is stopped, and returns its exit code
 template <class Run>
 int node_main(int argument_count, char** arguments, const std::string& description, Run run) {
     return main_with_settings(argument_count, arguments, description, read_node_settings,
--- a/src/tallyfold/plane/process/node_process_shell.cpp
+++ b/src/tallyfold/plane/process/node_process_shell.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-/// How late a log line may be written. Chosen, not measured: each flush wakes the process up.
+/// Maximum delay of a log line; each flush wakes the process up.
 constexpr duration log_flush_interval = std::chrono::milliseconds(200);
-/// How late a changed settings file is noticed without SIGHUP. Chosen, not measured.
+/// Interval of the checks for a changed settings file without SIGHUP.
 constexpr duration settings_check_interval = std::chrono::seconds(1);
 
 }  // namespace
@@ -33,7 +33,7 @@
       registry_(std::make_shared<prometheus::Registry>()),
       settings_text_(file_text(settings_.file)) {
     std::signal(SIGPIPE, SIG_IGN);
-    // A write over the limit of a file's size fails like one to a full disk.
+    // Makes a write beyond the file size limit fail with an error, like one to a full disk.
     std::signal(SIGXFSZ, SIG_IGN);
 }
 
@@ -78,7 +78,7 @@
     settings_text_ = std::move(text);
     auto read = settings::read_node_settings(settings_.file);
     if (!read) {
-        // The settings in force stay: a broken file must not stop a process that serves.
+        // The current settings stay: an invalid file must not stop a running process.
         logging::write_event(logging::event_id::settings_refused,
                              "reason=\"" + read.error().front().text() + "\"");
         return;
--- a/src/tallyfold/plane/process/node_process_shell.hpp
+++ b/src/tallyfold/plane/process/node_process_shell.hpp
@@ -1,10 +1,9 @@
 #pragma once
 /// @file
-/// What every node of the forwarding plane has: one loop thread, signals, a settings file that
-/// may change, a bounded log, and metrics.
+/// Common runtime of the nodes of the forwarding plane: event loop, signals, reload of the settings
+/// file, bounded log and metrics. Owns the loop, the metrics registry and the current settings.
 ///
-/// One thread serves all duties: the machines run one thread at a time and charge each wake-up.
-/// Owns the loop, the registry of metrics and the settings in force.
+/// Everything runs on one thread: the machines run one thread at a time, and wake-ups are costly.
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
@@ -32,17 +31,18 @@
     [[nodiscard]] const settings::node_settings& settings() const { return settings_; }
     [[nodiscard]] prometheus::Registry& metrics() { return *registry_; }
 
-    /// Calls `work` every `interval` until the process ends.
+    /// Calls `work` every `interval`, the first time after one interval.
     void every(duration interval, std::function<void()> work);
-    /// Calls `work` once, later.
+    /// Calls `work` once, after `delay`.
     void after(duration delay, std::function<void()> work);
 
-    /// Runs until finish(). @param on_stop called once when a stop is asked for; it has to lead
-    /// to finish(). @param on_reload called with the new settings after each change
+    /// Runs the loop until finish().
+    /// @param on_stop called once on SIGTERM or SIGINT; has to result in a call of finish()
+    /// @param on_reload called with the new settings after each reload
     /// @return the exit code
     int run(std::function<void()> on_stop,
             std::function<void(const settings::node_settings&)> on_reload);
-    /// Ends run().
+    /// Makes run() return.
     void finish(int exit_code = 0);
 
   private:
@@ -62,7 +62,7 @@
     int exit_code_ = 0;
 };
 
-/// Bytes of a file; empty when it can't be read, which the caller finds out by checking the text.
+/// Contents of a file; empty when it can't be read, so that callers have to check the text.
 std::string file_text(const std::string& path);
 
 }  // namespace tallyfold::net
--- a/src/tallyfold/plane/process/node_settings.cpp
+++ b/src/tallyfold/plane/process/node_settings.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Upper bounds of what is believed: larger values are taken for mistakes. Chosen, not measured.
+// Upper limits; larger values are rejected as mistakes.
 constexpr std::int64_t max_port = 65'535;
 constexpr double max_seconds = 3'600;
 constexpr double max_accepted_slowdown = 1'000;
@@ -15,21 +15,17 @@
 constexpr std::int64_t max_acknowledge_ms = 600'000;
 constexpr std::int64_t max_revocation_ms = 600'000;
 
-// Defaults of the keys that docs/CONFIGURATION.md explains.
-/// Chosen, not measured: groups of three stores and three voters bear it.
+// Default values.
+/// Tolerated by groups of three stores and three voters.
 constexpr std::int64_t default_losses_borne = 1;
-/// Measured: 0.686 -> 0.739 against no wait (docs/DECISIONS-UNDER-LOAD.md).
 constexpr double default_max_slowdown = 1.7;
-/// Chosen, not measured.
 constexpr double default_grace_seconds = 8;
-/// Chosen, not measured.
 constexpr std::int64_t default_acknowledge_ms = 4'000;
-/// Chosen, not measured.
 constexpr double default_quota_window_seconds = 5;
-/// Permits at hand bridge the election of another lender, which takes 0.5 to 1 s.
+/// Longer than the election of another lender, which takes 0.5 to 1 s.
 constexpr std::int64_t default_quota_lease_ms = 2'000;
-/// Chosen, not measured: a configuration reaches every node in 0.2 to 0.4 s
-/// (docs/design/configuration-spread.md), and proof is renewed four times in this time.
+/// Longer than the spread of a configuration to every node; the configuration is confirmed four
+/// times in this time.
 constexpr std::int64_t default_revocation_ms = 5'000;
 
 duration seconds(double value) {
@@ -40,7 +36,7 @@
     return net::parse_endpoint(text).has_value();
 }
 
-/// The names that scheduling::parse_strategy() knows.
+/// True for the names that scheduling::parse_strategy() accepts.
 bool is_placement(const std::string& name) {
     return name == "tallyfold" || name == "round_robin" || name == "least_outstanding" ||
            name == "affinity_fcfs";
@@ -63,7 +59,7 @@
     return std::chrono::milliseconds(reader.integer_or(key, default_value, min_value, max_value));
 }
 
-/// Which machine this is, how others reach it, and its disk.
+/// Reads the identity of the machine, its addresses and its storage.
 void read_machine(settings_reader& reader, node_settings& read) {
     read.node = reader.text("node");
     read.zone = reader.text("zone");
@@ -83,7 +79,7 @@
         reader.integer_or("losses_borne", default_losses_borne, 0, max_losses_borne));
 }
 
-/// Where callers, operators and metrics reach this node, and where it finds the back ends.
+/// Reads the addresses of this node's interfaces and of the list of back ends.
 void read_interfaces(settings_reader& reader, node_settings& read) {
     read.callers_address = optional_address(reader, "callers_address");
     read.readiness_address = optional_address(reader, "readiness_address");
@@ -92,7 +88,7 @@
     read.backend_list_address = optional_address(reader, "backend_list_address");
 }
 
-/// How a forwarder chooses engines and when calls wait.
+/// Reads how a forwarder selects engines and when requests queue.
 void read_scheduling(settings_reader& reader, node_settings& read) {
     read.policy_file = reader.text_or("policy_file", {});
     read.max_slowdown =
@@ -116,7 +112,7 @@
         milliseconds(reader, "acknowledge_ms", default_acknowledge_ms, 1, max_acknowledge_ms);
 }
 
-/// How tenants' limits are meant.
+/// Reads how tenants' limits are enforced.
 void read_quota(settings_reader& reader, node_settings& read) {
     read.quota_window = seconds(
         reader.real_or("quota_window_seconds", default_quota_window_seconds, 0.5, max_seconds));
@@ -125,7 +121,7 @@
     read.quota_lease = milliseconds(reader, "quota_lease_ms", default_quota_lease_ms, 300, 60'000);
 }
 
-/// What a node does with keys while it can't prove that its configuration is the newest.
+/// Reads how a node treats keys while it can't confirm that its configuration is the newest.
 void read_keys(settings_reader& reader, node_settings& read) {
     read.refuses_stale_keys = reader.text_or("refuses_stale_keys", "false") == "true";
     read.revocation =
--- a/tests/plane/process/node_settings_test.cpp
+++ b/tests/plane/process/node_settings_test.cpp
@@ -30,7 +30,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.2:71"), read->seed_directories().front());
     }
 
-    /// The keys of the template with which the build of the first form (docs/FORMATS.md) starts.
+    /// Guards against new required keys: settings files of the first release have only these.
     void accepts_settings_file_of_first_release() {
         const auto read = read_node_settings(file_.write(
             std::string(required_keys) +
