--- a/src/tallyfold/plane/process/node_settings.cpp
+++ b/src/tallyfold/plane/process/node_settings.cpp
@@ -60,71 +60,73 @@
 }
 
 /// Reads the identity of the machine, its addresses and its storage.
-void read_machine(settings_reader& reader, node_settings& read) {
-    read.node = reader.text("node");
-    read.zone = reader.text("zone");
-    read.ip = reader.text("ip");
-    read.listen_ip = reader.text_or("listen_ip", read.ip);
-    read.directory_port = port(reader, "directory_port", 1);
-    read.store_port = port(reader, "store_port", 1);
-    read.seeds = reader.text_list("seeds");
-    for (const std::string& seed : read.seeds) {
+void read_machine(settings_reader& reader, node_settings& settings) {
+    settings.node = reader.text("node");
+    settings.zone = reader.text("zone");
+    settings.ip = reader.text("ip");
+    settings.listen_ip = reader.text_or("listen_ip", settings.ip);
+    settings.directory_port = port(reader, "directory_port", 1);
+    settings.store_port = port(reader, "store_port", 1);
+    settings.seeds = reader.text_list("seeds");
+    for (const std::string& seed : settings.seeds) {
         if (!is_endpoint(seed)) {
             reader.problem("seeds", "'" + seed + "' must be an IP number and a port");
         }
     }
-    read.first_start = reader.text_or("first_start", "false") == "true";
-    read.data_folder = reader.text_or("data_folder", {});
-    read.losses_borne = static_cast<std::uint32_t>(
+    settings.first_start = reader.text_or("first_start", "false") == "true";
+    settings.data_folder = reader.text_or("data_folder", {});
+    settings.losses_borne = static_cast<std::uint32_t>(
         reader.integer_or("losses_borne", default_losses_borne, 0, max_losses_borne));
 }
 
 /// Reads the addresses of this node's interfaces and of the list of back ends.
-void read_interfaces(settings_reader& reader, node_settings& read) {
-    read.callers_address = optional_address(reader, "callers_address");
-    read.readiness_address = optional_address(reader, "readiness_address");
-    read.operators_address = optional_address(reader, "operators_address");
-    read.metrics_port = port(reader, "metrics_port", 0);
-    read.backend_list_address = optional_address(reader, "backend_list_address");
+void read_interfaces(settings_reader& reader, node_settings& settings) {
+    settings.callers_address = optional_address(reader, "callers_address");
+    settings.readiness_address = optional_address(reader, "readiness_address");
+    settings.operators_address = optional_address(reader, "operators_address");
+    settings.metrics_port = port(reader, "metrics_port", 0);
+    settings.backend_list_address = optional_address(reader, "backend_list_address");
 }
 
 /// Reads how a forwarder selects engines and when requests queue.
-void read_scheduling(settings_reader& reader, node_settings& read) {
-    read.policy_file = reader.text_or("policy_file", {});
-    read.max_slowdown =
+void read_scheduling(settings_reader& reader, node_settings& settings) {
+    settings.policy_file = reader.text_or("policy_file", {});
+    settings.max_slowdown =
         reader.real_or("most_slowdown", default_max_slowdown, 0, max_accepted_slowdown);
     for (const std::string& name : reader.text_list("switched_off")) {
         if (is_mechanism(name)) {
-            read.disabled.add(name);
+            settings.disabled.add(name);
         } else {
             reader.problem("switched_off", "'" + name + "' is no mechanism");
         }
     }
-    read.placement = reader.text_or("placement", "tallyfold");
-    if (!is_placement(read.placement)) {
-        reader.problem("placement", "'" + read.placement + "' is no way to choose engines");
+    settings.placement = reader.text_or("placement", "tallyfold");
+    if (!is_placement(settings.placement)) {
+        reader.problem("placement", "'" + settings.placement + "' is no way to choose engines");
     }
 }
 
-void read_times(settings_reader& reader, node_settings& read) {
-    read.grace = seconds(reader.real_or("grace_seconds", default_grace_seconds, 0.1, max_seconds));
-    read.acknowledge =
+void read_times(settings_reader& reader, node_settings& settings) {
+    settings.grace =
+        seconds(reader.real_or("grace_seconds", default_grace_seconds, 0.1, max_seconds));
+    settings.acknowledge =
         milliseconds(reader, "acknowledge_ms", default_acknowledge_ms, 1, max_acknowledge_ms);
 }
 
 /// Reads how tenants' limits are enforced.
-void read_quota(settings_reader& reader, node_settings& read) {
-    read.quota_window = seconds(
+void read_quota(settings_reader& reader, node_settings& settings) {
+    settings.quota_window = seconds(
         reader.real_or("quota_window_seconds", default_quota_window_seconds, 0.5, max_seconds));
-    read.quota_overshoot = reader.real_or("quota_overshoot", 0, 0, 1);
-    read.quota_slack = reader.real_or("quota_slack", 0, 0, max_quota_slack);
-    read.quota_lease = milliseconds(reader, "quota_lease_ms", default_quota_lease_ms, 300, 60'000);
+    settings.quota_overshoot = reader.real_or("quota_overshoot", 0, 0, 1);
+    settings.quota_slack = reader.real_or("quota_slack", 0, 0, max_quota_slack);
+    settings.quota_lease =
+        milliseconds(reader, "quota_lease_ms", default_quota_lease_ms, 300, 60'000);
 }
 
 /// Reads how a node treats keys while it can't confirm that its configuration is the newest.
-void read_keys(settings_reader& reader, node_settings& read) {
-    read.refuses_stale_keys = reader.text_or("refuses_stale_keys", "false") == "true";
-    read.revocation =
+void read_keys(settings_reader& reader, node_settings& settings) {
+    settings.refuses_stale_keys = reader.text_or("refuses_stale_keys", "false") == "true";
+    settings.revocation =
         milliseconds(reader, "revocation_ms", default_revocation_ms, 100, max_revocation_ms);
 }
 
@@ -160,19 +162,19 @@
     if (!reader.problems().empty()) {
         return tl::unexpected(reader.problems());
     }
-    node_settings read;
-    read.file = file;
-    read_machine(reader, read);
-    read_interfaces(reader, read);
-    read_scheduling(reader, read);
-    read_times(reader, read);
-    read_quota(reader, read);
-    read_keys(reader, read);
+    node_settings settings;
+    settings.file = file;
+    read_machine(reader, settings);
+    read_interfaces(reader, settings);
+    read_scheduling(reader, settings);
+    read_times(reader, settings);
+    read_quota(reader, settings);
+    read_keys(reader, settings);
     reader.finish();
     if (!reader.problems().empty()) {
         return tl::unexpected(reader.problems());
     }
-    return read;
+    return settings;
 }
 
 }  // namespace tallyfold::settings
