--- a/src/tallyfold/plane/messaging/peer_message.hpp
+++ b/src/tallyfold/plane/messaging/peer_message.hpp
@@ -17,7 +17,7 @@
 
 namespace tallyfold::messaging {
 
-/// Consensus message of a replica, with the name of the sending node.
+/// Consensus message of a replica, with the address of the sending node.
 struct replica_envelope {
     node_name from;
     consensus::replica_message message;
