--- a/src/tallyfold/plane/http/whole_events.cpp
+++ b/src/tallyfold/plane/http/whole_events.cpp
@@ -83,14 +83,14 @@
         if (*number <= *last) {
             return false;
         }
-        if (*number != *last + 1 && ids_consecutive_ && passed_ > 1) {
+        if (*number != *last + 1 && ids_consecutive_ && events_with_id_ > 1) {
             in_order_ = false;
             return false;
         }
         ids_consecutive_ = ids_consecutive_ && *number == *last + 1;
     }
     last_id_ = id;
-    ++passed_;
+    ++events_with_id_;
     return true;
 }
 
--- a/src/tallyfold/plane/http/whole_events.hpp
+++ b/src/tallyfold/plane/http/whole_events.hpp
@@ -22,7 +22,7 @@
     void begin_anew() { partial_.clear(); }
     /// Identifier of the last event returned; empty when none had an identifier.
     [[nodiscard]] const std::string& last_id() const { return last_id_; }
-    [[nodiscard]] std::uint64_t passed() const { return passed_; }
+    [[nodiscard]] std::uint64_t passed() const { return events_with_id_; }
     /// False once an event is missing; no further events are returned then.
     [[nodiscard]] bool in_order() const { return in_order_; }
 
@@ -32,7 +32,7 @@
 
     std::string partial_;
     std::string last_id_;
-    std::uint64_t passed_ = 0;
+    std::uint64_t events_with_id_ = 0;
     /// False once numeric identifiers have differed by more than one.
     bool ids_consecutive_ = true;
     bool in_order_ = true;
