--- a/src/tallyfold/plane/http/whole_events.hpp
+++ b/src/tallyfold/plane/http/whole_events.hpp
@@ -22,7 +22,7 @@
     void begin_anew() { partial_.clear(); }
     /// Identifier of the last event returned; empty when none had an identifier.
     [[nodiscard]] const std::string& last_id() const { return last_id_; }
-    [[nodiscard]] std::uint64_t passed() const { return events_with_id_; }
+    [[nodiscard]] std::uint64_t events_with_id() const { return events_with_id_; }
     /// False once an event is missing; no further events are returned then.
     [[nodiscard]] bool in_order() const { return in_order_; }
 
