--- a/src/tallyfold/plane/http/whole_events.cpp
+++ b/src/tallyfold/plane/http/whole_events.cpp
@@ -55,7 +55,7 @@
 
 std::string whole_events::feed(std::string_view bytes) {
     partial_ += bytes;
-    std::string passed;
+    std::string forwarded;
     std::string_view rest = partial_;
     while (in_order_) {
         const std::size_t end = end_of_event(rest);
@@ -64,12 +64,12 @@
         }
         const std::string_view event = rest.substr(0, end);
         if (accept_event(event)) {
-            passed += event;
+            forwarded += event;
         }
         rest.remove_prefix(end);
     }
     partial_ = std::string(rest);
-    return passed;
+    return forwarded;
 }
 
 bool whole_events::accept_event(std::string_view event) {
--- a/tests/plane/http/whole_events_test.cpp
+++ b/tests/plane/http/whole_events_test.cpp
@@ -61,20 +61,20 @@
             const int count = *rc::gen::inRange(3, 30);
             const std::string whole = events(1, count);
             whole_events stream;
-            std::string passed;
+            std::string forwarded;
             const auto cut =
                 static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(whole.size())));
             for (std::size_t at = 0; at < cut;) {
                 const auto piece = static_cast<std::size_t>(*rc::gen::inRange(1, 40));
-                passed +=
+                forwarded +=
                     stream.feed(std::string_view(whole).substr(at, std::min(piece, cut - at)));
                 at += piece;
             }
             stream.begin_anew();
             const int last = stream.last_id().empty() ? 0 : std::stoi(stream.last_id());
             const int first = std::max(1, last + 1 - *rc::gen::inRange(0, 3));
-            passed += stream.feed(events(first, count));
-            RC_ASSERT(passed == whole);
+            forwarded += stream.feed(events(first, count));
+            RC_ASSERT(forwarded == whole);
             RC_ASSERT(stream.in_order());
         });
     }
