--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -39,7 +39,8 @@
         std::uint32_t length = 0;
         std::memcpy(&length, input_.data() + offset, sizeof(length));
         if (length > largest_frame) {
-            refuse("frame of " + std::to_string(length) + " bytes exceeds the size limit");
+            close_on_protocol_error("frame of " + std::to_string(length) +
+                                    " bytes exceeds the size limit");
             return false;
         }
         if (input_.size() - offset < frame_header_size + length) {
@@ -107,7 +108,7 @@
                              error.lacking + "\"");
 }
 
-void frame_channel::refuse(const std::string& reason) {
+void frame_channel::close_on_protocol_error(const std::string& reason) {
     // Logged here because the peer sees only that the connection is closed.
     logging::write_event(logging::event_id::frame_refused,
                          "peer=" + peer_address() + " reason=\"" + reason + "\"");
--- a/src/tallyfold/plane/messaging/frame_channel_shell.hpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.hpp
@@ -51,7 +51,7 @@
     [[nodiscard]] std::string peer_address() const;
     void write_next();
     /// Logs a protocol violation of the peer and closes the connection.
-    void refuse(const std::string& reason);
+    void close_on_protocol_error(const std::string& reason);
     void fail(const std::string& reason);
 
     /// Limit of the bytes queued for one peer.
