--- a/src/tallyfold/plane/process/mechanisms.hpp
+++ b/src/tallyfold/plane/process/mechanisms.hpp
@@ -53,7 +53,7 @@
   public:
     /// @param name a name for which is_mechanism() is true
     void add(std::string_view name);
-    [[nodiscard]] bool contains(mechanism asked) const { return disabled_.contains(asked); }
+    [[nodiscard]] bool contains(mechanism queried) const { return disabled_.contains(queried); }
     [[nodiscard]] bool empty() const { return disabled_.empty(); }
 
   private:
