--- a/src/tallyfold/plane/process/mechanisms.hpp
+++ b/src/tallyfold/plane/process/mechanisms.hpp
@@ -18,8 +18,7 @@
     program_affinity,
     /// Requests queue at the forwarder while engines are slow or full.
     bounded_running,
-    /// Requests that back ends reject as overloaded are retried after a delay, within their
-    /// deadline.
+    /// Requests that overloaded back ends reject are retried after a delay, within their deadline.
     back_off,
     /// An interrupted resumable stream is continued within the same response.
     stream_resume,
@@ -40,8 +39,7 @@
     /// Nodes share which back ends aborted requests; these get fewer requests for a while.
     backend_distrust,
     /// Requests for an object go to the back end selected by rendezvous hashing of its name, the
-    /// same
-    /// at every forwarder.
+    /// same at every forwarder.
     object_affinity,
 };
 
--- a/src/tallyfold/plane/process/node_settings.cpp
+++ b/src/tallyfold/plane/process/node_settings.cpp
@@ -16,7 +16,7 @@
 constexpr std::int64_t max_revocation_ms = 600'000;
 
 // Default values.
-/// Tolerated by groups of three stores and three voters.
+/// Groups of three stores and three voters tolerate one loss.
 constexpr std::int64_t default_losses_borne = 1;
 constexpr double default_max_slowdown = 1.7;
 constexpr double default_grace_seconds = 8;
