--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -15,26 +15,25 @@
 
 namespace {
 
-/// Chosen, not measured: bytes that one read takes at most.
+/// Maximum number of bytes per read.
 constexpr std::size_t read_size = 16U << 10U;
-/// Bytes that the other machine doesn't acknowledge for this long end the connection. Chosen, not
-/// measured: several retransmissions within a zone or between zones.
-constexpr duration silence_limit = std::chrono::milliseconds(2'500);
-/// Completion of an operation as a tuple, so that errors are values.
-constexpr auto as_values = asio::experimental::as_tuple(asio::use_awaitable);
+/// Time after which unacknowledged data closes the connection; allows several retransmissions.
+constexpr duration unacknowledged_timeout = std::chrono::milliseconds(2'500);
+/// Completion token that returns the error code and the result as a tuple instead of throwing.
+constexpr auto as_result_tuple = asio::experimental::as_tuple(asio::use_awaitable);
 
-/// What an idle connection would read next.
-enum class next_input : std::uint8_t { nothing_yet, bytes, end };
+/// Result of peeking at the input of an idle connection.
+enum class pending_input : std::uint8_t { nothing_yet, bytes, end };
 
-next_input peek(asio::ip::tcp::socket& socket) {
+pending_input peek(asio::ip::tcp::socket& socket) {
     char byte = 0;
     const ssize_t count =
         ::recv(socket.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
     if (count > 0) {
-        return next_input::bytes;
+        return pending_input::bytes;
     }
     const bool nothing = count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    return nothing ? next_input::nothing_yet : next_input::end;
+    return nothing ? pending_input::nothing_yet : pending_input::end;
 }
 
 }  // namespace
@@ -58,9 +57,11 @@
 }
 
 connection::connection(asio::ip::tcp::socket socket, message_kind kind, std::size_t max_head_bytes)
-    : socket_(std::move(socket)), watchdog_(socket_.get_executor()), parser_(kind, max_head_bytes) {
+    : socket_(std::move(socket)),
+      deadline_timer_(socket_.get_executor()),
+      parser_(kind, max_head_bytes) {
     if (socket_.is_open()) {
-        net::tune_socket(socket_, silence_limit);
+        net::tune_socket(socket_, unacknowledged_timeout);
     }
 }
 
@@ -68,24 +69,24 @@
     close();
 }
 
-void connection::arm(instant deadline) {
+void connection::start_deadline(instant deadline) {
     expired_ = false;
-    const std::uint64_t number = ++armed_;
-    watchdog_.expires_at(std::chrono::steady_clock::time_point(deadline.time_since_epoch()));
-    watchdog_.async_wait([weak = weak_from_this(), number](const std::error_code& error) {
+    const std::uint64_t number = ++deadline_id_;
+    deadline_timer_.expires_at(std::chrono::steady_clock::time_point(deadline.time_since_epoch()));
+    deadline_timer_.async_wait([weak = weak_from_this(), number](const std::error_code& error) {
         const auto self = weak.lock();
-        if (error || !self || self->armed_ != number) {
+        if (error || !self || self->deadline_id_ != number) {
             return;
         }
         self->expired_ = true;
-        // Fails only on a closed socket, whose operations have ended already.
+        // Fails only on a closed socket, which has no pending operations.
         std::error_code ignored;
         self->socket_.cancel(ignored);
     });
 }
 
-void connection::disarm() {
-    ++armed_;
+void connection::cancel_deadline() {
+    ++deadline_id_;
 }
 
 io_failure connection::failure_of(const std::error_code& error) const {
@@ -108,25 +109,25 @@
     if (!endpoint) {
         co_return tl::unexpected(io_failure::refused);
     }
-    arm(deadline);
-    const auto [error] = co_await socket_.async_connect(*endpoint, as_values);
-    disarm();
+    start_deadline(deadline);
+    const auto [error] = co_await socket_.async_connect(*endpoint, as_result_tuple);
+    cancel_deadline();
     if (error) {
         const io_failure failure = failure_of(error);
         close();
         co_return tl::unexpected(failure);
     }
-    net::tune_socket(socket_, silence_limit);
+    net::tune_socket(socket_, unacknowledged_timeout);
     co_return tl::expected<void, io_failure>{};
 }
 
-asio::awaitable<tl::expected<void, io_failure>> connection::fill(instant deadline) {
+asio::awaitable<tl::expected<void, io_failure>> connection::read_some(instant deadline) {
     const auto self = shared_from_this();
     std::array<char, read_size> buffer;
-    arm(deadline);
-    const auto [error, count] =
-        co_await socket_.async_read_some(asio::buffer(buffer.data(), buffer.size()), as_values);
-    disarm();
+    start_deadline(deadline);
+    const auto [error, count] = co_await socket_.async_read_some(
+        asio::buffer(buffer.data(), buffer.size()), as_result_tuple);
+    cancel_deadline();
     if (error) {
         co_return tl::unexpected(failure_of(error));
     }
@@ -150,7 +151,7 @@
 
 asio::awaitable<tl::expected<void, io_failure>> connection::wait_for_message(instant deadline) {
     if (input_.empty()) {
-        co_return co_await fill(deadline);
+        co_return co_await read_some(deadline);
     }
     co_return tl::expected<void, io_failure>{};
 }
@@ -162,11 +163,12 @@
         if (!parsed || parser_.head_complete()) {
             co_return parsed;
         }
-        const auto filled = co_await fill(deadline);
-        if (!filled) {
-            const bool between = filled.error() == io_failure::closed && !parser_.started();
-            const bool cut = filled.error() == io_failure::closed && !between;
-            co_return tl::unexpected(cut ? io_failure::broken : filled.error());
+        const auto received = co_await read_some(deadline);
+        if (!received) {
+            const bool before_message =
+                received.error() == io_failure::closed && !parser_.started();
+            const bool truncated = received.error() == io_failure::closed && !before_message;
+            co_return tl::unexpected(truncated ? io_failure::broken : received.error());
         }
     }
 }
@@ -183,24 +185,25 @@
         if (!piece.empty() || parser_.complete()) {
             co_return piece;
         }
-        const auto filled = co_await fill(deadline);
-        if (filled) {
+        const auto received = co_await read_some(deadline);
+        if (received) {
             continue;
         }
-        if (filled.error() == io_failure::closed && parser_.finish()) {
+        if (received.error() == io_failure::closed && parser_.finish()) {
             co_return std::string{};
         }
-        const bool cut = filled.error() == io_failure::closed;
-        co_return tl::unexpected(cut ? io_failure::broken : filled.error());
+        const bool truncated = received.error() == io_failure::closed;
+        co_return tl::unexpected(truncated ? io_failure::broken : received.error());
     }
 }
 
 asio::awaitable<tl::expected<void, io_failure>> connection::write(std::string bytes,
                                                                   instant deadline) {
     const auto self = shared_from_this();
-    arm(deadline);
-    const auto [error, count] = co_await asio::async_write(socket_, asio::buffer(bytes), as_values);
-    disarm();
+    start_deadline(deadline);
+    const auto [error, count] =
+        co_await asio::async_write(socket_, asio::buffer(bytes), as_result_tuple);
+    cancel_deadline();
     if (error) {
         co_return tl::unexpected(failure_of(error));
     }
@@ -208,29 +211,29 @@
 }
 
 void connection::watch_close(std::function<void()> closed) {
-    const std::uint64_t number = ++watch_;
+    const std::uint64_t number = ++close_watch_id_;
     socket_.async_wait(asio::ip::tcp::socket::wait_read, [weak = weak_from_this(), number,
                                                           closed = std::move(closed)](
                                                              const std::error_code& error) {
         const auto self = weak.lock();
-        if (error || !self || self->watch_ != number || !self->socket_.is_open()) {
+        if (error || !self || self->close_watch_id_ != number || !self->socket_.is_open()) {
             return;
         }
-        if (peek(self->socket_) == next_input::end) {
+        if (peek(self->socket_) == pending_input::end) {
             closed();
         }
     });
 }
 
 bool connection::stale() {
-    return !socket_.is_open() || !input_.empty() || peek(socket_) != next_input::nothing_yet;
+    return !socket_.is_open() || !input_.empty() || peek(socket_) != pending_input::nothing_yet;
 }
 
 void connection::close() {
-    disarm();
-    ++watch_;
-    watchdog_.cancel();
-    // The other side may have ended it before, and nothing is left to do about a socket that fails.
+    cancel_deadline();
+    ++close_watch_id_;
+    deadline_timer_.cancel();
+    // Errors are ignored: the peer may have closed the connection already.
     std::error_code ignored;
     if (socket_.is_open()) {
         socket_.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
@@ -240,11 +243,11 @@
 
 void connection::abort() {
     if (socket_.is_open()) {
-        // A connection that fails here has ended already, and not in order.
+        // Errors are ignored: they mean that the connection has failed already.
         std::error_code ignored;
         socket_.set_option(asio::socket_base::linger(true, 0), ignored);
-        disarm();
-        ++watch_;
+        cancel_deadline();
+        ++close_watch_id_;
         socket_.close(ignored);
     }
 }
--- a/src/tallyfold/plane/http/endpoint_server_shell.cpp
+++ b/src/tallyfold/plane/http/endpoint_server_shell.cpp
@@ -9,15 +9,13 @@
 
 namespace {
 
-/// Bytes of a request line and its headers. Chosen, not measured: operators' tools send a few
-/// hundred.
+/// Limit of a request line and its header fields together.
 constexpr std::size_t max_head_bytes = 16U << 10U;
-/// Chosen, not measured: a kept connection without a request is closed after this time.
-constexpr duration idle_limit = std::chrono::seconds(30);
-/// Chosen, not measured: time for a whole request to arrive, large configurations too.
-constexpr duration request_limit = std::chrono::seconds(10);
-/// Chosen, not measured: time for an answer to leave.
-constexpr duration write_limit = std::chrono::seconds(10);
+/// Time after which a connection without a request is closed.
+constexpr duration idle_timeout = std::chrono::seconds(30);
+/// Time limit for receiving a whole request, including large configurations.
+constexpr duration request_timeout = std::chrono::seconds(10);
+constexpr duration write_timeout = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -63,14 +61,14 @@
 
 asio::awaitable<std::optional<endpoint_server::answer>> endpoint_server::answer_request(
     connection_pointer caller, instant deadline) {
-    answer given;
+    answer reply;
     const auto read = co_await caller->read_head(deadline);
     if (!read && read.error() != io_failure::malformed) {
         co_return std::nullopt;
     }
     if (!read) {
-        given.response.status = 400;
-        co_return given;
+        reply.response.status = 400;
+        co_return reply;
     }
     const message_head head = caller->head();
     std::optional<std::string> body = co_await read_body(caller, deadline);
@@ -78,30 +76,30 @@
         co_return std::nullopt;
     }
     if (body->size() > max_body_bytes_) {
-        given.response.status = 413;
-        co_return given;
+        reply.response.status = 413;
+        co_return reply;
     }
-    given.keep_alive = head.keep_alive;
-    // Named, since GCC 12 destroys aggregate temporaries of a co_await twice.
+    reply.keep_alive = head.keep_alive;
+    // A named variable, because GCC 12 destroys aggregate temporaries in a co_await twice.
     endpoint_request request{head.method, head.target, std::move(*body)};
-    given.response = co_await on_request_(std::move(request));
-    co_return given;
+    reply.response = co_await on_request_(std::move(request));
+    co_return reply;
 }
 
 asio::awaitable<void> endpoint_server::serve(connection_pointer caller) {
     while (caller->open()) {
-        const auto waited = co_await caller->wait_for_message(steady_now() + idle_limit);
+        const auto waited = co_await caller->wait_for_message(steady_now() + idle_timeout);
         if (!waited) {
             co_return;
         }
-        const std::optional<answer> given =
-            co_await answer_request(caller, steady_now() + request_limit);
-        if (!given.has_value()) {
+        const std::optional<answer> reply =
+            co_await answer_request(caller, steady_now() + request_timeout);
+        if (!reply.has_value()) {
             co_return;
         }
-        const bool keep = given->keep_alive;
-        const auto written = co_await caller->write(render_response(given->response, keep),
-                                                    steady_now() + write_limit);
+        const bool keep = reply->keep_alive;
+        const auto written = co_await caller->write(render_response(reply->response, keep),
+                                                    steady_now() + write_timeout);
         if (!written || !keep) {
             caller->close();
             co_return;
--- a/src/tallyfold/plane/http/message_parser.cpp
+++ b/src/tallyfold/plane/http/message_parser.cpp
@@ -18,7 +18,7 @@
     bool complete = false;
     std::string body;
 
-    void begin() {
+    void reset() {
         http_parser_init(&parser, kind == message_kind::request ? HTTP_REQUEST : HTTP_RESPONSE);
         parser.data = this;
         head = {};
@@ -32,14 +32,14 @@
         body.clear();
     }
 
-    void add_to_name(std::string_view part) {
+    void append_field_name(std::string_view part) {
         if (in_value) {
             store_field();
         }
         field_name += part;
     }
 
-    void add_to_value(std::string_view part) {
+    void append_field_value(std::string_view part) {
         in_value = true;
         field_value += part;
     }
@@ -53,9 +53,9 @@
         in_value = false;
     }
 
-    /// Bytes of the head as it stands on the wire, about.
-    [[nodiscard]] std::size_t head_size() const {
-        // The colon and space of a field, and the two characters that end its line.
+    /// Approximate size of the head on the wire, in bytes.
+    [[nodiscard]] std::size_t approximate_head_size() const {
+        // The colon and the space of a field, and CR LF.
         constexpr std::size_t line_overhead = 4;
         std::size_t size = head.target.size() + line_overhead;
         for (const header_field& field : head.headers.fields()) {
@@ -78,14 +78,14 @@
         }
     }
 
-    [[nodiscard]] bool without_body() const {
+    [[nodiscard]] bool status_forbids_body() const {
         const unsigned status = parser.status_code;
         return kind == message_kind::response &&
                (status / 100 == 1 || status == 204 || status == 304);
     }
 
     [[nodiscard]] body_framing framing() const {
-        if (without_body()) {
+        if (status_forbids_body()) {
             return body_framing::none;
         }
         if ((parser.flags & F_CHUNKED) != 0) {
@@ -100,7 +100,7 @@
 
 namespace {
 
-/// The parser's own state, which its callbacks get.
+/// The state object that a callback's parser belongs to.
 template <class State>
 State& state_of(http_parser* parser) {
     return *static_cast<State*>(parser->data);
@@ -112,13 +112,13 @@
     : state_(std::make_unique<state>()) {
     state_->kind = kind;
     state_->max_head_bytes = max_head_bytes;
-    state_->begin();
+    state_->reset();
 }
 
 message_parser::~message_parser() = default;
 
 const http_parser_settings& message_parser::callbacks() {
-    static const http_parser_settings chosen = [] {
+    static const http_parser_settings handlers = [] {
         http_parser_settings settings;
         http_parser_settings_init(&settings);
         settings.on_url = [](http_parser* parser, const char* at, std::size_t length) {
@@ -126,11 +126,11 @@
             return 0;
         };
         settings.on_header_field = [](http_parser* parser, const char* at, std::size_t length) {
-            state_of<state>(parser).add_to_name({at, length});
+            state_of<state>(parser).append_field_name({at, length});
             return 0;
         };
         settings.on_header_value = [](http_parser* parser, const char* at, std::size_t length) {
-            state_of<state>(parser).add_to_value({at, length});
+            state_of<state>(parser).append_field_value({at, length});
             return 0;
         };
         settings.on_headers_complete = [](http_parser* parser) {
@@ -143,18 +143,19 @@
         };
         settings.on_message_complete = [](http_parser* parser) {
             state_of<state>(parser).complete = true;
-            // What follows belongs to another message.
+            // Pauses, since the following bytes belong to the next message.
             http_parser_pause(parser, 1);
             return 0;
         };
         return settings;
     }();
-    return chosen;
+    return handlers;
 }
 
 bool message_parser::head_fits(std::size_t consumed) {
     state_->head_bytes += consumed;
-    const std::size_t size = state_->head_complete ? state_->head_size() : state_->head_bytes;
+    const std::size_t size =
+        state_->head_complete ? state_->approximate_head_size() : state_->head_bytes;
     return size <= state_->max_head_bytes;
 }
 
@@ -184,9 +185,10 @@
     if (state_->complete) {
         return true;
     }
-    const bool ends_so = state_->head_complete && state_->head.framing == body_framing::until_close;
-    state_->complete = ends_so;
-    return ends_so;
+    const bool ends_at_close =
+        state_->head_complete && state_->head.framing == body_framing::until_close;
+    state_->complete = ends_at_close;
+    return ends_at_close;
 }
 
 bool message_parser::head_complete() const {
@@ -209,7 +211,7 @@
 }
 
 void message_parser::next_message() {
-    state_->begin();
+    state_->reset();
 }
 
 }  // namespace tallyfold::http
--- a/src/tallyfold/plane/http/whole_events.cpp
+++ b/src/tallyfold/plane/http/whole_events.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Position after the blank line that ends the first event; npos while it isn't whole.
+/// Position after the blank line that ends the first event; npos when it is incomplete.
 std::size_t end_of_event(std::string_view bytes) {
     std::size_t line = 0;
     while (line < bytes.size()) {
@@ -44,7 +44,7 @@
     return id;
 }
 
-std::optional<std::uint64_t> number_in(std::string_view text) {
+std::optional<std::uint64_t> parse_number(std::string_view text) {
     std::uint64_t number = 0;
     const auto [end, failure] = std::from_chars(text.data(), text.data() + text.size(), number);
     const bool whole = failure == std::errc{} && end == text.data() + text.size();
@@ -54,43 +54,43 @@
 }  // namespace
 
 std::string whole_events::feed(std::string_view bytes) {
-    held_ += bytes;
-    std::string passed;
-    std::string_view rest = held_;
+    partial_ += bytes;
+    std::string forwarded;
+    std::string_view rest = partial_;
     while (in_order_) {
         const std::size_t end = end_of_event(rest);
         if (end == std::string_view::npos) {
             break;
         }
         const std::string_view event = rest.substr(0, end);
-        if (take(event)) {
-            passed += event;
+        if (accept_event(event)) {
+            forwarded += event;
         }
         rest.remove_prefix(end);
     }
-    held_ = std::string(rest);
-    return passed;
+    partial_ = std::string(rest);
+    return forwarded;
 }
 
-bool whole_events::take(std::string_view event) {
+bool whole_events::accept_event(std::string_view event) {
     const std::string_view id = id_of(event);
     if (id.empty()) {
         return true;
     }
-    const auto number = number_in(id);
-    const auto last = number_in(last_id_);
+    const auto number = parse_number(id);
+    const auto last = parse_number(last_id_);
     if (number && last) {
         if (*number <= *last) {
             return false;
         }
-        if (*number != *last + 1 && consecutive_ && passed_ > 1) {
+        if (*number != *last + 1 && ids_consecutive_ && events_with_id_ > 1) {
             in_order_ = false;
             return false;
         }
-        consecutive_ = consecutive_ && *number == *last + 1;
+        ids_consecutive_ = ids_consecutive_ && *number == *last + 1;
     }
     last_id_ = id;
-    ++passed_;
+    ++events_with_id_;
     return true;
 }
 
--- a/src/tallyfold/plane/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -7,21 +7,20 @@
 
 namespace {
 
-/// Short, since the opening packet to a machine that is just coming back is lost, and the system
-/// itself sends it again only after a second.
+/// Shorter than the kernel's first SYN retransmission, which comes after 1 s: the SYN to a machine
+/// that is restarting is lost.
 constexpr auto connect_timeout = std::chrono::milliseconds(250);
-/// Pause before the next attempt. Chosen, not measured: a restarted process is reached within a
-/// tenth of a second, and one that is away costs some 16 packets a second.
-constexpr auto retry_pause = std::chrono::milliseconds(60);
-/// Bytes that another machine doesn't acknowledge for this long end the connection. Chosen, not
-/// measured: below the 1.5 s that a begin at the stores may take.
-constexpr duration silence_limit = std::chrono::milliseconds(1'200);
-/// An idle connection is probed after this time. Chosen, not measured.
-constexpr std::chrono::seconds idle_limit(3);
-
-void tune(asio::ip::tcp::socket& socket) {
-    net::tune_socket(socket, silence_limit);
-    net::probe_when_idle(socket, idle_limit);
+/// Delay before the next attempt to connect.
+constexpr auto retry_delay = std::chrono::milliseconds(60);
+/// Time after which unacknowledged data closes the connection; below the 1.5 s limit of a begin
+/// operation on the stores.
+constexpr duration unacknowledged_timeout = std::chrono::milliseconds(1'200);
+/// Idle time before the first TCP keepalive probe.
+constexpr std::chrono::seconds keepalive_idle(3);
+
+void configure_socket(asio::ip::tcp::socket& socket) {
+    net::tune_socket(socket, unacknowledged_timeout);
+    net::probe_when_idle(socket, keepalive_idle);
 }
 
 }  // namespace
@@ -50,7 +49,7 @@
     timer_.async_wait([weak = weak_from_this(), number](const std::error_code& error) {
         const auto self = weak.lock();
         if (!error && self && self->attempt_ == number) {
-            // Ends the attempt; a socket that can't be closed leaves nothing to do.
+            // Cancels the attempt; errors of closing are ignored.
             std::error_code ignored;
             self->socket_.close(ignored);
         }
@@ -68,11 +67,11 @@
     ++attempt_;
     timer_.cancel();
     if (error) {
-        // Not logged: the link's state hasn't changed, and it is tried several times a second.
+        // Not logged: the link was down before, and attempts are made several times a second.
         retry_later();
         return;
     }
-    tune(socket_);
+    configure_socket(socket_);
     channel_ = std::make_shared<frame_channel>(std::move(socket_));
     channel_->start(
         [weak = weak_from_this()](const peer_message& message) {
@@ -82,16 +81,16 @@
         },
         [weak = weak_from_this()](const std::string& reason) {
             if (const auto link = weak.lock()) {
-                link->lost(reason);
+                link->on_lost(reason);
             }
         });
-    channel_->open_formats();
+    channel_->send_format_offer();
     if (on_state_) {
         on_state_(true, {});
     }
 }
 
-void peer_link::lost(const std::string& reason) {
+void peer_link::on_lost(const std::string& reason) {
     channel_.reset();
     if (stopped_) {
         return;
@@ -104,7 +103,7 @@
 
 void peer_link::retry_later() {
     const std::uint64_t number = ++attempt_;
-    timer_.expires_after(retry_pause);
+    timer_.expires_after(retry_delay);
     timer_.async_wait([weak = weak_from_this(), number](const std::error_code& error) {
         const auto self = weak.lock();
         if (!error && self && self->attempt_ == number) {
@@ -124,14 +123,14 @@
         return;
     }
     channel_->close();
-    lost(reason);
+    on_lost(reason);
 }
 
 void peer_link::stop() {
     stopped_ = true;
     ++attempt_;
     timer_.cancel();
-    // The link has ended whether the socket closes in order or not.
+    // Errors are ignored: the socket is closed in any case.
     std::error_code ignored;
     socket_.close(ignored);
     if (channel_) {
@@ -158,7 +157,7 @@
             return;
         }
         if (!error) {
-            tune(socket);
+            configure_socket(socket);
             auto channel = std::make_shared<frame_channel>(std::move(socket));
             std::weak_ptr<frame_channel> weak = channel;
             channel->start(
--- a/tests/plane/messaging/format_opening_test.cpp
+++ b/tests/plane/messaging/format_negotiation_test.cpp
@@ -1,8 +1,8 @@
 /// @file
-/// Two nodes agree on the form of their messages over a real connection, also when one of them is
-/// of the build that says nothing of forms and closes a connection over what it doesn't know.
+/// Format negotiation over real connections, also with a peer of the first build, which sends no
+/// offer and closes the connection on an unknown kind of message.
 
-#include "tallyfold/plane/messaging/format_opening.hpp"
+#include "tallyfold/plane/messaging/format_negotiation.hpp"
 
 #include <asio/io_context.hpp>
 #include <asio/read.hpp>
@@ -18,78 +18,78 @@
 using namespace messaging;
 using protocol::format_version;
 
-class format_opening_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(format_opening_test);
-    CPPUNIT_TEST(an_opening_travels_as_a_message_of_the_first_format);
-    CPPUNIT_TEST(replies_of_stores_are_no_openings);
-    CPPUNIT_TEST(two_that_know_the_second_format_use_it_both_ways);
-    CPPUNIT_TEST(a_later_build_is_met_in_the_newest_form_that_both_know);
-    CPPUNIT_TEST(a_link_and_a_server_agree);
-    CPPUNIT_TEST(whoever_says_nothing_is_sent_the_first_format_alone);
-    CPPUNIT_TEST(a_frame_that_cannot_be_read_is_passed_over);
+class format_negotiation_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(format_negotiation_test);
+    CPPUNIT_TEST(offer_is_encodable_in_first_format);
+    CPPUNIT_TEST(store_reply_is_not_an_offer);
+    CPPUNIT_TEST(both_sides_use_newest_common_format);
+    CPPUNIT_TEST(newer_peer_uses_newest_common_format);
+    CPPUNIT_TEST(link_and_server_negotiate_format);
+    CPPUNIT_TEST(peer_without_offer_gets_first_format);
+    CPPUNIT_TEST(skips_undecodable_frame);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr const char* address = "127.0.99.7:17178";
 
-    void an_opening_travels_as_a_message_of_the_first_format() {
+    void offer_is_encodable_in_first_format() {
         for (int known = 1; known < 256; ++known) {
-            const format_opening opening{static_cast<format_number>(known), 1};
-            const auto bytes = protocol::encode_as(to_message(opening), format_version::v1);
+            const format_offer offer{static_cast<format_number>(known), 1};
+            const auto bytes = protocol::encode_as(to_message(offer), format_version::v1);
             CPPUNIT_ASSERT(bytes.has_value());
             const auto read = decode_payload(*bytes, format_version::v1);
             CPPUNIT_ASSERT(read.has_value());
-            CPPUNIT_ASSERT(opening_in(*read) == opening);
+            CPPUNIT_ASSERT(parse_offer(*read) == offer);
         }
     }
 
-    void replies_of_stores_are_no_openings() {
-        check_property("an answered operation is no opening",
+    void store_reply_is_not_an_offer() {
+        check_property("a reply to an operation is not an offer",
                        [](std::uint64_t operation, std::uint64_t store) {
                            turns::find_reply reply;
                            reply.operation = operation | 1U;
                            reply.store = store;
-                           RC_ASSERT(!opening_in(reply));
+                           RC_ASSERT(!parse_offer(reply));
                        });
-        CPPUNIT_ASSERT(!opening_in(turns::find_reply{}));
-        CPPUNIT_ASSERT(!opening_in(directory::node_report{}));
+        CPPUNIT_ASSERT(!parse_offer(turns::find_reply{}));
+        CPPUNIT_ASSERT(!parse_offer(directory::node_report{}));
     }
 
-    void two_that_know_the_second_format_use_it_both_ways() {
-        format_agreement caller;
-        format_agreement server;
-        const auto answer = server.receive(caller.first_opening());
+    void both_sides_use_newest_common_format() {
+        format_negotiation caller;
+        format_negotiation server;
+        const auto answer = server.receive(caller.initial_offer());
         CPPUNIT_ASSERT(answer.has_value());
-        CPPUNIT_ASSERT(server.sends() == format_version::v2);
-        CPPUNIT_ASSERT(server.reads() == format_version::v1);
+        CPPUNIT_ASSERT(server.send_format() == format_version::v2);
+        CPPUNIT_ASSERT(server.receive_format() == format_version::v1);
         const auto last = caller.receive(*answer);
         CPPUNIT_ASSERT(last.has_value());
         CPPUNIT_ASSERT(!server.receive(*last).has_value());
-        for (const format_agreement* side : {&caller, &server}) {
-            CPPUNIT_ASSERT(side->sends() == format_version::v2);
-            CPPUNIT_ASSERT(side->reads() == format_version::v2);
-            CPPUNIT_ASSERT(side->common() == format_version::v2);
+        for (const format_negotiation* side : {&caller, &server}) {
+            CPPUNIT_ASSERT(side->send_format() == format_version::v2);
+            CPPUNIT_ASSERT(side->receive_format() == format_version::v2);
+            CPPUNIT_ASSERT(side->common_format() == format_version::v2);
         }
     }
 
-    void a_later_build_is_met_in_the_newest_form_that_both_know() {
-        format_agreement server;
+    void newer_peer_uses_newest_common_format() {
+        format_negotiation server;
         const auto answer = server.receive({9, 1});
-        CPPUNIT_ASSERT(answer == (format_opening{2, 2}));
-        CPPUNIT_ASSERT(server.common() == format_version::v2);
+        CPPUNIT_ASSERT(answer == (format_offer{2, 2}));
+        CPPUNIT_ASSERT(server.common_format() == format_version::v2);
         CPPUNIT_ASSERT(!server.receive({9, 2}).has_value());
     }
 
-    /// Handles what is ready, until nothing comes any more.
+    /// Runs the loop until no event occurs for `idle_time`.
     static void run(asio::io_context& loop) {
-        // A loopback connection delivers within far less.
-        constexpr std::chrono::milliseconds quiet_time{100};
+        // Well above the latency of a loopback connection.
+        constexpr std::chrono::milliseconds idle_time{100};
         loop.restart();
-        while (loop.run_for(quiet_time) > 0) {
+        while (loop.run_for(idle_time) > 0) {
             loop.restart();
         }
     }
 
-    void a_link_and_a_server_agree() {
+    void link_and_server_negotiate_format() {
         asio::io_context loop;
         peer_server server(loop, address);
         int reports = 0;
@@ -118,7 +118,7 @@
         link->stop();
     }
 
-    /// All whole frames that have come, without their headers.
+    /// Payloads of all frames received so far.
     static std::vector<std::string> received(asio::ip::tcp::socket& socket) {
         std::string bytes(socket.available(), '\0');
         asio::read(socket, asio::buffer(bytes));
@@ -132,7 +132,7 @@
         return payloads;
     }
 
-    void whoever_says_nothing_is_sent_the_first_format_alone() {
+    void peer_without_offer_gets_first_format() {
         asio::io_context loop;
         peer_server server(loop, address);
         CPPUNIT_ASSERT_EQUAL(std::string{},
@@ -158,7 +158,7 @@
                              std::get<directory::node_report_answer>(*answer).configuration);
     }
 
-    void a_frame_that_cannot_be_read_is_passed_over() {
+    void skips_undecodable_frame() {
         asio::io_context loop;
         peer_server server(loop, address);
         int requests = 0;
@@ -177,6 +177,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(format_opening_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(format_negotiation_test);
 
 }  // namespace tallyfold::tests
--- a/tests/plane/process/node_settings_test.cpp
+++ b/tests/plane/process/node_settings_test.cpp
@@ -9,19 +9,19 @@
 
 class node_settings_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(node_settings_test);
-    CPPUNIT_TEST(what_is_left_out_has_its_default);
-    CPPUNIT_TEST(a_file_of_the_production_build_is_enough);
-    CPPUNIT_TEST(a_node_behind_a_relay_listens_at_another_address);
-    CPPUNIT_TEST(every_problem_is_named);
-    CPPUNIT_TEST(mechanisms_are_switched_off_by_name);
+    CPPUNIT_TEST(missing_keys_have_defaults);
+    CPPUNIT_TEST(accepts_settings_file_of_first_release);
+    CPPUNIT_TEST(listen_address_may_differ_from_advertised);
+    CPPUNIT_TEST(reports_every_invalid_key);
+    CPPUNIT_TEST(disables_mechanisms_by_name);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr const char* whole =
+    static constexpr const char* required_keys =
         "node = \"n\"\nzone = \"z\"\nip = \"10.0.0.1\"\nseeds = [\"10.0.0.2:80\"]\n"
         "directory_port = 71\nstore_port = 72\n";
 
-    void what_is_left_out_has_its_default() {
-        const auto read = read_node_settings(file_.write(whole));
+    void missing_keys_have_defaults() {
+        const auto read = read_node_settings(file_.write(required_keys));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT(read->policy_file.empty());
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, read->losses_borne);
@@ -30,10 +30,10 @@
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.2:71"), read->seed_directories().front());
     }
 
-    /// The keys of the template with which the build of the first form (docs/FORMATS.md) starts.
-    void a_file_of_the_production_build_is_enough() {
+    /// Guards against new required keys: settings files of the first release have only these.
+    void accepts_settings_file_of_first_release() {
         const auto read = read_node_settings(file_.write(
-            std::string(whole) +
+            std::string(required_keys) +
             "first_start = \"false\"\ndata_folder = \"/data\"\nlosses_borne = 1\n"
             "callers_address = \"10.0.0.1:80\"\nreadiness_address = \"10.0.0.1:81\"\n"
             "operators_address = \"\"\nmetrics_port = 9464\n"
@@ -43,16 +43,16 @@
         CPPUNIT_ASSERT(!read->refuses_stale_keys);
     }
 
-    void a_node_behind_a_relay_listens_at_another_address() {
-        const auto read =
-            read_node_settings(file_.write(std::string(whole) + "listen_ip = \"10.0.9.1\"\n"));
+    void listen_address_may_differ_from_advertised() {
+        const auto read = read_node_settings(
+            file_.write(std::string(required_keys) + "listen_ip = \"10.0.9.1\"\n"));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:71"), read->directory_address());
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.9.1:71"), read->directory_listener());
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.9.1:72"), read->store_listener());
     }
 
-    void every_problem_is_named() {
+    void reports_every_invalid_key() {
         const auto read = read_node_settings(
             file_.write("node = 7\nseeds = [\"host:80\"]\ngrace_seconds = 0\nspeed = 1\n"));
         CPPUNIT_ASSERT(!read.has_value());
@@ -66,16 +66,16 @@
         }
     }
 
-    void mechanisms_are_switched_off_by_name() {
+    void disables_mechanisms_by_name() {
         const auto read = read_node_settings(
-            file_.write(std::string(whole) +
+            file_.write(std::string(required_keys) +
                         "switched_off = [\"continuation\"]\nplacement = \"round_robin\"\n"));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT(read->disabled.contains(mechanism::stream_resume));
         CPPUNIT_ASSERT(!read->disabled.contains(mechanism::silence));
         CPPUNIT_ASSERT_EQUAL(std::string("round_robin"), read->placement);
         const auto wrong = read_node_settings(file_.write(
-            std::string(whole) + "switched_off = [\"magic\"]\nplacement = \"oracle\"\n"));
+            std::string(required_keys) + "switched_off = [\"magic\"]\nplacement = \"oracle\"\n"));
         CPPUNIT_ASSERT(!wrong.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, wrong.error().size());
     }
