--- a/src/tallyfold/program_api/journal/journal_state_machine.hpp
+++ b/src/tallyfold/program_api/journal/journal_state_machine.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// State machine of one journal group: the leases and the programs of its shards.
+/// Replicated state machine of one journal group: the leases and programs of its shards.
 
 #include <map>
 #include <string>
@@ -12,7 +12,7 @@
 
 struct shard_entry {
     shard_lease lease;
-    /// Log index of the lease's latest change, so that nodes are sent only what they lack.
+    /// Log index of the latest lease change; nodes receive only changes newer than their version.
     std::uint64_t lease_changed_at = 0;
     shard_state programs;
     template <class Archive>
@@ -23,15 +23,15 @@
 
 class journal_state_machine {
   public:
-    /// Applies the command committed at `index`; deterministic on every replica.
+    /// Applies the command committed at log index `index`. Deterministic on all replicas.
     journal_error apply(std::string_view encoded_command, std::uint64_t index);
     [[nodiscard]] std::string save() const;
     void restore(std::string_view state);
 
     [[nodiscard]] const std::map<shard_id, shard_entry>& shards() const { return shards_; }
-    /// Log index of the newest lease change; 0 before the first.
+    /// Log index of the newest lease change; 0 if there is none.
     [[nodiscard]] std::uint64_t lease_version() const { return lease_version_; }
-    /// The lease of a shard; an epoch of 0 when it was never assigned.
+    /// Lease of `shard`; its epoch is 0 if the shard was never assigned.
     [[nodiscard]] shard_lease lease_of(shard_id shard) const;
 
   private:
--- a/src/tallyfold/program_api/journal/shard_state.cpp
+++ b/src/tallyfold/program_api/journal/shard_state.cpp
@@ -89,7 +89,7 @@
     if (change.attempt != call.attempt + 1) {
         return journal_error::attempt_out_of_order;
     }
-    // An attempt whose outcome is open may be followed by another only if the request may repeat.
+    // After an attempt with an unknown outcome, only a repeatable request may begin another.
     if (call.phase == call_phase::begun && !call.repeatable) {
         return journal_error::not_repeatable;
     }
@@ -114,7 +114,7 @@
     }
     program_record& root = root_of(*program);
     call_record& call = program->calls[change.sequence];
-    // An earlier attempt that may still be running keeps its whole reservation as its charge.
+    // An earlier attempt that may still be running is charged its whole reservation.
     const bool forfeited_attempt = call.attempt > 0 && call.phase == call_phase::begun;
     const token_count forfeited = forfeited_attempt ? call.reserved : 0;
     if (root.charged + root.reserved + change.reservation > root.budget) {
@@ -147,7 +147,7 @@
 
 void shard_state::settle(program_record& program, call_record& call, token_count charged) {
     program_record& root = root_of(program);
-    // A back end that used more than was reserved is the operator's loss, not the program's.
+    // The charge is capped at the reservation: the operator bears any excess usage.
     root.charged += std::min(charged, call.reserved);
     root.reserved -= call.reserved;
     call.reserved = 0;
@@ -175,7 +175,7 @@
         return journal_error::none;
     }
     call.maybe_ran = true;
-    // Its outcome stays open: a request that may repeat can begin again, another cannot.
+    // The outcome is unknown: only a repeatable request can begin again.
     settle(*program, call, call.reserved);
     return journal_error::none;
 }
--- a/src/tallyfold/program_api/journal/shard_state.hpp
+++ b/src/tallyfold/program_api/journal/shard_state.hpp
@@ -1,10 +1,11 @@
 #pragma once
 /// @file
-/// The programs of one shard, as a deterministic state machine.
+/// Deterministic state machine for the programs of one shard.
 ///
-/// The control replicas apply committed commands to it, and the owner keeps a copy to which it
-/// applies the same commands once they are committed. Every rule that must hold whoever speaks
-/// (budget, order of sequence numbers, at most once) is checked here, under the lease epoch.
+/// The control replicas apply committed commands to it; the shard's owner applies the same
+/// commands to its own copy after they are committed. It enforces the rules that must hold for
+/// every sender: budget, order of sequence numbers, at-most-once execution. The caller checks the
+/// lease epoch first (journal_state_machine).
 
 #include <deque>
 #include <map>
@@ -15,7 +16,7 @@
 
 class shard_state {
   public:
-    /// Applies a change. A repeated change that was applied before gives `none` again.
+    /// Applies a change. Idempotent: reapplying an applied change returns `none`.
     journal_error apply(const program_change& change);
 
     [[nodiscard]] const program_record* find(const program_id& id) const;
@@ -44,13 +45,13 @@
     std::deque<program_id> closed_order_;
 };
 
-/// Root part of a program's identifier: sub-agents live in their root's shard.
+/// Root part of a program identifier. Sub-agents belong to the shard of their root.
 program_id root_of_identifier(const program_id& id);
 
-/// The shard that a program belongs to.
+/// Shard that the program belongs to.
 shard_id shard_of(const program_id& id, std::uint32_t shard_count);
 
-/// The group that a shard's programs are journalled in; the configuration's group comes first.
+/// Journal group of a shard's programs. The group of the configuration precedes these groups.
 group_id group_of_shard(shard_id shard, std::uint32_t journal_groups);
 
 }  // namespace tallyfold::journal
--- a/src/tallyfold/program_api/journal/types.hpp
+++ b/src/tallyfold/program_api/journal/types.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What survives of programs: their records, calls, answers, and the commands that change them.
+/// Durable program data: records, calls, outcomes, and the journal commands that change them.
 
 #include <cstdint>
 #include <map>
@@ -15,10 +15,10 @@
 
 namespace tallyfold::journal {
 
-/// Whether a request ran at a back end.
+/// Whether a back end executed a request.
 enum class ran_state : std::uint8_t { no, yes, unknown };
 
-/// Stable codes of answers; their texts are part of the API (docs/API.md).
+/// Result codes of requests. Their texts are part of the public API and must not change.
 enum class answer_code : std::uint8_t {
     ok,
     malformed,
@@ -49,11 +49,11 @@
 std::string_view to_string(ran_state state);
 
 enum class call_kind : std::uint8_t {
-    /// A completion by a model engine.
+    /// Completion by a model engine.
     model,
-    /// A plain request to an app-service replica.
+    /// Request to an app service replica.
     app,
-    /// A call of a tool service; the program waits for it.
+    /// Request to a tool service; the program waits for the result.
     tool,
 };
 
@@ -72,13 +72,13 @@
     }
 };
 
-/// The final answer to one request.
+/// Final result of one request.
 struct outcome {
     answer_code code = answer_code::ok;
     ran_state ran = ran_state::no;
-    /// Says what to do, in a sentence.
+    /// Sentence that tells the caller what to do.
     std::string detail;
-    /// When to come back, in milliseconds; 0 when coming back does not help.
+    /// Suggested delay before a retry, in milliseconds; 0 if a retry does not help.
     std::uint32_t retry_after_ms = 0;
     std::string answer;
     token_count prompt_tokens = 0;
@@ -94,9 +94,9 @@
 };
 
 enum class call_phase : std::uint8_t {
-    /// Begun at `target`; its outcome is not known to the journal.
+    /// Begun at `target`; the journal has no outcome yet.
     begun,
-    /// Proved not to have run; it may begin again with the next attempt.
+    /// Known not to have run; the next attempt may begin.
     released,
     ended,
 };
@@ -109,10 +109,10 @@
     bool repeatable = true;
     call_phase phase = call_phase::begun;
     std::uint32_t attempt = 0;
-    /// True when an attempt was given up without proof that it did not run.
+    /// True if an attempt was abandoned and may have run.
     bool maybe_ran = false;
     backend_name target;
-    /// Tokens reserved by the attempt that is under way.
+    /// Tokens reserved by the current attempt.
     token_count reserved = 0;
     outcome result;
 
@@ -130,17 +130,17 @@
     std::string tenant;
     std::string program_class;
     std::string request_identity;
-    /// Tokens; 0 in a sub-agent, which draws on its root's.
+    /// Token budget; 0 in a sub-agent, which uses the budget of its root.
     token_count budget = 0;
     token_count charged = 0;
     token_count reserved = 0;
     sequence_number last_sequence = 0;
     bool closed = false;
     std::string close_reason;
-    /// Engines that hold, or may hold, cache for the program.
+    /// Engines that may hold cache entries of the program.
     std::set<backend_name> engines;
     std::vector<message> history;
-    /// The latest calls; older answers are dropped.
+    /// Most recent calls; older ones are removed.
     std::map<sequence_number, call_record> calls;
 
     bool operator==(const program_record&) const = default;
@@ -151,12 +151,12 @@
     }
 };
 
-/// Answers kept per program for repeats of a request.
+/// Maximum number of calls kept per program to answer repeated requests.
 constexpr std::size_t kept_calls_per_program = 16;
-/// Closed programs kept per shard, so that a late repeat still gets its answer.
+/// Maximum number of closed programs kept per shard to answer late repeated requests.
 constexpr std::size_t kept_closed_programs_per_shard = 512;
 
-/// Gives a shard to `holder`, if its lease still has `expected_epoch`. Proposed by the leader.
+/// Assigns a shard to `holder` if its lease still has `expected_epoch`. Proposed by the leader.
 struct assign_shard {
     shard_id shard = 0;
     lease_epoch expected_epoch = 0;
@@ -197,7 +197,7 @@
     }
 };
 
-/// The attempt failed. With `ran` no its reservation is returned, otherwise it is charged.
+/// Records a failed attempt. The reservation is returned if `ran` is no, and charged otherwise.
 struct fail_attempt {
     program_id program;
     sequence_number sequence = 0;
@@ -234,7 +234,7 @@
 using program_change =
     std::variant<open_program, begin_attempt, fail_attempt, end_call, close_program>;
 
-/// A change made by a shard's owner; the state machine refuses it under any other epoch.
+/// Change made by a shard's owner; rejected unless `epoch` is the current lease epoch.
 struct owner_command {
     shard_id shard = 0;
     lease_epoch epoch = 0;
@@ -245,7 +245,7 @@
     }
 };
 
-/// The owner gives its lease up after it has finished what was under way.
+/// Releases the owner's lease after its calls have finished.
 struct release_shard {
     shard_id shard = 0;
     lease_epoch epoch = 0;
@@ -276,7 +276,7 @@
 
 struct shard_lease {
     lease_epoch epoch = 0;
-    /// Empty when nobody holds the shard.
+    /// Empty if the shard is unassigned.
     node_name holder;
 
     bool operator==(const shard_lease&) const = default;
