--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What follows an attempt that failed: a resumed stream, a retry, a request whose outcome is open
-/// and is asked for, or the failure as the call's outcome.
+/// Handling of failed attempts: resuming the stream, retrying the call, resolving an unknown
+/// outcome at the back end, or ending the call with an error.
 
 #include <algorithm>
 
@@ -16,18 +16,17 @@
 using journal::ran_state;
 using logging::event_id;
 
-// Chosen, not measured, all of these.
-/// Time for an engine's connection to come back before its stream is asked for again.
+/// Delay before a broken stream is resumed, so that the connection can recover.
 constexpr duration resume_pause = std::chrono::milliseconds(100);
-/// Resumes of one attempt; after them the attempt counts as failed.
+/// Maximum number of resumes of one attempt; after that the attempt counts as failed.
 constexpr std::uint32_t resume_limit = 2;
-/// Time between two questions whether a request ran: doubled each time, up to the limit.
+/// Initial delay between seal requests for one attempt; doubled each time, up to the limit.
 constexpr duration seal_patience = std::chrono::milliseconds(300);
 constexpr duration seal_patience_limit = std::chrono::seconds(3);
-/// Callers of a request with an open outcome are told so after this long; asking goes on. Half of
-/// the time that a caller waits for a sign of life (8 s in stand_ins/caller_core).
+/// Time after which callers of a request with an unknown outcome get outcome_unknown. Must stay
+/// below the callers' inactivity timeout. Seal requests continue after that.
 constexpr duration resolving_patience = std::chrono::seconds(4);
-/// When such a caller may ask again.
+/// Retry delay suggested to these callers.
 constexpr std::uint32_t unknown_retry_after_ms = 1000;
 
 std::string describe(const attempt_key& key) {
@@ -49,7 +48,7 @@
     }
     call->free_retry = failed.kind == failure_kind::leaving;
     if (told_so || failed.kind == failure_kind::unreachable) {
-        // The back end said so, or got nothing: the attempt has not run.
+        // The back end refused the attempt or never received it, so it has not run.
         release_slot(*call);
         journal_failure(*call, ran_state::no, now);
         return;
@@ -69,7 +68,7 @@
         start_resolving(*call, now);
         return;
     }
-    // The attempt may still be generating there for nobody.
+    // The engine may still be generating; cancel to free its capacity.
     order(cancel_stream{call->target, failed.key});
     const bool settled = call->start_settled || failed.kind != failure_kind::broken;
     if (!settled && now < call->start_limit) {
@@ -103,8 +102,8 @@
 }
 
 void scheduler_core::take_over(active_call& call, instant now) {
-    // An earlier owner began the attempt. It may run, or start late: until that is settled no
-    // further attempt begins.
+    // A previous owner began the attempt, and it may be running or start late. No further attempt
+    // begins until this is known.
     set_start_limit(call, now);
     if (call.request.kind != call_kind::model) {
         start_resolving(call, now);
@@ -160,19 +159,20 @@
     result.detail = "the back end failed and the retries are used up";
     result.retry_after_ms = retry_after();
     if (result.ran == ran_state::no) {
-        // The journal shows it released: the same request may begin again.
+        // The journal records the attempt as released, so the same request may begin again.
         reply_all(call, result);
         drop_call(call.id);
         return;
     }
-    // The program must be able to go on: the failure is the call's outcome, for good.
+    // The failure becomes the final outcome of the call, so that the program can continue.
     result.retry_after_ms = 0;
     finish_call(call, std::move(result), {}, 0, now);
 }
 
 void scheduler_core::resolve(active_call& call, instant now) {
     if (call.request.repeatable && now >= call.start_limit && call.seal_tries > 0) {
-        // It cannot start any more; whether it ran matters little for a request that may repeat.
+        // The attempt can no longer start, and a repeatable request does not need to know if it
+        // ran.
         journal_failure(call, ran_state::unknown, now);
         return;
     }
--- a/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What follows a begin that goes well: the journal's word, pieces, answers, the end. Failures and
-/// what is done about them: attempt_failure.cpp.
+/// Progress of attempts: journal results, stream pieces, responses and the end of calls. Failures
+/// are handled in attempt_failure.cpp.
 
 #include <algorithm>
 
@@ -37,7 +37,7 @@
     }
     const auto* command = std::get_if<journal::owner_command>(&finished.command);
     if (command == nullptr) {
-        // The lease is given up.
+        // The command was release_shard.
         lose_shard(finished.key.shard);
         hand_over_.erase(finished.key.shard);
         return;
@@ -99,7 +99,7 @@
                   : finished.result == journal_error::program_closed
                       ? answer_code::program_closed
                       : answer_code::sequence_out_of_order;
-    // The journal refused this begin for good; an earlier attempt may still have run.
+    // The journal's refusal is final, but an earlier attempt may have run.
     result.ran = call->maybe_ran ? ran_state::unknown : ran_state::no;
     result.detail = "the journal refused the call: " + std::string(to_string(finished.result));
     reply_all(*call, result);
@@ -112,7 +112,7 @@
         return;
     }
     if (pieces.offset > call->pieces.size()) {
-        // A gap: ask again from where this side stands.
+        // Pieces are missing: the stream is resumed from the last piece received.
         on_attempt_failed({pieces.key, failure_kind::broken}, now);
         return;
     }
@@ -143,7 +143,7 @@
         return;
     }
     if (finished.completion_tokens != call->pieces.size()) {
-        // Some pieces were lost on the way; the stream can be read again.
+        // Pieces were lost in transit; the stream can be resumed.
         on_attempt_failed({finished.key, failure_kind::broken}, now);
         return;
     }
--- a/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// A program's calls: repeats wait for the answer of the first or get the one that is kept, others
-/// are checked and queued.
+/// Calls of a program. A repeated call joins the active one or gets the stored outcome; a new call
+/// is validated and queued.
 
 #include <algorithm>
 
@@ -67,8 +67,8 @@
 }
 
 bool scheduler_core::repeat_refusal(const waiter& asker, const protocol::program_call& call) {
-    // A submission that was overtaken by a later one, of which the caller was told that it did
-    // not run, must not run behind the caller's back.
+    // The caller was told that a submission did not run. An older submission that arrives after
+    // it must not run either.
     const refusal_record& last = programs_[call.program].refused;
     if (last.sequence != call.sequence || call.submission > last.submission) {
         return false;
@@ -92,7 +92,7 @@
                           : "an earlier call of the program is under way; wait for its answer"));
         return true;
     }
-    // A repeat of the request waits for the same answer.
+    // A repeated request waits for the outcome of the active call.
     active->request.submission = std::max(active->request.submission, call.submission);
     active->waiters.push_back(asker);
     if (!active->pieces.empty()) {
@@ -156,7 +156,7 @@
                        "the program's tenant or class has been removed");
     }
     if (repeats) {
-        // It was admitted before; its earlier attempt may have run, so it is not turned away.
+        // The call was admitted before and may have run, so the limits do not apply again.
         return std::nullopt;
     }
     return refuse_over_limit(call, program, *settings, *tenant);
--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// From the queue to a back end: order, placement, the begin in the journal, and the order out.
+/// Dispatch of queued calls: ranking, placement, journalling of the attempt, order to a back end.
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 using journal::outcome;
 using journal::ran_state;
 
-/// Waiting calls that are tried when the first ones cannot be placed.
+/// Number of queued calls considered for placement, so that one call does not block the rest.
 constexpr std::size_t lookahead = 16;
 constexpr std::array all_kinds{call_kind::model, call_kind::app, call_kind::tool};
 constexpr duration app_timeout = std::chrono::seconds(10);
@@ -61,7 +61,7 @@
     queued.tenant_weight = tenant == nullptr ? 1.0 : tenant->weight;
     queued.arrived = call.arrived;
     queued.cost = static_cast<double>(1 + call.request.max_tokens + call.prompt_tokens);
-    // Arrival order is the rank of the baselines and of a class without a policy.
+    // Baseline strategies and classes without a policy rank calls by arrival time.
     queued.rank = static_cast<double>(call.arrived.time_since_epoch().count());
     const bool by_policy = settings_.placement == scheduling::strategy::policy;
     if (by_policy && settings != nullptr) {
@@ -75,7 +75,7 @@
         }
     }
     if (!by_policy) {
-        // First come, first served across tenants.
+        // Baseline strategies are first come, first served across all tenants.
         queued.tenant.clear();
     }
     queue_for(call.request.kind).push(queued);
@@ -166,7 +166,7 @@
     change.kind = call.request.kind;
     change.repeatable = call.request.repeatable;
     change.target = target;
-    // The worst case: the whole prompt, the pieces that are out already, and all of the answer.
+    // Upper bound of the usage: the whole prompt and the whole answer, including delivered pieces.
     change.reservation = call.prompt_tokens + call.request.max_tokens;
     ++counters_.attempts_begun;
     if (call.attempt == 1) {
@@ -197,7 +197,8 @@
     const scheduling::backend_state* target = pool_for(call.request.kind).find(call.target);
     const auto ahead = target == nullptr ? std::nullopt : target->clock_ahead();
     if (!ahead) {
-        // The back end left the list since it was chosen: this limit has passed on any clock.
+        // The back end is no longer listed. A limit of 1 has passed on any clock, so it never
+        // starts.
         return 1;
     }
     return (call.start_limit.time_since_epoch() + *ahead).count();
@@ -209,7 +210,7 @@
     set_start_limit(call, now);
     const group_id group = journal::group_of_shard(call.shard, settings_.journal_groups);
     if (!session_.lease_valid(group, now)) {
-        // Another owner may be at work. Nothing was handed over, so this attempt has not run.
+        // The shard may have another owner. Nothing was sent, so this attempt has not run.
         release_slot(call);
         call.free_retry = true;
         journal_failure(call, ran_state::no, now);
--- a/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Requests that reach a scheduler, and the commands that open and close programs. Each is checked
-/// against the owner's copy first, so that a refusal is final and says that nothing ran.
+/// Routing of requests, and the commands that open and close programs. Requests are validated
+/// against the owner's copy before journalling, so that a refusal proves that nothing ran.
 
 #include <algorithm>
 
@@ -16,8 +16,8 @@
 using journal::outcome;
 using journal::ran_state;
 
-/// When a request that reached a scheduler which doesn't own the program may come again. Chosen,
-/// not measured: half of a node's heartbeat interval, after which gateways know the new owner.
+/// Retry delay suggested if this scheduler does not own the program: half of a node's heartbeat
+/// interval, in which gateways usually receive the new lease.
 constexpr std::uint32_t owner_retry_after_ms = 200;
 
 outcome success(std::string answer) {
@@ -63,7 +63,7 @@
     }
     const group_id group = journal::group_of_shard(number, settings_.journal_groups);
     if (!session_.lease_valid(group, now) && !repeats_active(request.call)) {
-        // This copy of the shard may be old: it must not be the ground of a refusal.
+        // Without a valid lease this copy may be stale, so no refusal may be based on it.
         reply(asker, refusal(answer_code::owner_changed,
                              "this scheduler cannot confirm that it still owns the program",
                              owner_retry_after_ms));
@@ -91,7 +91,7 @@
 }
 
 void scheduler_core::touch(const program_id& id, instant now) {
-    // A request for a sub-agent shows that its whole tree is alive.
+    // Activity of a sub-agent also keeps its root from being reaped.
     for (const program_id& alive : {id, journal::root_of_identifier(id)}) {
         const auto runtime = programs_.find(alive);
         if (runtime != programs_.end()) {
@@ -220,7 +220,7 @@
         for (const waiter& asker : runtime->second.close_waiters) {
             reply(asker, success(change.reason));
         }
-        // The journey stays readable for a while; the rest is not needed any more.
+        // The decisions stay available for inspection; the rest is freed.
         runtime->second.close_waiters.clear();
         runtime->second.points.clear();
         runtime->second.points.shrink_to_fit();
--- a/src/tallyfold/program_api/scheduler/commands/refusal.hpp
+++ b/src/tallyfold/program_api/scheduler/commands/refusal.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Refusals of a scheduler as values. Each says that nothing ran; who knows less sets `ran`.
+/// Outcomes for refused requests. `ran` is no by default; callers set it if that is not certain.
 
 #include <string>
 #include <utility>
@@ -9,7 +9,7 @@
 
 namespace tallyfold::scheduler {
 
-/// @param retry_after_ms when the caller may send the request again; 0 for no hint
+/// @param retry_after_ms suggested delay before a retry; 0 for no hint
 inline journal::outcome refusal(journal::answer_code code, std::string detail,
                                 std::uint32_t retry_after_ms = 0) {
     journal::outcome result;
@@ -20,9 +20,8 @@
     return result;
 }
 
-/// The scheduler has lost touch with control: new work waits until its configuration is confirmed.
+/// Refusal of new work while the scheduler cannot confirm its configuration with control.
 inline journal::outcome stale_configuration() {
-    // A third of the configuration's lease (3 s). Chosen, not measured.
     constexpr std::uint32_t retry_after_ms = 1000;
     return refusal(journal::answer_code::configuration_stale,
                    "the scheduler cannot confirm that its configuration is current",
