--- a/src/tallyfold/program_api/scheduler/queries/inspect_program.cpp
+++ b/src/tallyfold/program_api/scheduler/queries/inspect_program.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The query that shows a program's state and the journey of its calls, as JSON.
+/// Query that returns a program's state and its recent scheduling decisions as JSON.
 
 #include <nlohmann/json.hpp>
 
