--- a/src/tallyfold/program_api/scheduler/backend_client.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_client.hpp
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Carries a scheduler's orders to back ends over HTTP. Its thread of use is the scheduler's
-/// logic thread; the HTTP library's thread hands its events over through a bounded ring.
+/// HTTP client that sends a scheduler's orders to back ends and collects their reports.
+/// Used only on the scheduler's logic thread; events of the HTTP library's thread arrive through a
+/// bounded ring.
 
 #include <functional>
 #include <map>
@@ -16,16 +17,16 @@
 
 class backend_client {
   public:
-    /// @param members_address "ip:port" of the platform's membership list
-    /// @param notify wakes the logic thread
+    /// @param members_address "ip:port" of the service that lists the back ends
+    /// @param notify wakes the logic thread when an event arrives
     backend_client(std::string members_address, std::function<void()> notify);
 
     void start() { client_.start(); }
     void stop() { client_.stop(); }
 
-    /// Sends an order. What cannot be sent is reported as not handed over.
+    /// Sends an order. An order that cannot be sent is reported as undelivered.
     void submit(const backend_order& order);
-    /// Reports that have come in since the last call.
+    /// Returns the reports received since the previous call.
     std::vector<backend_report> take_reports();
 
   private:
@@ -47,7 +48,7 @@
     net::http_client client_;
     std::map<backend_name, std::string> addresses_;
     std::map<net::http_call_id, running_order> running_;
-    /// The HTTP request that reads each attempt's stream.
+    /// HTTP call that reads the stream of each attempt.
     std::map<attempt_key, net::http_call_id> readers_;
     std::vector<net::http_call_id> cancels_;
     net::http_call_id next_call_ = 1;
--- a/src/tallyfold/program_api/scheduler/backend_client_shell.cpp
+++ b/src/tallyfold/program_api/scheduler/backend_client_shell.cpp
@@ -82,7 +82,7 @@
 void backend_client::on_event(net::http_event& event) {
     const auto found = running_.find(event.id);
     if (found == running_.end()) {
-        return;  // Nobody reads it any more.
+        return;  // The order was cancelled.
     }
     running_order& running = found->second;
     if (event.kind == net::http_event_kind::data) {
--- a/src/tallyfold/program_api/scheduler/backend_http_codec.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_http_codec.hpp
@@ -1,9 +1,8 @@
 #pragma once
 /// @file
-/// A scheduler's half of the back ends' HTTP interface (docs/BACKENDS.md) as data: orders to
-/// requests; answers, streamed events and missing answers to reports. Owns no connection: the shell
-/// of backend_client sends and receives. The other half, which a back end has, is
-/// stand_ins/backend_protocol.
+/// Scheduler side of the back ends' HTTP interface: encodes orders as requests, and decodes
+/// responses, streamed events and transport failures to reports. Performs no I/O: backend_client
+/// sends and receives. The back-end side is stand_ins/backend_protocol.
 
 #include <chrono>
 #include <optional>
@@ -19,37 +18,37 @@
 /// One HTTP request to a back end.
 struct backend_http_request {
     std::string method;
-    /// With the query, if any.
+    /// Path with the query string, if any.
     std::string path;
     std::string body;
     std::chrono::milliseconds timeout{0};
     bool streamed = false;
-    /// The request must not be sent twice by the HTTP library.
+    /// Uses a new connection, so that the HTTP library never resends the request.
     bool fresh_connection = false;
 };
 
-/// Name of the back end that an order goes to; empty for poll_members.
+/// Back end that the order is addressed to; empty for poll_members.
 backend_name target_of(const backend_order& order);
-/// The attempt that an order is about, if it is about one.
+/// Attempt that the order refers to, if any.
 std::optional<attempt_key> attempt_of(const backend_order& order);
 
 backend_http_request render_order(const backend_order& order);
-/// The report that an answer with a status below 300 amounts to; nothing for answers that carry
-/// no news.
+/// Decodes a response with a status below 300. Returns no report for responses that carry no
+/// information.
 codec_result<std::optional<backend_report>> parse_answer(const backend_order& order,
                                                          const std::string& body);
-/// The report for an order that was answered with an error status.
+/// Report for an order whose response has an error status.
 std::optional<backend_report> report_refusal(const backend_order& order, int status);
-/// The report for an order without an answer.
-/// @param handed_over false when no connection was made
+/// Report for an order without a response.
+/// @param handed_over false if no connection was made, so that the order was not delivered
 std::optional<backend_report> report_no_answer(const backend_order& order, bool handed_over);
-/// One event of a stream: stream_pieces or stream_finished.
+/// Decodes one stream event to stream_pieces, stream_finished or attempt_failed.
 codec_result<backend_report> parse_stream_event(const attempt_key& key, std::string_view text);
 
-/// Splits a text/event-stream into the data of its events.
+/// Incremental splitter of a text/event-stream body into the data of its events.
 class event_stream_splitter {
   public:
-    /// @return the data of the events that `bytes` completes
+    /// @return the data of the events completed by `bytes`
     std::vector<std::string> add(std::string_view bytes);
 
   private:
--- a/src/tallyfold/program_api/scheduler/backend_json.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_json.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// JSON of the back ends' HTTP interface, for both of its halves: written so that no text can fail
-/// to be written, read so that whatever is wrong becomes an error value.
+/// JSON helpers shared by both sides of the back ends' HTTP interface. Serialization accepts any
+/// bytes; parse errors are returned as values.
 
 #include <nlohmann/json.hpp>
 #include <stdexcept>
@@ -10,20 +10,20 @@
 
 namespace tallyfold::scheduler {
 
-/// Why bytes from the other side could not be understood.
+/// Reason why a received body could not be decoded.
 struct backend_codec_error {
     std::string reason;
 };
 template <class Value>
 using codec_result = tl::expected<Value, backend_codec_error>;
 
-/// Text of `value`; bytes that are no UTF-8 are replaced.
+/// Serializes `value`; invalid UTF-8 is replaced.
 inline std::string dump_json(const nlohmann::json& value) {
     return value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-/// Runs `read` on the parsed body. A missing field, one of the wrong type, and an
-/// std::invalid_argument of `read` are codec errors.
+/// Runs `read` on the parsed body. Invalid JSON, a missing field, a field of the wrong type and a
+/// std::invalid_argument thrown by `read` become codec errors.
 template <class Read>
 auto read_json(const std::string& body, Read read)
     -> codec_result<decltype(read(nlohmann::json{}))> {
--- a/src/tallyfold/program_api/scheduler/backend_messages.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_messages.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What a scheduler asks of back ends and what it hears from them. The shell carries these over
-/// HTTP (docs/BACKENDS.md); the simulator hands them over directly.
+/// Orders from a scheduler to back ends, and reports from back ends to the scheduler.
+/// backend_client transports them over HTTP; the simulator passes them directly.
 
 #include <cstdint>
 #include <memory>
@@ -16,27 +16,27 @@
 
 namespace tallyfold::scheduler {
 
-/// Names one attempt of one call everywhere.
+/// Globally unique key of one attempt of one call.
 struct attempt_key {
     program_id program;
     sequence_number sequence = 0;
     std::uint32_t attempt = 0;
 
     auto operator<=>(const attempt_key&) const = default;
-    /// "program/sequence/attempt", as back ends see it.
+    /// Key in the form "program/sequence/attempt", as sent to back ends.
     [[nodiscard]] std::string text() const {
         return program + "/" + std::to_string(sequence) + "/" + std::to_string(attempt);
     }
 };
 
-/// Proof of ownership that a back end checks: it refuses an epoch below one it has seen.
+/// Fencing token: a back end refuses an epoch lower than the highest it has received.
 struct ownership_fence {
     shard_id shard = 0;
     lease_epoch epoch = 0;
 };
 
-/// A moment on a back end's own monotonic clock, in microseconds. An attempt must not start after
-/// its limit: one that was held up on the way would otherwise start behind the next attempt.
+/// Time on a back end's monotonic clock, in microseconds. The start limit of an attempt is given
+/// in it: a delayed attempt must not start after a later attempt has begun.
 using backend_clock = std::int64_t;
 constexpr backend_clock no_start_limit = 0;
 
@@ -46,18 +46,18 @@
     ownership_fence fence;
     std::string model;
     std::shared_ptr<const std::vector<journal::message>> prompt;
-    /// Pieces of the answer that are already out; generation goes on after them.
+    /// Pieces of the answer already delivered; generation continues after them.
     std::vector<std::string> prefix;
     token_count max_tokens = 0;
     std::int32_t priority = 0;
     backend_clock not_after = no_start_limit;
 };
 
-/// Asks for the rest of a stream. An engine that does not know the attempt never starts it.
+/// Requests the rest of a stream. An engine without this attempt must not start it.
 struct resume_stream {
     backend_name backend;
     attempt_key key;
-    /// Pieces that have arrived.
+    /// Number of pieces already received.
     std::uint64_t offset = 0;
 };
 
@@ -78,7 +78,7 @@
     backend_clock not_after = no_start_limit;
 };
 
-/// Asks whether an attempt ran, and forbids it to run if it has not.
+/// Asks whether an attempt ran, and prevents it from starting if it has not.
 struct seal_request {
     backend_name backend;
     attempt_key key;
@@ -88,7 +88,7 @@
     backend_name backend;
     program_id program;
     double value = 0;
-    /// The engine may forget the hint after this long.
+    /// Time after which the engine may discard the hint.
     duration lease{};
 };
 
@@ -99,7 +99,7 @@
 
 struct poll_status {
     backend_name backend;
-    /// Number of the newest cache event that has arrived.
+    /// Number of the newest cache event received.
     std::uint64_t after_event = 0;
 };
 
@@ -123,17 +123,17 @@
 };
 
 enum class failure_kind : std::uint8_t {
-    /// The back end answered that it did not start the work.
+    /// The back end reported that it did not start the work.
     refused,
-    /// It did not start the work because it is leaving.
+    /// The back end did not start the work because it is shutting down.
     leaving,
-    /// No connection could be made, so the work was not handed over.
+    /// No connection was made, so the work was not delivered.
     unreachable,
-    /// The connection broke or timed out after the work was handed over.
+    /// The connection failed or timed out after the work was delivered.
     broken,
-    /// The back end answered that the work failed.
+    /// The back end reported that the work failed.
     failed,
-    /// The back end does not know the stream that was to be resumed.
+    /// The back end has no stream to resume for this attempt.
     unknown_stream,
 };
 
@@ -149,7 +149,7 @@
 
 struct seal_answered {
     attempt_key key;
-    /// False: it has not run, and never will.
+    /// False if the attempt has not run and can no longer start.
     bool ran = false;
     std::string answer;
 };
@@ -173,7 +173,7 @@
     backend_name backend;
     scheduling::load_report load;
     std::vector<cache_event> events;
-    /// The back end's clock when it answered.
+    /// Clock of the back end at the time of the response.
     backend_clock clock = 0;
 };
 
--- a/src/tallyfold/program_api/scheduler/backends.cpp
+++ b/src/tallyfold/program_api/scheduler/backends.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a scheduler learns of back ends, and the releases of their memory.
+/// Status and membership of back ends, cache events, and cache releases.
 
 #include <algorithm>
 
@@ -51,12 +51,11 @@
             continue;
         }
         if (happened.number <= last) {
-            // The engine restarted: it holds nothing of what was believed.
+            // The numbering started over: the engine restarted with an empty cache.
             cache_.remove_engine(status.backend);
         } else if (happened.number != last + 1 && last != 0) {
-            // What is believed stays: a belief that has become wrong costs one prefill, which
-            // would have been needed anyhow, while forgetting all of them sends every program of
-            // this engine elsewhere.
+            // Existing cache entries are kept. A stale entry costs one prefill, whereas dropping
+            // all entries would move every program of this engine to other engines.
             event(event_id::cache_events_lost, "backend=" + status.backend +
                                                    " expected=" + std::to_string(last + 1) +
                                                    " got=" + std::to_string(happened.number));
--- a/src/tallyfold/program_api/scheduler/journal_client.cpp
+++ b/src/tallyfold/program_api/scheduler/journal_client.cpp
@@ -34,7 +34,7 @@
                               instant now) {
     append.sent = now;
     node_name target = leader_of(append.group);
-    // After a silence the believed leader may be gone: ask the others in turn.
+    // Every second try goes to a control node in turn, in case the known leader has failed.
     if (target.empty() || append.tries % 2 == 1) {
         target = control_nodes_[append.tries / 2 % control_nodes_.size()];
     }
@@ -53,7 +53,7 @@
         return std::nullopt;
     }
     if (!reply.committed) {
-        // Without a known leader the next try waits for the timer.
+        // Without a known leader, or after several tries, the resend timeout triggers the next one.
         if (!reply.leader.empty() && found->second.tries < 4) {
             transmit(reply.correlation, found->second, now);
         }
--- a/src/tallyfold/program_api/scheduler/journal_client.hpp
+++ b/src/tallyfold/program_api/scheduler/journal_client.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Appends a scheduler's commands to the journal groups, and asks again until it knows.
+/// Appends a scheduler's commands to the journal groups and resends them until a result arrives.
 ///
-/// Commands are idempotent, so a resend after a lost answer is harmless. Commands of one root
-/// program go one at a time: the owner's copy then applies them in the order of the log.
+/// Commands are idempotent, so a resend after a lost reply is safe. Commands of one root program
+/// are sent one at a time, so that the owner's copy applies them in log order.
 
 #include <deque>
 #include <map>
@@ -21,7 +21,7 @@
 struct append_key {
     shard_id shard = 0;
     lease_epoch epoch = 0;
-    /// Root program, or empty for a command of the shard itself.
+    /// Root program; empty for commands on the shard itself.
     program_id root;
     auto operator<=>(const append_key&) const = default;
 };
@@ -34,8 +34,8 @@
 
 class journal_client {
   public:
-    /// @param seed drawn anew at each start: a reply to an earlier life must not match a command
-    /// of this one
+    /// @param seed random for each process start, so that a reply to a previous process does not
+    /// match a command of this one
     journal_client(std::vector<node_name> control_nodes, std::uint32_t journal_groups,
                    std::uint64_t seed)
         : control_nodes_(std::move(control_nodes)),
@@ -43,23 +43,22 @@
           next_correlation_(random_source(seed).next()) {}
 
     void append(const append_key& key, journal::journal_command command, instant now);
-    /// @return the command that the reply finishes, if it finishes one
+    /// @return the command that the reply completes, if any
     std::optional<finished_append> on_reply(const protocol::journal_append_reply& reply,
                                             instant now);
-    /// Learns who leads a group.
     void set_leader(group_id group, const node_name& leader) { leaders_[group] = leader; }
     [[nodiscard]] node_name leader_of(group_id group) const;
-    /// Forgets what was queued for a lease that is lost.
+    /// Discards all commands of a shard whose lease was lost.
     void abandon(shard_id shard);
     void tick(instant now);
     std::vector<protocol::outbound_message> take_messages();
     [[nodiscard]] std::size_t pending() const { return sent_.size(); }
-    /// True while a command of the shard is queued or out.
+    /// True if a command of the shard is queued or awaits its result.
     [[nodiscard]] bool busy(shard_id shard) const;
 
   private:
-    /// An append without an answer is sent again after this long. Chosen, not measured: above a
-    /// commit that waits for one slow sync, below an election (0.5 s).
+    /// Time after which an append without a reply is resent: longer than a commit with one slow
+    /// disk sync, shorter than a leader election.
     static constexpr duration resend_timeout = std::chrono::milliseconds(400);
 
     struct sent_append {
--- a/src/tallyfold/program_api/scheduler/retry_budget.hpp
+++ b/src/tallyfold/program_api/scheduler/retry_budget.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Bounds the retries of one class to a share of its first attempts, so that a fault of the
-/// back ends is not multiplied by the retries that it causes.
+/// Limits the retries of one class to a fraction of its first attempts, to prevent retry storms
+/// when back ends fail.
 
 #include <algorithm>
 
@@ -9,10 +9,10 @@
 
 class retry_budget {
   public:
-    /// A first attempt earns `ratio` of a retry.
+    /// Adds `ratio` of a retry for a first attempt.
     void earn(double ratio) { tokens_ = std::min(tokens_ + ratio, most); }
 
-    /// Takes one retry. @return false when none is left.
+    /// Consumes one retry. @return false if none is left
     bool spend() {
         if (tokens_ < 1.0) {
             return false;
@@ -22,7 +22,7 @@
     }
 
   private:
-    /// Retries that can be saved up; also what a class starts with.
+    /// Maximum number of accumulated retries; also the initial balance.
     static constexpr double most = 10.0;
     double tokens_ = most;
 };
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kept_decisions = 64;
 constexpr std::uint32_t shortest_retry_after_ms = 100;
 constexpr std::uint32_t longest_retry_after_ms = 10'000;
-/// Time that one queued call is taken to need, for the hint when to come back.
+/// Estimated time per queued call, for the suggested retry delay.
 constexpr std::uint32_t milliseconds_per_waiting_call = 20;
 
 }  // namespace
@@ -113,7 +113,7 @@
     }
     const auto base = static_cast<std::uint32_t>(waiting) * milliseconds_per_waiting_call;
     const std::uint32_t bounded = std::clamp(base, shortest_retry_after_ms, longest_retry_after_ms);
-    // Jitter keeps callers that were refused together from coming back together.
+    // Jitter prevents refused callers from retrying at the same time.
     return bounded + static_cast<std::uint32_t>(random_.below(bounded / 2 + 1));
 }
 
@@ -190,7 +190,7 @@
             } else if constexpr (std::is_same_v<body_type, seal_answered>) {
                 on_seal_answered(body, now);
             } else if constexpr (std::is_same_v<body_type, seal_failed>) {
-                // The timer of the call asks again.
+                // check_running_calls sends the seal request again.
             } else if constexpr (std::is_same_v<body_type, release_confirmed>) {
                 for (const program_id& program : body.programs) {
                     cache_releases_.erase({body.backend, program});
@@ -211,7 +211,7 @@
 
 void scheduler_core::forgive_gap(instant now) {
     if (last_tick_ != instant{} && now - last_tick_ > longest_tick_gap) {
-        // The process was stopped: nobody could reach it, so silence is no sign of neglect.
+        // The process was paused and received nothing, so idle times must not count the gap.
         for (auto& [id, runtime] : programs_) {
             runtime.last_activity = now;
         }
@@ -276,7 +276,7 @@
             policies_[key.name] = std::move(*compiled);
             continue;
         }
-        // The last good version, if any, stays in use.
+        // The last version that compiled, if any, stays in use.
         ++counters_.policy_failures;
         event(event_id::policy_failed, "policy=" + key.name +
                                            " version=" + std::to_string(item.version) +
@@ -323,7 +323,7 @@
 
 void scheduler_core::reap_programs(instant now) {
     std::vector<std::pair<program_id, shard_id>> idle;
-    // A call under way keeps its whole tree: a parent waits as long as a sub-agent is at work.
+    // An active call keeps its program and its root: a parent may wait for a sub-agent.
     for (const auto& [id, ticket] : call_of_program_) {
         touch(id, now);
     }
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -1,14 +1,14 @@
 #pragma once
 /// @file
-/// The scheduler as pure logic: owns shards of programs, and decides when and where each call
-/// runs. Inputs are messages and the time; outputs are messages, orders to back ends, events.
+/// Scheduler logic without I/O: owns shards of programs and decides when and where each call runs.
+/// Inputs are messages, back-end reports and the time; outputs are messages, orders and events.
 ///
-/// Owns the copies of its shards, the calls under way and what it believes of back ends; relies on
-/// the journal of control (journal_client) for what must survive, on membership/control_session for
-/// leases and configuration, and on scheduling/ for order and placement.
+/// Holds the copies of its shards, the active calls and the state of back ends. Durable data goes
+/// through the journal (journal_client), leases and configuration come from
+/// membership/control_session, ranking and placement from scheduling/. Not thread-safe.
 ///
-/// The functions are spread over commands/ (what changes a program), queries/ (what reads one)
-/// and this folder (leases, configuration, back ends).
+/// Member functions are defined in commands/ (changes to programs), queries/ (reads) and this
+/// folder (leases, configuration, back ends).
 
 #include <array>
 #include <deque>
@@ -36,7 +36,7 @@
 
 struct scheduler_settings {
     node_name node;
-    /// Where the node listens for internal messages, "ip:port".
+    /// Listen address for internal messages, "ip:port".
     std::string address;
     std::string zone;
     std::vector<node_name> control_nodes;
@@ -44,15 +44,15 @@
     std::uint32_t shard_count = 64;
     scheduling::strategy placement = scheduling::strategy::policy;
     duration heartbeat_interval = std::chrono::milliseconds(400);
-    /// Without a confirmed configuration for this long, new work is refused.
+    /// Time without a confirmed configuration after which new work is refused.
     duration configuration_lease = std::chrono::milliseconds(3000);
     duration status_interval = std::chrono::milliseconds(250);
     duration members_interval = std::chrono::milliseconds(500);
-    /// A stream without a piece for this long counts as broken.
+    /// Time without a new piece after which a stream counts as broken.
     duration stream_stall = std::chrono::milliseconds(5000);
-    /// An app or tool request that has not started within this never starts.
+    /// Time after which a back end must not start an app or tool request.
     duration request_start_window = std::chrono::milliseconds(1000);
-    /// Attempts of one call at most.
+    /// Maximum number of attempts per call.
     std::uint32_t attempt_limit = 4;
     std::uint64_t seed = 0;
 };
@@ -68,7 +68,7 @@
     std::vector<logging::event_record> events;
 };
 
-/// Counters since the start, for metrics.
+/// Counters since process start, for metrics.
 struct scheduler_counters {
     std::uint64_t calls_accepted = 0;
     std::uint64_t calls_refused = 0;
@@ -99,9 +99,9 @@
     void receive(const node_name& from, const protocol::internal_message& message, instant now);
     void report(const backend_report& report, instant now);
     void tick(instant now);
-    /// Starts a planned stop: shards are handed over, and what is under way is finished.
+    /// Starts a drain: active calls finish and shards are handed over.
     void drain();
-    /// True when a drain has finished.
+    /// True if a drain was started and has finished.
     [[nodiscard]] bool drained() const;
 
     scheduler_output take_output();
@@ -130,13 +130,13 @@
         queued,
         beginning,
         running,
-        /// The stream broke; the engine is being asked to go on.
+        /// The stream is about to be resumed at the same engine.
         resuming,
-        /// The attempt failed; the journal is being told.
+        /// The attempt failed; its journal command is pending.
         failing,
-        /// Asking the back end whether a request ran, and forbidding it to run from now on.
+        /// Sending seal requests, to learn whether the attempt ran and to prevent a later start.
         resolving,
-        /// The back end cannot be asked; waiting until the attempt can no longer start there.
+        /// The back end cannot be queried; waiting until it can no longer start the attempt.
         fencing,
         ending,
     };
@@ -151,7 +151,8 @@
         call_state state = call_state::queued;
         std::uint32_t attempt = 0;
         backend_name target;
-        /// True when some attempt may have run, so that "not run" must not be said.
+        /// True if any attempt may have run; callers must then not be told that the call did not
+        /// run.
         bool maybe_ran = false;
         bool slot_held = false;
         bool prefill_pending = false;
@@ -165,15 +166,15 @@
         instant last_progress{};
         instant next_try{};
         instant resolving_since{};
-        /// From then on the back end refuses to start the attempt.
+        /// Time from which the back end refuses to start the attempt.
         instant start_limit{};
-        /// True once the back end showed that the attempt runs, or that it will not start.
+        /// True after the attempt is known to have started.
         bool start_settled = false;
         std::uint32_t resumes = 0;
         std::uint32_t seal_tries = 0;
-        /// What the waiters get if the attempt that failed cannot be repeated.
+        /// Result code for the waiters if the failed attempt cannot be retried.
         journal::answer_code failure = journal::answer_code::backend_failed;
-        /// True when the failure used none of the class's retry budget.
+        /// True if the next retry does not count against the retry budget of the class.
         bool free_retry = false;
     };
 
@@ -183,14 +184,14 @@
         std::string text;
     };
 
-    /// What is known of a program beside its record; lost with its owner, and not missed.
-    /// The newest submission of a call of which the caller was told that it did not run.
+    /// Newest submission of a call that was reported to the caller as not run.
     struct refusal_record {
         sequence_number sequence = 0;
         std::uint32_t submission = 0;
         journal::outcome result;
     };
 
+    /// Volatile state of a program besides its record; discarded if the shard is lost.
     struct program_runtime {
         instant first_heard{};
         instant last_activity{};
@@ -215,9 +216,9 @@
     void on_contents(const protocol::shard_contents& contents, instant now);
     void on_configuration(const protocol::configuration_update& update);
     void lose_shard(shard_id shard);
-    /// Ends a lost shard's call here: its callers are told that the program has moved.
+    /// Drops a call of a lost shard and tells its callers that the program has moved.
     void drop_moved_call(scheduling::ticket id);
-    /// Forgets a lost shard's programs and tells who waits for their opening or closing.
+    /// Removes the programs of a lost shard and answers the callers that open or close them.
     void forget_programs(shard_id shard);
     void load_shards(instant now);
     void release_idle_shards(instant now);
@@ -238,12 +239,12 @@
     void on_request(const node_name& from, const protocol::scheduler_request& request, instant now);
     void run_command(const waiter& asker, const protocol::scheduler_call& command,
                      owned_shard& shard, shard_id number, instant now);
-    /// True for a repeat of a call that is under way here: it may wait for the same answer.
+    /// True if `call` repeats an active call, so that it may wait for the same outcome.
     bool repeats_active(const protocol::scheduler_call& call);
     void touch(const program_id& id, instant now);
     void on_open(const waiter& asker, const protocol::open_call& call, owned_shard& shard,
                  shard_id number, instant now);
-    /// What is wrong with an opening by itself and by the configuration; the shard isn't asked.
+    /// Refusal of an opening by the configuration alone, without regard to the shard's state.
     [[nodiscard]] std::optional<journal::outcome> refuse_open(
         const journal::open_program& wanted) const;
     void on_call(const waiter& asker, const protocol::program_call& call, owned_shard& shard,
@@ -258,16 +259,16 @@
     std::optional<journal::outcome> refuse_call(const protocol::program_call& call,
                                                 const journal::program_record& program,
                                                 instant now);
-    /// Turns, budget and queues: what a new call is refused for, and a repeat isn't.
+    /// Refusal of a new call by turn, budget or queue limits; not applied to repeated calls.
     std::optional<journal::outcome> refuse_over_limit(const protocol::program_call& call,
                                                       const journal::program_record& program,
                                                       const configuration::class_settings& settings,
                                                       const configuration::tenant_settings& tenant);
     void admit(const waiter& asker, const protocol::program_call& call,
                const journal::program_record& program, shard_id number, instant now);
-    /// Counts the time since the program's last call ended.
+    /// Adds the time since the program's previous call ended to its pauses.
     void add_pause(const program_id& id, instant now);
-    /// The prompt of a model call: the program's history and the new messages.
+    /// Builds the prompt of a model call from the program's history and the new messages.
     void set_prompt(active_call& active, const journal::program_record& program);
     void enqueue(active_call& call);
     void close_program(const program_id& id, shard_id number, const std::string& reason,
@@ -286,7 +287,7 @@
 
     // Progress of attempts (commands/attempt_progress.cpp).
     void on_append_finished(const finished_append& finished, instant now);
-    /// The journal has applied a change, or refused it for good.
+    /// Handles a change that the journal has applied or finally refused.
     void on_change_journalled(const finished_append& finished,
                               const journal::program_change& change, instant now);
     void on_program_opened(const journal::open_program& opened, journal::journal_error refused);
@@ -303,9 +304,9 @@
 
     // Failed attempts (commands/attempt_failure.cpp).
     void on_attempt_failed(const attempt_failed& failed, instant now);
-    /// Books a failure to the back end of the call's attempt, and logs when that ejects it.
+    /// Counts a failure of the attempt's back end and logs if the back end is ejected.
     void count_backend_failure(const active_call& call, instant now);
-    /// True when the engine may be asked to go on with the call's stream.
+    /// True if the call's stream may be resumed at its engine.
     [[nodiscard]] bool may_resume(const active_call& call, failure_kind kind);
     void on_attempt_failed_journalled(const journal::fail_attempt& change, instant now);
     void on_seal_answered(const seal_answered& answered, instant now);
@@ -321,7 +322,7 @@
     void on_inspect(const waiter& asker, const protocol::inspect_call& call,
                     const owned_shard& shard, instant now);
 
-    // Small helpers.
+    // Helpers.
     [[nodiscard]] shard_id shard_number(const program_id& id) const;
     active_call* find_call(const attempt_key& key);
     active_call* call_of(const program_id& id);
--- a/src/tallyfold/program_api/scheduler/scheduler_shell.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_shell.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The scheduler process: internal messages and back-end reports in, messages and orders out,
-/// the logic thread between them.
+/// Scheduler process: runs scheduler_core on the logic thread and connects it to the transport, the
+/// back ends and the HTTP server.
 
 #include <atomic>
 
@@ -9,7 +9,7 @@
 
 namespace tallyfold::scheduler {
 
-/// Runs until `stop` is set and the planned stop is finished. @return the exit code
+/// Runs until `stop` is set and the drain has finished. @return the exit code
 int run_scheduler(settings::scheduler_process settings, const std::atomic<bool>& stop);
 
 }  // namespace tallyfold::scheduler
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// How a scheduler gains, loads, hands over and loses shards.
+/// Acquiring, loading, handing over and losing shards.
 
 #include <algorithm>
 
@@ -13,11 +13,11 @@
 
 using logging::event_id;
 
-/// How long a group's leader may take to send a shard's contents before it is asked again. Chosen,
-/// not measured: several round trips between zones.
+/// Time after which the contents of a shard are requested again: several round trips between
+/// zones.
 constexpr duration shard_read_patience = std::chrono::milliseconds(300);
-/// When callers of a program that has moved may ask its new owner. Chosen, not measured: as long as
-/// leaders take between two looks at the leases.
+/// Retry delay suggested to callers of a program that has moved: the interval at which leaders
+/// review the leases.
 constexpr std::uint32_t moved_retry_after_ms = 100;
 
 journal::outcome moved(journal::ran_state ran) {
@@ -87,7 +87,7 @@
         programs_[id].last_activity = now;
         programs_[id].first_heard = now;
         if (program.closed) {
-            // The last owner may have gone before its release was confirmed.
+            // The previous owner may have lost the shard before the cache release was confirmed.
             queue_cache_release(id, now);
         }
     }
@@ -121,7 +121,7 @@
 
 void scheduler_core::drop_moved_call(scheduling::ticket id) {
     active_call& call = calls_.at(id);
-    // A begin that was handed to the journal may be committed: only a call that was still
+    // A begin_attempt sent to the journal may be committed later, so only a call that is still
     // queued is known not to have run.
     const bool untouched = call.state == call_state::queued && !call.maybe_ran;
     reply_all(call, moved(untouched ? journal::ran_state::no : journal::ran_state::unknown));
@@ -132,7 +132,7 @@
 }
 
 void scheduler_core::forget_programs(shard_id number) {
-    // Programs whose opening was still on its way to the journal have waiters too.
+    // Programs whose opening or closing is not yet committed have waiters too.
     const journal::outcome answer = moved(journal::ran_state::unknown);
     std::erase_if(programs_, [&](const auto& entry) {
         if (shard_number(entry.first) != number) {
@@ -162,13 +162,13 @@
     for (auto& [number, shard] : shards_) {
         const bool asked = draining_ || hand_over_.contains(number);
         if (!asked && shard.phase == shard_phase::handing_over && !shard.release_sent) {
-            // The one that was to take it has gone: go on here.
+            // The handover was withdrawn, so this scheduler serves the shard again.
             shard.phase = shard_phase::serving;
         }
         if (!asked || shard.phase == shard_phase::loading) {
             continue;
         }
-        // From here on new calls are sent elsewhere, and the shard empties.
+        // In this phase new calls are refused, so that the shard becomes idle.
         shard.phase = shard_phase::handing_over;
         const bool in_use =
             journal_.busy(number) ||
