--- a/tests/program_api/journal/shard_state_test.cpp
+++ b/tests/program_api/journal/shard_state_test.cpp
@@ -75,7 +75,7 @@
                 (void)state.apply(change);
                 const program_record& root = *state.find("p");
                 RC_ASSERT(root.charged + root.reserved <= budget);
-                // Reservations are exactly those of the attempts that are under way.
+                // The root's reservation equals the sum over all open attempts.
                 token_count open = 0;
                 for (const auto& [id, program] : state.programs()) {
                     for (const auto& [number, call] : program.calls) {
@@ -94,7 +94,7 @@
         CPPUNIT_ASSERT(state.apply(fail_attempt{"p", 1, 1, ran_state::unknown}) ==
                        journal_error::none);
         CPPUNIT_ASSERT(state.apply(begin(1, 2, 10, false)) == journal_error::not_repeatable);
-        // Only the proof that it did not run lets it begin again.
+        // A new attempt is allowed only after the first one is known not to have run.
         CPPUNIT_ASSERT(state.apply(fail_attempt{"p", 1, 1, ran_state::no}) == journal_error::none);
         CPPUNIT_ASSERT(state.apply(begin(1, 2, 10, false)) == journal_error::none);
     }
@@ -109,7 +109,7 @@
     }
 
     void repeated_changes_are_harmless() {
-        check_property("a change that was applied gives none again and changes nothing", [] {
+        check_property("reapplying an applied change leaves the state unchanged", [] {
             shard_state state = with_root();
             for (const program_change& change :
                  *rc::gen::container<std::vector<program_change>>(any_change())) {
@@ -150,10 +150,10 @@
                        journal_error::stale_epoch);
         CPPUNIT_ASSERT(apply(owner_command{3, 2, program_change(begin(1, 1, 1))}) ==
                        journal_error::none);
-        // A lease decided from an older view changes nothing.
+        // An assignment with an outdated epoch is rejected.
         CPPUNIT_ASSERT(apply(assign_shard{3, 1, "c"}) != journal_error::none);
         CPPUNIT_ASSERT_EQUAL(node_name("b"), machine.lease_of(3).holder);
-        // Only lease changes move the version that nodes compare, also over a snapshot.
+        // Only lease changes advance the lease version; a snapshot preserves it.
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, machine.lease_version());
         journal_state_machine restored;
         restored.restore(machine.save());
--- a/tests/program_api/journal/trace_replay_test.cpp
+++ b/tests/program_api/journal/trace_replay_test.cpp
@@ -11,8 +11,8 @@
 
 using namespace journal;
 
-/// Replays recorded journal commands against the outcome stated beside each. A line is
-/// "command arguments = outcome", or "state shard program …" with the record's stated fields.
+/// Replays recorded journal commands and compares each result with the expected one. A line is
+/// "command arguments = outcome", or "state shard program …" with the expected record fields.
 class trace_replay_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(trace_replay_test);
     CPPUNIT_TEST(every_trace_gives_its_stated_outcomes);
