--- a/tests/program_api/scheduler/backend_http_codec_test.cpp
+++ b/tests/program_api/scheduler/backend_http_codec_test.cpp
@@ -21,7 +21,7 @@
     }
 
     void events_are_split_wherever_bytes_are_cut() {
-        check_property("any cut gives the same events", [] {
+        check_property("any split of the bytes gives the same events", [] {
             const std::string whole = render_stream_event(stream_pieces{key(), 0, {"a\n\nb"}}) +
                                       render_stream_event(stream_pieces{key(), 1, {"c"}}) +
                                       render_stream_event(stream_finished{key(), 1, 2, 0});
@@ -56,7 +56,7 @@
     }
 
     void any_bytes_are_parsed_or_refused() {
-        check_property("no input crashes a reader", [] {
+        check_property("no input crashes a parser", [] {
             const std::string noise = *any_bytes();
             (void)parse_stream_event(key(), noise);
             (void)parse_answer(poll_members{}, noise);
