--- a/src/tallyfold/program_api/journal/shard_state.cpp
+++ b/src/tallyfold/program_api/journal/shard_state.cpp
@@ -145,7 +145,8 @@
     return journal_error::none;
 }
 
-void shard_state::settle(program_record& program, call_record& call, token_count charged) {
+void shard_state::settle_reservation(program_record& program, call_record& call,
+                                     token_count charged) {
     program_record& root = root_of(program);
     // The charge is capped at the reservation: the operator bears any excess usage.
     root.charged += std::min(charged, call.reserved);
@@ -170,13 +171,13 @@
         return journal_error::none;
     }
     if (change.ran == ran_state::no) {
-        settle(*program, call, 0);
+        settle_reservation(*program, call, 0);
         call.phase = call_phase::released;
         return journal_error::none;
     }
     call.maybe_ran = true;
     // The outcome is unknown: only a repeatable request can begin again.
-    settle(*program, call, call.reserved);
+    settle_reservation(*program, call, call.reserved);
     return journal_error::none;
 }
 
@@ -196,7 +197,7 @@
     if (program->closed) {
         return journal_error::program_closed;
     }
-    settle(*program, call, change.charged);
+    settle_reservation(*program, call, change.charged);
     call.phase = call_phase::ended;
     call.result = change.result;
     for (const message& added : change.appended_history) {
@@ -208,7 +209,7 @@
 void shard_state::close_one(program_record& program, const std::string& reason) {
     for (auto& [sequence, call] : program.calls) {
         if (call.phase == call_phase::begun) {
-            settle(program, call, call.reserved);
+            settle_reservation(program, call, call.reserved);
         }
     }
     program.closed = true;
--- a/src/tallyfold/program_api/journal/shard_state.hpp
+++ b/src/tallyfold/program_api/journal/shard_state.hpp
@@ -37,7 +37,7 @@
                                     const begin_attempt& change) const;
     program_record* find_mutable(const program_id& id);
     program_record& root_of(program_record& program);
-    void settle(program_record& program, call_record& call, token_count charged);
+    void settle_reservation(program_record& program, call_record& call, token_count charged);
     void close_one(program_record& program, const std::string& reason);
     void drop_oldest_closed();
 
