--- a/src/tallyfold/program_api/journal/shard_state.cpp
+++ b/src/tallyfold/program_api/journal/shard_state.cpp
@@ -206,7 +206,7 @@
     return journal_error::none;
 }
 
-void shard_state::close_one(program_record& program, const std::string& reason) {
+void shard_state::mark_closed(program_record& program, const std::string& reason) {
     for (auto& [sequence, call] : program.calls) {
         if (call.phase == call_phase::begun) {
             settle_reservation(program, call, call.reserved);
@@ -229,10 +229,10 @@
     for (auto child = programs_.lower_bound(prefix);
          child != programs_.end() && child->first.starts_with(prefix); ++child) {
         if (!child->second.closed) {
-            close_one(child->second, "parent closed");
+            mark_closed(child->second, "parent closed");
         }
     }
-    close_one(*program, change.reason);
+    mark_closed(*program, change.reason);
     drop_oldest_closed();
     return journal_error::none;
 }
--- a/src/tallyfold/program_api/journal/shard_state.hpp
+++ b/src/tallyfold/program_api/journal/shard_state.hpp
@@ -38,7 +38,7 @@
     program_record* find_mutable(const program_id& id);
     program_record& root_of(program_record& program);
     void settle_reservation(program_record& program, call_record& call, token_count charged);
-    void close_one(program_record& program, const std::string& reason);
+    void mark_closed(program_record& program, const std::string& reason);
     void drop_oldest_closed();
 
     std::map<program_id, program_record> programs_;
