--- a/src/tallyfold/program_api/journal/shard_state.cpp
+++ b/src/tallyfold/program_api/journal/shard_state.cpp
@@ -233,11 +233,11 @@
         }
     }
     mark_closed(*program, change.reason);
-    drop_oldest_closed();
+    evict_oldest_closed();
     return journal_error::none;
 }
 
-void shard_state::drop_oldest_closed() {
+void shard_state::evict_oldest_closed() {
     while (closed_order_.size() > kept_closed_programs_per_shard) {
         const program_id oldest = closed_order_.front();
         closed_order_.pop_front();
--- a/src/tallyfold/program_api/journal/shard_state.hpp
+++ b/src/tallyfold/program_api/journal/shard_state.hpp
@@ -39,7 +39,7 @@
     program_record& root_of(program_record& program);
     void settle_reservation(program_record& program, call_record& call, token_count charged);
     void mark_closed(program_record& program, const std::string& reason);
-    void drop_oldest_closed();
+    void evict_oldest_closed();
 
     std::map<program_id, program_record> programs_;
     std::deque<program_id> closed_order_;
