--- a/src/tallyfold/program_api/journal/shard_state.cpp
+++ b/src/tallyfold/program_api/journal/shard_state.cpp
@@ -115,8 +115,8 @@
     program_record& root = root_of(*program);
     call_record& call = program->calls[change.sequence];
     // An earlier attempt that may still be running is charged its whole reservation.
-    const bool forfeited_attempt = call.attempt > 0 && call.phase == call_phase::begun;
-    const token_count forfeited = forfeited_attempt ? call.reserved : 0;
+    const bool has_unresolved_attempt = call.attempt > 0 && call.phase == call_phase::begun;
+    const token_count forfeited = has_unresolved_attempt ? call.reserved : 0;
     if (root.charged + root.reserved + change.reservation > root.budget) {
         if (call.attempt == 0) {
             program->calls.erase(change.sequence);
@@ -125,7 +125,7 @@
     }
     root.reserved = root.reserved - forfeited + change.reservation;
     root.charged += forfeited;
-    call.maybe_ran = call.maybe_ran || forfeited_attempt;
+    call.maybe_ran = call.maybe_ran || has_unresolved_attempt;
     call.sequence = change.sequence;
     call.request_identity = change.request_identity;
     call.request_hash = change.request_hash;
