--- a/src/tallyfold/program_api/journal/shard_state.cpp
+++ b/src/tallyfold/program_api/journal/shard_state.cpp
@@ -116,15 +116,15 @@
     call_record& call = program->calls[change.sequence];
     // An earlier attempt that may still be running is charged its whole reservation.
     const bool has_unresolved_attempt = call.attempt > 0 && call.phase == call_phase::begun;
-    const token_count forfeited = has_unresolved_attempt ? call.reserved : 0;
+    const token_count unresolved_reservation = has_unresolved_attempt ? call.reserved : 0;
     if (root.charged + root.reserved + change.reservation > root.budget) {
         if (call.attempt == 0) {
             program->calls.erase(change.sequence);
         }
         return journal_error::over_budget;
     }
-    root.reserved = root.reserved - forfeited + change.reservation;
-    root.charged += forfeited;
+    root.reserved = root.reserved - unresolved_reservation + change.reservation;
+    root.charged += unresolved_reservation;
     call.maybe_ran = call.maybe_ran || has_unresolved_attempt;
     call.sequence = change.sequence;
     call.request_identity = change.request_identity;
