--- a/src/tallyfold/program_api/journal/journal_state_machine.cpp
+++ b/src/tallyfold/program_api/journal/journal_state_machine.cpp
@@ -15,7 +15,7 @@
     return std::visit([&](const auto& body) { return apply_command(body, index); }, *command);
 }
 
-void journal_state_machine::note_lease_change(shard_entry& entry, std::uint64_t index) {
+void journal_state_machine::record_lease_change(shard_entry& entry, std::uint64_t index) {
     entry.lease_changed_at = index;
     lease_version_ = index;
 }
@@ -46,7 +46,7 @@
     }
     ++entry.lease.epoch;
     entry.lease.holder = command.holder;
-    note_lease_change(entry, index);
+    record_lease_change(entry, index);
     return journal_error::none;
 }
 
@@ -57,7 +57,7 @@
         return journal_error::stale_epoch;
     }
     entry.lease.holder.clear();
-    note_lease_change(entry, index);
+    record_lease_change(entry, index);
     return journal_error::none;
 }
 
--- a/src/tallyfold/program_api/journal/journal_state_machine.hpp
+++ b/src/tallyfold/program_api/journal/journal_state_machine.hpp
@@ -38,7 +38,7 @@
     journal_error apply_command(const assign_shard& command, std::uint64_t index);
     journal_error apply_command(const release_shard& command, std::uint64_t index);
     journal_error apply_command(const owner_command& command, std::uint64_t index);
-    void note_lease_change(shard_entry& entry, std::uint64_t index);
+    void record_lease_change(shard_entry& entry, std::uint64_t index);
 
     std::map<shard_id, shard_entry> shards_;
     std::uint64_t lease_version_ = 0;
