--- a/src/tallyfold/program_api/scheduler/backend_client.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_client.hpp
@@ -40,7 +40,7 @@
     void on_stream_bytes(running_order& running, const std::string& bytes);
     void on_finished(running_order& running, const net::http_event& event);
     void stop_reading(const attempt_key& key);
-    void learn_addresses(const members_answered& members);
+    void update_addresses(const members_answered& members);
     void retry_cancels();
 
     std::string members_address_;
--- a/src/tallyfold/program_api/scheduler/backend_client_shell.cpp
+++ b/src/tallyfold/program_api/scheduler/backend_client_shell.cpp
@@ -134,12 +134,12 @@
         return;
     }
     if (const auto* members = std::get_if<members_answered>(&*report)) {
-        learn_addresses(*members);
+        update_addresses(*members);
     }
     reports_.push_back(std::move(*report));
 }
 
-void backend_client::learn_addresses(const members_answered& members) {
+void backend_client::update_addresses(const members_answered& members) {
     for (const scheduling::backend_member& member : members.members) {
         addresses_[member.name] = member.address;
     }
