--- a/src/tallyfold/program_api/scheduler/backend_client_shell.cpp
+++ b/src/tallyfold/program_api/scheduler/backend_client_shell.cpp
@@ -61,14 +61,14 @@
     if (reader == readers_.end()) {
         return;
     }
-    cancels_.push_back(reader->second);
+    pending_cancels_.push_back(reader->second);
     running_.erase(reader->second);
     readers_.erase(reader);
     retry_cancels();
 }
 
 void backend_client::retry_cancels() {
-    std::erase_if(cancels_, [this](net::http_call_id id) { return client_.cancel(id); });
+    std::erase_if(pending_cancels_, [this](net::http_call_id id) { return client_.cancel(id); });
 }
 
 std::vector<backend_report> backend_client::take_reports() {
