--- a/src/tallyfold/program_api/scheduler/backend_client.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_client.hpp
@@ -49,7 +49,7 @@
     std::map<backend_name, std::string> addresses_;
     std::map<net::http_call_id, running_order> running_;
     /// HTTP call that reads the stream of each attempt.
-    std::map<attempt_key, net::http_call_id> readers_;
+    std::map<attempt_key, net::http_call_id> stream_calls_;
     std::vector<net::http_call_id> pending_cancels_;
     net::http_call_id next_call_ = 1;
     std::vector<backend_report> reports_;
--- a/src/tallyfold/program_api/scheduler/backend_client_shell.cpp
+++ b/src/tallyfold/program_api/scheduler/backend_client_shell.cpp
@@ -51,19 +51,19 @@
         return;
     }
     if (request.streamed) {
-        readers_[*key] = id;
+        stream_calls_[*key] = id;
     }
     running_[id] = {order, {}, false};
 }
 
 void backend_client::stop_reading(const attempt_key& key) {
-    const auto reader = readers_.find(key);
-    if (reader == readers_.end()) {
+    const auto reader = stream_calls_.find(key);
+    if (reader == stream_calls_.end()) {
         return;
     }
     pending_cancels_.push_back(reader->second);
     running_.erase(reader->second);
-    readers_.erase(reader);
+    stream_calls_.erase(reader);
     retry_cancels();
 }
 
@@ -91,9 +91,9 @@
     }
     on_finished(running, event);
     if (const auto key = attempt_of(running.order)) {
-        const auto reader = readers_.find(*key);
-        if (reader != readers_.end() && reader->second == event.id) {
-            readers_.erase(reader);
+        const auto reader = stream_calls_.find(*key);
+        if (reader != stream_calls_.end() && reader->second == event.id) {
+            stream_calls_.erase(reader);
         }
     }
     running_.erase(event.id);
