--- a/src/tallyfold/program_api/scheduler/backend_http_codec.cpp
+++ b/src/tallyfold/program_api/scheduler/backend_http_codec.cpp
@@ -252,18 +252,18 @@
 std::vector<std::string> event_stream_splitter::add(std::string_view bytes) {
     constexpr std::string_view separator = "\n\n";
     constexpr std::string_view prefix = "data: ";
-    rest_.append(bytes);
+    buffer_.append(bytes);
     std::vector<std::string> events;
     std::size_t begin = 0;
-    for (std::size_t end = rest_.find(separator); end != std::string::npos;
-         end = rest_.find(separator, begin)) {
-        std::string_view event(rest_.data() + begin, end - begin);
+    for (std::size_t end = buffer_.find(separator); end != std::string::npos;
+         end = buffer_.find(separator, begin)) {
+        std::string_view event(buffer_.data() + begin, end - begin);
         if (event.starts_with(prefix)) {
             events.emplace_back(event.substr(prefix.size()));
         }
         begin = end + separator.size();
     }
-    rest_.erase(0, begin);
+    buffer_.erase(0, begin);
     return events;
 }
 
--- a/src/tallyfold/program_api/scheduler/backend_http_codec.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_http_codec.hpp
@@ -52,7 +52,7 @@
     std::vector<std::string> add(std::string_view bytes);
 
   private:
-    std::string rest_;
+    std::string buffer_;
 };
 
 std::string_view to_string(scheduling::backend_kind kind);
