--- a/src/tallyfold/program_api/scheduler/backend_http_codec.cpp
+++ b/src/tallyfold/program_api/scheduler/backend_http_codec.cpp
@@ -216,14 +216,14 @@
     return report_no_answer(order, true);
 }
 
-std::optional<backend_report> report_no_answer(const backend_order& order, bool handed_over) {
-    const failure_kind kind = handed_over ? failure_kind::broken : failure_kind::unreachable;
+std::optional<backend_report> report_no_answer(const backend_order& order, bool delivered) {
+    const failure_kind kind = delivered ? failure_kind::broken : failure_kind::unreachable;
     if (std::holds_alternative<start_stream>(order) || std::holds_alternative<run_request>(order)) {
         return attempt_failed{*attempt_of(order), kind};
     }
     if (const auto* resume = std::get_if<resume_stream>(&order)) {
         return attempt_failed{resume->key,
-                              handed_over ? failure_kind::broken : failure_kind::unknown_stream};
+                              delivered ? failure_kind::broken : failure_kind::unknown_stream};
     }
     if (const auto* seal = std::get_if<seal_request>(&order)) {
         return seal_failed{seal->key};
--- a/src/tallyfold/program_api/scheduler/backend_http_codec.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_http_codec.hpp
@@ -40,8 +40,8 @@
 /// Report for an order whose response has an error status.
 std::optional<backend_report> report_refusal(const backend_order& order, int status);
 /// Report for an order without a response.
-/// @param handed_over false if no connection was made, so that the order was not delivered
-std::optional<backend_report> report_no_answer(const backend_order& order, bool handed_over);
+/// @param delivered false if no connection was made, so that the order was not delivered
+std::optional<backend_report> report_no_answer(const backend_order& order, bool delivered);
 /// Decodes one stream event to stream_pieces, stream_finished or attempt_failed.
 codec_result<backend_report> parse_stream_event(const attempt_key& key, std::string_view text);
 
