--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -41,13 +41,13 @@
     if (call == nullptr || call->state != call_state::running) {
         return;
     }
-    const bool told_so =
+    const bool refused_by_backend =
         failed.kind == failure_kind::refused || failed.kind == failure_kind::leaving;
-    if (!told_so) {
+    if (!refused_by_backend) {
         count_backend_failure(*call, now);
     }
     call->free_retry = failed.kind == failure_kind::leaving;
-    if (told_so || failed.kind == failure_kind::unreachable) {
+    if (refused_by_backend || failed.kind == failure_kind::unreachable) {
         // The back end refused the attempt or never received it, so it has not run.
         release_slot(*call);
         journal_failure(*call, ran_state::no, now);
