--- a/src/tallyfold/program_api/scheduler/backends.cpp
+++ b/src/tallyfold/program_api/scheduler/backends.cpp
@@ -11,7 +11,7 @@
 
 using logging::event_id;
 
-constexpr duration release_patience = std::chrono::milliseconds(500);
+constexpr duration initial_release_retry_delay = std::chrono::milliseconds(500);
 constexpr duration max_release_retry_delay = std::chrono::seconds(10);
 
 }  // namespace
@@ -113,7 +113,8 @@
                   "backend=" + key.first + " program=" + key.second);
         }
         const std::uint32_t doublings = std::min(release.tries, 5U);
-        release.next = now + std::min(release_patience * (1 << doublings), max_release_retry_delay);
+        release.next =
+            now + std::min(initial_release_retry_delay * (1 << doublings), max_release_retry_delay);
         ++release.tries;
         due[key.first].push_back(key.second);
     }
