--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -21,7 +21,7 @@
 /// Maximum number of resumes of one attempt; after that the attempt counts as failed.
 constexpr std::uint32_t resume_limit = 2;
 /// Initial delay between seal requests for one attempt; doubled each time, up to the limit.
-constexpr duration seal_patience = std::chrono::milliseconds(300);
+constexpr duration initial_seal_retry_delay = std::chrono::milliseconds(300);
 constexpr duration max_seal_retry_delay = std::chrono::seconds(3);
 /// Time after which callers of a request with an unknown outcome get outcome_unknown. Must stay
 /// below the callers' inactivity timeout. Seal requests continue after that.
@@ -177,7 +177,8 @@
         return;
     }
     const std::uint32_t doublings = std::min(call.seal_tries, 4U);
-    call.next_try = now + std::min(seal_patience * (1 << doublings), max_seal_retry_delay);
+    call.next_try =
+        now + std::min(initial_seal_retry_delay * (1 << doublings), max_seal_retry_delay);
     ++call.seal_tries;
     if (now - call.resolving_since > resolving_patience && !call.waiters.empty()) {
         outcome result;
