--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -25,7 +25,7 @@
 constexpr duration max_seal_retry_delay = std::chrono::seconds(3);
 /// Time after which callers of a request with an unknown outcome get outcome_unknown. Must stay
 /// below the callers' inactivity timeout. Seal requests continue after that.
-constexpr duration resolving_patience = std::chrono::seconds(4);
+constexpr duration unknown_outcome_delay = std::chrono::seconds(4);
 /// Retry delay suggested to these callers.
 constexpr std::uint32_t unknown_retry_after_ms = 1000;
 
@@ -180,7 +180,7 @@
     call.next_try =
         now + std::min(initial_seal_retry_delay * (1 << doublings), max_seal_retry_delay);
     ++call.seal_tries;
-    if (now - call.resolving_since > resolving_patience && !call.waiters.empty()) {
+    if (now - call.resolving_since > unknown_outcome_delay && !call.waiters.empty()) {
         outcome result;
         result.code = answer_code::outcome_unknown;
         result.ran = ran_state::unknown;
