--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -17,7 +17,7 @@
 using logging::event_id;
 
 /// Delay before a broken stream is resumed, so that the connection can recover.
-constexpr duration resume_pause = std::chrono::milliseconds(100);
+constexpr duration resume_delay = std::chrono::milliseconds(100);
 /// Maximum number of resumes of one attempt; after that the attempt counts as failed.
 constexpr std::uint32_t resume_limit = 2;
 /// Initial delay between seal requests for one attempt; doubled each time, up to the limit.
@@ -59,7 +59,7 @@
         event(event_id::call_resumed,
               describe(failed.key) + " offset=" + std::to_string(call->pieces.size()));
         call->state = call_state::resuming;
-        call->next_try = now + resume_pause;
+        call->next_try = now + resume_delay;
         return;
     }
     release_slot(*call);
