--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -19,7 +19,7 @@
 /// Delay before a broken stream is resumed, so that the connection can recover.
 constexpr duration resume_delay = std::chrono::milliseconds(100);
 /// Maximum number of resumes of one attempt; after that the attempt counts as failed.
-constexpr std::uint32_t resume_limit = 2;
+constexpr std::uint32_t max_resumes = 2;
 /// Initial delay between seal requests for one attempt; doubled each time, up to the limit.
 constexpr duration initial_seal_retry_delay = std::chrono::milliseconds(300);
 constexpr duration max_seal_retry_delay = std::chrono::seconds(3);
@@ -91,7 +91,7 @@
 
 bool scheduler_core::may_resume(const active_call& call, failure_kind kind) {
     return call.request.kind == call_kind::model && kind == failure_kind::broken &&
-           call.resumes < resume_limit && pool_for(call.request.kind).find(call.target) != nullptr;
+           call.resumes < max_resumes && pool_for(call.request.kind).find(call.target) != nullptr;
 }
 
 void scheduler_core::start_resolving(active_call& call, instant now) {
