--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -15,7 +15,7 @@
 
 /// Time after which the contents of a shard are requested again: several round trips between
 /// zones.
-constexpr duration shard_read_patience = std::chrono::milliseconds(300);
+constexpr duration shard_read_timeout = std::chrono::milliseconds(300);
 /// Retry delay suggested to callers of a program that has moved: the interval at which leaders
 /// review the leases.
 constexpr std::uint32_t moved_retry_after_ms = 100;
@@ -58,7 +58,7 @@
 
 void scheduler_core::load_shards(instant now) {
     for (auto& [number, shard] : shards_) {
-        if (shard.phase != shard_phase::loading || now < shard.asked + shard_read_patience) {
+        if (shard.phase != shard_phase::loading || now < shard.asked + shard_read_timeout) {
             continue;
         }
         shard.asked = now;
