--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -20,7 +20,7 @@
 /// review the leases.
 constexpr std::uint32_t moved_retry_after_ms = 100;
 
-journal::outcome moved(journal::ran_state ran) {
+journal::outcome program_moved(journal::ran_state ran) {
     journal::outcome result;
     result.code = journal::answer_code::owner_changed;
     result.ran = ran;
@@ -124,7 +124,8 @@
     // A begin_attempt sent to the journal may be committed later, so only a call that is still
     // queued is known not to have run.
     const bool untouched = call.state == call_state::queued && !call.maybe_ran;
-    reply_all(call, moved(untouched ? journal::ran_state::no : journal::ran_state::unknown));
+    reply_all(call,
+              program_moved(untouched ? journal::ran_state::no : journal::ran_state::unknown));
     if (call.state == call_state::running && call.request.kind == journal::call_kind::model) {
         order(cancel_stream{call.target, key_of(call)});
     }
@@ -133,7 +134,7 @@
 
 void scheduler_core::forget_programs(shard_id number) {
     // Programs whose opening or closing is not yet committed have waiters too.
-    const journal::outcome answer = moved(journal::ran_state::unknown);
+    const journal::outcome answer = program_moved(journal::ran_state::unknown);
     std::erase_if(programs_, [&](const auto& entry) {
         if (shard_number(entry.first) != number) {
             return false;
