--- a/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
@@ -39,7 +39,7 @@
     if (command == nullptr) {
         // The command was release_shard.
         lose_shard(finished.key.shard);
-        hand_over_.erase(finished.key.shard);
+        shards_to_hand_over_.erase(finished.key.shard);
         return;
     }
     if (finished.result == journal_error::none) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -361,7 +361,7 @@
     std::map<backend_name, std::uint64_t> last_cache_event_;
 
     std::map<shard_id, owned_shard> shards_;
-    std::set<shard_id> hand_over_;
+    std::set<shard_id> shards_to_hand_over_;
     std::map<program_id, program_runtime> programs_;
     std::map<scheduling::ticket, active_call> calls_;
     std::map<program_id, scheduling::ticket> call_of_program_;
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -50,9 +50,9 @@
             event(event_id::shard_assigned,
                   "shard=" + std::to_string(shard) + " epoch=" + std::to_string(lease.epoch));
         }
-        hand_over_.erase(shard);
+        shards_to_hand_over_.erase(shard);
     }
-    hand_over_.insert(update.hand_over.begin(), update.hand_over.end());
+    shards_to_hand_over_.insert(update.hand_over.begin(), update.hand_over.end());
     load_shards(now);
 }
 
@@ -161,7 +161,7 @@
 
 void scheduler_core::release_idle_shards(instant now) {
     for (auto& [number, shard] : shards_) {
-        const bool asked = draining_ || hand_over_.contains(number);
+        const bool asked = draining_ || shards_to_hand_over_.contains(number);
         if (!asked && shard.phase == shard_phase::handing_over && !shard.release_sent) {
             // The handover was withdrawn, so this scheduler serves the shard again.
             shard.phase = shard_phase::serving;
