--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -209,7 +209,7 @@
     pump(now);
 }
 
-void scheduler_core::forgive_gap(instant now) {
+void scheduler_core::reset_activity_after_pause(instant now) {
     if (last_tick_ != instant{} && now - last_tick_ > longest_tick_gap) {
         // The process was paused and received nothing, so idle times must not count the gap.
         for (auto& [id, runtime] : programs_) {
@@ -220,7 +220,7 @@
 }
 
 void scheduler_core::tick(instant now) {
-    forgive_gap(now);
+    reset_activity_after_pause(now);
     for (protocol::outbound_message& heartbeat : session_.tick(now)) {
         output_.messages.push_back(std::move(heartbeat));
     }
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -232,7 +232,7 @@
     void on_members(const members_answered& list);
     void repeat_cache_releases(instant now);
     void check_running_calls(instant now);
-    void forgive_gap(instant now);
+    void reset_activity_after_pause(instant now);
     void reap_programs(instant now);
 
     // Commands (commands/*.cpp).
