--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -11,7 +11,7 @@
 using logging::event_id;
 
 constexpr duration housekeeping_interval = std::chrono::seconds(1);
-constexpr duration longest_tick_gap = std::chrono::milliseconds(500);
+constexpr duration max_tick_gap = std::chrono::milliseconds(500);
 constexpr std::size_t kept_decisions = 64;
 constexpr std::uint32_t shortest_retry_after_ms = 100;
 constexpr std::uint32_t longest_retry_after_ms = 10'000;
@@ -210,7 +210,7 @@
 }
 
 void scheduler_core::reset_activity_after_pause(instant now) {
-    if (last_tick_ != instant{} && now - last_tick_ > longest_tick_gap) {
+    if (last_tick_ != instant{} && now - last_tick_ > max_tick_gap) {
         // The process was paused and received nothing, so idle times must not count the gap.
         for (auto& [id, runtime] : programs_) {
             runtime.last_activity = now;
