--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -219,7 +219,7 @@
     /// Drops a call of a lost shard and tells its callers that the program has moved.
     void drop_moved_call(scheduling::ticket id);
     /// Removes the programs of a lost shard and answers the callers that open or close them.
-    void forget_programs(shard_id shard);
+    void remove_programs(shard_id shard);
     void load_shards(instant now);
     void release_idle_shards(instant now);
     void compile_policies();
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -115,7 +115,7 @@
     for (const scheduling::ticket id : lost) {
         drop_moved_call(id);
     }
-    forget_programs(number);
+    remove_programs(number);
     shards_.erase(found);
 }
 
@@ -132,7 +132,7 @@
     drop_call(id);
 }
 
-void scheduler_core::forget_programs(shard_id number) {
+void scheduler_core::remove_programs(shard_id number) {
     // Programs whose opening or closing is not yet committed have waiters too.
     const journal::outcome answer = program_moved(journal::ran_state::unknown);
     std::erase_if(programs_, [&](const auto& entry) {
