--- a/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
@@ -236,7 +236,7 @@
         runtime.points.empty() ? 0.0 : static_cast<double>(runtime.points.back().tokens);
     features.turns = program.last_sequence;
     features.started_ms =
-        static_cast<double>(to_milliseconds(runtime.first_heard.time_since_epoch()));
+        static_cast<double>(to_milliseconds(runtime.first_seen.time_since_epoch()));
     features.attained_tokens = static_cast<double>(attained(program));
     features.mean_pause_ms =
         runtime.pauses == 0
--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -33,7 +33,7 @@
     const auto runtime = programs_.find(program.root);
     if (runtime != programs_.end()) {
         features.started_ms =
-            static_cast<double>(to_milliseconds(runtime->second.first_heard.time_since_epoch()));
+            static_cast<double>(to_milliseconds(runtime->second.first_seen.time_since_epoch()));
     }
     features.prompt_tokens = static_cast<double>(call.prompt_tokens);
     features.max_tokens = static_cast<double>(call.request.max_tokens);
--- a/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
@@ -125,8 +125,8 @@
     }
     program_runtime& runtime = programs_[wanted.id];
     runtime.last_activity = now;
-    if (runtime.first_heard == instant{}) {
-        runtime.first_heard = now;
+    if (runtime.first_seen == instant{}) {
+        runtime.first_seen = now;
     }
     runtime.open_waiters.push_back(asker);
     if (runtime.open_waiters.size() > 1) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -193,7 +193,7 @@
 
     /// Volatile state of a program besides its record; discarded if the shard is lost.
     struct program_runtime {
-        instant first_heard{};
+        instant first_seen{};
         instant last_activity{};
         instant last_end{};
         duration pause_total{};
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -85,7 +85,7 @@
     shard.phase = shard_phase::serving;
     for (const auto& [id, program] : shard.state.programs()) {
         programs_[id].last_activity = now;
-        programs_[id].first_heard = now;
+        programs_[id].first_seen = now;
         if (program.closed) {
             // The previous owner may have lost the shard before the cache release was confirmed.
             queue_cache_release(id, now);
