--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -12,7 +12,7 @@
 
 constexpr duration housekeeping_interval = std::chrono::seconds(1);
 constexpr duration max_tick_gap = std::chrono::milliseconds(500);
-constexpr std::size_t kept_decisions = 64;
+constexpr std::size_t max_decisions = 64;
 constexpr std::uint32_t shortest_retry_after_ms = 100;
 constexpr std::uint32_t longest_retry_after_ms = 10'000;
 /// Estimated time per queued call, for the suggested retry delay.
@@ -97,7 +97,7 @@
                           instant now) {
     auto& journey = programs_[id].journey;
     journey.push_back({now, sequence, std::move(text)});
-    if (journey.size() > kept_decisions) {
+    if (journey.size() > max_decisions) {
         journey.pop_front();
     }
 }
