--- a/src/tallyfold/program_api/scheduler/queries/inspect_program.cpp
+++ b/src/tallyfold/program_api/scheduler/queries/inspect_program.cpp
@@ -39,7 +39,7 @@
     view["journey"] = nlohmann::json::array();
     const auto runtime = programs_.find(program->id);
     if (runtime != programs_.end()) {
-        for (const decision& step : runtime->second.journey) {
+        for (const decision& step : runtime->second.decisions) {
             view["journey"].push_back({{"milliseconds_ago", to_milliseconds(now - step.at)},
                                        {"sequence", step.sequence},
                                        {"decision", step.text}});
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -95,10 +95,10 @@
 
 void scheduler_core::note(const program_id& id, sequence_number sequence, std::string text,
                           instant now) {
-    auto& journey = programs_[id].journey;
-    journey.push_back({now, sequence, std::move(text)});
-    if (journey.size() > max_decisions) {
-        journey.pop_front();
+    auto& decisions = programs_[id].decisions;
+    decisions.push_back({now, sequence, std::move(text)});
+    if (decisions.size() > max_decisions) {
+        decisions.pop_front();
     }
 }
 
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -200,7 +200,7 @@
         std::uint32_t pauses = 0;
         std::vector<scheduling::prefix_point> points;
         std::size_t points_messages = 0;
-        std::deque<decision> journey;
+        std::deque<decision> decisions;
         refusal_record refused;
         std::vector<waiter> open_waiters;
         std::vector<waiter> close_waiters;
