--- a/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
@@ -77,8 +77,8 @@
         result.detail = "the program could not be opened";
     }
     program_runtime& runtime = programs_[opened.id];
-    for (const waiter& asker : runtime.open_waiters) {
-        reply(asker, result);
+    for (const waiter& requester : runtime.open_waiters) {
+        reply(requester, result);
     }
     runtime.open_waiters.clear();
 }
@@ -131,9 +131,9 @@
     forwarded.pieces.assign(pieces.pieces.begin() + static_cast<std::ptrdiff_t>(known),
                             pieces.pieces.end());
     call->pieces.insert(call->pieces.end(), forwarded.pieces.begin(), forwarded.pieces.end());
-    for (const waiter& asker : call->waiters) {
-        forwarded.correlation = asker.correlation;
-        output_.messages.push_back({asker.gateway, forwarded});
+    for (const waiter& requester : call->waiters) {
+        forwarded.correlation = requester.correlation;
+        output_.messages.push_back({requester.gateway, forwarded});
     }
 }
 
--- a/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
@@ -31,15 +31,16 @@
     return active != nullptr && is_same_request(active->request, *repeated);
 }
 
-void scheduler_core::on_call(const waiter& asker, const protocol::program_call& call,
+void scheduler_core::on_call(const waiter& requester, const protocol::program_call& call,
                              owned_shard& shard, shard_id number, instant now) {
     const journal::program_record* program = shard.state.find(call.program);
     if (program == nullptr) {
-        reply(asker, refusal(answer_code::program_not_found, "no such program; open one first"));
+        reply(requester,
+              refusal(answer_code::program_not_found, "no such program; open one first"));
         return;
     }
-    if (join_active(asker, call) || answer_from_record(asker, call, *program) ||
-        repeat_refusal(asker, call)) {
+    if (join_active(requester, call) || answer_from_record(requester, call, *program) ||
+        repeat_refusal(requester, call)) {
         return;
     }
     if (std::optional<outcome> refused = refuse_call(call, *program, now)) {
@@ -54,10 +55,10 @@
             refused->ran = ran_state::unknown;
         }
         remember_refusal(call, *refused);
-        reply(asker, *refused);
+        reply(requester, *refused);
         return;
     }
-    admit(asker, call, *program, number, now);
+    admit(requester, call, *program, number, now);
 }
 
 void scheduler_core::remember_refusal(const protocol::program_call& call, const outcome& result) {
@@ -66,25 +67,25 @@
     }
 }
 
-bool scheduler_core::repeat_refusal(const waiter& asker, const protocol::program_call& call) {
+bool scheduler_core::repeat_refusal(const waiter& requester, const protocol::program_call& call) {
     // The caller was told that a submission did not run. An older submission that arrives after
     // it must not run either.
     const refusal_record& last = programs_[call.program].refused;
     if (last.sequence != call.sequence || call.submission > last.submission) {
         return false;
     }
-    reply(asker, last.result);
+    reply(requester, last.result);
     return true;
 }
 
-bool scheduler_core::join_active(const waiter& asker, const protocol::program_call& call) {
+bool scheduler_core::join_active(const waiter& requester, const protocol::program_call& call) {
     active_call* active = call_of(call.program);
     if (active == nullptr) {
         return false;
     }
     if (!is_same_request(active->request, call)) {
         const bool same_sequence = active->request.sequence == call.sequence;
-        reply(asker,
+        reply(requester,
               refusal(same_sequence ? answer_code::identity_conflict
                                     : answer_code::sequence_out_of_order,
                       same_sequence
@@ -94,15 +95,15 @@
     }
     // A repeated request waits for the outcome of the active call.
     active->request.submission = std::max(active->request.submission, call.submission);
-    active->waiters.push_back(asker);
+    active->waiters.push_back(requester);
     if (!active->pieces.empty()) {
         output_.messages.push_back(
-            {asker.gateway, protocol::answer_pieces{asker.correlation, 0, active->pieces}});
+            {requester.gateway, protocol::answer_pieces{requester.correlation, 0, active->pieces}});
     }
     return true;
 }
 
-bool scheduler_core::answer_from_record(const waiter& asker, const protocol::program_call& call,
+bool scheduler_core::answer_from_record(const waiter& requester, const protocol::program_call& call,
                                         const journal::program_record& program) {
     const auto found = program.calls.find(call.sequence);
     if (found == program.calls.end()) {
@@ -112,21 +113,22 @@
         outcome expired = refusal(answer_code::answer_expired,
                                   "the call ended long ago and its answer is no longer kept");
         expired.ran = ran_state::yes;
-        reply(asker, std::move(expired));
+        reply(requester, std::move(expired));
         return true;
     }
     const journal::call_record& record = found->second;
     const bool same = record.request_identity == call.request_identity &&
                       record.request_hash == call.request_hash;
     if (!same) {
-        reply(asker, refusal(answer_code::identity_conflict,
-                             "the sequence number belongs to another request; use the next one"));
+        reply(requester,
+              refusal(answer_code::identity_conflict,
+                      "the sequence number belongs to another request; use the next one"));
         return true;
     }
     if (record.phase != journal::call_phase::ended) {
         return false;
     }
-    reply(asker, record.result);
+    reply(requester, record.result);
     return true;
 }
 
@@ -187,7 +189,7 @@
     return std::nullopt;
 }
 
-void scheduler_core::admit(const waiter& asker, const protocol::program_call& call,
+void scheduler_core::admit(const waiter& requester, const protocol::program_call& call,
                            const journal::program_record& program, shard_id number, instant now) {
     active_call& active = calls_[next_ticket_];
     active.id = next_ticket_++;
@@ -195,7 +197,7 @@
     active.epoch = shards_.at(number).epoch;
     active.root = program.root;
     active.request = call;
-    active.waiters.push_back(asker);
+    active.waiters.push_back(requester);
     active.pieces = call.delivered;
     active.arrived = now;
     active.last_progress = now;
--- a/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
@@ -43,7 +43,7 @@
 
 void scheduler_core::on_request(const node_name& from, const protocol::scheduler_request& request,
                                 instant now) {
-    const waiter asker{from, request.correlation};
+    const waiter requester{from, request.correlation};
     const program_id id = program_of(request.call);
     const shard_id number = shard_number(id);
     const auto found = shards_.find(number);
@@ -52,41 +52,41 @@
         found != shards_.end() && (found->second.phase == shard_phase::serving ||
                                    (found->second.phase != shard_phase::loading && joins));
     if (!serves) {
-        reply(asker, refusal(answer_code::owner_changed,
-                             "this scheduler does not own the program; ask its owner",
-                             owner_retry_after_ms));
+        reply(requester, refusal(answer_code::owner_changed,
+                                 "this scheduler does not own the program; ask its owner",
+                                 owner_retry_after_ms));
         return;
     }
     if (const auto* inspect = std::get_if<protocol::inspect_call>(&request.call)) {
-        on_inspect(asker, *inspect, found->second, now);
+        on_inspect(requester, *inspect, found->second, now);
         return;
     }
     const group_id group = journal::group_of_shard(number, settings_.journal_groups);
     if (!session_.lease_valid(group, now) && !repeats_active(request.call)) {
         // Without a valid lease this copy may be stale, so no refusal may be based on it.
-        reply(asker, refusal(answer_code::owner_changed,
-                             "this scheduler cannot confirm that it still owns the program",
-                             owner_retry_after_ms));
+        reply(requester, refusal(answer_code::owner_changed,
+                                 "this scheduler cannot confirm that it still owns the program",
+                                 owner_retry_after_ms));
         return;
     }
     touch(id, now);
-    run_command(asker, request.call, found->second, number, now);
+    run_command(requester, request.call, found->second, number, now);
 }
 
-void scheduler_core::run_command(const waiter& asker, const protocol::scheduler_call& command,
+void scheduler_core::run_command(const waiter& requester, const protocol::scheduler_call& command,
                                  owned_shard& shard, shard_id number, instant now) {
     if (const auto* call = std::get_if<protocol::program_call>(&command)) {
-        on_call(asker, *call, shard, number, now);
+        on_call(requester, *call, shard, number, now);
         return;
     }
     if (!session_.configuration_fresh(now)) {
-        reply(asker, stale_configuration());
+        reply(requester, stale_configuration());
         return;
     }
     if (const auto* open = std::get_if<protocol::open_call>(&command)) {
-        on_open(asker, *open, shard, number, now);
+        on_open(requester, *open, shard, number, now);
     } else if (const auto* close = std::get_if<protocol::close_call>(&command)) {
-        on_close(asker, *close, shard, number, now);
+        on_close(requester, *close, shard, number, now);
     }
 }
 
@@ -100,26 +100,26 @@
     }
 }
 
-void scheduler_core::on_open(const waiter& asker, const protocol::open_call& call,
+void scheduler_core::on_open(const waiter& requester, const protocol::open_call& call,
                              owned_shard& shard, shard_id number, instant now) {
     const journal::open_program& wanted = call.program;
     if (std::optional<outcome> refused = refuse_open(wanted)) {
-        reply(asker, std::move(*refused));
+        reply(requester, std::move(*refused));
         return;
     }
     if (const journal::program_record* existing = shard.state.find(wanted.id)) {
         const bool same = existing->request_identity == wanted.request_identity;
-        reply(asker, same ? success(wanted.id)
-                          : refusal(answer_code::identity_conflict,
-                                    "the program's identifier is taken by another request"));
+        reply(requester, same ? success(wanted.id)
+                              : refusal(answer_code::identity_conflict,
+                                        "the program's identifier is taken by another request"));
         return;
     }
     if (wanted.root != wanted.id) {
         const journal::program_record* root = shard.state.find(wanted.root);
         if (root == nullptr || root->closed) {
-            reply(asker, refusal(root == nullptr ? answer_code::program_not_found
-                                                 : answer_code::program_closed,
-                                 "the parent program is not open"));
+            reply(requester, refusal(root == nullptr ? answer_code::program_not_found
+                                                     : answer_code::program_closed,
+                                     "the parent program is not open"));
             return;
         }
     }
@@ -128,7 +128,7 @@
     if (runtime.first_seen == instant{}) {
         runtime.first_seen = now;
     }
-    runtime.open_waiters.push_back(asker);
+    runtime.open_waiters.push_back(requester);
     if (runtime.open_waiters.size() > 1) {
         return;
     }
@@ -158,19 +158,19 @@
     return std::nullopt;
 }
 
-void scheduler_core::on_close(const waiter& asker, const protocol::close_call& call,
+void scheduler_core::on_close(const waiter& requester, const protocol::close_call& call,
                               owned_shard& shard, shard_id number, instant now) {
     const journal::program_record* program = shard.state.find(call.program);
     if (program == nullptr) {
-        reply(asker, refusal(answer_code::program_not_found, "no such program"));
+        reply(requester, refusal(answer_code::program_not_found, "no such program"));
         return;
     }
     if (program->closed) {
-        reply(asker, success(program->close_reason));
+        reply(requester, success(program->close_reason));
         return;
     }
     program_runtime& runtime = programs_[call.program];
-    runtime.close_waiters.push_back(asker);
+    runtime.close_waiters.push_back(requester);
     if (runtime.close_waiters.size() == 1) {
         close_program(call.program, number, "closed by the caller", now);
     }
@@ -217,8 +217,8 @@
         if (runtime == programs_.end()) {
             continue;
         }
-        for (const waiter& asker : runtime->second.close_waiters) {
-            reply(asker, success(change.reason));
+        for (const waiter& requester : runtime->second.close_waiters) {
+            reply(requester, success(change.reason));
         }
         // The decisions stay available for inspection; the rest is freed.
         runtime->second.close_waiters.clear();
--- a/src/tallyfold/program_api/scheduler/queries/inspect_program.cpp
+++ b/src/tallyfold/program_api/scheduler/queries/inspect_program.cpp
@@ -7,14 +7,14 @@
 
 namespace tallyfold::scheduler {
 
-void scheduler_core::on_inspect(const waiter& asker, const protocol::inspect_call& call,
+void scheduler_core::on_inspect(const waiter& requester, const protocol::inspect_call& call,
                                 const owned_shard& shard, instant now) {
     const journal::program_record* program = shard.state.find(call.program);
     journal::outcome result;
     if (program == nullptr) {
         result.code = journal::answer_code::program_not_found;
         result.detail = "no such program";
-        reply(asker, std::move(result));
+        reply(requester, std::move(result));
         return;
     }
     nlohmann::json view;
@@ -47,7 +47,7 @@
     }
     result.ran = journal::ran_state::yes;
     result.answer = view.dump();
-    reply(asker, std::move(result));
+    reply(requester, std::move(result));
 }
 
 }  // namespace tallyfold::scheduler
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -75,20 +75,20 @@
     return {call.shard, call.epoch, call.root};
 }
 
-void scheduler_core::reply(const waiter& asker, journal::outcome result) {
+void scheduler_core::reply(const waiter& requester, journal::outcome result) {
     if (result.code != journal::answer_code::ok && result.ran == journal::ran_state::no) {
         ++counters_.calls_refused;
     }
     output_.messages.push_back(
-        {asker.gateway, protocol::scheduler_reply{asker.correlation, std::move(result)}});
+        {requester.gateway, protocol::scheduler_reply{requester.correlation, std::move(result)}});
 }
 
 void scheduler_core::reply_all(active_call& call, const journal::outcome& result) {
     if (result.code != journal::answer_code::ok) {
         remember_refusal(call.request, result);
     }
-    for (const waiter& asker : call.waiters) {
-        reply(asker, result);
+    for (const waiter& requester : call.waiters) {
+        reply(requester, result);
     }
     call.waiters.clear();
 }
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -237,25 +237,25 @@
 
     // Commands (commands/*.cpp).
     void on_request(const node_name& from, const protocol::scheduler_request& request, instant now);
-    void run_command(const waiter& asker, const protocol::scheduler_call& command,
+    void run_command(const waiter& requester, const protocol::scheduler_call& command,
                      owned_shard& shard, shard_id number, instant now);
     /// True if `call` repeats an active call, so that it may wait for the same outcome.
     bool repeats_active(const protocol::scheduler_call& call);
     void touch(const program_id& id, instant now);
-    void on_open(const waiter& asker, const protocol::open_call& call, owned_shard& shard,
+    void on_open(const waiter& requester, const protocol::open_call& call, owned_shard& shard,
                  shard_id number, instant now);
     /// Refusal of an opening by the configuration alone, without regard to the shard's state.
     [[nodiscard]] std::optional<journal::outcome> refuse_open(
         const journal::open_program& wanted) const;
-    void on_call(const waiter& asker, const protocol::program_call& call, owned_shard& shard,
+    void on_call(const waiter& requester, const protocol::program_call& call, owned_shard& shard,
                  shard_id number, instant now);
-    void on_close(const waiter& asker, const protocol::close_call& call, owned_shard& shard,
+    void on_close(const waiter& requester, const protocol::close_call& call, owned_shard& shard,
                   shard_id number, instant now);
-    bool answer_from_record(const waiter& asker, const protocol::program_call& call,
+    bool answer_from_record(const waiter& requester, const protocol::program_call& call,
                             const journal::program_record& program);
-    bool join_active(const waiter& asker, const protocol::program_call& call);
+    bool join_active(const waiter& requester, const protocol::program_call& call);
     void remember_refusal(const protocol::program_call& call, const journal::outcome& result);
-    bool repeat_refusal(const waiter& asker, const protocol::program_call& call);
+    bool repeat_refusal(const waiter& requester, const protocol::program_call& call);
     std::optional<journal::outcome> refuse_call(const protocol::program_call& call,
                                                 const journal::program_record& program,
                                                 instant now);
@@ -264,7 +264,7 @@
                                                       const journal::program_record& program,
                                                       const configuration::class_settings& settings,
                                                       const configuration::tenant_settings& tenant);
-    void admit(const waiter& asker, const protocol::program_call& call,
+    void admit(const waiter& requester, const protocol::program_call& call,
                const journal::program_record& program, shard_id number, instant now);
     /// Adds the time since the program's previous call ended to its pauses.
     void add_pause(const program_id& id, instant now);
@@ -319,7 +319,7 @@
     void retry_or_give_up(active_call& call, instant now);
 
     // Queries (queries/inspect_program.cpp).
-    void on_inspect(const waiter& asker, const protocol::inspect_call& call,
+    void on_inspect(const waiter& requester, const protocol::inspect_call& call,
                     const owned_shard& shard, instant now);
 
     // Helpers.
@@ -331,7 +331,7 @@
     [[nodiscard]] token_count budget_left(const journal::program_record& program) const;
     [[nodiscard]] attempt_key key_of(const active_call& call) const;
     [[nodiscard]] append_key append_key_of(const active_call& call) const;
-    void reply(const waiter& asker, journal::outcome result);
+    void reply(const waiter& requester, journal::outcome result);
     void reply_all(active_call& call, const journal::outcome& result);
     void note(const program_id& id, sequence_number sequence, std::string text, instant now);
     void event(logging::event_id id, std::string fields);
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -139,11 +139,11 @@
         if (shard_number(entry.first) != number) {
             return false;
         }
-        for (const waiter& asker : entry.second.open_waiters) {
-            reply(asker, answer);
+        for (const waiter& requester : entry.second.open_waiters) {
+            reply(requester, answer);
         }
-        for (const waiter& asker : entry.second.close_waiters) {
-            reply(asker, answer);
+        for (const waiter& requester : entry.second.close_waiters) {
+            reply(requester, answer);
         }
         return true;
     });
