--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -84,12 +84,12 @@
 
 void scheduler_core::pump(instant now) {
     for (const call_kind kind : all_kinds) {
-        while (pump_kind(kind, now)) {
+        while (dispatch_next(kind, now)) {
         }
     }
 }
 
-bool scheduler_core::pump_kind(call_kind kind, instant now) {
+bool scheduler_core::dispatch_next(call_kind kind, instant now) {
     for (const scheduling::ticket id : queue_for(kind).next(lookahead)) {
         if (try_begin(calls_.at(id), now)) {
             return true;
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -277,7 +277,7 @@
 
     // Dispatch (commands/dispatch.cpp).
     void pump(instant now);
-    bool pump_kind(journal::call_kind kind, instant now);
+    bool dispatch_next(journal::call_kind kind, instant now);
     bool try_begin(active_call& call, instant now);
     std::optional<backend_name> choose_backend(active_call& call, instant now);
     void begin(active_call& call, const backend_name& target, instant now);
