--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -82,7 +82,7 @@
     ++waiting_of_class_[program->program_class];
 }
 
-void scheduler_core::pump(instant now) {
+void scheduler_core::dispatch_queued(instant now) {
     for (const call_kind kind : all_kinds) {
         while (dispatch_next(kind, now)) {
         }
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -172,7 +172,7 @@
             on_append_finished(*finished, now);
         }
     }
-    pump(now);
+    dispatch_queued(now);
 }
 
 void scheduler_core::report(const backend_report& report, instant now) {
@@ -206,7 +206,7 @@
             }
         },
         report);
-    pump(now);
+    dispatch_queued(now);
 }
 
 void scheduler_core::reset_activity_after_pause(instant now) {
@@ -241,7 +241,7 @@
               "version=" + std::to_string(configuration().version()));
     }
     lease_expiry_noted_ = !fresh;
-    pump(now);
+    dispatch_queued(now);
 }
 
 // --- configuration -------------------------------------------------------------------------
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -276,7 +276,7 @@
     void on_program_closed(const journal::close_program& change, shard_id number, instant now);
 
     // Dispatch (commands/dispatch.cpp).
-    void pump(instant now);
+    void dispatch_queued(instant now);
     bool dispatch_next(journal::call_kind kind, instant now);
     bool try_begin(active_call& call, instant now);
     std::optional<backend_name> choose_backend(active_call& call, instant now);
