--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -170,7 +170,7 @@
     change.reservation = call.prompt_tokens + call.request.max_tokens;
     ++counters_.attempts_begun;
     if (call.attempt == 1) {
-        earn_retry(call);
+        credit_retry_budget(call);
     }
     journal_.append(append_key_of(call),
                     journal::journal_command(journal::owner_command{
@@ -178,7 +178,7 @@
                     now);
 }
 
-void scheduler_core::earn_retry(const active_call& call) {
+void scheduler_core::credit_retry_budget(const active_call& call) {
     const journal::program_record* program = record_of(call.request.program);
     const configuration::class_settings* settings =
         program == nullptr ? nullptr : configuration().program_class(program->program_class);
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -281,7 +281,7 @@
     bool try_begin(active_call& call, instant now);
     std::optional<backend_name> choose_backend(active_call& call, instant now);
     void begin(active_call& call, const backend_name& target, instant now);
-    void earn_retry(const active_call& call);
+    void credit_retry_budget(const active_call& call);
     void dispatch(active_call& call, instant now);
     void expire_queued(instant now);
 
