--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -183,7 +183,7 @@
     const configuration::class_settings* settings =
         program == nullptr ? nullptr : configuration().program_class(program->program_class);
     if (settings != nullptr) {
-        retry_budgets_[program->program_class].earn(settings->retry_ratio);
+        retry_budgets_[program->program_class].credit(settings->retry_ratio);
     }
 }
 
--- a/src/tallyfold/program_api/scheduler/retry_budget.hpp
+++ b/src/tallyfold/program_api/scheduler/retry_budget.hpp
@@ -10,7 +10,7 @@
 class retry_budget {
   public:
     /// Adds `ratio` of a retry for a first attempt.
-    void earn(double ratio) { tokens_ = std::min(tokens_ + ratio, most); }
+    void credit(double ratio) { tokens_ = std::min(tokens_ + ratio, most); }
 
     /// Consumes one retry. @return false if none is left
     bool spend() {
