--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -144,7 +144,7 @@
     const std::string class_name = program == nullptr ? std::string{} : program->program_class;
     const bool attempts_left = call.attempt < settings_.attempt_limit;
     const bool allowed = settings != nullptr && attempts_left &&
-                         (call.free_retry || retry_budgets_[class_name].spend());
+                         (call.free_retry || retry_budgets_[class_name].try_spend());
     if (allowed) {
         ++counters_.retries;
         event(event_id::call_retried, describe(key_of(call)) + " backend=" + call.target);
--- a/src/tallyfold/program_api/scheduler/retry_budget.hpp
+++ b/src/tallyfold/program_api/scheduler/retry_budget.hpp
@@ -13,7 +13,7 @@
     void credit(double ratio) { tokens_ = std::min(tokens_ + ratio, most); }
 
     /// Consumes one retry. @return false if none is left
-    bool spend() {
+    bool try_spend() {
         if (tokens_ < 1.0) {
             return false;
         }
