--- a/src/tallyfold/program_api/scheduler/retry_budget.hpp
+++ b/src/tallyfold/program_api/scheduler/retry_budget.hpp
@@ -10,7 +10,7 @@
 class retry_budget {
   public:
     /// Adds `ratio` of a retry for a first attempt.
-    void credit(double ratio) { tokens_ = std::min(tokens_ + ratio, most); }
+    void credit(double ratio) { tokens_ = std::min(tokens_ + ratio, capacity); }
 
     /// Consumes one retry. @return false if none is left
     bool try_spend() {
@@ -23,8 +23,8 @@
 
   private:
     /// Maximum number of accumulated retries; also the initial balance.
-    static constexpr double most = 10.0;
-    double tokens_ = most;
+    static constexpr double capacity = 10.0;
+    double tokens_ = capacity;
 };
 
 }  // namespace tallyfold::scheduler
