--- a/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
@@ -121,7 +121,7 @@
         return;
     }
     call->last_progress = now;
-    call->start_settled = true;
+    call->start_confirmed = true;
     if (call->prefill_pending) {
         call->prefill_pending = false;
         pool(engine_kind).prefilled(call->target, call->prefill_tokens);
--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -190,7 +190,7 @@
 void scheduler_core::set_start_limit(active_call& call, instant now) {
     const bool model = call.request.kind == call_kind::model;
     call.start_limit = now + (model ? settings_.stream_stall : settings_.request_start_window);
-    call.start_settled = false;
+    call.start_confirmed = false;
 }
 
 backend_clock scheduler_core::start_limit_there(const active_call& call) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -169,7 +169,7 @@
         /// Time from which the back end refuses to start the attempt.
         instant start_limit{};
         /// True after the attempt is known to have started.
-        bool start_settled = false;
+        bool start_confirmed = false;
         std::uint32_t resumes = 0;
         std::uint32_t seal_tries = 0;
         /// Result code for the waiters if the failed attempt cannot be retried.
