--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -70,8 +70,8 @@
     }
     // The engine may still be generating; cancel to free its capacity.
     order(cancel_stream{call->target, failed.key});
-    const bool settled = call->start_confirmed || failed.kind != failure_kind::broken;
-    if (!settled && now < call->start_limit) {
+    const bool start_known = call->start_confirmed || failed.kind != failure_kind::broken;
+    if (!start_known && now < call->start_limit) {
         call->state = call_state::fencing;
         return;
     }
