--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -104,7 +104,7 @@
 void scheduler_core::take_over(active_call& call, instant now) {
     // A previous owner began the attempt, and it may be running or start late. No further attempt
     // begins until this is known.
-    set_start_limit(call, now);
+    set_start_deadline(call, now);
     if (call.request.kind != call_kind::model) {
         start_resolving(call, now);
         return;
--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -187,7 +187,7 @@
     }
 }
 
-void scheduler_core::set_start_limit(active_call& call, instant now) {
+void scheduler_core::set_start_deadline(active_call& call, instant now) {
     const bool model = call.request.kind == call_kind::model;
     call.start_limit = now + (model ? settings_.stream_stall : settings_.request_start_window);
     call.start_confirmed = false;
@@ -207,7 +207,7 @@
 void scheduler_core::dispatch(active_call& call, instant now) {
     call.state = call_state::running;
     call.last_progress = now;
-    set_start_limit(call, now);
+    set_start_deadline(call, now);
     const group_id group = journal::group_of_shard(call.shard, settings_.journal_groups);
     if (!session_.lease_valid(group, now)) {
         // The shard may have another owner. Nothing was sent, so this attempt has not run.
