--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -193,7 +193,7 @@
     call.start_confirmed = false;
 }
 
-backend_clock scheduler_core::start_limit_there(const active_call& call) {
+backend_clock scheduler_core::backend_start_deadline(const active_call& call) {
     const scheduling::backend_state* target = pool_for(call.request.kind).find(call.target);
     const auto ahead = target == nullptr ? std::nullopt : target->clock_ahead();
     if (!ahead) {
@@ -231,7 +231,7 @@
         start.prefix = call.pieces;
         start.max_tokens = call.request.max_tokens;
         start.priority = by_policy && settings != nullptr ? settings->priority : 0;
-        start.not_after = start_limit_there(call);
+        start.not_after = backend_start_deadline(call);
         order(std::move(start));
         return;
     }
@@ -241,7 +241,7 @@
     }
     order(run_request{call.target, key_of(call), fence, call.request.kind, call.request.operation,
                       call.request.argument, call.request.repeatable, timeout,
-                      start_limit_there(call)});
+                      backend_start_deadline(call)});
 }
 
 void scheduler_core::expire_queued(instant now) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -314,7 +314,7 @@
     void start_resolving(active_call& call, instant now);
     void take_over(active_call& call, instant now);
     void set_start_deadline(active_call& call, instant now);
-    [[nodiscard]] backend_clock start_limit_there(const active_call& call);
+    [[nodiscard]] backend_clock backend_start_deadline(const active_call& call);
     void journal_failure(active_call& call, journal::ran_state ran, instant now);
     void retry_or_give_up(active_call& call, instant now);
 
