--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -71,7 +71,7 @@
     // The engine may still be generating; cancel to free its capacity.
     order(cancel_stream{call->target, failed.key});
     const bool start_known = call->start_confirmed || failed.kind != failure_kind::broken;
-    if (!start_known && now < call->start_limit) {
+    if (!start_known && now < call->start_deadline) {
         call->state = call_state::fencing;
         return;
     }
@@ -170,7 +170,7 @@
 }
 
 void scheduler_core::resolve(active_call& call, instant now) {
-    if (call.request.repeatable && now >= call.start_limit && call.seal_tries > 0) {
+    if (call.request.repeatable && now >= call.start_deadline && call.seal_tries > 0) {
         // The attempt can no longer start, and a repeatable request does not need to know if it
         // ran.
         journal_failure(call, ran_state::unknown, now);
--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -189,7 +189,7 @@
 
 void scheduler_core::set_start_deadline(active_call& call, instant now) {
     const bool model = call.request.kind == call_kind::model;
-    call.start_limit = now + (model ? settings_.stream_stall : settings_.request_start_window);
+    call.start_deadline = now + (model ? settings_.stream_stall : settings_.request_start_window);
     call.start_confirmed = false;
 }
 
@@ -201,7 +201,7 @@
         // starts.
         return 1;
     }
-    return (call.start_limit.time_since_epoch() + *ahead).count();
+    return (call.start_deadline.time_since_epoch() + *ahead).count();
 }
 
 void scheduler_core::dispatch(active_call& call, instant now) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -167,7 +167,7 @@
         instant next_try{};
         instant resolving_since{};
         /// Time from which the back end refuses to start the attempt.
-        instant start_limit{};
+        instant start_deadline{};
         /// True after the attempt is known to have started.
         bool start_confirmed = false;
         std::uint32_t resumes = 0;
