--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -72,7 +72,7 @@
     order(cancel_stream{call->target, failed.key});
     const bool start_known = call->start_confirmed || failed.kind != failure_kind::broken;
     if (!start_known && now < call->start_deadline) {
-        call->state = call_state::fencing;
+        call->state = call_state::awaiting_start_deadline;
         return;
     }
     journal_failure(*call, ran_state::unknown, now);
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -304,7 +304,7 @@
         if (call.state == call_state::resolving && now >= call.next_try) {
             resolve(call, now);
         }
-        if (call.state == call_state::fencing && now >= call.start_deadline) {
+        if (call.state == call_state::awaiting_start_deadline && now >= call.start_deadline) {
             fenced.push_back(id);
         }
         if (call.state == call_state::resuming && now >= call.next_try) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -137,7 +137,7 @@
         /// Sending seal requests, to learn whether the attempt ran and to prevent a later start.
         resolving,
         /// The back end cannot be queried; waiting until it can no longer start the attempt.
-        fencing,
+        awaiting_start_deadline,
         ending,
     };
 
