--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -294,7 +294,7 @@
 
 void scheduler_core::check_running_calls(instant now) {
     std::vector<attempt_key> stalled;
-    std::vector<scheduling::ticket> fenced;
+    std::vector<scheduling::ticket> past_deadline;
     for (auto& [id, call] : calls_) {
         const bool streaming =
             call.state == call_state::running && call.request.kind == journal::call_kind::model;
@@ -305,7 +305,7 @@
             resolve(call, now);
         }
         if (call.state == call_state::awaiting_start_deadline && now >= call.start_deadline) {
-            fenced.push_back(id);
+            past_deadline.push_back(id);
         }
         if (call.state == call_state::resuming && now >= call.next_try) {
             call.state = call_state::running;
@@ -316,7 +316,7 @@
     for (const attempt_key& key : stalled) {
         on_attempt_failed({key, failure_kind::broken}, now);
     }
-    for (const scheduling::ticket id : fenced) {
+    for (const scheduling::ticket id : past_deadline) {
         journal_failure(calls_.at(id), journal::ran_state::unknown, now);
     }
 }
