--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -101,7 +101,7 @@
     resolve(call, now);
 }
 
-void scheduler_core::take_over(active_call& call, instant now) {
+void scheduler_core::resume_inherited_attempt(active_call& call, instant now) {
     // A previous owner began the attempt, and it may be running or start late. No further attempt
     // begins until this is known.
     set_start_deadline(call, now);
--- a/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
@@ -218,7 +218,7 @@
     }
     if (open) {
         note(call.program, call.sequence, "asking " + active.target + " whether it ran", now);
-        take_over(active, now);
+        resume_inherited_attempt(active, now);
         return;
     }
     enqueue(active);
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -312,7 +312,7 @@
     void on_seal_answered(const seal_answered& answered, instant now);
     void resolve(active_call& call, instant now);
     void start_resolving(active_call& call, instant now);
-    void take_over(active_call& call, instant now);
+    void resume_inherited_attempt(active_call& call, instant now);
     void set_start_deadline(active_call& call, instant now);
     [[nodiscard]] backend_clock backend_start_deadline(const active_call& call);
     void journal_failure(active_call& call, journal::ran_state ran, instant now);
