--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -134,10 +134,10 @@
     if (record != nullptr && record->contains(change.sequence)) {
         call->maybe_ran = record->at(change.sequence).maybe_ran;
     }
-    retry_or_give_up(*call, now);
+    retry_or_fail(*call, now);
 }
 
-void scheduler_core::retry_or_give_up(active_call& call, instant now) {
+void scheduler_core::retry_or_fail(active_call& call, instant now) {
     const journal::program_record* program = record_of(call.request.program);
     const configuration::class_settings* settings =
         program == nullptr ? nullptr : configuration().program_class(program->program_class);
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -316,7 +316,7 @@
     void set_start_deadline(active_call& call, instant now);
     [[nodiscard]] backend_clock backend_start_deadline(const active_call& call);
     void journal_failure(active_call& call, journal::ran_state ran, instant now);
-    void retry_or_give_up(active_call& call, instant now);
+    void retry_or_fail(active_call& call, instant now);
 
     // Queries (queries/inspect_program.cpp).
     void on_inspect(const waiter& requester, const protocol::inspect_call& call,
