--- a/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
@@ -54,14 +54,14 @@
         if (maybe_ran) {
             refused->ran = ran_state::unknown;
         }
-        remember_refusal(call, *refused);
+        store_refusal(call, *refused);
         reply(requester, *refused);
         return;
     }
     admit(requester, call, *program, number, now);
 }
 
-void scheduler_core::remember_refusal(const protocol::program_call& call, const outcome& result) {
+void scheduler_core::store_refusal(const protocol::program_call& call, const outcome& result) {
     if (result.ran == ran_state::no) {
         programs_[call.program].refused = {call.sequence, call.submission, result};
     }
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -85,7 +85,7 @@
 
 void scheduler_core::reply_all(active_call& call, const journal::outcome& result) {
     if (result.code != journal::answer_code::ok) {
-        remember_refusal(call.request, result);
+        store_refusal(call.request, result);
     }
     for (const waiter& requester : call.waiters) {
         reply(requester, result);
