--- a/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
@@ -40,7 +40,7 @@
         return;
     }
     if (join_active(requester, call) || answer_from_record(requester, call, *program) ||
-        repeat_refusal(requester, call)) {
+        resend_refusal(requester, call)) {
         return;
     }
     if (std::optional<outcome> refused = refuse_call(call, *program, now)) {
@@ -67,7 +67,7 @@
     }
 }
 
-bool scheduler_core::repeat_refusal(const waiter& requester, const protocol::program_call& call) {
+bool scheduler_core::resend_refusal(const waiter& requester, const protocol::program_call& call) {
     // The caller was told that a submission did not run. An older submission that arrives after
     // it must not run either.
     const refusal_record& last = programs_[call.program].refused;
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -255,7 +255,7 @@
                             const journal::program_record& program);
     bool join_active(const waiter& requester, const protocol::program_call& call);
     void store_refusal(const protocol::program_call& call, const journal::outcome& result);
-    bool repeat_refusal(const waiter& requester, const protocol::program_call& call);
+    bool resend_refusal(const waiter& requester, const protocol::program_call& call);
     std::optional<journal::outcome> refuse_call(const protocol::program_call& call,
                                                 const journal::program_record& program,
                                                 instant now);
