--- a/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
@@ -203,8 +203,8 @@
     for (const program_id& id : closed) {
         if (active_call* call = call_of(id)) {
             outcome result = refusal(answer_code::cancelled, "the program was closed");
-            const bool untouched = call->state == call_state::queued && !call->maybe_ran;
-            result.ran = untouched ? ran_state::no : ran_state::unknown;
+            const bool not_begun = call->state == call_state::queued && !call->maybe_ran;
+            result.ran = not_begun ? ran_state::no : ran_state::unknown;
             reply_all(*call, result);
             if (call->state == call_state::running &&
                 call->request.kind == journal::call_kind::model) {
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -123,9 +123,9 @@
     active_call& call = calls_.at(id);
     // A begin_attempt sent to the journal may be committed later, so only a call that is still
     // queued is known not to have run.
-    const bool untouched = call.state == call_state::queued && !call.maybe_ran;
+    const bool not_begun = call.state == call_state::queued && !call.maybe_ran;
     reply_all(call,
-              program_moved(untouched ? journal::ran_state::no : journal::ran_state::unknown));
+              program_moved(not_begun ? journal::ran_state::no : journal::ran_state::unknown));
     if (call.state == call_state::running && call.request.kind == journal::call_kind::model) {
         order(cancel_stream{call.target, key_of(call)});
     }
