--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -62,9 +62,9 @@
 
 token_count scheduler_core::budget_left(const journal::program_record& program) const {
     const journal::program_record* root = record_of(program.root);
-    const journal::program_record& payer = root == nullptr ? program : *root;
-    const token_count used = payer.charged + payer.reserved;
-    return payer.budget > used ? payer.budget - used : 0;
+    const journal::program_record& budget_owner = root == nullptr ? program : *root;
+    const token_count used = budget_owner.charged + budget_owner.reserved;
+    return budget_owner.budget > used ? budget_owner.budget - used : 0;
 }
 
 attempt_key scheduler_core::key_of(const active_call& call) const {
