--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -30,7 +30,7 @@
       placement_(settings_.placement),
       next_status_(now),
       next_members_(now),
-      next_second_(now) {}
+      next_housekeeping_(now) {}
 
 // --- small helpers -------------------------------------------------------------------------
 
@@ -231,8 +231,8 @@
     check_running_calls(now);
     release_idle_shards(now);
     repeat_cache_releases(now);
-    if (now >= next_second_) {
-        next_second_ = now + housekeeping_interval;
+    if (now >= next_housekeeping_) {
+        next_housekeeping_ = now + housekeeping_interval;
         reap_programs(now);
     }
     const bool fresh = session_.configuration_fresh(now);
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -375,7 +375,7 @@
     bool lease_expiry_noted_ = false;
     instant next_status_{};
     instant next_members_{};
-    instant next_second_{};
+    instant next_housekeeping_{};
     instant last_tick_{};
 
     scheduler_counters counters_;
