--- a/src/tallyfold/program_api/scheduler/backends.cpp
+++ b/src/tallyfold/program_api/scheduler/backends.cpp
@@ -21,10 +21,10 @@
         next_members_ = now + settings_.members_interval;
         order(poll_members{});
     }
-    if (now < next_status_) {
+    if (now < next_status_poll_) {
         return;
     }
-    next_status_ = now + settings_.status_interval;
+    next_status_poll_ = now + settings_.status_interval;
     for (const scheduling::backend_pool& each : pools_) {
         for (const auto& [name, backend] : each.all()) {
             order(poll_status{name, last_cache_event_[name]});
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -28,7 +28,7 @@
                 settings_.control_nodes, settings_.heartbeat_interval,
                 settings_.configuration_lease}),
       placement_(settings_.placement),
-      next_status_(now),
+      next_status_poll_(now),
       next_members_(now),
       next_housekeeping_(now) {}
 
