--- a/src/tallyfold/program_api/scheduler/backends.cpp
+++ b/src/tallyfold/program_api/scheduler/backends.cpp
@@ -17,8 +17,8 @@
 }  // namespace
 
 void scheduler_core::poll_backends(instant now) {
-    if (now >= next_members_) {
-        next_members_ = now + settings_.members_interval;
+    if (now >= next_members_poll_) {
+        next_members_poll_ = now + settings_.members_interval;
         order(poll_members{});
     }
     if (now < next_status_poll_) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -29,7 +29,7 @@
                 settings_.configuration_lease}),
       placement_(settings_.placement),
       next_status_poll_(now),
-      next_members_(now),
+      next_members_poll_(now),
       next_housekeeping_(now) {}
 
 // --- small helpers -------------------------------------------------------------------------
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -374,7 +374,7 @@
     bool draining_ = false;
     bool lease_expiry_noted_ = false;
     instant next_status_poll_{};
-    instant next_members_{};
+    instant next_members_poll_{};
     instant next_housekeeping_{};
     instant last_tick_{};
 
