--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -236,11 +236,11 @@
         reap_programs(now);
     }
     const bool fresh = session_.configuration_fresh(now);
-    if (session_.configuration_known() && !fresh && !lease_expiry_noted_) {
+    if (session_.configuration_known() && !fresh && !lease_expiry_logged_) {
         event(event_id::configuration_lease_expired,
               "version=" + std::to_string(configuration().version()));
     }
-    lease_expiry_noted_ = !fresh;
+    lease_expiry_logged_ = !fresh;
     dispatch_queued(now);
 }
 
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -372,7 +372,7 @@
     scheduling::ticket next_ticket_ = 1;
 
     bool draining_ = false;
-    bool lease_expiry_noted_ = false;
+    bool lease_expiry_logged_ = false;
     instant next_status_poll_{};
     instant next_members_poll_{};
     instant next_housekeeping_{};
