--- a/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
@@ -69,7 +69,7 @@
                                  owner_retry_after_ms));
         return;
     }
-    touch(id, now);
+    record_activity(id, now);
     run_command(requester, request.call, found->second, number, now);
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-void scheduler_core::touch(const program_id& id, instant now) {
+void scheduler_core::record_activity(const program_id& id, instant now) {
     // Activity of a sub-agent also keeps its root from being reaped.
     for (const program_id& alive : {id, journal::root_of_identifier(id)}) {
         const auto runtime = programs_.find(alive);
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -325,7 +325,7 @@
     std::vector<std::pair<program_id, shard_id>> idle;
     // An active call keeps its program and its root: a parent may wait for a sub-agent.
     for (const auto& [id, ticket] : call_of_program_) {
-        touch(id, now);
+        record_activity(id, now);
     }
     for (const auto& [number, shard] : shards_) {
         if (shard.phase != shard_phase::serving) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -241,7 +241,7 @@
                      owned_shard& shard, shard_id number, instant now);
     /// True if `call` repeats an active call, so that it may wait for the same outcome.
     bool repeats_active(const protocol::scheduler_call& call);
-    void touch(const program_id& id, instant now);
+    void record_activity(const program_id& id, instant now);
     void on_open(const waiter& requester, const protocol::open_call& call, owned_shard& shard,
                  shard_id number, instant now);
     /// Refusal of an opening by the configuration alone, without regard to the shard's state.
