--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -148,7 +148,8 @@
     if (allowed) {
         ++counters_.retries;
         event(event_id::call_retried, describe(key_of(call)) + " backend=" + call.target);
-        note(call.request.program, call.request.sequence, "retry after " + call.target, now);
+        record_decision(call.request.program, call.request.sequence, "retry after " + call.target,
+                        now);
         call.resumes = 0;
         enqueue(call);
         return;
--- a/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
@@ -211,8 +211,8 @@
         }
         update_retention(*call, *program);
     }
-    note(change.program, change.sequence, "ended: " + std::string(to_string(change.result.code)),
-         now);
+    record_decision(change.program, change.sequence,
+                    "ended: " + std::string(to_string(change.result.code)), now);
     reply_all(*call, change.result);
     drop_call(call->id);
 }
--- a/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
@@ -217,7 +217,8 @@
         set_prompt(active, program);
     }
     if (open) {
-        note(call.program, call.sequence, "asking " + active.target + " whether it ran", now);
+        record_decision(call.program, call.sequence, "asking " + active.target + " whether it ran",
+                        now);
         resume_inherited_attempt(active, now);
         return;
     }
--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -138,12 +138,13 @@
     }
     call.cached_tokens = choice->cached_tokens;
     call.prefill_tokens = call.prompt_tokens - choice->cached_tokens;
-    note(call.request.program, call.request.sequence,
-         "placed on " + choice->engine + ": cached " + std::to_string(choice->cached_tokens) +
-             " of " + std::to_string(call.prompt_tokens) + " tokens, cost " +
-             std::to_string(choice->cost) + ", best of " + std::to_string(choice->candidates) +
-             ", waited " + std::to_string(to_milliseconds(now - call.arrived)) + " ms",
-         now);
+    record_decision(
+        call.request.program, call.request.sequence,
+        "placed on " + choice->engine + ": cached " + std::to_string(choice->cached_tokens) +
+            " of " + std::to_string(call.prompt_tokens) + " tokens, cost " +
+            std::to_string(choice->cost) + ", best of " + std::to_string(choice->candidates) +
+            ", waited " + std::to_string(to_milliseconds(now - call.arrived)) + " ms",
+        now);
     return choice->engine;
 }
 
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -93,8 +93,8 @@
     call.waiters.clear();
 }
 
-void scheduler_core::note(const program_id& id, sequence_number sequence, std::string text,
-                          instant now) {
+void scheduler_core::record_decision(const program_id& id, sequence_number sequence,
+                                     std::string text, instant now) {
     auto& decisions = programs_[id].decisions;
     decisions.push_back({now, sequence, std::move(text)});
     if (decisions.size() > max_decisions) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -333,7 +333,8 @@
     [[nodiscard]] append_key append_key_of(const active_call& call) const;
     void reply(const waiter& requester, journal::outcome result);
     void reply_all(active_call& call, const journal::outcome& result);
-    void note(const program_id& id, sequence_number sequence, std::string text, instant now);
+    void record_decision(const program_id& id, sequence_number sequence, std::string text,
+                         instant now);
     void event(logging::event_id id, std::string fields);
     void order(backend_order item) { output_.orders.push_back(std::move(item)); }
     [[nodiscard]] std::uint32_t retry_after();
