--- a/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
@@ -250,12 +250,12 @@
 const std::vector<scheduling::prefix_point>& scheduler_core::program_points(
     const journal::program_record& program) {
     program_runtime& runtime = programs_[program.id];
-    while (runtime.points_messages < program.history.size()) {
+    while (runtime.hashed_messages < program.history.size()) {
         const scheduling::prefix_point before =
             runtime.points.empty() ? scheduling::prefix_point{} : runtime.points.back();
         runtime.points.push_back(
-            journal::extend_prefix(before, program.history[runtime.points_messages]));
-        ++runtime.points_messages;
+            journal::extend_prefix(before, program.history[runtime.hashed_messages]));
+        ++runtime.hashed_messages;
     }
     return runtime.points;
 }
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -199,7 +199,7 @@
         duration pause_total{};
         std::uint32_t pauses = 0;
         std::vector<scheduling::prefix_point> points;
-        std::size_t points_messages = 0;
+        std::size_t hashed_messages = 0;
         std::deque<decision> decisions;
         refusal_record refused;
         std::vector<waiter> open_waiters;
