--- a/src/tallyfold/program_api/scheduler/backends.cpp
+++ b/src/tallyfold/program_api/scheduler/backends.cpp
@@ -46,25 +46,25 @@
         each.report(status.backend, status.load);
     }
     std::uint64_t& last = last_cache_event_[status.backend];
-    for (const cache_event& happened : status.events) {
-        if (happened.number <= last && happened.number != 1) {
+    for (const cache_event& cache_change : status.events) {
+        if (cache_change.number <= last && cache_change.number != 1) {
             continue;
         }
-        if (happened.number <= last) {
+        if (cache_change.number <= last) {
             // The numbering started over: the engine restarted with an empty cache.
             cache_.remove_engine(status.backend);
-        } else if (happened.number != last + 1 && last != 0) {
+        } else if (cache_change.number != last + 1 && last != 0) {
             // Existing cache entries are kept. A stale entry costs one prefill, whereas dropping
             // all entries would move every program of this engine to other engines.
             event(event_id::cache_events_lost, "backend=" + status.backend +
                                                    " expected=" + std::to_string(last + 1) +
-                                                   " got=" + std::to_string(happened.number));
+                                                   " got=" + std::to_string(cache_change.number));
         }
-        last = happened.number;
-        if (happened.stored) {
-            cache_.stored(status.backend, happened.point);
+        last = cache_change.number;
+        if (cache_change.stored) {
+            cache_.stored(status.backend, cache_change.point);
         } else {
-            cache_.removed(status.backend, happened.point.hash);
+            cache_.removed(status.backend, cache_change.point.hash);
         }
     }
 }
