--- a/src/tallyfold/program_api/scheduler/backends.cpp
+++ b/src/tallyfold/program_api/scheduler/backends.cpp
@@ -25,8 +25,8 @@
         return;
     }
     next_status_poll_ = now + settings_.status_interval;
-    for (const scheduling::backend_pool& each : pools_) {
-        for (const auto& [name, backend] : each.all()) {
+    for (const scheduling::backend_pool& backends : pools_) {
+        for (const auto& [name, backend] : backends.all()) {
             order(poll_status{name, last_cache_event_[name]});
         }
     }
@@ -34,16 +34,16 @@
 
 void scheduler_core::on_status(const status_answered& status, instant now) {
     const duration ahead = duration(status.clock) - now.time_since_epoch();
-    for (scheduling::backend_pool& each : pools_) {
-        each.add_clock_sample(status.backend, ahead);
-        const scheduling::backend_state* known = each.find(status.backend);
+    for (scheduling::backend_pool& backends : pools_) {
+        backends.add_clock_sample(status.backend, ahead);
+        const scheduling::backend_state* known = backends.find(status.backend);
         if (known == nullptr) {
             continue;
         }
         if (status.load.leaving && !known->reported.leaving) {
             event(event_id::backend_leaving, "backend=" + status.backend + " source=status");
         }
-        each.report(status.backend, status.load);
+        backends.report(status.backend, status.load);
     }
     std::uint64_t& last = last_cache_event_[status.backend];
     for (const cache_event& cache_change : status.events) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -198,8 +198,8 @@
             } else if constexpr (std::is_same_v<body_type, status_answered>) {
                 on_status(body, now);
             } else if constexpr (std::is_same_v<body_type, status_failed>) {
-                for (scheduling::backend_pool& each : pools_) {
-                    each.failed(body.backend, now);
+                for (scheduling::backend_pool& backends : pools_) {
+                    backends.failed(body.backend, now);
                 }
             } else {
                 on_members(body);
@@ -252,13 +252,13 @@
     }
     event(event_id::configuration_applied, "version=" + std::to_string(configuration().version()));
     compile_policies();
-    for (scheduling::backend_pool& each : pools_) {
+    for (scheduling::backend_pool& backends : pools_) {
         std::vector<backend_name> names;
-        for (const auto& [name, backend] : each.all()) {
+        for (const auto& [name, backend] : backends.all()) {
             names.push_back(name);
         }
         for (const backend_name& name : names) {
-            each.set_drained(name, configuration().drained(name));
+            backends.set_drained(name, configuration().drained(name));
         }
     }
 }
