--- a/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
@@ -92,8 +92,8 @@
 
 void scheduler_core::record_activity(const program_id& id, instant now) {
     // Activity of a sub-agent also keeps its root from being reaped.
-    for (const program_id& alive : {id, journal::root_of_identifier(id)}) {
-        const auto runtime = programs_.find(alive);
+    for (const program_id& active_id : {id, journal::root_of_identifier(id)}) {
+        const auto runtime = programs_.find(active_id);
         if (runtime != programs_.end()) {
             runtime->second.last_activity = now;
         }
