--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -14,7 +14,7 @@
 constexpr duration max_tick_gap = std::chrono::milliseconds(500);
 constexpr std::size_t max_decisions = 64;
 constexpr std::uint32_t min_retry_after_ms = 100;
-constexpr std::uint32_t longest_retry_after_ms = 10'000;
+constexpr std::uint32_t max_retry_after_ms = 10'000;
 /// Estimated time per queued call, for the suggested retry delay.
 constexpr std::uint32_t milliseconds_per_waiting_call = 20;
 
@@ -112,7 +112,7 @@
         waiting += queue.size();
     }
     const auto base = static_cast<std::uint32_t>(waiting) * milliseconds_per_waiting_call;
-    const std::uint32_t bounded = std::clamp(base, min_retry_after_ms, longest_retry_after_ms);
+    const std::uint32_t bounded = std::clamp(base, min_retry_after_ms, max_retry_after_ms);
     // Jitter prevents refused callers from retrying at the same time.
     return bounded + static_cast<std::uint32_t>(random_.below(bounded / 2 + 1));
 }
