--- a/src/tallyfold/program_api/scheduler/journal_client.cpp
+++ b/src/tallyfold/program_api/scheduler/journal_client.cpp
@@ -73,7 +73,7 @@
     return finished;
 }
 
-void journal_client::abandon(shard_id shard) {
+void journal_client::discard_shard(shard_id shard) {
     std::erase_if(queues_, [&](const auto& entry) { return entry.first.shard == shard; });
     std::erase_if(sent_, [&](const auto& entry) { return entry.second.key.shard == shard; });
 }
--- a/src/tallyfold/program_api/scheduler/journal_client.hpp
+++ b/src/tallyfold/program_api/scheduler/journal_client.hpp
@@ -49,7 +49,7 @@
     void set_leader(group_id group, const node_name& leader) { leaders_[group] = leader; }
     [[nodiscard]] node_name leader_of(group_id group) const;
     /// Discards all commands of a shard whose lease was lost.
-    void abandon(shard_id shard);
+    void discard_shard(shard_id shard);
     void tick(instant now);
     std::vector<protocol::outbound_message> take_messages();
     [[nodiscard]] std::size_t pending() const { return sent_.size(); }
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -105,7 +105,7 @@
         event(event_id::shard_lost,
               "shard=" + std::to_string(number) + " epoch=" + std::to_string(found->second.epoch));
     }
-    journal_.abandon(number);
+    journal_.discard_shard(number);
     std::vector<scheduling::ticket> lost;
     for (auto& [id, call] : calls_) {
         if (call.shard == number) {
