--- a/src/tallyfold/program_api/scheduler/scheduler_shell.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_shell.cpp
@@ -71,8 +71,8 @@
         for (const backend_report& report : backends_.take_reports()) {
             core_.report(report, now);
         }
-        if (draining_ && !drain_told_) {
-            drain_told_ = true;
+        if (draining_ && !drain_started_) {
+            drain_started_ = true;
             core_.drain();
         }
         core_.tick(now);
@@ -142,7 +142,7 @@
     backend_client backends_;
     net::http_server server_;
     instant next_publish_{};
-    bool drain_told_ = false;
+    bool drain_started_ = false;
     std::atomic<bool> ready_{false};
     std::atomic<bool> draining_{false};
     std::atomic<bool> drained_{false};
