--- a/tests/program_api/journal/shard_state_test.cpp
+++ b/tests/program_api/journal/shard_state_test.cpp
@@ -10,7 +10,7 @@
 
 class shard_state_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(shard_state_test);
-    CPPUNIT_TEST(no_schedule_exceeds_the_budget);
+    CPPUNIT_TEST(usage_never_exceeds_the_budget);
     CPPUNIT_TEST(a_request_that_must_not_repeat_begins_once);
     CPPUNIT_TEST(calls_begin_in_order);
     CPPUNIT_TEST(repeated_changes_are_harmless);
@@ -67,7 +67,7 @@
         });
     }
 
-    void no_schedule_exceeds_the_budget() {
+    void usage_never_exceeds_the_budget() {
         check_property("charged and reserved stay within the budget", [] {
             shard_state state = with_root();
             for (const program_change& change :
