--- a/tests/program_api/journal/shard_state_test.cpp
+++ b/tests/program_api/journal/shard_state_test.cpp
@@ -11,7 +11,7 @@
 class shard_state_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(shard_state_test);
     CPPUNIT_TEST(usage_never_exceeds_the_budget);
-    CPPUNIT_TEST(a_request_that_must_not_repeat_begins_once);
+    CPPUNIT_TEST(non_repeatable_request_begins_once);
     CPPUNIT_TEST(calls_begin_in_order);
     CPPUNIT_TEST(repeated_changes_are_harmless);
     CPPUNIT_TEST(sub_agents_draw_on_the_root);
@@ -87,7 +87,7 @@
         });
     }
 
-    void a_request_that_must_not_repeat_begins_once() {
+    void non_repeatable_request_begins_once() {
         shard_state state = with_root();
         CPPUNIT_ASSERT(state.apply(begin(1, 1, 10, false)) == journal_error::none);
         CPPUNIT_ASSERT(state.apply(begin(1, 2, 10, false)) == journal_error::not_repeatable);
