--- a/tests/program_api/journal/shard_state_test.cpp
+++ b/tests/program_api/journal/shard_state_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(usage_never_exceeds_the_budget);
     CPPUNIT_TEST(non_repeatable_request_begins_once);
     CPPUNIT_TEST(calls_begin_in_order);
-    CPPUNIT_TEST(repeated_changes_are_harmless);
+    CPPUNIT_TEST(repeated_changes_are_idempotent);
     CPPUNIT_TEST(sub_agents_draw_on_the_root);
     CPPUNIT_TEST(an_older_owner_is_refused);
     CPPUNIT_TEST(a_snapshot_holds_everything);
@@ -108,7 +108,7 @@
         CPPUNIT_ASSERT(state.apply(begin(2, 1, 1)) == journal_error::none);
     }
 
-    void repeated_changes_are_harmless() {
+    void repeated_changes_are_idempotent() {
         check_property("reapplying an applied change leaves the state unchanged", [] {
             shard_state state = with_root();
             for (const program_change& change :
