--- a/tests/program_api/journal/shard_state_test.cpp
+++ b/tests/program_api/journal/shard_state_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(non_repeatable_request_begins_once);
     CPPUNIT_TEST(calls_begin_in_order);
     CPPUNIT_TEST(repeated_changes_are_idempotent);
-    CPPUNIT_TEST(sub_agents_draw_on_the_root);
+    CPPUNIT_TEST(sub_agents_use_the_root_budget);
     CPPUNIT_TEST(an_older_owner_is_refused);
     CPPUNIT_TEST(a_snapshot_holds_everything);
     CPPUNIT_TEST_SUITE_END();
@@ -123,7 +123,7 @@
         });
     }
 
-    void sub_agents_draw_on_the_root() {
+    void sub_agents_use_the_root_budget() {
         shard_state state = with_root();
         CPPUNIT_ASSERT(state.apply(open_program{"p.a", "p", "t", "c", "a", 0}) ==
                        journal_error::none);
