--- a/tests/program_api/journal/shard_state_test.cpp
+++ b/tests/program_api/journal/shard_state_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(calls_begin_in_order);
     CPPUNIT_TEST(repeated_changes_are_idempotent);
     CPPUNIT_TEST(sub_agents_use_the_root_budget);
-    CPPUNIT_TEST(an_older_owner_is_refused);
+    CPPUNIT_TEST(commands_with_a_stale_epoch_are_rejected);
     CPPUNIT_TEST(a_snapshot_holds_everything);
     CPPUNIT_TEST_SUITE_END();
 
@@ -136,7 +136,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{0}, state.find("p")->reserved);
     }
 
-    void an_older_owner_is_refused() {
+    void commands_with_a_stale_epoch_are_rejected() {
         journal_state_machine machine;
         std::uint64_t index = 0;
         const auto apply = [&](const journal_command& command) {
