--- a/tests/program_api/journal/shard_state_test.cpp
+++ b/tests/program_api/journal/shard_state_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(repeated_changes_are_idempotent);
     CPPUNIT_TEST(sub_agents_use_the_root_budget);
     CPPUNIT_TEST(commands_with_a_stale_epoch_are_rejected);
-    CPPUNIT_TEST(a_snapshot_holds_everything);
+    CPPUNIT_TEST(snapshot_preserves_the_state);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr token_count budget = 1000;
@@ -160,7 +160,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, restored.lease_version());
     }
 
-    void a_snapshot_holds_everything() {
+    void snapshot_preserves_the_state() {
         check_property("restore(save()) is the same state", [] {
             shard_state state = with_root();
             for (const program_change& change :
