--- a/tests/program_api/journal/shard_state_test.cpp
+++ b/tests/program_api/journal/shard_state_test.cpp
@@ -21,7 +21,7 @@
 
     static constexpr token_count budget = 1000;
 
-    static shard_state with_root() {
+    static shard_state state_with_root_program() {
         shard_state state;
         CPPUNIT_ASSERT(state.apply(open_program{"p", "p", "t", "c", "id", budget}) ==
                        journal_error::none);
@@ -69,7 +69,7 @@
 
     void usage_never_exceeds_the_budget() {
         check_property("charged and reserved stay within the budget", [] {
-            shard_state state = with_root();
+            shard_state state = state_with_root_program();
             for (const program_change& change :
                  *rc::gen::container<std::vector<program_change>>(any_change())) {
                 (void)state.apply(change);
@@ -88,7 +88,7 @@
     }
 
     void non_repeatable_request_begins_once() {
-        shard_state state = with_root();
+        shard_state state = state_with_root_program();
         CPPUNIT_ASSERT(state.apply(begin(1, 1, 10, false)) == journal_error::none);
         CPPUNIT_ASSERT(state.apply(begin(1, 2, 10, false)) == journal_error::not_repeatable);
         CPPUNIT_ASSERT(state.apply(fail_attempt{"p", 1, 1, ran_state::unknown}) ==
@@ -100,7 +100,7 @@
     }
 
     void calls_begin_in_order() {
-        shard_state state = with_root();
+        shard_state state = state_with_root_program();
         CPPUNIT_ASSERT(state.apply(begin(2, 1, 1)) == journal_error::sequence_out_of_order);
         CPPUNIT_ASSERT(state.apply(begin(1, 1, 1)) == journal_error::none);
         CPPUNIT_ASSERT(state.apply(begin(2, 1, 1)) == journal_error::sequence_out_of_order);
@@ -110,7 +110,7 @@
 
     void repeated_changes_are_idempotent() {
         check_property("reapplying an applied change leaves the state unchanged", [] {
-            shard_state state = with_root();
+            shard_state state = state_with_root_program();
             for (const program_change& change :
                  *rc::gen::container<std::vector<program_change>>(any_change())) {
                 if (state.apply(change) != journal_error::none) {
@@ -124,7 +124,7 @@
     }
 
     void sub_agents_use_the_root_budget() {
-        shard_state state = with_root();
+        shard_state state = state_with_root_program();
         CPPUNIT_ASSERT(state.apply(open_program{"p.a", "p", "t", "c", "a", 0}) ==
                        journal_error::none);
         begin_attempt change = begin(1, 1, 900);
@@ -162,7 +162,7 @@
 
     void snapshot_preserves_the_state() {
         check_property("restore(save()) is the same state", [] {
-            shard_state state = with_root();
+            shard_state state = state_with_root_program();
             for (const program_change& change :
                  *rc::gen::container<std::vector<program_change>>(any_change())) {
                 (void)state.apply(change);
