--- a/tests/program_api/journal/trace_replay_test.cpp
+++ b/tests/program_api/journal/trace_replay_test.cpp
@@ -15,7 +15,7 @@
 /// "command arguments = outcome", or "state shard program …" with the expected record fields.
 class trace_replay_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(trace_replay_test);
-    CPPUNIT_TEST(every_trace_gives_its_stated_outcomes);
+    CPPUNIT_TEST(traces_give_the_expected_results);
     CPPUNIT_TEST(a_snapshot_in_between_changes_nothing);
     CPPUNIT_TEST_SUITE_END();
 
@@ -128,7 +128,7 @@
         CPPUNIT_ASSERT(count >= 3);
     }
 
-    void every_trace_gives_its_stated_outcomes() { replay_all(false); }
+    void traces_give_the_expected_results() { replay_all(false); }
     void a_snapshot_in_between_changes_nothing() { replay_all(true); }
 };
 
