--- a/tests/program_api/journal/trace_replay_test.cpp
+++ b/tests/program_api/journal/trace_replay_test.cpp
@@ -16,7 +16,7 @@
 class trace_replay_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(trace_replay_test);
     CPPUNIT_TEST(traces_give_the_expected_results);
-    CPPUNIT_TEST(a_snapshot_in_between_changes_nothing);
+    CPPUNIT_TEST(snapshots_do_not_change_results);
     CPPUNIT_TEST_SUITE_END();
 
     static journal_command read_command(const std::string& name, std::istream& words) {
@@ -129,7 +129,7 @@
     }
 
     void traces_give_the_expected_results() { replay_all(false); }
-    void a_snapshot_in_between_changes_nothing() { replay_all(true); }
+    void snapshots_do_not_change_results() { replay_all(true); }
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(trace_replay_test);
