--- a/tests/program_api/journal/trace_replay_test.cpp
+++ b/tests/program_api/journal/trace_replay_test.cpp
@@ -105,10 +105,10 @@
             }
             const journal_command command = read_command(name, words);
             std::string equals;
-            std::string stated;
-            words >> equals >> stated;
+            std::string expected;
+            words >> equals >> expected;
             const journal_error outcome = machine.apply(protocol::encode(command), ++index);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(place, stated, std::string(to_string(outcome)));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(place, expected, std::string(to_string(outcome)));
             if (with_snapshots) {
                 journal_state_machine restored;
                 restored.restore(machine.save());
