--- a/tests/program_api/scheduler/backend_http_codec_test.cpp
+++ b/tests/program_api/scheduler/backend_http_codec_test.cpp
@@ -10,7 +10,7 @@
 
 class backend_http_codec_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_http_codec_test);
-    CPPUNIT_TEST(events_are_split_wherever_bytes_are_cut);
+    CPPUNIT_TEST(events_are_split_at_any_chunk_boundary);
     CPPUNIT_TEST(refusals_say_what_is_proved);
     CPPUNIT_TEST(any_bytes_are_parsed_or_refused);
     CPPUNIT_TEST_SUITE_END();
@@ -20,7 +20,7 @@
         return made;
     }
 
-    void events_are_split_wherever_bytes_are_cut() {
+    void events_are_split_at_any_chunk_boundary() {
         check_property("any split of the bytes gives the same events", [] {
             const std::string whole = render_stream_event(stream_pieces{key(), 0, {"a\n\nb"}}) +
                                       render_stream_event(stream_pieces{key(), 1, {"c"}}) +
