--- a/tests/program_api/scheduler/backend_http_codec_test.cpp
+++ b/tests/program_api/scheduler/backend_http_codec_test.cpp
@@ -11,7 +11,7 @@
 class backend_http_codec_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_http_codec_test);
     CPPUNIT_TEST(events_are_split_at_any_chunk_boundary);
-    CPPUNIT_TEST(refusals_say_what_is_proved);
+    CPPUNIT_TEST(errors_map_to_failure_kinds);
     CPPUNIT_TEST(any_bytes_are_parsed_or_refused);
     CPPUNIT_TEST_SUITE_END();
 
@@ -43,7 +43,7 @@
         return std::get<attempt_failed>(report.value()).kind;
     }
 
-    void refusals_say_what_is_proved() {
+    void errors_map_to_failure_kinds() {
         start_stream start;
         start.key = key();
         CPPUNIT_ASSERT(kind_of(report_refusal(start, 409)) == failure_kind::refused);
