--- a/tests/program_api/scheduler/journal_client_test.cpp
+++ b/tests/program_api/scheduler/journal_client_test.cpp
@@ -8,7 +8,7 @@
 
 class journal_client_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(journal_client_test);
-    CPPUNIT_TEST(a_reply_to_an_earlier_life_is_not_taken);
+    CPPUNIT_TEST(reply_to_a_previous_process_is_ignored);
     CPPUNIT_TEST(an_unanswered_append_is_sent_again);
     CPPUNIT_TEST(commands_of_one_root_go_one_at_a_time);
     CPPUNIT_TEST_SUITE_END();
@@ -24,7 +24,7 @@
         return std::get<protocol::journal_append>(messages[index].message);
     }
 
-    void a_reply_to_an_earlier_life_is_not_taken() {
+    void reply_to_a_previous_process_is_ignored() {
         journal_client first({"c"}, 1, 100);
         journal_client second({"c"}, 1, 200);
         first.append({1, 1, "p"}, command("p"), {});
