--- a/tests/program_api/scheduler/journal_client_test.cpp
+++ b/tests/program_api/scheduler/journal_client_test.cpp
@@ -9,7 +9,7 @@
 class journal_client_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(journal_client_test);
     CPPUNIT_TEST(reply_to_a_previous_process_is_ignored);
-    CPPUNIT_TEST(an_unanswered_append_is_sent_again);
+    CPPUNIT_TEST(unanswered_append_is_resent);
     CPPUNIT_TEST(commands_of_one_root_go_one_at_a_time);
     CPPUNIT_TEST_SUITE_END();
 
@@ -34,7 +34,7 @@
         CPPUNIT_ASSERT(!second.on_reply({old.group, old.correlation, true, {}, {}}, {}));
     }
 
-    void an_unanswered_append_is_sent_again() {
+    void unanswered_append_is_resent() {
         journal_client client({"a", "b"}, 1, 1);
         client.append({1, 1, "p"}, command("p"), {});
         const auto first = sent(client);
