--- a/tests/program_api/scheduler/journal_client_test.cpp
+++ b/tests/program_api/scheduler/journal_client_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(journal_client_test);
     CPPUNIT_TEST(reply_to_a_previous_process_is_ignored);
     CPPUNIT_TEST(unanswered_append_is_resent);
-    CPPUNIT_TEST(commands_of_one_root_go_one_at_a_time);
+    CPPUNIT_TEST(commands_of_one_root_are_serialized);
     CPPUNIT_TEST_SUITE_END();
 
     static journal::journal_command command(const program_id& program) {
@@ -42,7 +42,7 @@
         CPPUNIT_ASSERT_EQUAL(first.command, sent(client).command);
     }
 
-    void commands_of_one_root_go_one_at_a_time() {
+    void commands_of_one_root_are_serialized() {
         journal_client client({"a"}, 1, 1);
         client.append({1, 1, "p"}, command("p"), {});
         client.append({1, 1, "p"}, command("p.x"), {});
