--- a/src/tallyfold/program_api/scheduler/backend_messages.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_messages.hpp
@@ -35,8 +35,8 @@
     lease_epoch epoch = 0;
 };
 
-/// Time on a back end's monotonic clock, in microseconds. The start limit of an attempt is given
-/// in it: a delayed attempt must not start after a later attempt has begun.
+/// Time on a back end's monotonic clock, in microseconds. Limits the start
+/// of an attempt: a delayed attempt must not start after a later attempt has begun.
 using backend_clock = std::int64_t;
 constexpr backend_clock no_start_limit = 0;
 
--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -198,8 +198,8 @@
     const scheduling::backend_state* target = pool_for(call.request.kind).find(call.target);
     const auto ahead = target == nullptr ? std::nullopt : target->clock_ahead();
     if (!ahead) {
-        // The back end is no longer listed. A limit of 1 has passed on any clock, so it never
-        // starts.
+        // The back end is no longer listed. A deadline of 1 has passed on any clock, so the
+        // attempt never starts.
         return 1;
     }
     return (call.start_deadline.time_since_epoch() + *ahead).count();
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -323,7 +323,7 @@
 
 void scheduler_core::reap_programs(instant now) {
     std::vector<std::pair<program_id, shard_id>> idle;
-    // An active call keeps its program and its root: a parent may wait for a sub-agent.
+    // An active call counts as activity of its program and root: a parent may wait for a sub-agent.
     for (const auto& [id, ticket] : call_of_program_) {
         record_activity(id, now);
     }
