--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -117,7 +117,7 @@
         lease_epoch epoch = 0;
         shard_phase phase = shard_phase::loading;
         journal::shard_state state;
-        instant asked{};
+        instant read_requested_at{};
         bool release_sent = false;
     };
 
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -58,10 +58,11 @@
 
 void scheduler_core::load_shards(instant now) {
     for (auto& [number, shard] : shards_) {
-        if (shard.phase != shard_phase::loading || now < shard.asked + shard_read_timeout) {
+        if (shard.phase != shard_phase::loading ||
+            now < shard.read_requested_at + shard_read_timeout) {
             continue;
         }
-        shard.asked = now;
+        shard.read_requested_at = now;
         const group_id group = journal::group_of_shard(number, settings_.journal_groups);
         const node_name leader = journal_.leader_of(group);
         if (!leader.empty()) {
