--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -162,12 +162,13 @@
 
 void scheduler_core::release_idle_shards(instant now) {
     for (auto& [number, shard] : shards_) {
-        const bool asked = draining_ || shards_to_hand_over_.contains(number);
-        if (!asked && shard.phase == shard_phase::handing_over && !shard.release_sent) {
+        const bool handover_requested = draining_ || shards_to_hand_over_.contains(number);
+        if (!handover_requested && shard.phase == shard_phase::handing_over &&
+            !shard.release_sent) {
             // The handover was withdrawn, so this scheduler serves the shard again.
             shard.phase = shard_phase::serving;
         }
-        if (!asked || shard.phase == shard_phase::loading) {
+        if (!handover_requested || shard.phase == shard_phase::loading) {
             continue;
         }
         // In this phase new calls are refused, so that the shard becomes idle.
