--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -46,7 +46,7 @@
     if (!refused_by_backend) {
         count_backend_failure(*call, now);
     }
-    call->free_retry = failed.kind == failure_kind::leaving;
+    call->skip_retry_budget = failed.kind == failure_kind::leaving;
     if (refused_by_backend || failed.kind == failure_kind::unreachable) {
         // The back end refused the attempt or never received it, so it has not run.
         release_slot(*call);
@@ -144,7 +144,7 @@
     const std::string class_name = program == nullptr ? std::string{} : program->program_class;
     const bool attempts_left = call.attempt < settings_.attempt_limit;
     const bool allowed = settings != nullptr && attempts_left &&
-                         (call.free_retry || retry_budgets_[class_name].try_spend());
+                         (call.skip_retry_budget || retry_budgets_[class_name].try_spend());
     if (allowed) {
         ++counters_.retries;
         event(event_id::call_retried, describe(key_of(call)) + " backend=" + call.target);
@@ -205,7 +205,7 @@
         on_request_answered({answered.key, answered.answer}, now);
         return;
     }
-    call->free_retry = true;
+    call->skip_retry_budget = true;
     journal_failure(*call, ran_state::no, now);
 }
 
--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -213,7 +213,7 @@
     if (!session_.lease_valid(group, now)) {
         // The shard may have another owner. Nothing was sent, so this attempt has not run.
         release_slot(call);
-        call.free_retry = true;
+        call.skip_retry_budget = true;
         journal_failure(call, ran_state::no, now);
         return;
     }
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -175,7 +175,7 @@
         /// Result code for the waiters if the failed attempt cannot be retried.
         journal::answer_code failure = journal::answer_code::backend_failed;
         /// True if the next retry does not count against the retry budget of the class.
-        bool free_retry = false;
+        bool skip_retry_budget = false;
     };
 
     struct decision {
