--- a/src/tallyfold/program_api/scheduler/journal_client.cpp
+++ b/src/tallyfold/program_api/scheduler/journal_client.cpp
@@ -78,7 +78,7 @@
     std::erase_if(sent_, [&](const auto& entry) { return entry.second.key.shard == shard; });
 }
 
-bool journal_client::busy(shard_id shard) const {
+bool journal_client::has_commands(shard_id shard) const {
     return std::any_of(queues_.begin(), queues_.end(),
                        [&](const auto& entry) { return entry.first.shard == shard; });
 }
--- a/src/tallyfold/program_api/scheduler/journal_client.hpp
+++ b/src/tallyfold/program_api/scheduler/journal_client.hpp
@@ -54,7 +54,7 @@
     std::vector<protocol::outbound_message> take_messages();
     [[nodiscard]] std::size_t pending() const { return sent_.size(); }
     /// True if a command of the shard is queued or awaits its result.
-    [[nodiscard]] bool busy(shard_id shard) const;
+    [[nodiscard]] bool has_commands(shard_id shard) const;
 
   private:
     /// Time after which an append without a reply is resent: longer than a commit with one slow
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -174,7 +174,7 @@
         // In this phase new calls are refused, so that the shard becomes idle.
         shard.phase = shard_phase::handing_over;
         const bool in_use =
-            journal_.busy(number) ||
+            journal_.has_commands(number) ||
             std::any_of(calls_.begin(), calls_.end(), [shard_id = number](const auto& entry) {
                 return entry.second.shard == shard_id;
             });
