--- a/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
@@ -16,7 +16,7 @@
 using journal::outcome;
 using journal::ran_state;
 
-std::string join(const std::vector<std::string>& pieces) {
+std::string concatenate(const std::vector<std::string>& pieces) {
     std::string whole;
     for (const std::string& piece : pieces) {
         whole += piece;
@@ -151,7 +151,7 @@
     release_slot(*call);
     outcome result;
     result.ran = ran_state::yes;
-    result.answer = join(call->pieces);
+    result.answer = concatenate(call->pieces);
     result.prompt_tokens = finished.prompt_tokens;
     result.completion_tokens = finished.completion_tokens;
     result.cached_tokens = finished.cached_tokens;
