--- a/tests/program_api/journal/trace_replay_test.cpp
+++ b/tests/program_api/journal/trace_replay_test.cpp
@@ -68,7 +68,7 @@
     }
 
     static void check_state(const journal_state_machine& machine, std::istream& words,
-                            const std::string& place) {
+                            const std::string& location) {
         shard_id shard = 0;
         program_id program;
         std::string label;
@@ -79,11 +79,11 @@
         words >> shard >> program >> label >> charged >> label >> reserved >> label >> last >>
             label >> closed;
         const program_record* record = machine.shards().at(shard).programs.find(program);
-        CPPUNIT_ASSERT_MESSAGE(place, record != nullptr);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(place, charged, record->charged);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(place, reserved, record->reserved);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(place, last, record->last_sequence);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(place, closed == "yes", record->closed);
+        CPPUNIT_ASSERT_MESSAGE(location, record != nullptr);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(location, charged, record->charged);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(location, reserved, record->reserved);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(location, last, record->last_sequence);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(location, closed == "yes", record->closed);
     }
 
     static void replay(const std::filesystem::path& path, bool with_snapshots) {
@@ -92,7 +92,7 @@
         std::string line;
         std::uint64_t index = 0;
         while (std::getline(file, line)) {
-            const std::string place = path.filename().string() + ": " + line;
+            const std::string location = path.filename().string() + ": " + line;
             std::istringstream words(line);
             std::string name;
             words >> name;
@@ -100,7 +100,7 @@
                 continue;
             }
             if (name == "state") {
-                check_state(machine, words, place);
+                check_state(machine, words, location);
                 continue;
             }
             const journal_command command = read_command(name, words);
@@ -108,7 +108,7 @@
             std::string expected;
             words >> equals >> expected;
             const journal_error outcome = machine.apply(protocol::encode(command), ++index);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(place, expected, std::string(to_string(outcome)));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(location, expected, std::string(to_string(outcome)));
             if (with_snapshots) {
                 journal_state_machine restored;
                 restored.restore(machine.save());
