--- a/tests/program_api/scheduler/backend_http_codec_test.cpp
+++ b/tests/program_api/scheduler/backend_http_codec_test.cpp
@@ -57,10 +57,10 @@
 
     void arbitrary_bytes_do_not_crash_parsers() {
         check_property("no input crashes a parser", [] {
-            const std::string noise = *any_bytes();
-            (void)parse_stream_event(key(), noise);
-            (void)parse_answer(poll_members{}, noise);
-            (void)parse_answer(poll_status{"e", 0}, noise);
+            const std::string bytes = *any_bytes();
+            (void)parse_stream_event(key(), bytes);
+            (void)parse_answer(poll_members{}, bytes);
+            (void)parse_answer(poll_status{"e", 0}, bytes);
         });
     }
 };
