--- a/src/tallyfold/program_api/journal/shard_state.cpp
+++ b/src/tallyfold/program_api/journal/shard_state.cpp
@@ -89,7 +89,7 @@
     if (change.attempt != call.attempt + 1) {
         return journal_error::attempt_out_of_order;
     }
-    // An attempt whose outcome is open may be followed by another only if the request may repeat.
+    // After an attempt with an unknown outcome, only a repeatable request may begin another.
     if (call.phase == call_phase::begun && !call.repeatable) {
         return journal_error::not_repeatable;
     }
@@ -114,18 +114,18 @@
     }
     program_record& root = root_of(*program);
     call_record& call = program->calls[change.sequence];
-    // An earlier attempt that may still be running keeps its whole reservation as its charge.
-    const bool forfeited_attempt = call.attempt > 0 && call.phase == call_phase::begun;
-    const token_count forfeited = forfeited_attempt ? call.reserved : 0;
+    // An earlier attempt that may still be running is charged its whole reservation.
+    const bool has_unresolved_attempt = call.attempt > 0 && call.phase == call_phase::begun;
+    const token_count unresolved_reservation = has_unresolved_attempt ? call.reserved : 0;
     if (root.charged + root.reserved + change.reservation > root.budget) {
         if (call.attempt == 0) {
             program->calls.erase(change.sequence);
         }
         return journal_error::over_budget;
     }
-    root.reserved = root.reserved - forfeited + change.reservation;
-    root.charged += forfeited;
-    call.maybe_ran = call.maybe_ran || forfeited_attempt;
+    root.reserved = root.reserved - unresolved_reservation + change.reservation;
+    root.charged += unresolved_reservation;
+    call.maybe_ran = call.maybe_ran || has_unresolved_attempt;
     call.sequence = change.sequence;
     call.request_identity = change.request_identity;
     call.request_hash = change.request_hash;
@@ -145,9 +145,10 @@
     return journal_error::none;
 }
 
-void shard_state::settle(program_record& program, call_record& call, token_count charged) {
+void shard_state::settle_reservation(program_record& program, call_record& call,
+                                     token_count charged) {
     program_record& root = root_of(program);
-    // A back end that used more than was reserved is the operator's loss, not the program's.
+    // The charge is capped at the reservation: the operator bears any excess usage.
     root.charged += std::min(charged, call.reserved);
     root.reserved -= call.reserved;
     call.reserved = 0;
@@ -170,13 +171,13 @@
         return journal_error::none;
     }
     if (change.ran == ran_state::no) {
-        settle(*program, call, 0);
+        settle_reservation(*program, call, 0);
         call.phase = call_phase::released;
         return journal_error::none;
     }
     call.maybe_ran = true;
-    // Its outcome stays open: a request that may repeat can begin again, another cannot.
-    settle(*program, call, call.reserved);
+    // The outcome is unknown: only a repeatable request can begin again.
+    settle_reservation(*program, call, call.reserved);
     return journal_error::none;
 }
 
@@ -196,7 +197,7 @@
     if (program->closed) {
         return journal_error::program_closed;
     }
-    settle(*program, call, change.charged);
+    settle_reservation(*program, call, change.charged);
     call.phase = call_phase::ended;
     call.result = change.result;
     for (const message& added : change.appended_history) {
@@ -205,10 +206,10 @@
     return journal_error::none;
 }
 
-void shard_state::close_one(program_record& program, const std::string& reason) {
+void shard_state::mark_closed(program_record& program, const std::string& reason) {
     for (auto& [sequence, call] : program.calls) {
         if (call.phase == call_phase::begun) {
-            settle(program, call, call.reserved);
+            settle_reservation(program, call, call.reserved);
         }
     }
     program.closed = true;
@@ -228,15 +229,15 @@
     for (auto child = programs_.lower_bound(prefix);
          child != programs_.end() && child->first.starts_with(prefix); ++child) {
         if (!child->second.closed) {
-            close_one(child->second, "parent closed");
+            mark_closed(child->second, "parent closed");
         }
     }
-    close_one(*program, change.reason);
-    drop_oldest_closed();
+    mark_closed(*program, change.reason);
+    evict_oldest_closed();
     return journal_error::none;
 }
 
-void shard_state::drop_oldest_closed() {
+void shard_state::evict_oldest_closed() {
     while (closed_order_.size() > kept_closed_programs_per_shard) {
         const program_id oldest = closed_order_.front();
         closed_order_.pop_front();
--- a/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/dispatch.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// From the queue to a back end: order, placement, the begin in the journal, and the order out.
+/// Dispatch of queued calls: ranking, placement, journalling of the attempt, order to a back end.
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 using journal::outcome;
 using journal::ran_state;
 
-/// Waiting calls that are tried when the first ones cannot be placed.
+/// Number of queued calls considered for placement, so that one call does not block the rest.
 constexpr std::size_t lookahead = 16;
 constexpr std::array all_kinds{call_kind::model, call_kind::app, call_kind::tool};
 constexpr duration app_timeout = std::chrono::seconds(10);
@@ -33,7 +33,7 @@
     const auto runtime = programs_.find(program.root);
     if (runtime != programs_.end()) {
         features.started_ms =
-            static_cast<double>(to_milliseconds(runtime->second.first_heard.time_since_epoch()));
+            static_cast<double>(to_milliseconds(runtime->second.first_seen.time_since_epoch()));
     }
     features.prompt_tokens = static_cast<double>(call.prompt_tokens);
     features.max_tokens = static_cast<double>(call.request.max_tokens);
@@ -61,7 +61,7 @@
     queued.tenant_weight = tenant == nullptr ? 1.0 : tenant->weight;
     queued.arrived = call.arrived;
     queued.cost = static_cast<double>(1 + call.request.max_tokens + call.prompt_tokens);
-    // Arrival order is the rank of the baselines and of a class without a policy.
+    // Baseline strategies and classes without a policy rank calls by arrival time.
     queued.rank = static_cast<double>(call.arrived.time_since_epoch().count());
     const bool by_policy = settings_.placement == scheduling::strategy::policy;
     if (by_policy && settings != nullptr) {
@@ -75,21 +75,21 @@
         }
     }
     if (!by_policy) {
-        // First come, first served across tenants.
+        // Baseline strategies are first come, first served across all tenants.
         queued.tenant.clear();
     }
     queue_for(call.request.kind).push(queued);
     ++waiting_of_class_[program->program_class];
 }
 
-void scheduler_core::pump(instant now) {
+void scheduler_core::dispatch_queued(instant now) {
     for (const call_kind kind : all_kinds) {
-        while (pump_kind(kind, now)) {
+        while (dispatch_next(kind, now)) {
         }
     }
 }
 
-bool scheduler_core::pump_kind(call_kind kind, instant now) {
+bool scheduler_core::dispatch_next(call_kind kind, instant now) {
     for (const scheduling::ticket id : queue_for(kind).next(lookahead)) {
         if (try_begin(calls_.at(id), now)) {
             return true;
@@ -138,12 +138,13 @@
     }
     call.cached_tokens = choice->cached_tokens;
     call.prefill_tokens = call.prompt_tokens - choice->cached_tokens;
-    note(call.request.program, call.request.sequence,
-         "placed on " + choice->engine + ": cached " + std::to_string(choice->cached_tokens) +
-             " of " + std::to_string(call.prompt_tokens) + " tokens, cost " +
-             std::to_string(choice->cost) + ", best of " + std::to_string(choice->candidates) +
-             ", waited " + std::to_string(to_milliseconds(now - call.arrived)) + " ms",
-         now);
+    record_decision(
+        call.request.program, call.request.sequence,
+        "placed on " + choice->engine + ": cached " + std::to_string(choice->cached_tokens) +
+            " of " + std::to_string(call.prompt_tokens) + " tokens, cost " +
+            std::to_string(choice->cost) + ", best of " + std::to_string(choice->candidates) +
+            ", waited " + std::to_string(to_milliseconds(now - call.arrived)) + " ms",
+        now);
     return choice->engine;
 }
 
@@ -166,11 +167,11 @@
     change.kind = call.request.kind;
     change.repeatable = call.request.repeatable;
     change.target = target;
-    // The worst case: the whole prompt, the pieces that are out already, and all of the answer.
+    // Upper bound of the usage: the whole prompt and the whole answer, including delivered pieces.
     change.reservation = call.prompt_tokens + call.request.max_tokens;
     ++counters_.attempts_begun;
     if (call.attempt == 1) {
-        earn_retry(call);
+        credit_retry_budget(call);
     }
     journal_.append(append_key_of(call),
                     journal::journal_command(journal::owner_command{
@@ -178,40 +179,41 @@
                     now);
 }
 
-void scheduler_core::earn_retry(const active_call& call) {
+void scheduler_core::credit_retry_budget(const active_call& call) {
     const journal::program_record* program = record_of(call.request.program);
     const configuration::class_settings* settings =
         program == nullptr ? nullptr : configuration().program_class(program->program_class);
     if (settings != nullptr) {
-        retry_budgets_[program->program_class].earn(settings->retry_ratio);
+        retry_budgets_[program->program_class].credit(settings->retry_ratio);
     }
 }
 
-void scheduler_core::set_start_limit(active_call& call, instant now) {
+void scheduler_core::set_start_deadline(active_call& call, instant now) {
     const bool model = call.request.kind == call_kind::model;
-    call.start_limit = now + (model ? settings_.stream_stall : settings_.request_start_window);
-    call.start_settled = false;
+    call.start_deadline = now + (model ? settings_.stream_stall : settings_.request_start_window);
+    call.start_confirmed = false;
 }
 
-backend_clock scheduler_core::start_limit_there(const active_call& call) {
+backend_clock scheduler_core::backend_start_deadline(const active_call& call) {
     const scheduling::backend_state* target = pool_for(call.request.kind).find(call.target);
     const auto ahead = target == nullptr ? std::nullopt : target->clock_ahead();
     if (!ahead) {
-        // The back end left the list since it was chosen: this limit has passed on any clock.
+        // The back end is no longer listed. A deadline of 1 has passed on any clock, so the
+        // attempt never starts.
         return 1;
     }
-    return (call.start_limit.time_since_epoch() + *ahead).count();
+    return (call.start_deadline.time_since_epoch() + *ahead).count();
 }
 
 void scheduler_core::dispatch(active_call& call, instant now) {
     call.state = call_state::running;
     call.last_progress = now;
-    set_start_limit(call, now);
+    set_start_deadline(call, now);
     const group_id group = journal::group_of_shard(call.shard, settings_.journal_groups);
     if (!session_.lease_valid(group, now)) {
-        // Another owner may be at work. Nothing was handed over, so this attempt has not run.
+        // The shard may have another owner. Nothing was sent, so this attempt has not run.
         release_slot(call);
-        call.free_retry = true;
+        call.skip_retry_budget = true;
         journal_failure(call, ran_state::no, now);
         return;
     }
@@ -230,7 +232,7 @@
         start.prefix = call.pieces;
         start.max_tokens = call.request.max_tokens;
         start.priority = by_policy && settings != nullptr ? settings->priority : 0;
-        start.not_after = start_limit_there(call);
+        start.not_after = backend_start_deadline(call);
         order(std::move(start));
         return;
     }
@@ -240,7 +242,7 @@
     }
     order(run_request{call.target, key_of(call), fence, call.request.kind, call.request.operation,
                       call.request.argument, call.request.repeatable, timeout,
-                      start_limit_there(call)});
+                      backend_start_deadline(call)});
 }
 
 void scheduler_core::expire_queued(instant now) {
--- a/src/tallyfold/program_api/scheduler/scheduler_core.hpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.hpp
@@ -1,14 +1,14 @@
 #pragma once
 /// @file
-/// The scheduler as pure logic: owns shards of programs, and decides when and where each call
-/// runs. Inputs are messages and the time; outputs are messages, orders to back ends, events.
+/// Scheduler logic without I/O: owns shards of programs and decides when and where each call runs.
+/// Inputs are messages, back-end reports and the time; outputs are messages, orders and events.
 ///
-/// Owns the copies of its shards, the calls under way and what it believes of back ends; relies on
-/// the journal of control (journal_client) for what must survive, on membership/control_session for
-/// leases and configuration, and on scheduling/ for order and placement.
+/// Holds the copies of its shards, the active calls and the state of back ends. Durable data goes
+/// through the journal (journal_client), leases and configuration come from
+/// membership/control_session, ranking and placement from scheduling/. Not thread-safe.
 ///
-/// The functions are spread over commands/ (what changes a program), queries/ (what reads one)
-/// and this folder (leases, configuration, back ends).
+/// Member functions are defined in commands/ (changes to programs), queries/ (reads) and this
+/// folder (leases, configuration, back ends).
 
 #include <array>
 #include <deque>
@@ -36,7 +36,7 @@
 
 struct scheduler_settings {
     node_name node;
-    /// Where the node listens for internal messages, "ip:port".
+    /// Listen address for internal messages, "ip:port".
     std::string address;
     std::string zone;
     std::vector<node_name> control_nodes;
@@ -44,15 +44,15 @@
     std::uint32_t shard_count = 64;
     scheduling::strategy placement = scheduling::strategy::policy;
     duration heartbeat_interval = std::chrono::milliseconds(400);
-    /// Without a confirmed configuration for this long, new work is refused.
+    /// Time without a confirmed configuration after which new work is refused.
     duration configuration_lease = std::chrono::milliseconds(3000);
     duration status_interval = std::chrono::milliseconds(250);
     duration members_interval = std::chrono::milliseconds(500);
-    /// A stream without a piece for this long counts as broken.
+    /// Time without a new piece after which a stream counts as broken.
     duration stream_stall = std::chrono::milliseconds(5000);
-    /// An app or tool request that has not started within this never starts.
+    /// Time after which a back end must not start an app or tool request.
     duration request_start_window = std::chrono::milliseconds(1000);
-    /// Attempts of one call at most.
+    /// Maximum number of attempts per call.
     std::uint32_t attempt_limit = 4;
     std::uint64_t seed = 0;
 };
@@ -68,7 +68,7 @@
     std::vector<logging::event_record> events;
 };
 
-/// Counters since the start, for metrics.
+/// Counters since process start, for metrics.
 struct scheduler_counters {
     std::uint64_t calls_accepted = 0;
     std::uint64_t calls_refused = 0;
@@ -99,9 +99,9 @@
     void receive(const node_name& from, const protocol::internal_message& message, instant now);
     void report(const backend_report& report, instant now);
     void tick(instant now);
-    /// Starts a planned stop: shards are handed over, and what is under way is finished.
+    /// Starts a drain: active calls finish and shards are handed over.
     void drain();
-    /// True when a drain has finished.
+    /// True if a drain was started and has finished.
     [[nodiscard]] bool drained() const;
 
     scheduler_output take_output();
@@ -117,7 +117,7 @@
         lease_epoch epoch = 0;
         shard_phase phase = shard_phase::loading;
         journal::shard_state state;
-        instant asked{};
+        instant read_requested_at{};
         bool release_sent = false;
     };
 
@@ -130,14 +130,14 @@
         queued,
         beginning,
         running,
-        /// The stream broke; the engine is being asked to go on.
+        /// The stream is about to be resumed at the same engine.
         resuming,
-        /// The attempt failed; the journal is being told.
+        /// The attempt failed; its journal command is pending.
         failing,
-        /// Asking the back end whether a request ran, and forbidding it to run from now on.
+        /// Sending seal requests, to learn whether the attempt ran and to prevent a later start.
         resolving,
-        /// The back end cannot be asked; waiting until the attempt can no longer start there.
-        fencing,
+        /// The back end cannot be queried; waiting until it can no longer start the attempt.
+        awaiting_start_deadline,
         ending,
     };
 
@@ -151,7 +151,8 @@
         call_state state = call_state::queued;
         std::uint32_t attempt = 0;
         backend_name target;
-        /// True when some attempt may have run, so that "not run" must not be said.
+        /// True if any attempt may have run; callers must then not be told that the call did not
+        /// run.
         bool maybe_ran = false;
         bool slot_held = false;
         bool prefill_pending = false;
@@ -165,16 +166,16 @@
         instant last_progress{};
         instant next_try{};
         instant resolving_since{};
-        /// From then on the back end refuses to start the attempt.
-        instant start_limit{};
-        /// True once the back end showed that the attempt runs, or that it will not start.
-        bool start_settled = false;
+        /// Time from which the back end refuses to start the attempt.
+        instant start_deadline{};
+        /// True after the attempt is known to have started.
+        bool start_confirmed = false;
         std::uint32_t resumes = 0;
         std::uint32_t seal_tries = 0;
-        /// What the waiters get if the attempt that failed cannot be repeated.
+        /// Result code for the waiters if the failed attempt cannot be retried.
         journal::answer_code failure = journal::answer_code::backend_failed;
-        /// True when the failure used none of the class's retry budget.
-        bool free_retry = false;
+        /// True if the next retry does not count against the retry budget of the class.
+        bool skip_retry_budget = false;
     };
 
     struct decision {
@@ -183,23 +184,23 @@
         std::string text;
     };
 
-    /// What is known of a program beside its record; lost with its owner, and not missed.
-    /// The newest submission of a call of which the caller was told that it did not run.
+    /// Newest submission of a call that was reported to the caller as not run.
     struct refusal_record {
         sequence_number sequence = 0;
         std::uint32_t submission = 0;
         journal::outcome result;
     };
 
+    /// Volatile state of a program besides its record; discarded if the shard is lost.
     struct program_runtime {
-        instant first_heard{};
+        instant first_seen{};
         instant last_activity{};
         instant last_end{};
         duration pause_total{};
         std::uint32_t pauses = 0;
         std::vector<scheduling::prefix_point> points;
-        std::size_t points_messages = 0;
-        std::deque<decision> journey;
+        std::size_t hashed_messages = 0;
+        std::deque<decision> decisions;
         refusal_record refused;
         std::vector<waiter> open_waiters;
         std::vector<waiter> close_waiters;
@@ -215,10 +216,10 @@
     void on_contents(const protocol::shard_contents& contents, instant now);
     void on_configuration(const protocol::configuration_update& update);
     void lose_shard(shard_id shard);
-    /// Ends a lost shard's call here: its callers are told that the program has moved.
+    /// Drops a call of a lost shard and tells its callers that the program has moved.
     void drop_moved_call(scheduling::ticket id);
-    /// Forgets a lost shard's programs and tells who waits for their opening or closing.
-    void forget_programs(shard_id shard);
+    /// Removes the programs of a lost shard and answers the callers that open or close them.
+    void remove_programs(shard_id shard);
     void load_shards(instant now);
     void release_idle_shards(instant now);
     void compile_policies();
@@ -231,43 +232,43 @@
     void on_members(const members_answered& list);
     void repeat_cache_releases(instant now);
     void check_running_calls(instant now);
-    void forgive_gap(instant now);
+    void reset_activity_after_pause(instant now);
     void reap_programs(instant now);
 
     // Commands (commands/*.cpp).
     void on_request(const node_name& from, const protocol::scheduler_request& request, instant now);
-    void run_command(const waiter& asker, const protocol::scheduler_call& command,
+    void run_command(const waiter& requester, const protocol::scheduler_call& command,
                      owned_shard& shard, shard_id number, instant now);
-    /// True for a repeat of a call that is under way here: it may wait for the same answer.
+    /// True if `call` repeats an active call, so that it may wait for the same outcome.
     bool repeats_active(const protocol::scheduler_call& call);
-    void touch(const program_id& id, instant now);
-    void on_open(const waiter& asker, const protocol::open_call& call, owned_shard& shard,
+    void record_activity(const program_id& id, instant now);
+    void on_open(const waiter& requester, const protocol::open_call& call, owned_shard& shard,
                  shard_id number, instant now);
-    /// What is wrong with an opening by itself and by the configuration; the shard isn't asked.
+    /// Refusal of an opening by the configuration alone, without regard to the shard's state.
     [[nodiscard]] std::optional<journal::outcome> refuse_open(
         const journal::open_program& wanted) const;
-    void on_call(const waiter& asker, const protocol::program_call& call, owned_shard& shard,
+    void on_call(const waiter& requester, const protocol::program_call& call, owned_shard& shard,
                  shard_id number, instant now);
-    void on_close(const waiter& asker, const protocol::close_call& call, owned_shard& shard,
+    void on_close(const waiter& requester, const protocol::close_call& call, owned_shard& shard,
                   shard_id number, instant now);
-    bool answer_from_record(const waiter& asker, const protocol::program_call& call,
+    bool answer_from_record(const waiter& requester, const protocol::program_call& call,
                             const journal::program_record& program);
-    bool join_active(const waiter& asker, const protocol::program_call& call);
-    void remember_refusal(const protocol::program_call& call, const journal::outcome& result);
-    bool repeat_refusal(const waiter& asker, const protocol::program_call& call);
+    bool join_active(const waiter& requester, const protocol::program_call& call);
+    void store_refusal(const protocol::program_call& call, const journal::outcome& result);
+    bool resend_refusal(const waiter& requester, const protocol::program_call& call);
     std::optional<journal::outcome> refuse_call(const protocol::program_call& call,
                                                 const journal::program_record& program,
                                                 instant now);
-    /// Turns, budget and queues: what a new call is refused for, and a repeat isn't.
+    /// Refusal of a new call by turn, budget or queue limits; not applied to repeated calls.
     std::optional<journal::outcome> refuse_over_limit(const protocol::program_call& call,
                                                       const journal::program_record& program,
                                                       const configuration::class_settings& settings,
                                                       const configuration::tenant_settings& tenant);
-    void admit(const waiter& asker, const protocol::program_call& call,
+    void admit(const waiter& requester, const protocol::program_call& call,
                const journal::program_record& program, shard_id number, instant now);
-    /// Counts the time since the program's last call ended.
+    /// Adds the time since the program's previous call ended to its pauses.
     void add_pause(const program_id& id, instant now);
-    /// The prompt of a model call: the program's history and the new messages.
+    /// Builds the prompt of a model call from the program's history and the new messages.
     void set_prompt(active_call& active, const journal::program_record& program);
     void enqueue(active_call& call);
     void close_program(const program_id& id, shard_id number, const std::string& reason,
@@ -275,18 +276,18 @@
     void on_program_closed(const journal::close_program& change, shard_id number, instant now);
 
     // Dispatch (commands/dispatch.cpp).
-    void pump(instant now);
-    bool pump_kind(journal::call_kind kind, instant now);
+    void dispatch_queued(instant now);
+    bool dispatch_next(journal::call_kind kind, instant now);
     bool try_begin(active_call& call, instant now);
     std::optional<backend_name> choose_backend(active_call& call, instant now);
     void begin(active_call& call, const backend_name& target, instant now);
-    void earn_retry(const active_call& call);
+    void credit_retry_budget(const active_call& call);
     void dispatch(active_call& call, instant now);
     void expire_queued(instant now);
 
     // Progress of attempts (commands/attempt_progress.cpp).
     void on_append_finished(const finished_append& finished, instant now);
-    /// The journal has applied a change, or refused it for good.
+    /// Handles a change that the journal has applied or finally refused.
     void on_change_journalled(const finished_append& finished,
                               const journal::program_change& change, instant now);
     void on_program_opened(const journal::open_program& opened, journal::journal_error refused);
@@ -303,25 +304,25 @@
 
     // Failed attempts (commands/attempt_failure.cpp).
     void on_attempt_failed(const attempt_failed& failed, instant now);
-    /// Books a failure to the back end of the call's attempt, and logs when that ejects it.
+    /// Counts a failure of the attempt's back end and logs if the back end is ejected.
     void count_backend_failure(const active_call& call, instant now);
-    /// True when the engine may be asked to go on with the call's stream.
+    /// True if the call's stream may be resumed at its engine.
     [[nodiscard]] bool may_resume(const active_call& call, failure_kind kind);
     void on_attempt_failed_journalled(const journal::fail_attempt& change, instant now);
     void on_seal_answered(const seal_answered& answered, instant now);
     void resolve(active_call& call, instant now);
     void start_resolving(active_call& call, instant now);
-    void take_over(active_call& call, instant now);
-    void set_start_limit(active_call& call, instant now);
-    [[nodiscard]] backend_clock start_limit_there(const active_call& call);
+    void resume_inherited_attempt(active_call& call, instant now);
+    void set_start_deadline(active_call& call, instant now);
+    [[nodiscard]] backend_clock backend_start_deadline(const active_call& call);
     void journal_failure(active_call& call, journal::ran_state ran, instant now);
-    void retry_or_give_up(active_call& call, instant now);
+    void retry_or_fail(active_call& call, instant now);
 
     // Queries (queries/inspect_program.cpp).
-    void on_inspect(const waiter& asker, const protocol::inspect_call& call,
+    void on_inspect(const waiter& requester, const protocol::inspect_call& call,
                     const owned_shard& shard, instant now);
 
-    // Small helpers.
+    // Helpers.
     [[nodiscard]] shard_id shard_number(const program_id& id) const;
     active_call* find_call(const attempt_key& key);
     active_call* call_of(const program_id& id);
@@ -330,9 +331,10 @@
     [[nodiscard]] token_count budget_left(const journal::program_record& program) const;
     [[nodiscard]] attempt_key key_of(const active_call& call) const;
     [[nodiscard]] append_key append_key_of(const active_call& call) const;
-    void reply(const waiter& asker, journal::outcome result);
+    void reply(const waiter& requester, journal::outcome result);
     void reply_all(active_call& call, const journal::outcome& result);
-    void note(const program_id& id, sequence_number sequence, std::string text, instant now);
+    void record_decision(const program_id& id, sequence_number sequence, std::string text,
+                         instant now);
     void event(logging::event_id id, std::string fields);
     void order(backend_order item) { output_.orders.push_back(std::move(item)); }
     [[nodiscard]] std::uint32_t retry_after();
@@ -360,7 +362,7 @@
     std::map<backend_name, std::uint64_t> last_cache_event_;
 
     std::map<shard_id, owned_shard> shards_;
-    std::set<shard_id> hand_over_;
+    std::set<shard_id> shards_to_hand_over_;
     std::map<program_id, program_runtime> programs_;
     std::map<scheduling::ticket, active_call> calls_;
     std::map<program_id, scheduling::ticket> call_of_program_;
@@ -371,10 +373,10 @@
     scheduling::ticket next_ticket_ = 1;
 
     bool draining_ = false;
-    bool lease_expiry_noted_ = false;
-    instant next_status_{};
-    instant next_members_{};
-    instant next_second_{};
+    bool lease_expiry_logged_ = false;
+    instant next_status_poll_{};
+    instant next_members_poll_{};
+    instant next_housekeeping_{};
     instant last_tick_{};
 
     scheduler_counters counters_;
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// How a scheduler gains, loads, hands over and loses shards.
+/// Acquiring, loading, handing over and losing shards.
 
 #include <algorithm>
 
@@ -13,14 +13,14 @@
 
 using logging::event_id;
 
-/// How long a group's leader may take to send a shard's contents before it is asked again. Chosen,
-/// not measured: several round trips between zones.
-constexpr duration shard_read_patience = std::chrono::milliseconds(300);
-/// When callers of a program that has moved may ask its new owner. Chosen, not measured: as long as
-/// leaders take between two looks at the leases.
+/// Time after which the contents of a shard are requested again: several round trips between
+/// zones.
+constexpr duration shard_read_timeout = std::chrono::milliseconds(300);
+/// Retry delay suggested to callers of a program that has moved: the interval at which leaders
+/// review the leases.
 constexpr std::uint32_t moved_retry_after_ms = 100;
 
-journal::outcome moved(journal::ran_state ran) {
+journal::outcome program_moved(journal::ran_state ran) {
     journal::outcome result;
     result.code = journal::answer_code::owner_changed;
     result.ran = ran;
@@ -50,18 +50,19 @@
             event(event_id::shard_assigned,
                   "shard=" + std::to_string(shard) + " epoch=" + std::to_string(lease.epoch));
         }
-        hand_over_.erase(shard);
+        shards_to_hand_over_.erase(shard);
     }
-    hand_over_.insert(update.hand_over.begin(), update.hand_over.end());
+    shards_to_hand_over_.insert(update.hand_over.begin(), update.hand_over.end());
     load_shards(now);
 }
 
 void scheduler_core::load_shards(instant now) {
     for (auto& [number, shard] : shards_) {
-        if (shard.phase != shard_phase::loading || now < shard.asked + shard_read_patience) {
+        if (shard.phase != shard_phase::loading ||
+            now < shard.read_requested_at + shard_read_timeout) {
             continue;
         }
-        shard.asked = now;
+        shard.read_requested_at = now;
         const group_id group = journal::group_of_shard(number, settings_.journal_groups);
         const node_name leader = journal_.leader_of(group);
         if (!leader.empty()) {
@@ -85,9 +86,9 @@
     shard.phase = shard_phase::serving;
     for (const auto& [id, program] : shard.state.programs()) {
         programs_[id].last_activity = now;
-        programs_[id].first_heard = now;
+        programs_[id].first_seen = now;
         if (program.closed) {
-            // The last owner may have gone before its release was confirmed.
+            // The previous owner may have lost the shard before the cache release was confirmed.
             queue_cache_release(id, now);
         }
     }
@@ -105,7 +106,7 @@
         event(event_id::shard_lost,
               "shard=" + std::to_string(number) + " epoch=" + std::to_string(found->second.epoch));
     }
-    journal_.abandon(number);
+    journal_.discard_shard(number);
     std::vector<scheduling::ticket> lost;
     for (auto& [id, call] : calls_) {
         if (call.shard == number) {
@@ -115,34 +116,35 @@
     for (const scheduling::ticket id : lost) {
         drop_moved_call(id);
     }
-    forget_programs(number);
+    remove_programs(number);
     shards_.erase(found);
 }
 
 void scheduler_core::drop_moved_call(scheduling::ticket id) {
     active_call& call = calls_.at(id);
-    // A begin that was handed to the journal may be committed: only a call that was still
+    // A begin_attempt sent to the journal may be committed later, so only a call that is still
     // queued is known not to have run.
-    const bool untouched = call.state == call_state::queued && !call.maybe_ran;
-    reply_all(call, moved(untouched ? journal::ran_state::no : journal::ran_state::unknown));
+    const bool not_begun = call.state == call_state::queued && !call.maybe_ran;
+    reply_all(call,
+              program_moved(not_begun ? journal::ran_state::no : journal::ran_state::unknown));
     if (call.state == call_state::running && call.request.kind == journal::call_kind::model) {
         order(cancel_stream{call.target, key_of(call)});
     }
     drop_call(id);
 }
 
-void scheduler_core::forget_programs(shard_id number) {
-    // Programs whose opening was still on its way to the journal have waiters too.
-    const journal::outcome answer = moved(journal::ran_state::unknown);
+void scheduler_core::remove_programs(shard_id number) {
+    // Programs whose opening or closing is not yet committed have waiters too.
+    const journal::outcome answer = program_moved(journal::ran_state::unknown);
     std::erase_if(programs_, [&](const auto& entry) {
         if (shard_number(entry.first) != number) {
             return false;
         }
-        for (const waiter& asker : entry.second.open_waiters) {
-            reply(asker, answer);
+        for (const waiter& requester : entry.second.open_waiters) {
+            reply(requester, answer);
         }
-        for (const waiter& asker : entry.second.close_waiters) {
-            reply(asker, answer);
+        for (const waiter& requester : entry.second.close_waiters) {
+            reply(requester, answer);
         }
         return true;
     });
@@ -160,18 +162,19 @@
 
 void scheduler_core::release_idle_shards(instant now) {
     for (auto& [number, shard] : shards_) {
-        const bool asked = draining_ || hand_over_.contains(number);
-        if (!asked && shard.phase == shard_phase::handing_over && !shard.release_sent) {
-            // The one that was to take it has gone: go on here.
+        const bool handover_requested = draining_ || shards_to_hand_over_.contains(number);
+        if (!handover_requested && shard.phase == shard_phase::handing_over &&
+            !shard.release_sent) {
+            // The handover was withdrawn, so this scheduler serves the shard again.
             shard.phase = shard_phase::serving;
         }
-        if (!asked || shard.phase == shard_phase::loading) {
+        if (!handover_requested || shard.phase == shard_phase::loading) {
             continue;
         }
-        // From here on new calls are sent elsewhere, and the shard empties.
+        // In this phase new calls are refused, so that the shard becomes idle.
         shard.phase = shard_phase::handing_over;
         const bool in_use =
-            journal_.busy(number) ||
+            journal_.has_commands(number) ||
             std::any_of(calls_.begin(), calls_.end(), [shard_id = number](const auto& entry) {
                 return entry.second.shard == shard_id;
             });
--- a/tests/program_api/journal/shard_state_test.cpp
+++ b/tests/program_api/journal/shard_state_test.cpp
@@ -10,18 +10,18 @@
 
 class shard_state_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(shard_state_test);
-    CPPUNIT_TEST(no_schedule_exceeds_the_budget);
-    CPPUNIT_TEST(a_request_that_must_not_repeat_begins_once);
+    CPPUNIT_TEST(usage_never_exceeds_the_budget);
+    CPPUNIT_TEST(non_repeatable_request_begins_once);
     CPPUNIT_TEST(calls_begin_in_order);
-    CPPUNIT_TEST(repeated_changes_are_harmless);
-    CPPUNIT_TEST(sub_agents_draw_on_the_root);
-    CPPUNIT_TEST(an_older_owner_is_refused);
-    CPPUNIT_TEST(a_snapshot_holds_everything);
+    CPPUNIT_TEST(repeated_changes_are_idempotent);
+    CPPUNIT_TEST(sub_agents_use_the_root_budget);
+    CPPUNIT_TEST(commands_with_a_stale_epoch_are_rejected);
+    CPPUNIT_TEST(snapshot_preserves_the_state);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr token_count budget = 1000;
 
-    static shard_state with_root() {
+    static shard_state state_with_root_program() {
         shard_state state;
         CPPUNIT_ASSERT(state.apply(open_program{"p", "p", "t", "c", "id", budget}) ==
                        journal_error::none);
@@ -67,15 +67,15 @@
         });
     }
 
-    void no_schedule_exceeds_the_budget() {
+    void usage_never_exceeds_the_budget() {
         check_property("charged and reserved stay within the budget", [] {
-            shard_state state = with_root();
+            shard_state state = state_with_root_program();
             for (const program_change& change :
                  *rc::gen::container<std::vector<program_change>>(any_change())) {
                 (void)state.apply(change);
                 const program_record& root = *state.find("p");
                 RC_ASSERT(root.charged + root.reserved <= budget);
-                // Reservations are exactly those of the attempts that are under way.
+                // The root's reservation equals the sum over all open attempts.
                 token_count open = 0;
                 for (const auto& [id, program] : state.programs()) {
                     for (const auto& [number, call] : program.calls) {
@@ -87,20 +87,20 @@
         });
     }
 
-    void a_request_that_must_not_repeat_begins_once() {
-        shard_state state = with_root();
+    void non_repeatable_request_begins_once() {
+        shard_state state = state_with_root_program();
         CPPUNIT_ASSERT(state.apply(begin(1, 1, 10, false)) == journal_error::none);
         CPPUNIT_ASSERT(state.apply(begin(1, 2, 10, false)) == journal_error::not_repeatable);
         CPPUNIT_ASSERT(state.apply(fail_attempt{"p", 1, 1, ran_state::unknown}) ==
                        journal_error::none);
         CPPUNIT_ASSERT(state.apply(begin(1, 2, 10, false)) == journal_error::not_repeatable);
-        // Only the proof that it did not run lets it begin again.
+        // A new attempt is allowed only after the first one is known not to have run.
         CPPUNIT_ASSERT(state.apply(fail_attempt{"p", 1, 1, ran_state::no}) == journal_error::none);
         CPPUNIT_ASSERT(state.apply(begin(1, 2, 10, false)) == journal_error::none);
     }
 
     void calls_begin_in_order() {
-        shard_state state = with_root();
+        shard_state state = state_with_root_program();
         CPPUNIT_ASSERT(state.apply(begin(2, 1, 1)) == journal_error::sequence_out_of_order);
         CPPUNIT_ASSERT(state.apply(begin(1, 1, 1)) == journal_error::none);
         CPPUNIT_ASSERT(state.apply(begin(2, 1, 1)) == journal_error::sequence_out_of_order);
@@ -108,9 +108,9 @@
         CPPUNIT_ASSERT(state.apply(begin(2, 1, 1)) == journal_error::none);
     }
 
-    void repeated_changes_are_harmless() {
-        check_property("a change that was applied gives none again and changes nothing", [] {
-            shard_state state = with_root();
+    void repeated_changes_are_idempotent() {
+        check_property("reapplying an applied change leaves the state unchanged", [] {
+            shard_state state = state_with_root_program();
             for (const program_change& change :
                  *rc::gen::container<std::vector<program_change>>(any_change())) {
                 if (state.apply(change) != journal_error::none) {
@@ -123,8 +123,8 @@
         });
     }
 
-    void sub_agents_draw_on_the_root() {
-        shard_state state = with_root();
+    void sub_agents_use_the_root_budget() {
+        shard_state state = state_with_root_program();
         CPPUNIT_ASSERT(state.apply(open_program{"p.a", "p", "t", "c", "a", 0}) ==
                        journal_error::none);
         begin_attempt change = begin(1, 1, 900);
@@ -136,7 +136,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{0}, state.find("p")->reserved);
     }
 
-    void an_older_owner_is_refused() {
+    void commands_with_a_stale_epoch_are_rejected() {
         journal_state_machine machine;
         std::uint64_t index = 0;
         const auto apply = [&](const journal_command& command) {
@@ -150,19 +150,19 @@
                        journal_error::stale_epoch);
         CPPUNIT_ASSERT(apply(owner_command{3, 2, program_change(begin(1, 1, 1))}) ==
                        journal_error::none);
-        // A lease decided from an older view changes nothing.
+        // An assignment with an outdated epoch is rejected.
         CPPUNIT_ASSERT(apply(assign_shard{3, 1, "c"}) != journal_error::none);
         CPPUNIT_ASSERT_EQUAL(node_name("b"), machine.lease_of(3).holder);
-        // Only lease changes move the version that nodes compare, also over a snapshot.
+        // Only lease changes advance the lease version; a snapshot preserves it.
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, machine.lease_version());
         journal_state_machine restored;
         restored.restore(machine.save());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, restored.lease_version());
     }
 
-    void a_snapshot_holds_everything() {
+    void snapshot_preserves_the_state() {
         check_property("restore(save()) is the same state", [] {
-            shard_state state = with_root();
+            shard_state state = state_with_root_program();
             for (const program_change& change :
                  *rc::gen::container<std::vector<program_change>>(any_change())) {
                 (void)state.apply(change);
