--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -14,12 +14,11 @@
 
 namespace {
 
-/// An operator's call waits this long for the log. Chosen, not measured: operators' clients give a
-/// call up after a second.
+/// Maximum time for which an operator's call waits for the log; shorter than the one-second timeout
+/// of operators' clients.
 constexpr duration answer_limit = std::chrono::milliseconds(900);
-/// Texts of this size, in bytes, are parsed by the parsing thread. One of 2 MB takes 35 ms of a
-/// core, so 0.7 s of a machine that has a twentieth of one: longer than its followers wait for a
-/// heartbeat. By that measure one of 64 KB takes 22 ms of such a machine, about a tick of the node.
+/// Minimum size in bytes of a text that is parsed on the parser thread. Parsing a larger one on the
+/// loop thread of a slow machine would delay heartbeats beyond the election timeout.
 constexpr std::size_t large_text_bytes = 64U << 10U;
 constexpr const char* unusable_folder = "the data folder can't be used now";
 
@@ -28,8 +27,8 @@
     co_return codec.parse(request);
 }
 
-/// The log's name of what became of a change. A version that doesn't exceed the one held is
-/// acknowledged and alters nothing: it is overtaken.
+/// Name of a change's outcome in the log. A change is overtaken when its version does not exceed
+/// the one in force: it is acknowledged without effect.
 const char* outcome_name(answer_kind kind, bool is_in_force) {
     switch (kind) {
         case answer_kind::done:
@@ -44,7 +43,7 @@
 
 }  // namespace
 
-/// One operator's call that waits for the log's answer.
+/// An operator's call that waits for its log entry.
 struct admin_api::waiting_call {
     explicit waiting_call(asio::io_context& loop) : timer(loop, answer_limit) {}
     asio::steady_timer timer;
@@ -120,7 +119,7 @@
         core_->leads()) {
         return codec_.refused(503, "no majority has confirmed this call; ask again");
     }
-    // Operators' interfaces have the same port on every machine.
+    // The operator interface has the same port on every machine.
     const std::string& own = process_.settings().operators_address;
     const std::string port = own.substr(own.rfind(':'));
     return codec_.redirect(net::ip_of(core_->leader_address()) + port, request.target);
@@ -130,8 +129,7 @@
     if (!core_) {
         co_return codec_.refused(503, unusable_folder);
     }
-    // A large text takes long to parse on a small machine: a node that can't decide doesn't parse
-    // it.
+    // Only the leader parses the text: parsing a large one is expensive.
     if (!core_->leads()) {
         co_return failed(request, answer_kind::not_leader);
     }
@@ -150,7 +148,8 @@
     if (!core_ || !core_->leads()) {
         co_return failed(request, answer_kind::not_leader);
     }
-    // Named, since GCC 12 destroys aggregate temporaries of a co_await twice.
+    // A named variable, because GCC 12 destroys aggregate temporaries in a co_await expression
+    // twice.
     replace_call replacement = std::get<replace_call>(std::move(call));
     if (!replacement.parsed.tenants.empty() && !core_->may_apply_tenants(http::steady_now())) {
         const invalid_call early{503, "a node of an earlier build can't read tenants; ask again"};
--- a/src/tallyfold/plane/directory/admin_api_shell.hpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// The administration API: carries out operators' calls on the directory's log, and holds each call
-/// until the log has answered. Owns the calls that wait and the thread that parses large texts;
-/// relies on the codec for the calls' form and on the core for the log. Belongs to the loop thread.
+/// The administration API: executes operators' calls on the directory's log and answers each call
+/// once its log entry is committed. Owns the waiting calls and the thread that parses large texts;
+/// uses the codec for the wire format and the core for the log. Runs on the loop thread.
 
 #include <asio/awaitable.hpp>
 #include <asio/thread_pool.hpp>
@@ -19,17 +19,18 @@
 
 class admin_api {
   public:
-    /// @param core null while the data folder can't be used
-    /// @param pump does the work that the core has gathered, and hands its answers to answered()
+    /// @param core null while the data folder is unavailable
+    /// @param pump carries out the core's pending work and passes its answers to answered()
     admin_api(net::node_process& process, const admin_codec& codec,
               const std::unique_ptr<directory_core>& core, std::function<void()> pump);
 
-    /// Carries out one call. Errors are answers: 503 without a majority, a redirect to the leader,
-    /// and what the codec says of calls that can't be parsed.
+    /// Executes one call. Errors are returned as responses: 503 without a majority, a redirect to
+    /// the leader, and the codec's status for invalid calls.
     asio::awaitable<http::endpoint_response> serve(http::endpoint_request request);
-    /// The log has answered what was asked with the answer's token.
+    /// Completes the calls that wait for the answer's token.
     void answered(const directory_answer& answer);
-    /// What was asked of the core before is not answered any more.
+    /// Ends all waiting calls with an unknown outcome; the core that would have answered them is
+    /// gone.
     void storage_lost();
 
   private:
@@ -41,13 +42,13 @@
                                                     const std::string& node);
     asio::awaitable<http::endpoint_response> retire_state(const http::endpoint_request& request,
                                                           const std::string& node);
-    /// What a call says. A large text is parsed by the parsing thread.
+    /// Parses a call; large texts are parsed on the parser thread.
     asio::awaitable<operator_call> parse(const http::endpoint_request& request);
     asio::awaitable<answer_kind> submit(directory_command command);
     asio::awaitable<answer_kind> confirm();
-    /// Waits for the log's answer to what was asked with `token`; `unknown` after the limit.
+    /// Waits for the answer with this token; `unknown` after a timeout.
     asio::awaitable<answer_kind> wait(request_token token);
-    /// Puts a parsed configuration into the log, and waits for its answer.
+    /// Appends a parsed configuration to the log and waits until it is applied.
     asio::awaitable<answer_kind> change(replace_call call, const std::string& text);
     [[nodiscard]] bool is_retired(const std::string& node) const;
     http::endpoint_response failed(const http::endpoint_request& request, answer_kind kind) const;
@@ -59,7 +60,7 @@
     const admin_codec& codec_;
     const std::unique_ptr<directory_core>& core_;
     std::function<void()> pump_;
-    /// Parses large texts, one after the other.
+    /// Parses large texts, one at a time.
     asio::thread_pool parser_{1};
     open_changes changes_;
     std::multimap<request_token, std::shared_ptr<waiting_call>> waiting_;
--- a/src/tallyfold/plane/directory/admin_codec.hpp
+++ b/src/tallyfold/plane/directory/admin_codec.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// How operators' calls and their answers look on the wire is not the directory's matter: it sees
-/// them through this interface.
+/// Interface to the wire format of operators' calls and their answers, implemented outside the
+/// directory.
 
 #include <string>
 #include <variant>
@@ -22,7 +22,7 @@
 struct retire_state_call {
     std::string node;
 };
-/// A call that can't be carried out, whatever the state: no such call, or it can't be read.
+/// A call that is unknown or cannot be parsed.
 struct invalid_call {
     unsigned status = 400;
     std::string reason;
@@ -36,18 +36,19 @@
 class admin_codec {
   public:
     virtual ~admin_codec() = default;
-    /// True when the call sends a configuration, told without reading it.
+    /// True when the request replaces the configuration; does not parse the body.
     [[nodiscard]] virtual bool changes_configuration(
         const http::endpoint_request& request) const = 0;
     [[nodiscard]] virtual operator_call parse(const http::endpoint_request& request) const = 0;
-    /// The change is taken.
+    /// Response to an accepted change.
     [[nodiscard]] virtual http::endpoint_response accepted() const = 0;
     [[nodiscard]] virtual http::endpoint_response refused(unsigned status,
                                                           const std::string& reason) const = 0;
-    /// Asks to come again elsewhere. @param operators_address "ip:port"; empty when unknown
+    /// Redirects the client to the same target at another node.
+    /// @param operators_address "ip:port"; empty when unknown
     [[nodiscard]] virtual http::endpoint_response redirect(const std::string& operators_address,
                                                            const std::string& target) const = 0;
-    /// The configuration as its operator sent it.
+    /// Returns the configuration's text as the operator sent it.
     [[nodiscard]] virtual http::endpoint_response configuration(const std::string& text) const = 0;
     [[nodiscard]] virtual http::endpoint_response retirement(retire_progress progress) const = 0;
 };
--- a/src/tallyfold/plane/directory/applied_state_cache.cpp
+++ b/src/tallyfold/plane/directory/applied_state_cache.cpp
@@ -10,11 +10,9 @@
 
 namespace {
 
-/// A state is saved this often at most: a large one costs as much to write as a change to apply.
-/// Chosen, not measured.
+/// Minimum interval between saves: writing a large state costs as much as applying a change.
 constexpr duration save_interval = std::chrono::milliseconds(500);
-/// Hold the state saved last and the one before: written alternately, so that a loss of power
-/// damages one of them at most.
+/// Written alternately, so that a power failure damages at most one of the last two saved states.
 constexpr std::array<const char*, 2> files{"/applied-state-0", "/applied-state-1"};
 
 std::pair<routing::configuration_version, turns::map_epoch> age_of(const directory_state& state) {
--- a/src/tallyfold/plane/directory/applied_state_cache.hpp
+++ b/src/tallyfold/plane/directory/applied_state_cache.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Cache on disk of the state that a directory node applied last, beside its log: after a restart
-/// the node shows it to others before a leader has confirmed which part of the log is committed. It
-/// proves nothing, and nothing is built on it. Owns two files in the node's data folder.
+/// On-disk cache of the state that a directory node last applied. After a restart, the node serves
+/// it until a leader confirms which log entries are committed. Not authoritative: commands are
+/// never applied to it. Owns two files in the node's data folder.
 
 #include <string>
 #include <utility>
@@ -17,21 +17,21 @@
     /// @param folder the node's data folder
     explicit applied_state_cache(std::string folder) : folder_(std::move(folder)) {}
 
-    /// The newest state that can be read; an empty one when none can, be it missing or damaged: the
-    /// node then learns the state from its log or its peers.
+    /// Returns the newest readable state; an empty one when both files are missing or damaged. The
+    /// node then obtains the state from its log or its peers.
     directory_state load();
-    /// Saves a state that differs from the one saved last, unless that was a moment ago. A failed
-    /// write leaves the file before it, and is tried again with the next different state.
+    /// Saves the state when it differs from the last saved one and the minimum interval has passed.
+    /// A failed write leaves the previous file intact; it is retried with the next changed state.
     void save(const directory_state& applied, instant now);
 
   private:
     [[nodiscard]] std::string path_of(std::size_t number) const;
 
     std::string folder_;
-    /// Version and epoch of the state that was saved last.
+    /// Version and epoch of the last saved state.
     std::pair<routing::configuration_version, turns::map_epoch> saved_{};
     instant saved_at_{};
-    /// The file that is written next.
+    /// Index of the file to write next.
     std::size_t next_ = 0;
 };
 
--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -6,9 +6,8 @@
 
 namespace {
 
-/// Earlier lists of back ends that nodes may still hold, so that they are told differences only.
-/// Chosen, not measured: nodes report every 120 ms and the list is polled once a second, so a node
-/// rarely lags by more than one list.
+/// Number of earlier lists from which differences can be sent. A reporting node rarely lags by more
+/// than one list.
 constexpr std::size_t kept_lists = 8;
 
 }  // namespace
@@ -55,7 +54,7 @@
     }
     node_report report;
     report.node = process_.settings().node;
-    // Only the list is asked for: store groups and the configuration come over the log.
+    // Requests the list only: store groups and the configuration arrive through the log.
     report.stores = core_->state().stores().epoch;
     report.list = list_.fingerprint();
     const duration age = http::steady_now() - list_.seen();
--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
@@ -1,9 +1,8 @@
 #pragma once
 /// @file
-/// The directory node's part in keeping the list of back ends known everywhere: one node polls it
-/// (discovery::poller_election), the others ask the leader for what has changed, and each answers
-/// the nodes that report to it. Owns the poller and the newest list known here. Belongs to the loop
-/// thread.
+/// Distributes the list of back ends: one node polls it (discovery::poller_election), the other
+/// directory nodes request changes from the leader, and each of them sends them to the nodes that
+/// report to it. Owns the poller and the newest list known to this node. Runs on the loop thread.
 
 #include <memory>
 #include <optional>
@@ -17,21 +16,23 @@
 
 class backend_list_sharing {
   public:
-    /// @param core null while the data folder can't be used
+    /// @param core null while the data folder is unavailable
     backend_list_sharing(net::node_process& process, const discovery::backend_list_codec& codec,
                          const std::unique_ptr<directory_core>& core);
 
     void start();
-    /// Takes over what the leader's answer says of the list.
+    /// Applies the list in the leader's answer.
     void learn(const node_report_answer& answer);
-    /// What the reporting node lacks; nothing when it holds the newest list or has no use for it.
+    /// Returns the changes that the reporting node lacks; empty when it holds the newest list or
+    /// does not use it.
     [[nodiscard]] std::vector<discovery::list_sight> newer_for(const node_report& report,
                                                                instant now);
-    /// The question for the leader; nothing at the leader itself, or when none is known.
+    /// Returns the report that requests the list from the leader; empty at the leader and when no
+    /// leader is known.
     [[nodiscard]] std::optional<node_report> question_for_leader() const;
 
   private:
-    /// True when this node polls the list in the next round.
+    /// True when this node should poll the list in the next round.
     [[nodiscard]] bool polls() const;
 
     net::node_process& process_;
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -11,8 +11,7 @@
 
 namespace {
 
-/// Silence of all directory nodes after which their loss is logged. Chosen, not measured: longer
-/// than an election, which takes 0.5 to 1 s.
+/// Silence of all directory nodes after which their loss is logged. Longer than an election.
 constexpr duration lost_after = std::chrono::milliseconds(1500);
 
 }  // namespace
@@ -143,7 +142,7 @@
 }
 
 void directory_client::ask_for_proof() {
-    // Nodes that know the first form alone prove nothing.
+    // Nodes that support only format v1 cannot give proofs.
     const messaging::link_pointer link = next_link(protocol::format_version::v2);
     if (!link) {
         return;
@@ -180,7 +179,7 @@
         fetch(from, fetch_.on_version_report(from, answer.configuration, heard_));
         return;
     }
-    // A node that knows the first form alone can't be asked for parts: its answer brings the whole.
+    // A node that supports only format v1 sends the full configuration in its answer, not in parts.
     for (const configuration_pointer& newer : answer.newer_configuration) {
         if (fetch_.accept_full_configuration(newer)) {
             use_configuration(from, 0, duration::zero());
@@ -267,7 +266,7 @@
 
 asio::awaitable<bool> directory_client::refresh(duration limit) {
     if (knows_first_format_alone()) {
-        // Nobody is there who could prove anything: the caller needn't wait.
+        // No connected node can give a proof, so waiting is pointless.
         co_return false;
     }
     const instant began = http::steady_now();
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Keeps a node up to date with the directory: it reports to one directory node after another and
-/// gets what is newer than what it holds, so no single node that is cut off or behind can keep it
-/// stale. The configuration, which may be large, is fetched apart, once (configuration_fetch).
-/// Owns the links to the directory nodes and what is known from them. Belongs to the loop thread.
+/// Keeps a node up to date with the directory. Reports to the directory nodes in turn, so that an
+/// isolated or lagging one cannot keep this node outdated, and receives what is newer. The
+/// configuration, which may be large, is fetched separately (configuration_fetch). Owns the links
+/// to the directory nodes and the state received from them. Runs on the loop thread.
 
 #include <asio/awaitable.hpp>
 #include <asio/steady_timer.hpp>
@@ -22,14 +22,14 @@
 namespace tallyfold::directory {
 
 struct directory_client_settings {
-    /// Chosen, not measured: half of it is added to the propagation of a change on the mean
-    /// (docs/design/configuration-spread.md weighs a watch instead).
+    /// Interval between reports; adds half of it on average to the propagation of a change.
     duration report_interval = std::chrono::milliseconds(120);
-    /// True for nodes that the leader has to hear: each report goes to all directory nodes.
+    /// True for nodes whose reports must reach the leader: each report is sent to all directory
+    /// nodes.
     bool reports_to_all = false;
     bool wants_configuration = true;
-    /// Proof that the configuration is the newest is renewed this often, without anybody waiting
-    /// for it; never when zero.
+    /// Interval at which the proof that the configuration is the newest is renewed, even when no
+    /// caller waits for one; zero disables renewal.
     duration proof_interval = duration::zero();
 };
 
@@ -39,37 +39,39 @@
 
     using configuration_handler = std::function<void(const configuration_pointer&)>;
     using stores_handler = std::function<void(const turns::store_table&)>;
-    /// @param describe_store what a store says of itself; empty for other nodes
+    /// @param describe_store returns the reports of this node's store disks; empty for other nodes
     void start(configuration_handler on_configuration, stores_handler on_stores,
                std::function<std::vector<store_report>()> describe_store);
-    /// Keeps `list` up to date with what directory nodes know of the back ends.
-    /// @param on_list called after each answer that says something of it
+    /// Keeps `list` up to date with the directory nodes' list of back ends.
+    /// @param on_list called after each answer that contains the list
     void share_list(discovery::list_memory& list, std::function<void(bool changed)> on_list);
-    /// Takes over a group's map that came from elsewhere.
+    /// Merges a group's map that was received from another source.
     void learn_map(const turns::store_map& map);
-    /// Waits until it is proved that this node holds the configuration that was the newest when
-    /// this was called, or until the limit. All who wait share the questions; one that was asked
-    /// and answered just now is enough.
-    /// @return false when there is no proof: this node may be behind
+    /// Waits until it is proved that this node holds the configuration that was the newest at the
+    /// time of the call, or until the limit. Concurrent callers share questions; a proof obtained
+    /// immediately before is reused.
+    /// @return false without a proof: this node may lag
     asio::awaitable<bool> refresh(duration limit);
-    /// Sends to a directory node; dropped while it isn't connected.
+    /// Sends to a directory node; the message is dropped while the node is not connected.
     void send_to(const node_name& address, const messaging::peer_message& message);
-    /// @param handler gets the directory nodes' messages that aren't answers to reports
+    /// @param handler receives the directory nodes' messages that are neither report answers nor
+    /// configuration parts
     void on_other_messages(std::function<void(const messaging::peer_message&)> handler) {
         on_other_ = std::move(handler);
     }
-    /// Tells all directory nodes that a back end broke a call off.
+    /// Reports to all directory nodes that a back end aborted a call.
     void report_failure(const backend_name& backend);
-    /// @param handler gets what other nodes have told of breaks, again and again while it is young
+    /// @param handler receives the failures reported by other nodes; each is repeated until it
+    /// expires
     void on_relayed_failures(
         std::function<void(const std::vector<discovery::relayed_failure>&)> handler) {
         on_relayed_failures_ = std::move(handler);
     }
-    /// A directory node has said who leads.
+    /// Records the leader named by a directory node, unless its term is older than the known one.
     void learn_leader(const node_name& leader, consensus::term_number term);
-    /// Who leads, by the newest term heard of; empty while none is known.
+    /// Address of the leader in the newest known term; empty when unknown.
     [[nodiscard]] const node_name& leader() const { return leader_; }
-    /// The settings changed: other seeds may be known.
+    /// Adds seeds after a change of the settings.
     void use_seeds(const std::vector<std::string>& peers);
 
     [[nodiscard]] const turns::store_table& stores() const { return stores_; }
@@ -79,25 +81,27 @@
   private:
     void report();
     [[nodiscard]] node_report make_report() const;
-    /// The next connected directory node in turn that knows `format`; null when there is none.
+    /// Returns the next connected directory node, in round-robin order, that supports `format`;
+    /// null when there is none.
     messaging::link_pointer next_link(protocol::format_version format);
-    /// True when no directory node that is connected knows more than the first form.
+    /// True when some directory nodes are connected and all of them support only format v1.
     [[nodiscard]] bool knows_first_format_alone() const;
     void ask_for_proof();
-    /// Asks for proof when nobody waits for it but the last one grows old (proof_interval).
+    /// Requests a new proof when the last one becomes too old (proof_interval).
     void renew_proof(instant now);
     void log_silence(instant now);
     void log_answer(routing::configuration_version version);
     void fetch(const node_name& from, const std::optional<configuration_request>& request);
     void on_part(const node_name& from, const configuration_part& part);
-    /// Takes over the configuration that an answer names, or has it fetched.
+    /// Adopts the configuration in the answer, or starts to fetch it.
     void learn_configuration(const node_name& from, const node_report_answer& answer);
-    /// A newer configuration is held. @param bytes of what was fetched; 0 when it came in an answer
+    /// Handles a newer configuration.
+    /// @param bytes number of bytes fetched; 0 when it was part of an answer
     void use_configuration(const node_name& from, std::uint64_t bytes, duration taken);
     void wake_waiting();
     void add_address(const std::string& address);
     void on_answer(const node_name& from, const node_report_answer& answer);
-    /// Takes over what an answer says of the store groups and of the list of back ends.
+    /// Merges the store groups and the list of back ends in an answer.
     void learn_stores_and_list(const node_report_answer& answer);
 
     net::node_process& process_;
@@ -107,9 +111,9 @@
     turns::store_table stores_;
     configuration_fetch fetch_;
     configuration_proofs proofs_;
-    /// When any directory node answered last.
+    /// Time of the last answer from any directory node.
     instant heard_{};
-    /// True while the loss of all directory nodes is logged.
+    /// True from the logged loss of all directory nodes until the next answer.
     bool is_lost_ = false;
     configuration_handler on_configuration_;
     stores_handler on_stores_;
@@ -120,7 +124,7 @@
     std::function<void(const std::vector<discovery::relayed_failure>&)> on_relayed_failures_;
     node_name leader_;
     consensus::term_number term_ = 0;
-    /// When the next question for proof may be asked.
+    /// Earliest time of the next question for a proof.
     instant next_question_{};
     std::set<std::shared_ptr<asio::steady_timer>> waiting_;
 };
--- a/src/tallyfold/plane/directory/directory_metrics.hpp
+++ b/src/tallyfold/plane/directory/directory_metrics.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The metrics of the directory program, besides those of operators' calls (admin_api). Relies on
-/// the process's registry, which outlives it. docs/METRICS.md explains them.
+/// Metrics of the directory program, except those of operators' calls (admin_api). Refers to the
+/// process's registry, which must outlive it.
 
 #include "tallyfold/plane/directory/directory_core.hpp"
 #include "tallyfold/plane/process/instruments.hpp"
@@ -34,7 +34,7 @@
           is_halted(net::add_gauge(registry, "tallyfold_directory_stands_still",
                                    "1 while this node can't read what its group committed")) {}
 
-    /// Takes over what the core says of itself now.
+    /// Updates the gauges from the core's current state.
     void observe(const directory_core& core, instant now) {
         using protocol::format_version;
         nodes_in_first_format.Set(
--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -10,14 +10,12 @@
 
 namespace {
 
-/// Pause before the folder is opened again after a failure. Chosen, not measured: a full disk or a
-/// remount takes seconds, and each attempt reads the whole log.
+/// Delay before a failed data folder is reopened. Each attempt reads the whole log.
 constexpr duration reopen_interval = std::chrono::milliseconds(500);
-/// Size at which the log begins a new file, in bytes. Chosen, not measured: a few large
-/// configurations (2 MB of text, compressed to some 0.1 MB) each.
+/// Size in bytes at which the log starts a new file; holds a few large configurations.
 constexpr std::uint64_t segment_bytes = 4U << 20U;
 
-/// A random number above 0.
+/// Returns a random number above 0.
 std::uint64_t draw_number() {
     std::random_device source;
     const std::uint64_t high = source();
@@ -29,7 +27,7 @@
     chosen.address = settings.directory_address();
     chosen.seeds = settings.seed_directories();
     chosen.first_start = settings.first_start;
-    // 2f+1 voters outlive f losses; two more keep that up while a lost one is being replaced.
+    // 2f+1 voters tolerate f losses; two more keep that tolerance while a lost one is replaced.
     chosen.members.max_voters = 2 * settings.losses_borne + 3;
     chosen.members.min_voters = 2 * settings.losses_borne + 1;
     chosen.stores.losses = settings.losses_borne;
@@ -37,7 +35,7 @@
     return chosen;
 }
 
-/// The identity of a replica whose folder is empty.
+/// Returns the identity of a replica whose folder is empty.
 consensus::replica_id new_identity(const directory_settings& settings) {
     const bool is_seed = std::find(settings.seeds.begin(), settings.seeds.end(),
                                    settings.address) != settings.seeds.end();
@@ -68,8 +66,8 @@
 }
 
 void directory_replica::empty_untrusted_folder(const std::string& reason) {
-    // What the folder holds can't be trusted: this node starts as another replica and learns
-    // everything from its peers.
+    // The folder's contents are not reliable: this node starts as a new replica and obtains the
+    // state from its peers.
     logging::write_event(logging::event_id::identity_renewed, "reason=\"" + reason + "\"");
     storage::empty_folder(process_.settings().data_folder);
 }
@@ -82,7 +80,7 @@
                                         storage::tail_policy::cut_unsynced);
     };
     auto opened = open_as(new_identity(settings));
-    // What another build wrote is whole: the folder is left alone for the build that can read it.
+    // Data in another build's format is intact, so the folder is kept for a build that can read it.
     if (!opened && opened.error().failure == storage::storage_failure::damaged) {
         empty_untrusted_folder(opened.error().detail);
         opened = open_as(draw_number());
@@ -112,8 +110,8 @@
         return true;
     }
     log_storage_failure(written.error().detail);
-    // Nothing that isn't durable may be sent: this replica stops until the folder can be read
-    // back.
+    // Messages that depend on the failed write must not be sent: this replica stops until the
+    // folder has been read again.
     store_.reset();
     core_.reset();
     handlers_.on_storage_lost();
@@ -168,7 +166,7 @@
         core_->tick(http::steady_now());
         run_work();
     }
-    // The work may have found out that the folder can't be written to.
+    // The work above may have reset the core after a failed write.
     if (core_) {
         cache_.save(core_->state(), http::steady_now());
     }
--- a/src/tallyfold/plane/directory/directory_replica_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
 /// Runs a directory_core on this node's data folder: opens the folder, makes the core's writes
-/// durable before anything that depends on them leaves the node, and opens the folder anew after a
-/// failed write. Owns the core, its log on disk and the cache of the applied state. Relies on the
-/// loop thread, to which it belongs, and on the handlers for all that goes to others.
+/// durable before messages that depend on them are sent, and reopens the folder after a failed
+/// write. Owns the core, its log on disk and the cache of the applied state. Runs on the loop
+/// thread.
 
 #include <functional>
 #include <memory>
@@ -16,12 +16,12 @@
 
 namespace tallyfold::directory {
 
-/// Takes what the core's work holds for others.
+/// Receive the output of the core's work.
 struct replica_handlers {
     std::function<void(addressed_message)> send;
     std::function<void(const directory_answer&)> on_answer;
     std::function<void(const directory_proof&)> on_proof;
-    /// The core is gone, and with it everything that it was asked and hasn't answered.
+    /// Called after the core was destroyed: pending requests to it will not be answered.
     std::function<void()> on_storage_lost;
 };
 
@@ -30,25 +30,25 @@
     directory_replica(net::node_process& process, directory_metrics& metrics,
                       replica_handlers handlers);
 
-    /// Opens the data folder; when that fails, again and again until it succeeds.
+    /// Opens the data folder; retries until it succeeds.
     void start();
-    /// Lets the core's timers run, and keeps the cache of the applied state up to date.
+    /// Runs the core's timers and updates the cache of the applied state.
     void tick();
-    /// Does the work that the core has gathered, until there is none. Calls from within a handler
-    /// return at once: the outer call goes on.
+    /// Carries out the core's pending work until there is none. Nested calls from a handler return
+    /// immediately, since the outer call continues.
     void run_work();
 
-    /// Null while the data folder can't be used. The reference stays valid; the core may not.
+    /// Null while the data folder is unavailable. The reference remains valid; the core may not.
     [[nodiscard]] const std::unique_ptr<directory_core>& core() const { return core_; }
 
   private:
-    /// @return false when the folder can't be read or written to now; the reason is logged
+    /// @return false when the folder cannot be read or written; the reason is logged
     bool open();
     void open_later();
     void empty_untrusted_folder(const std::string& reason);
-    /// @return false when the write failed; there is no core then
+    /// @return false when the write failed; the core is then destroyed
     bool make_durable(const consensus::group_write& write);
-    /// @return false when the core is gone
+    /// @return false when the core was destroyed
     bool do_work(directory_work work);
     void send(std::vector<addressed_message>& messages);
 
--- a/src/tallyfold/plane/directory/directory_settings.cpp
+++ b/src/tallyfold/plane/directory/directory_settings.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// Position and term of the snapshot that forms the directory.
+/// Index and term of the snapshot from which a new directory starts.
 constexpr consensus::log_index first_index = 1;
 constexpr consensus::term_number first_term = 1;
 
-/// Rounds in which the leader proves its lead for readers: 50 a second cost some 250 messages.
+/// Minimum interval between rounds in which the leader confirms its leadership for reads; limits
+/// the number of messages.
 constexpr duration read_round_gap = std::chrono::milliseconds(20);
 
 }  // namespace
--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -16,23 +16,19 @@
 
 namespace {
 
-/// Resolution of all timers of the core: a quarter of its heartbeat interval (80 ms). Chosen, not
-/// measured.
+/// Resolution of all timers of the core; a quarter of its heartbeat interval.
 constexpr duration tick_interval = std::chrono::milliseconds(20);
-/// Time from a stop to the end of the process, in which answers under way leave. Chosen, not
-/// measured: some hundred times the way between zones.
+/// Time between a stop request and the end of the process, in which pending answers are sent.
 constexpr duration stop_delay = std::chrono::milliseconds(300);
-/// A node that doesn't lead asks the leader for the list of back ends this often. Chosen, not
-/// measured: a fifth of the second between two polls of it.
+/// Interval at which a follower requests the list of back ends from the leader; a fifth of the poll
+/// interval.
 constexpr duration list_question_interval = std::chrono::milliseconds(200);
-/// How far a configuration has propagated is looked at this often. Chosen, not measured: changes
-/// take 0.2 to 0.4 s to all nodes (docs/design/configuration-spread.md).
+/// Interval at which the propagation of the configuration is checked.
 constexpr duration propagation_check_interval = std::chrono::milliseconds(200);
-/// An operator's call may have so many bytes. Chosen, not measured: four times the text of a
-/// configuration with 6,000 routes (2 MB).
+/// Maximum size in bytes of an operator's request; several times a large configuration.
 constexpr std::size_t max_body_bytes = 8U << 20U;
 
-/// Joins the duties of a directory node: each is an object of its own, all run in the loop thread.
+/// Wires the components of a directory node, all of which run on the loop thread.
 class directory_node {
   public:
     directory_node(const settings::node_settings& settings, const admin_codec& codec,
@@ -41,7 +37,7 @@
     int run();
 
   private:
-    /// @return why other nodes or operators can't reach this node; empty when they can
+    /// @return why the node cannot be reached by other nodes or operators; empty on success
     std::string start_servers();
     void start_timers();
     void receive(const messaging::channel_pointer& channel, const messaging::peer_message& message);
--- a/src/tallyfold/plane/directory/directory_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_shell.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The directory program: a directory_core on a disk, between sockets.
+/// The directory program: a directory_core with its data folder and network interfaces.
 
 #include "tallyfold/plane/directory/admin_codec.hpp"
 #include "tallyfold/plane/discovery/backend_list_codec.hpp"
@@ -8,7 +8,8 @@
 
 namespace tallyfold::directory {
 
-/// Runs until a stop is asked for. @return the exit code
+/// Runs until the process is asked to stop.
+/// @return the exit code
 int run_directory(const settings::node_settings& settings, const admin_codec& codec,
                   const discovery::backend_list_codec& lists);
 
--- a/src/tallyfold/plane/directory/directory_work.hpp
+++ b/src/tallyfold/plane/directory/directory_work.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What a directory_core hands to its shell: messages, the write to make durable, answers, proofs
+/// Output of a directory_core for its shell: messages, the write to make durable, answers, proofs
 /// and events. Plain values.
 
 #include <cstdint>
@@ -15,26 +15,26 @@
 
 namespace tallyfold::directory {
 
-/// Matches an answer, or a proof, to what the shell asked for; chosen by the shell, above 0.
+/// Identifies a request of the shell in its answer or proof; chosen by the shell, above 0.
 using request_token = std::uint64_t;
 
 enum class answer_kind : std::uint8_t {
     /// The command is committed and applied, or the read is confirmed.
     done,
-    /// This node doesn't lead; `leader` says who does, when known.
+    /// This node is not the leader; `leader` names the leader when known.
     not_leader,
-    /// Leadership ended meanwhile: whether the command is taken isn't known.
+    /// Leadership ended in the meantime: the command may or may not be committed.
     unknown,
 };
 
 struct directory_answer {
     request_token token = 0;
     answer_kind kind = answer_kind::unknown;
-    /// Address of the node that leads; empty when none is known.
+    /// Address of the leader; empty when unknown.
     node_name leader;
 };
 
-/// Whether this node's state was the newest when it was asked to prove that.
+/// Result of a request to prove that this node's state was the newest at the time of the request.
 struct directory_proof {
     request_token token = 0;
     bool proved = false;
@@ -47,7 +47,7 @@
 };
 
 /// Work for the shell, in this order: log `events`, send `before_sync`, make `write` durable and
-/// call persisted(), send `after_sync`, hand out `answers` and `proofs`.
+/// call persisted(), send `after_sync`, deliver `answers` and `proofs`.
 struct directory_work {
     std::vector<addressed_message> before_sync;
     std::optional<consensus::group_write> write;
--- a/src/tallyfold/plane/directory/failure_relay.hpp
+++ b/src/tallyfold/plane/directory/failure_relay.hpp
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
-/// Back ends that nodes have lately reported as failed, to be passed on in the answers to all other
-/// nodes. Not replicated: a report is of no use after a second. Owns a bounded set of reports.
-/// Pure.
+/// Back ends that nodes recently reported as failed, relayed in the answers to all other nodes. Not
+/// replicated, since a report is obsolete after a second. Owns a bounded set of reports. Pure.
 
 #include <cstdint>
 #include <map>
@@ -15,15 +14,15 @@
 
 class failure_relay {
   public:
-    /// Time for which a report is passed on. A node asks one directory node after another, one
-    /// every 120 ms, so by then it has asked each of up to six.
+    /// Time for which a report is relayed. Long enough for a node to query six directory nodes in
+    /// turn, one per reporting interval of 120 ms.
     static constexpr duration told_for = std::chrono::milliseconds(800);
-    /// Back ends that are passed on at once. Chosen, not measured: more than that fail only in a
-    /// fault so large that nodes notice it without being told.
+    /// Maximum number of back ends that are relayed at once. When more fail, nodes detect the
+    /// failures themselves.
     static constexpr std::size_t max_told = 64;
 
-    /// A node has reported a failure. Reports of one failure by several nodes count once, with the
-    /// first one's time; what exceeds the bound is dropped.
+    /// Records a reported failure. Reports of the same failure by several nodes count once, with
+    /// the time of the first; reports beyond the bound are dropped.
     void add(const backend_name& backend, instant now) {
         const auto known = reported_.find(backend);
         const bool is_known = known != reported_.end();
@@ -35,7 +34,7 @@
         }
     }
 
-    /// The failures to pass on now, with their age in milliseconds; forgets older ones.
+    /// Returns the failures to relay, with their age in milliseconds; removes expired ones.
     [[nodiscard]] std::vector<discovery::relayed_failure> recent(instant now) {
         std::erase_if(reported_, [&](const auto& each) { return now - each.second > told_for; });
         std::vector<discovery::relayed_failure> failures;
--- a/src/tallyfold/plane/directory/leader_stall_log.cpp
+++ b/src/tallyfold/plane/directory/leader_stall_log.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/// A stall that lasts longer is logged, and again after each such time. Chosen, not measured: an
-/// election takes 0.5 to 1 s, and the copy for a change some seconds.
+/// Duration after which a stall is logged, and interval at which it is logged again. Longer than an
+/// election.
 constexpr duration report_interval = std::chrono::seconds(2);
 
-/// The last index that each member is known to hold durably, joined by commas.
+/// The last index known to be durable at each member, joined by commas.
 std::string matched_indexes(const consensus::replica_fsm& replica) {
     std::string matched;
     for (const auto& [id, member] : replica.members().members) {
--- a/src/tallyfold/plane/directory/leader_stall_log.hpp
+++ b/src/tallyfold/plane/directory/leader_stall_log.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Tells operators what keeps a directory's leader from its work: no entry of its term is
-/// committed, or changes of store groups stay open. Owns only when it last said so. Pure.
+/// Reports stalls of the directory's leader: no entry of its term is committed, or changes of store
+/// groups remain open. Owns the times of the current stall and of the next report. Pure.
 
 #include <optional>
 #include <string>
@@ -15,10 +15,10 @@
 
 class leader_stall_log {
   public:
-    /// This node has begun to lead.
+    /// Handles the start of this node's leadership.
     void start(instant now);
-    /// @param open_changes fields of a log line for each group whose change is open
-    /// @return events to log now; nothing while no stall has lasted long enough
+    /// @param open_changes log fields for each group with an open change
+    /// @return events to log now; empty while no stall has lasted long enough
     [[nodiscard]] std::vector<logging::event_record> check(
         const consensus::replica_fsm& replica, consensus::replica_id self,
         const std::vector<std::string>& open_changes, instant now);
@@ -28,7 +28,7 @@
                                                     consensus::replica_id self, instant now) const;
 
     instant leads_since_{};
-    /// Since when there have been open changes without a pause; nothing while there is none.
+    /// Time since which at least one change has been open; empty when none is.
     std::optional<instant> changing_since_;
     instant next_report_{};
 };
--- a/src/tallyfold/plane/directory/messages.hpp
+++ b/src/tallyfold/plane/directory/messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Messages between the nodes of the directory, and between them and all other nodes.
+/// Messages between the directory nodes, and between them and all other nodes.
 
 #include <cstdint>
 #include <string>
@@ -14,10 +14,10 @@
 
 namespace tallyfold::directory {
 
-/// What a store says of itself.
+/// Report of one disk of a store.
 struct store_report {
     turns::store_member member;
-    /// The newest map for which it holds a whole copy.
+    /// Epoch of the newest map for which the disk holds a complete copy.
     turns::map_epoch copied_epoch = 0;
 
     template <class Archive>
@@ -26,33 +26,34 @@
     }
 };
 
-/// Any node to a directory node: what it knows, so that the answer brings what is newer.
+/// Report of any node to a directory node: the versions that it holds, so that the answer contains
+/// what is newer.
 struct node_report {
     node_name node;
-    /// The version that the node holds; none when it has no use for the configuration.
+    /// The version that the node holds; none when it does not use the configuration.
     routing::configuration_version configuration = routing::no_version;
-    /// Of the table of store groups.
+    /// Epoch of the table of store groups.
     turns::map_epoch stores = 0;
-    /// One entry when the node is a store.
+    /// One entry for each disk when the node is a store.
     std::vector<store_report> store;
-    /// True when the node has a use for the list of back ends.
+    /// True when the node uses the list of back ends.
     bool wants_list = true;
-    /// The list of back ends that the node holds.
+    /// Fingerprint of the list of back ends that the node holds.
     discovery::list_fingerprint list = 0;
-    /// Time since some node saw it, in milliseconds.
+    /// Time since some node observed that list, in milliseconds.
     std::uint32_t list_age_ms = 0;
-    /// True when the node wants a newer configuration whole in the answer. The first form alone
-    /// tells; in later ones a node asks for the parts that it lacks.
+    /// True when the node requests a newer configuration in full in the answer. Format v1 only; in
+    /// later formats a node requests parts.
     bool wants_configuration = false;
-    /// Above 0 when the node wants to know whether it holds the newest configuration: comes back
-    /// in an answer once the directory node has proof of that. Grows with each question of a node.
+    /// Above 0 when the node asks whether it holds the newest configuration; returned in an answer
+    /// once the directory node has a proof. Increases with each question of a node.
     std::uint64_t question = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
         archive(node, configuration, stores, store);
         if (archive.format() < protocol::format_version::v2) {
-            // Without the question: who reads this form can't prove anything.
+            // Without the question: nodes that support only format v1 cannot give proofs.
             archive(wants_configuration, wants_list, list, list_age_ms);
             return;
         }
@@ -60,26 +61,27 @@
     }
 };
 
-/// A directory node's answer. Everything in it is committed.
+/// A directory node's answer to a report. The configuration and the store groups in it are
+/// committed.
 struct node_report_answer {
-    /// The version that this node holds; whoever holds an older one asks for it.
+    /// The version that this node holds; a node that holds an older one requests the newer one.
     routing::configuration_version configuration = routing::no_version;
-    /// The configuration itself where the node that reported wants it whole: one entry at most, and
-    /// in the first form alone.
+    /// The full configuration when the reporting node requested it; at most one entry, in format v1
+    /// only.
     std::vector<routing::configuration_pointer> newer_configuration;
     std::vector<turns::store_table> newer_stores;
-    /// Addresses ("ip:port") of the directory's nodes.
+    /// Addresses ("ip:port") of the directory nodes.
     std::vector<std::string> directory_addresses;
-    /// The list of back ends as this node saw it; at most one entry. It isn't part of the log: any
-    /// node's own sight is as good as another's.
+    /// The list of back ends as known to this node; at most one entry. Not part of the log, so it
+    /// may come from any node.
     std::vector<discovery::list_sight> list;
-    /// The question that is answered; 0 when nothing proves that this node holds the newest
-    /// configuration. Otherwise nothing newer was in force when the question was asked.
+    /// The question that is answered: no newer configuration was in force when it was asked. 0
+    /// without a proof.
     std::uint64_t question = 0;
-    /// Address of the node that leads, as far as this one knows; empty for none.
+    /// Address of the leader as known to this node; empty when unknown.
     node_name leader;
     consensus::term_number term = 0;
-    /// Back ends that have broken calls off lately.
+    /// Back ends that recently aborted calls.
     std::vector<discovery::relayed_failure> backend_failures;
 
     template <class Archive>
@@ -89,7 +91,7 @@
             for (const routing::configuration_pointer& newer : newer_configuration) {
                 archive(*newer);
             }
-            // The others are hints, or answer what the first form can't ask.
+            // The remaining fields are optional, or answer what format v1 cannot request.
             archive(newer_stores, directory_addresses, list);
             return;
         }
@@ -112,13 +114,13 @@
     }
 };
 
-/// A node asks a directory node for a newer configuration, or for the next part of one.
+/// Request to a directory node for a newer configuration, or for the next part of one.
 struct configuration_request {
     /// The version that the node holds.
     routing::configuration_version held = routing::no_version;
-    /// True when a difference from that version is of no use.
+    /// True when the full configuration is requested instead of the difference from `held`.
     bool whole = false;
-    /// The content of which the node has the first `offset` bytes; 0 for none.
+    /// Identifies the content of which the node has received the first `offset` bytes; 0 for none.
     std::uint64_t content = 0;
     std::uint64_t offset = 0;
 
@@ -128,14 +130,14 @@
     }
 };
 
-/// A part of what leads from an older configuration to a newer one: a compressed
+/// Part of the content that updates an older configuration to a newer one: a compressed
 /// routing::configuration_change.
 struct configuration_part {
-    /// Tells contents apart: a digest of all its bytes.
+    /// Identifies the content: a digest of all its bytes.
     std::uint64_t content = 0;
-    /// The version that it leads to; none when the directory node holds nothing newer.
+    /// The resulting version; none when the directory node holds nothing newer.
     routing::configuration_version version = routing::no_version;
-    /// Bytes of the whole content, and where this part begins.
+    /// Size in bytes of the whole content, and offset of this part.
     std::uint64_t size = 0;
     std::uint64_t offset = 0;
     std::string bytes;
@@ -146,7 +148,7 @@
     }
 };
 
-/// A directory node that is no member asks to become one.
+/// Request of a directory node that is not a member to become one.
 struct join_request {
     consensus::replica_id replica = consensus::no_replica;
     /// "ip:port" of the sender; also its name in the membership.
--- a/src/tallyfold/plane/directory/open_changes.hpp
+++ b/src/tallyfold/plane/directory/open_changes.hpp
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
-/// Changes of the configuration that are in the log and not yet answered for. An operator that has
-/// no answer sends the same again: its repeats wait for the first, instead of making the log longer
-/// while it is slow. Pure.
+/// Configuration changes that are in the log but not yet answered. When an operator retries a
+/// change, the retry waits for the original entry instead of adding another one. Pure.
 
 #include <map>
 #include <optional>
@@ -14,10 +13,10 @@
 
 class open_changes {
   public:
-    /// The request that put this very text into the log; nothing when none is open.
+    /// Returns the request that appended exactly this text; empty when none is open.
     [[nodiscard]] std::optional<request_token> find(const std::string& text) const;
     void begin(request_token token, const std::string& text) { texts_[token] = text; }
-    /// The log has answered the request, however.
+    /// Removes the request after the log has answered it, with any outcome.
     void ended(request_token token) { texts_.erase(token); }
     void clear() { texts_.clear(); }
 
--- a/src/tallyfold/plane/directory/permit_lending_shell.hpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Lends tenants' permits while this node leads the directory. Owns the lender; relies on the core
-/// for who leads and which limits are in force. Belongs to the loop thread.
+/// Lends tenants' permits while this node is the directory's leader. Owns the lender; uses the core
+/// for leadership and the limits in force. Runs on the loop thread.
 
 #include <memory>
 #include <optional>
@@ -14,24 +14,24 @@
 
 class permit_lending {
   public:
-    /// @param core null while the data folder can't be used
+    /// @param core null while the data folder is unavailable
     permit_lending(const settings::node_settings& settings,
                    const std::unique_ptr<directory_core>& core);
 
-    /// Begins or ends lending as this node gains or loses the lead, takes over changed limits, and
-    /// forgets nodes that have been silent.
+    /// Starts or ends lending when leadership changes, applies changed limits, and removes silent
+    /// nodes.
     void tick(instant now);
-    /// The answer to a node that reports what it has spent. Needs a core.
+    /// Returns the answer to a report of spent permits. Requires a core.
     [[nodiscard]] tenants::permit_answer answer(const tenants::permit_report& report, instant now);
 
   private:
-    /// Logs what a node's process has told a lender that hadn't heard of it.
+    /// Logs the first report that the lender receives from a node's process.
     void log_heard(const tenants::permit_report& report, instant now) const;
     void handle_leadership_change(instant now);
 
     const std::unique_ptr<directory_core>& core_;
     tenants::permit_lender lender_;
-    /// Version of the limits that are lent by; nothing while this node doesn't lend.
+    /// Configuration version of the limits in use; empty while this node does not lend.
     std::optional<routing::configuration_version> lending_by_;
     instant lending_since_{};
 };
--- a/src/tallyfold/plane/directory/propagation_monitor_shell.hpp
+++ b/src/tallyfold/plane/directory/propagation_monitor_shell.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Tells operators how far the newest configuration has propagated, by a metric and a log line.
-/// Owns the tracker of versions; belongs to the loop thread.
+/// Reports how far the newest configuration has propagated, as a metric and a log line. Owns the
+/// version tracker. Runs on the loop thread.
 
 #include "tallyfold/plane/directory/directory_metrics.hpp"
 #include "tallyfold/plane/directory/messages.hpp"
@@ -13,11 +13,11 @@
   public:
     explicit propagation_monitor(directory_metrics& metrics) : metrics_(metrics) {}
 
-    /// A node reports; those that have no use for the configuration don't count.
+    /// Records a node's report; nodes that do not use the configuration are ignored.
     void on_report(const node_report& report, instant now);
-    /// This node has applied a version.
+    /// Records that this node has applied a version.
     void on_applied(routing::configuration_version version, instant now);
-    /// Brings the metric up to date, and logs a version that the last node holds by now.
+    /// Updates the metric, and logs a version once all nodes hold it.
     void check(instant now);
 
   private:
--- a/src/tallyfold/plane/directory/report_service_shell.hpp
+++ b/src/tallyfold/plane/directory/report_service_shell.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Answers the nodes that report to this directory node: what they lack, parts of a newer
-/// configuration, proof that they hold the newest one, and which back ends other nodes have seen
-/// fail. Owns the open questions for proof and the relayed failures. Belongs to the loop thread.
+/// Answers the nodes that report to this directory node: newer state, parts of the configuration,
+/// proofs that a configuration is the newest, and failures of back ends reported by other nodes.
+/// Owns the pending questions for proofs and the relayed failures. Runs on the loop thread.
 
 #include <map>
 #include <memory>
@@ -21,21 +21,22 @@
     report_service(directory_metrics& metrics, backend_list_sharing& list,
                    propagation_monitor& propagation);
 
-    /// Answers a report at once, and has the core prove the configuration when it asks for that.
+    /// Answers a report immediately, and requests a proof from the core when the report asks for
+    /// one.
     void answer(directory_core& core, const messaging::channel_pointer& channel,
                 const node_report& report);
     void answer(directory_core& core, const messaging::channel_pointer& channel,
                 const configuration_request& request);
-    /// A node has seen a back end fail.
+    /// Records a back end's failure that a node reported.
     void take(const discovery::failure_report& report);
-    /// The core has ended a question for proof. One without proof stays unanswered: the node asks
-    /// the next directory node.
+    /// Answers the question for which the core has completed a proof. Without proof, the question
+    /// is dropped: the node asks the next directory node.
     void end_proof(const directory_core& core, const directory_proof& proof);
-    /// The core is gone: questions that it was asked are dropped.
+    /// Drops all pending questions after the core was destroyed.
     void forget_questions() { questions_.clear(); }
 
   private:
-    /// A node that waits for proof that it holds the newest configuration.
+    /// A question of a node that waits for a proof.
     struct waiting_question {
         std::weak_ptr<messaging::frame_channel> channel;
         node_report report;
--- a/src/tallyfold/plane/directory/stored_forms.cpp
+++ b/src/tallyfold/plane/directory/stored_forms.cpp
@@ -11,8 +11,8 @@
 using protocol::encode_error;
 using routing::configuration;
 
-/// True when builds that know the first form alone can read an uncompressed command. Large ones are
-/// told by their beginning, since reading one whole takes some ms of a core.
+/// True when builds that support only format v1 can read the uncompressed command. A
+/// configuration's format is identified by its first bytes, since decoding a large one is slow.
 bool is_first_format_of_command(std::string_view plain) {
     std::uint32_t kind = 0;
     if (plain.size() < sizeof(kind)) {
@@ -29,7 +29,8 @@
     return protocol::decode<directory_command>(plain, protocol::oldest_format).has_value();
 }
 
-/// The same of a state, which begins with the configuration and is of one form throughout.
+/// True when builds that support only format v1 can read the uncompressed state. The configuration
+/// comes first, and the whole state has the same format.
 bool is_first_format_of_state(std::string_view plain) {
     return !configuration::is_in_second_format(plain);
 }
--- a/src/tallyfold/plane/directory/stored_forms.hpp
+++ b/src/tallyfold/plane/directory/stored_forms.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// The forms of what the directory's log and snapshots hold. In memory, and between nodes that know
-/// the second form, large values are compressed. On disk, and towards nodes that know the first
-/// form alone, they aren't: a machine may be given back to the build before at any time, as long as
-/// nothing is stored that only a later one knows. Pure.
+/// Storage and wire formats of the directory's log entries and snapshots. Pure.
+/// - In memory, and between nodes that support format v2, large values are compressed.
+/// - On disk, and for nodes that support only format v1, values are uncompressed and in format v1
+///   where that format can represent them, so that a machine can return to an earlier build.
 
 #include <string>
 #include <tl/expected.hpp>
@@ -14,16 +14,16 @@
 
 namespace tallyfold::directory {
 
-/// The state as it goes to disk.
+/// Returns the state in its on-disk format.
 std::string state_on_disk(const directory_state& state);
-/// The same of a state that to_bytes() has made bytes of.
+/// Returns the on-disk format of a state that to_bytes() serialized.
 std::string state_on_disk(const std::string& packed);
 
-/// The write with all its commands, and its snapshot, as they go to disk.
+/// Returns the write with its commands and its snapshot in their on-disk format.
 consensus::group_write write_on_disk(consensus::group_write write);
 
-/// Gives the commands and the snapshot of a replica's message the first form. @return an error when
-/// they hold what that form can't
+/// Converts the commands and the snapshot in a replica's message to format v1.
+/// @return an error when that format cannot represent them
 tl::expected<void, protocol::encode_error> to_first_format(consensus::replica_message& message);
 
 }  // namespace tallyfold::directory
