--- a/src/tallyfold/plane/discovery/backend_failures.hpp
+++ b/src/tallyfold/plane/discovery/backend_failures.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Messages by which nodes report that a back end broke a call off before any byte of its answer.
-/// A node reports to all directory nodes; their heartbeats relay it to every node.
+/// Messages that report that a back end aborted a call before any byte of its response. A node
+/// sends reports to all directory nodes, which relay them to every node in their answers.
 
 #include <cstdint>
 
@@ -10,11 +10,11 @@
 
 namespace tallyfold::discovery {
 
-/// Reports of one back end within this time are of the same failure: nodes notice it about this far
-/// apart. Chosen, not measured.
+/// Reports of a back end within this time belong to the same failure: nodes may detect it this far
+/// apart.
 constexpr duration same_failure_window = std::chrono::milliseconds(300);
 
-/// A node to all directory nodes.
+/// Report of a node to all directory nodes.
 struct failure_report {
     node_name node;
     backend_name backend;
@@ -25,10 +25,10 @@
     }
 };
 
-/// Such a failure, as a directory node relays it.
+/// A failure as relayed by a directory node.
 struct relayed_failure {
     backend_name backend;
-    /// Since it was reported, in milliseconds, when the message left.
+    /// Time from the report to the sending of this message, in milliseconds.
     std::uint32_t age_ms = 0;
 
     template <class Archive>
--- a/src/tallyfold/plane/discovery/backend_list_codec.hpp
+++ b/src/tallyfold/plane/discovery/backend_list_codec.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Interface to the deployment's form of the list of back ends, implemented by the platform
-/// adapter: how a page is requested, and how its body is decoded.
+/// Interface to the deployment's format of the list of back ends, implemented by the platform
+/// adapter: how to request a page and how to decode its body.
 
 #include <string>
 #include <tl/expected.hpp>
@@ -13,9 +13,11 @@
 class backend_list_codec {
   public:
     virtual ~backend_list_codec() = default;
-    /// Path and query of one page of the list. @param token empty for the first
+    /// Returns the path and query of a page of the list.
+    /// @param token the page's token; empty for the first page
     [[nodiscard]] virtual std::string list_target(const std::string& token) const = 0;
-    /// @param body of the answer @return the page, or why the body isn't one
+    /// @param body body of the response
+    /// @return the page, or the reason why the body is invalid
     [[nodiscard]] virtual tl::expected<backend_page, std::string> read_list(
         const std::string& body) const = 0;
 };
--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -12,19 +12,20 @@
 
 namespace {
 
-/// Pause between two polls. Chosen: a back end that is leaving has to get no new work after a few
-/// seconds, and each poll is paid for.
+/// Interval between polls. Short enough that a draining back end receives no new work after a few
+/// seconds; requests of the list are billed and rate-limited.
 constexpr duration poll_interval = std::chrono::milliseconds(1000);
-/// Pause after a poll that failed, and between looks at whether this node is to poll. Chosen, not
-/// measured.
+/// Delay before a failed poll is retried, and interval at which this node checks whether it should
+/// poll.
 constexpr duration retry_interval = std::chrono::milliseconds(300);
-/// Time for one page. Chosen, not measured: below the poll interval.
+/// Maximum time to fetch one page; below the poll interval.
 constexpr duration answer_limit = std::chrono::milliseconds(900);
-/// Bytes of an answer's head at most; the usual bound of HTTP servers.
+/// Maximum size of a response's head in bytes; the usual limit of HTTP servers.
 constexpr std::size_t max_head_bytes = 16U << 10U;
-/// Pages of one list at most, so that a list that names a next page for ever ends.
+/// Maximum number of pages of one list; ends a list whose pages never stop naming a next one.
 constexpr std::size_t max_pages = 1'000;
-/// Nodes shift their polls by up to this many milliseconds, by the hash of their names.
+/// Maximum offset between the nodes' polls, in milliseconds; each node derives its offset from its
+/// name.
 constexpr std::uint64_t max_phase_ms = 400;
 
 }  // namespace
@@ -109,7 +110,7 @@
 
 asio::awaitable<void> list_poller::poll() {
     asio::steady_timer timer(process_.loop());
-    // Nodes that start together must not all ask in the same instant for ever.
+    // Spreads the polls of nodes that start at the same time.
     const auto phase =
         static_cast<std::int64_t>(stable_hash(process_.settings().node) % max_phase_ms);
     bool lost = false;
--- a/src/tallyfold/plane/discovery/list_poller_shell.hpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Polls the deployment's list of back ends, page by page, while this node is to
-/// (poller_election). Owns the connection to the list; backend_list_codec spells the requests.
-/// Belongs to the loop thread.
+/// Polls the deployment's list of back ends, page by page, while this node is the poller
+/// (poller_election). Owns the connection to the list; backend_list_codec formats the requests.
+/// Runs on the loop thread.
 
 #include <asio/awaitable.hpp>
 #include <functional>
@@ -18,8 +18,9 @@
 class list_poller {
   public:
     list_poller(net::node_process& process, const backend_list_codec& codec);
-    /// Starts to ask. @param on_list called with each whole list
-    /// @param wanted tells whether the next round is needed
+    /// Starts polling.
+    /// @param on_list called with each complete list
+    /// @param wanted returns whether this node should poll in the next round
     void start(std::function<void(const std::vector<listed_backend>&)> on_list,
                std::function<bool()> wanted);
 
--- a/src/tallyfold/plane/discovery/poller_election.hpp
+++ b/src/tallyfold/plane/discovery/poller_election.hpp
@@ -1,11 +1,12 @@
 #pragma once
 /// @file
-/// Which node polls the list of back ends. Pure; directory nodes and forwarders ask it before each
-/// poll.
+/// Decides which node polls the list of back ends. Pure; directory nodes and forwarders call it
+/// before each poll.
 ///
-/// Each poll of the list is paid for, and all nodes together have a rate. One poller suffices: the
-/// directory's leader polls, the other nodes get what has changed from it. They take over one after
-/// the other when what they know has grown old: the leader has failed, or can't reach the list.
+/// Requests of the list are billed, and all nodes together share a rate limit, so one node polls:
+/// - The directory's leader polls; the other nodes receive changes from it.
+/// - When their list becomes too old, because the leader has failed or cannot reach the list, the
+///   other directory nodes take over in order of rank, and forwarders after them.
 
 #include <algorithm>
 #include <cstddef>
@@ -15,36 +16,37 @@
 namespace tallyfold::discovery {
 
 struct poller_election {
-    /// This node leads the directory.
+    /// True when this node is the directory's leader.
     bool leads = false;
-    /// Some list is known here.
+    /// True when this node holds a list.
     bool known = false;
-    /// Since some node polled the list that is known.
+    /// Time since some node polled the list that this node holds.
     duration age{};
-    /// Place among the nodes that don't lead, from 0 on.
+    /// Rank of this node among the directory nodes that do not lead, from 0.
     std::size_t rank = 0;
 
-    /// Age of the list at which the first node behind the leader polls. A little above the 1.3 s
-    /// that a list polled each second is old at other nodes at most.
+    /// Age of the list at which the node of rank 0 polls. Above the maximum age at other nodes of a
+    /// list that is polled every second.
     static constexpr duration first_successor_after = std::chrono::milliseconds(1'500);
-    /// The same for each further node, so that one poll is told before the next node begins.
-    /// Chosen, not measured: a poll and its message take some ms.
+    /// Additional age for each further rank, long enough to receive the list polled by the previous
+    /// rank.
     static constexpr duration next_successor_after = std::chrono::milliseconds(150);
 
-    /// True when this node is to poll now.
+    /// True when this node should poll now.
     [[nodiscard]] bool should_poll() const {
         const auto place = static_cast<std::int64_t>(rank);
         return leads || !known || age > first_successor_after + next_successor_after * place;
     }
 };
 
-/// Age of the list at which a forwarder polls it itself: when seven nodes of the directory behind
-/// its leader would have polled (1.5 s and six times 0.15 s). Chosen, not measured.
+/// Age of the list at which a forwarder polls it itself; later than seven directory nodes in order
+/// of rank.
 constexpr duration forwarder_polls_after = std::chrono::milliseconds(2'400);
 
-/// True when a forwarder is to poll the list itself. One that has just started waits to be told:
-/// hundreds that restart together would exceed the list's rate, and keep each other from it.
-/// @param seen when some node polled the list that is known here
+/// True when a forwarder should poll the list itself. A forwarder that has just started first waits
+/// to receive the list: if many restarted together and polled, they would exceed the list's rate
+/// limit.
+/// @param seen when some node last polled the list that this forwarder holds
 /// @param started when this process started
 [[nodiscard]] inline bool forwarder_polls(instant seen, instant started, instant now) {
     return now - std::max(seen, started) > forwarder_polls_after;
--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -66,7 +66,7 @@
 
 bool list_memory::see(const std::vector<listed_backend>& backends, instant now) {
     seen_ = now;
-    // Lists with the same entries are the same list, in whatever order they came.
+    // Sorted by name, so that the fingerprint does not depend on the order of the entries.
     std::vector<listed_backend> sorted = with_changes({}, {backends, {}});
     const list_fingerprint fingerprint = fingerprint_of(sorted);
     if (fingerprint == fingerprint_) {
@@ -91,7 +91,7 @@
     const bool whole = sight.base == 0;
     std::vector<listed_backend> learnt =
         with_changes(whole ? std::vector<listed_backend>{} : backends_, sight.changes);
-    // Another list than was meant: it is told anew the next time.
+    // The changes were applied to a different list; the sender will send them again.
     if (fingerprint_of(learnt) != sight.fingerprint) {
         return false;
     }
--- a/src/tallyfold/plane/discovery/types.hpp
+++ b/src/tallyfold/plane/discovery/types.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The list of back ends as the deployment keeps it, and one sight of it.
+/// The deployment's list of back ends, and its distribution between nodes as differences.
 
 #include <cstdint>
 #include <deque>
@@ -31,14 +31,14 @@
     std::string next_token;
 };
 
-/// Tells lists apart; 0 stands for none.
+/// Hash of a list's contents; 0 for no list.
 using list_fingerprint = std::uint64_t;
 
 list_fingerprint fingerprint_of(const std::vector<listed_backend>& backends);
 
-/// What turns one list into another.
+/// Difference between two lists.
 struct list_changes {
-    /// Back ends that are new or have changed.
+    /// Back ends that were added or changed.
     std::vector<listed_backend> changed;
     std::vector<backend_name> removed;
 
@@ -48,21 +48,22 @@
     }
 };
 
-/// Both lists in the order of their names.
+/// Returns the difference between two lists, both sorted by name.
 list_changes changes_between(const std::vector<listed_backend>& from,
                              const std::vector<listed_backend>& to);
-/// @return the changed list, in the order of names
+/// Applies a difference.
+/// @return the resulting list, sorted by name
 std::vector<listed_backend> with_changes(const std::vector<listed_backend>& from,
                                          const list_changes& changes);
 
-/// The list as some node saw it.
+/// Update of the list, as sent between nodes.
 struct list_sight {
     list_fingerprint fingerprint = 0;
-    /// How long ago it was seen, in milliseconds, when the message left.
+    /// Time from the poll of the list to the sending of this message, in milliseconds.
     std::uint32_t age_ms = 0;
-    /// The list that `changes` start from; 0 for the empty one, so that they are the whole list.
+    /// The list to which `changes` apply; 0 for the empty list, when they contain the full list.
     list_fingerprint base = 0;
-    /// Nothing when the asker holds this very list.
+    /// Empty when the receiver holds the same list.
     list_changes changes;
 
     template <class Archive>
@@ -71,26 +72,29 @@
     }
 };
 
-/// The newest list that a node knows, from its own sight or another node's. Pure.
+/// The newest list that this node holds, polled by itself or received from another node. Pure.
 class list_memory {
   public:
-    /// @param kept_lists earlier lists that are remembered, so that whoever holds one of them is
-    /// told the differences only
+    /// @param kept_lists number of earlier lists to keep, so that nodes that hold one of them can
+    /// be sent differences
     explicit list_memory(std::size_t kept_lists = 0) : kept_lists_(kept_lists) {}
 
-    /// This node has seen the list itself. @return true when it differs from the one held
+    /// Records a list that this node has polled.
+    /// @return true when it differs from the one held
     bool see(const std::vector<listed_backend>& backends, instant now);
-    /// Another node has seen it. @return true when it is newer and differs
+    /// Applies an update from another node.
+    /// @return true when the update is newer and changes the list
     bool learn(const list_sight& sight, instant now);
-    /// What a node that holds the list `held` is to be told; nothing when this node knows none, or
-    /// none that is newer. @param held_age since some node saw the list that is held
+    /// Returns the update for a node that holds the list `held`; empty when this node holds none or
+    /// none that is newer.
+    /// @param held_age time since some node polled the list `held`
     [[nodiscard]] std::vector<list_sight> tell(list_fingerprint held, duration held_age,
                                                instant now);
 
     [[nodiscard]] list_fingerprint fingerprint() const { return fingerprint_; }
     [[nodiscard]] const std::vector<listed_backend>& backends() const { return backends_; }
     [[nodiscard]] bool known() const { return fingerprint_ != 0; }
-    /// When some node saw it.
+    /// When some node last polled the list held.
     [[nodiscard]] instant seen() const { return seen_; }
 
   private:
@@ -100,8 +104,9 @@
     };
 
     void replace(std::vector<listed_backend> backends, list_fingerprint fingerprint);
-    /// Changes from the list `held` to the current one; from the empty list when it isn't
-    /// remembered. @param base gets the list that they start from
+    /// Returns the difference from the list `held` to the current one; from the empty list when
+    /// `held` is not kept.
+    /// @param base set to the list that the difference applies to
     const list_changes& changes_from(list_fingerprint held, list_fingerprint& base);
 
     std::size_t kept_lists_;
@@ -109,7 +114,7 @@
     list_fingerprint fingerprint_ = 0;
     instant seen_{};
     std::deque<earlier_list> earlier_;
-    /// Changes to the current list by where they start, as far as they have been asked for.
+    /// Differences to the current list by their base, computed on demand.
     std::map<list_fingerprint, list_changes> told_;
 };
 
