--- a/src/tallyfold/plane/routing/configuration.hpp
+++ b/src/tallyfold/plane/routing/configuration.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What operators say about routes, services and tenants: one whole, versioned configuration.
+/// The operators' configuration of routes, services and tenants: complete and versioned.
 
 #include <cstdint>
 #include <cstring>
@@ -14,11 +14,11 @@
 
 namespace tallyfold::routing {
 
-/// Greater versions replace smaller ones; 0 means that none is known.
+/// Higher versions replace lower ones; 0 for no configuration.
 using configuration_version = std::uint64_t;
 constexpr configuration_version no_version = 0;
 
-/// One service that a route may send to, and its share of the requests.
+/// A service to which a route forwards requests, and its share of them.
 struct weighted_service {
     std::string service;
     double weight = 1;
@@ -31,9 +31,9 @@
 };
 
 enum class repeatability : std::uint8_t {
-    /// May run more than once.
+    /// The request may run more than once.
     repeatable,
-    /// Runs at most once.
+    /// The request runs at most once.
     at_most_once,
 };
 
@@ -44,23 +44,24 @@
     std::string prefix;
     std::vector<weighted_service> services;
     repeatability repeats = repeatability::at_most_once;
-    /// The answer is a series of events.
+    /// True when the response is an event stream.
     bool streaming = false;
-    /// A broken stream may go on elsewhere after its last event.
+    /// True when an interrupted stream may be resumed at another back end after its last event.
     bool resumable = false;
     std::uint32_t timeout_ms = 0;
-    /// Time within which an answer is worth its full credit.
+    /// Latency within which a response earns its full credit.
     std::uint32_t target_latency_ms = 0;
-    /// 0 goes first.
+    /// 0 is the highest priority.
     std::int32_t priority = 0;
-    /// Back ends that one request may be run on.
+    /// Maximum number of back ends that one request is sent to.
     std::uint32_t max_attempts = 1;
-    /// A request carries only its new input; what was said before is kept here.
+    /// True when a request contains only its new input, and earlier turns are stored by the system.
     bool keeps_history = false;
     double retention_seconds = 0;
-    /// Callers need no key.
+    /// True when callers need no key.
     bool is_public = false;
-    /// A back end that has seen a request's object lately works faster on the next one about it.
+    /// True when a back end that recently processed an object serves further requests for it
+    /// faster.
     bool object_affinity = false;
 
     bool operator==(const route&) const = default;
@@ -69,7 +70,7 @@
         serialize_without_keys(archive, *this);
         archive(is_public, object_affinity);
     }
-    /// The fields that a route had before there were keys.
+    /// Serializes the fields of format v1, which has no keys.
     template <class Archive, class Route>
     static void serialize_without_keys(Archive& archive, Route& route) {
         archive(route.name, route.host, route.prefix, route.services, route.repeats,
@@ -78,7 +79,7 @@
     }
 };
 
-/// A route as logs and snapshots from before there were keys hold it.
+/// A route in format v1, as stored in logs and snapshots of earlier builds.
 struct route_without_keys : route {
     template <class Archive>
     void serialize(Archive& archive) {
@@ -93,9 +94,9 @@
     /// True for model engines.
     bool is_engine = false;
     std::uint32_t slots = 0;
-    /// Tokens that an engine's memory holds.
+    /// Number of tokens that an engine's cache holds.
     token_count cache_tokens = 0;
-    /// Tokens that one event of a stream stands for.
+    /// Number of tokens per event of a stream.
     std::uint32_t tokens_per_event = 1;
 
     bool operator==(const service&) const = default;
@@ -106,7 +107,7 @@
     }
 };
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits on the size and duration of callers' requests.
 struct caller_limits {
     std::uint64_t header_bytes = 16U << 10U;
     std::uint64_t body_bytes = 4U << 20U;
@@ -120,16 +121,16 @@
     }
 };
 
-/// A customer of the operators: its keys, its rank, and how much it may ask for.
+/// A customer of the operators: its keys, its priority and its rate limit.
 struct tenant {
     std::string name;
-    /// Each key belongs to one tenant only.
+    /// Each key belongs to exactly one tenant.
     std::vector<std::string> keys;
-    /// 0 goes first; it goes before a route's priority.
+    /// 0 is the highest priority; takes precedence over the route's priority.
     std::int32_t priority = 0;
-    /// Requests a second, over all nodes together; 0 sets no limit.
+    /// Requests per second over all nodes; 0 for no limit.
     double rate_per_second = 0;
-    /// Requests beyond the rate, in any span of time.
+    /// Number of requests that may exceed the rate in any period.
     double burst = 0;
 
     [[nodiscard]] bool is_limited() const { return rate_per_second > 0; }
@@ -145,7 +146,7 @@
     std::vector<route> routes;
     std::vector<service> services;
     caller_limits limits;
-    /// With none, callers need no key.
+    /// When empty, callers need no key.
     std::vector<tenant> tenants;
 
     bool operator==(const configuration&) const = default;
@@ -157,8 +158,7 @@
         }
         archive(format_with_tenants, version, routes, services, limits, tenants);
     }
-    /// Reads both forms, whichever the archive is of: the one without tenants begins with the
-    /// version.
+    /// Reads both formats, whatever the archive's format: format v1 begins with the version.
     template <class Archive>
     void load(Archive& archive) {
         std::uint64_t first = 0;
@@ -173,7 +173,7 @@
         routes.assign(earlier.begin(), earlier.end());
     }
 
-    /// True when the bytes of a configuration are of the second form.
+    /// True when the bytes are a configuration in format v2.
     [[nodiscard]] static bool is_in_second_format(std::string_view bytes) {
         std::uint64_t first = 0;
         if (bytes.size() < sizeof(first)) {
@@ -184,8 +184,8 @@
     }
 
   private:
-    /// The first form. Public routes need nothing where no caller needs a key, and what makes a
-    /// back end faster for an object is a hint, of use with the keys that callers send beside it.
+    /// Writes format v1. It omits is_public, which has no effect without tenants, and
+    /// object_affinity, which only improves performance.
     template <class Archive>
     void save_without_tenants(Archive& archive) const {
         if (!tenants.empty()) {
@@ -199,11 +199,11 @@
         archive(services, limits);
     }
 
-    /// No version comes near this number.
+    /// First number of format v2; versions are always far lower.
     static constexpr std::uint64_t format_with_tenants = 0xFFFF'FFFF'FFFF'FF01U;
 };
 
-/// Shared, since a node holds a large one at several places and never changes it.
+/// Shared, since a node refers to a large configuration in several places and never modifies it.
 using configuration_pointer = std::shared_ptr<const configuration>;
 
 }  // namespace tallyfold::routing
--- a/src/tallyfold/plane/routing/configuration_change.cpp
+++ b/src/tallyfold/plane/routing/configuration_change.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Finds items of a list by what they hold.
+/// Finds items of a list by value.
 template <class Item>
 class item_index {
   public:
@@ -34,7 +34,7 @@
     std::unordered_map<std::uint64_t, std::size_t> positions_;
 };
 
-/// Adds the older list's item at `position` to a change.
+/// Appends the older list's item at `position` to a change.
 template <class Item>
 void take(list_change<Item>& change, std::size_t position) {
     const auto place = static_cast<std::uint32_t>(position);
@@ -56,8 +56,8 @@
     change.runs.back().then.push_back(item);
 }
 
-/// Items that both lists begin with, and after these the items that both end with, are found by
-/// comparing them in place; only what lies between is looked up.
+/// Compares the common beginning and end of both lists in place; only the items in between are
+/// looked up in an index.
 template <class Item>
 list_change<Item> difference(const std::vector<Item>& from, const std::vector<Item>& to) {
     const std::size_t shorter = std::min(from.size(), to.size());
@@ -87,7 +87,7 @@
     return change;
 }
 
-/// @return false when the change names items that `base` doesn't have
+/// @return false when the change refers to items that `base` does not have
 template <class Item>
 bool apply(const list_change<Item>& change, const std::vector<Item>& base,
            std::vector<Item>& result) {
--- a/src/tallyfold/plane/routing/configuration_change.hpp
+++ b/src/tallyfold/plane/routing/configuration_change.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What differs between two configurations, so that nodes and logs need not carry the whole one for
-/// each change. A whole configuration is the difference from none.
+/// Difference between two configurations, so that nodes and logs need not store and send the full
+/// configuration for each change. A full configuration is the difference from an empty one.
 
 #include <cstdint>
 #include <string>
@@ -12,12 +12,11 @@
 
 namespace tallyfold::routing {
 
-/// A list as it is made from an older one: runs of the older list's items, each followed by new
-/// ones.
+/// Builds a list from an older one: runs of the older list's items, each followed by new items.
 template <class Item>
 struct list_change {
     struct run {
-        /// Position in the older list, and how many items from there on.
+        /// Position of the run in the older list, and its number of items.
         std::uint32_t first = 0;
         std::uint32_t count = 0;
         std::vector<Item> then;
@@ -36,14 +35,14 @@
 };
 
 struct configuration_change {
-    /// The version that it is made from; none for a whole configuration.
+    /// The version to which the change applies; none for a full configuration.
     configuration_version base = no_version;
     configuration_version version = no_version;
     list_change<route> routes;
     list_change<service> services;
     list_change<tenant> tenants;
     caller_limits limits;
-    /// Of the whole result: digest_of() of it.
+    /// digest_of() the resulting configuration.
     std::uint64_t digest = 0;
 
     template <class Archive>
@@ -53,16 +52,16 @@
 };
 
 enum class change_failure : std::uint8_t {
-    /// It is made from another version.
+    /// The change applies to another version.
     other_base,
-    /// It names items that the base doesn't have, or its result has another digest.
+    /// The change refers to items that the base does not have, or the result has another digest.
     damaged,
 };
 
-/// The same for equal configurations, on every node.
+/// Returns a hash of the contents; equal on every node for equal configurations.
 std::uint64_t digest_of(const configuration& whole);
 
-/// @param from may be an empty configuration, without a version
+/// @param from may be an empty configuration without a version
 configuration_change difference(const configuration& from, const configuration& to);
 
 tl::expected<configuration, change_failure> apply(const configuration_change& change,
--- a/src/tallyfold/plane/routing/route_table.cpp
+++ b/src/tallyfold/plane/routing/route_table.cpp
@@ -22,7 +22,7 @@
     if (routes == hosts_.end()) {
         return nullptr;
     }
-    // Try each beginning of the path that ends with a slash, longest first.
+    // Look up each prefix of the path that ends with a slash, longest first.
     std::string_view prefix = path;
     while (true) {
         const std::size_t slash = prefix.rfind('/');
--- a/src/tallyfold/plane/routing/validation.cpp
+++ b/src/tallyfold/plane/routing/validation.cpp
@@ -28,14 +28,15 @@
     return sum > 0 ? std::string{} : "has weights that sum to 0";
 }
 
-/// Rates and bursts above this are taken for mistakes.
+/// Upper bound of rates and bursts; larger values are rejected as mistakes.
 constexpr double largest_limit = 1e9;
 
 bool is_limit(double value) {
     return std::isfinite(value) && value >= 0 && value <= largest_limit;
 }
 
-/// @param names and `keys` of the tenants before this one; its own are added
+/// @param names names of the preceding tenants; the candidate's is added
+/// @param keys keys of the preceding tenants; the candidate's are added
 std::string problem_of(const tenant& candidate, std::set<std::string>& names,
                        std::set<std::string>& keys) {
     if (candidate.name.empty() || !names.insert(candidate.name).second) {
@@ -48,7 +49,7 @@
         if (key.empty()) {
             return "has an empty key";
         }
-        // The key itself stays out of answers and logs.
+        // The key is a secret and must not appear in responses or logs.
         if (!keys.insert(key).second) {
             return "has a key that stands twice or belongs to another tenant";
         }
--- a/src/tallyfold/plane/routing/validation.hpp
+++ b/src/tallyfold/plane/routing/validation.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Refuses configurations that cannot be served.
+/// Rejects invalid configurations.
 
 #include <string>
 #include <tl/expected.hpp>
@@ -9,12 +9,12 @@
 
 namespace tallyfold::routing {
 
-/// What is wrong, in words for the operator.
+/// The error message for the operator.
 struct invalid_configuration {
     std::string reason;
 };
 
-/// Checks services, places, weights and time-outs of every route.
+/// Checks names, hosts and prefixes, weights and timeouts of routes, services and tenants.
 tl::expected<void, invalid_configuration> validate(const configuration& candidate);
 
 }  // namespace tallyfold::routing
