--- a/tests/plane/directory/admin_api_test.cpp
+++ b/tests/plane/directory/admin_api_test.cpp
@@ -1,8 +1,6 @@
 /// @file
-/// On directory machines with a twentieth of a core no change with 2,000 further routes came into
-/// force for half a minute: 21 nodes led one after the other. The leader read the operator's text,
-/// 2 MB, in the thread that also sends heartbeats; that took 0.6 s, its followers waited 0.4 s and
-/// elected another, to whom the operator sent the text next.
+/// Guards against a leader that parses a large configuration on the loop thread: its heartbeats
+/// stop, and its followers elect another leader, to which the operator then sends the same text.
 
 #include <asio/co_spawn.hpp>
 #include <asio/detached.hpp>
@@ -16,7 +14,7 @@
 
 using namespace directory;
 
-/// Needs, to read a text, that the loop goes on: as long as another duty hasn't run, it waits.
+/// A codec whose parse() waits until another task has run on the loop thread.
 class slow_codec final : public admin_codec {
   public:
     explicit slow_codec(std::future<void> other_duty) : other_duty_(std::move(other_duty)) {}
--- a/tests/plane/directory/applied_state_cache_test.cpp
+++ b/tests/plane/directory/applied_state_cache_test.cpp
@@ -52,7 +52,7 @@
         cache.save(with_version(2), now + interval);
         std::ofstream(folder.text() + "/applied-state-1", std::ios::trunc) << "torn";
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1}, loaded(folder.text()));
-        // The next process writes over the torn one, not over the one that is left.
+        // The next process overwrites the torn file, not the intact one.
         applied_state_cache next(folder.text());
         next.load();
         next.save(with_version(3), now);
--- a/tests/plane/directory/failure_relay_test.cpp
+++ b/tests/plane/directory/failure_relay_test.cpp
@@ -31,7 +31,7 @@
         relay.add("b", now);
         relay.add("b", now + milliseconds(200));
         CPPUNIT_ASSERT_EQUAL(200U, relay.recent(now + milliseconds(200)).front().age_ms);
-        // A later one is another failure.
+        // Outside the window, the report belongs to another failure.
         relay.add("b", now + milliseconds(400));
         CPPUNIT_ASSERT_EQUAL(0U, relay.recent(now + milliseconds(400)).front().age_ms);
     }
--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -1,8 +1,7 @@
 /// @file
-/// Directory nodes of two builds in one group: an entry that the older one couldn't read was
-/// committed by the newer ones, skipped by it without a line, and the forwarders that asked it went
-/// on by the version before. Now each entry has a form that all members read, what has none waits,
-/// and a node that can't read an entry stands still.
+/// Guards against entries in a group of two builds that the older build cannot read: they must not
+/// be committed before all members support their format, and a node that cannot read one must halt
+/// instead of skipping it.
 
 #include "tallyfold/base/common/random.hpp"
 #include "tallyfold/base/protocol/stored_value.hpp"
@@ -52,7 +51,7 @@
         return made;
     }
 
-    /// Large enough to be compressed between nodes of the second form.
+    /// Enough routes for the configuration to be compressed in format v2.
     static constexpr std::size_t many_routes = 200;
 
     static routing::configuration_version version_at(directory_group& group,
@@ -67,7 +66,7 @@
         group.set_first_format(earlier, true);
         CPPUNIT_ASSERT(group.change(leader, configuration_of(46, many_routes)));
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46}, version_at(group, earlier));
-        // The same from a leader of the first form.
+        // The leader supports only format v1.
         group.set_first_format(earlier, false);
         group.set_first_format(leader, true);
         CPPUNIT_ASSERT(group.change(leader, configuration_of(48, many_routes)));
@@ -86,7 +85,7 @@
         group.set_first_format(earlier, false);
         group.run(seconds(1));
         CPPUNIT_ASSERT(group.node(leader).may_apply_tenants(group.now()));
-        // A member that was heard to know the second form may be away.
+        // A member known to support format v2 may be unreachable.
         group.cut(earlier);
         group.run(seconds(20));
         CPPUNIT_ASSERT(group.node(leader).may_apply_tenants(group.now()));
@@ -100,7 +99,7 @@
         directory_core& core = group.node(leader);
         core.record_peer_format("forwarder-1", format_version::v1, group.now());
         CPPUNIT_ASSERT(!core.may_apply_tenants(group.now()));
-        // It was replaced, or is silent for long.
+        // The forwarder was replaced; the next one becomes silent.
         core.record_peer_format("forwarder-1", format_version::v2, group.now());
         CPPUNIT_ASSERT(core.may_apply_tenants(group.now()));
         core.record_peer_format("forwarder-2", format_version::v1, group.now());
@@ -130,7 +129,7 @@
             CPPUNIT_ASSERT(*answer->newer_configuration.front() ==
                            configuration_of(48, many_routes));
         }
-        // Whoever asks for parts, or holds it, gets no copy.
+        // A node that requests parts, or that holds the version, receives no full copy.
         CPPUNIT_ASSERT(
             group.node(leader).receive(*report, group.now()).newer_configuration.empty());
         CPPUNIT_ASSERT(group.node(leader)
@@ -148,7 +147,8 @@
         CPPUNIT_ASSERT(answer->newer_configuration.empty());
     }
 
-    /// An entry of a form that this build doesn't know, handed to a follower by its leader.
+    /// Message from the leader to a follower with an entry in a format that this build does not
+    /// support.
     static consensus::replica_message with_later_entry(const directory_core& leader,
                                                        const node_name& follower) {
         const std::uint64_t mark = protocol::numbered_form_mark | 3U;
@@ -187,14 +187,14 @@
         CPPUNIT_ASSERT(logged);
         CPPUNIT_ASSERT(core.is_halted());
         CPPUNIT_ASSERT(!core.leads());
-        // What it held is still shown, and proves nothing.
+        // The node still serves its last state, but gives no proofs.
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46},
                              core.state().configuration().version);
         core.prove(7, group.now());
         directory_work work = core.take_work();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, work.proofs.size());
         CPPUNIT_ASSERT(!work.proofs.front().proved);
-        // The two others are a majority and go on.
+        // The other two members form a majority.
         CPPUNIT_ASSERT(group.change(leader, configuration_of(48, 2)));
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46},
                              core.state().configuration().version);
@@ -236,8 +236,8 @@
         return map;
     }
 
-    /// The two forms have no number: a value of the second one that a reader of the first one could
-    /// take for its own would be misread.
+    /// Formats v1 and v2 have no format number, so a value in format v2 must not be a valid value
+    /// in format v1.
     void values_of_the_second_format_are_never_read_as_the_first() {
         random_source random(42);
         for (int round = 0; round < 20'000; ++round) {
--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -1,8 +1,7 @@
 /// @file
-/// A change with 2,000 further routes on its way from six directory nodes to 255 forwarders, in
-/// virtual time: answers and parts cost processor time of small machines, and links have a
-/// bandwidth. When each report brought a whole copy, the last forwarder held such a change after 7
-/// s: whoever asked again before its copy had come had another one made.
+/// Simulates the propagation of a change with 2,000 added routes from six directory nodes to 255
+/// forwarders, with limited processors and bandwidth. Guards against forwarders that request the
+/// same content again before it has arrived, which delays all others.
 
 #include <functional>
 #include <queue>
@@ -24,13 +23,13 @@
 constexpr std::size_t forwarder_count = 255;
 constexpr duration report_interval = std::chrono::milliseconds(120);
 constexpr duration way = std::chrono::microseconds(1'500);
-/// Of a core; what a machine's work takes is divided by it.
+/// Available share of a processor core; the processing times of a machine are divided by it.
 constexpr double directory_share = 0.15;
 constexpr double forwarder_share = 0.12;
-/// Bytes a second of a forwarder's link: 30 Mbit/s.
+/// Bandwidth of a forwarder's link in bytes per second: 30 Mbit/s.
 constexpr double forwarder_bandwidth = 30e6 / 8;
-/// Processor time of a whole core, in seconds: of an answer, of each of its bytes, and of taking a
-/// change of this size into force.
+/// Processing times in seconds on a full core: of an answer, of each byte of it, and of applying a
+/// change of this size.
 constexpr double answer_cost = 50e-6;
 constexpr double byte_cost = 5e-9;
 constexpr double apply_cost = 12e-3;
@@ -63,14 +62,14 @@
         }
     }
 
-    /// A directory node holds a configuration from then on.
+    /// The directory node holds the configuration from `when` on.
     void show(std::size_t directory, const configuration_pointer& configuration, instant when) {
         at(when, [this, directory, configuration] {
             directories_[directory].source.publish(configuration);
             directories_[directory].version = configuration->version;
         });
     }
-    /// A directory node answers nothing from then on.
+    /// The directory node sends no answers from `when` on.
     void stop(std::size_t directory, instant when) {
         at(when, [this, directory] { directories_[directory].stopped = true; });
     }
@@ -122,7 +121,8 @@
 
     static node_name name(std::size_t directory) { return std::to_string(directory); }
 
-    /// Has a directory node's processor work on something. @return when it is done
+    /// Occupies a directory node's processor.
+    /// @return the time of completion
     instant work_at(directory_machine& machine, double cost) {
         machine.busy_until = std::max(machine.busy_until, now_) + seconds(cost / directory_share);
         return machine.busy_until;
@@ -200,7 +200,8 @@
     CPPUNIT_TEST(changes_in_quick_succession_are_fetched_as_they_come);
     CPPUNIT_TEST_SUITE_END();
 
-    /// All forwarders hold version 1, of 4,000 routes; what was sent for it is left out of `sent`.
+    /// Brings all forwarders to version 1, which has 4,000 routes.
+    /// @param sent set to the bytes sent until then
     static void begin(spread_world& world, std::size_t& sent) {
         const configuration_pointer first = configuration_of(1, 4'000);
         for (std::size_t directory = 0; directory < directory_count; ++directory) {
@@ -211,7 +212,8 @@
         sent = world.bytes_sent();
     }
 
-    /// What one forwarder needs to get from one to the other.
+    /// Returns the number of bytes that a forwarder fetches to update from one configuration to the
+    /// other.
     static std::size_t bytes_between(const configuration_pointer& one,
                                      const configuration_pointer& other) {
         configuration_source source;
@@ -228,7 +230,7 @@
         begin(world, before);
         const configuration_pointer next = configuration_of(2, 6'000);
         for (std::size_t directory = 0; directory < directory_count; ++directory) {
-            // Two of six lag by two seconds.
+            // Two of the six directory nodes lag by two seconds.
             const duration late = directory < 2 ? std::chrono::seconds(2) : duration::zero();
             world.show(directory, next, world.now() + late);
         }
@@ -236,7 +238,7 @@
         CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(2));
         const std::size_t needed =
             forwarder_count * bytes_between(configuration_of(1, 4'000), next);
-        // Each copy once; parts have a head.
+        // One copy per forwarder; the margin allows for the headers of the parts.
         CPPUNIT_ASSERT(world.bytes_sent() - before <= needed * 21 / 20);
     }
 
@@ -248,7 +250,7 @@
         for (std::size_t directory = 0; directory < directory_count; ++directory) {
             world.show(directory, next, world.now());
         }
-        // While most forwarders have a part of it.
+        // At this time, most forwarders have received a part of the change.
         const instant silent = world.now() + std::chrono::milliseconds(150);
         world.stop(0, silent);
         world.stop(1, silent);
@@ -267,8 +269,8 @@
                 world.show(directory, next, world.now());
             }
             world.run_until(world.now() + std::chrono::milliseconds(200));
-            // Nobody lags by more than a second, though each fetch takes longer than a change
-            // lasts.
+            // No forwarder lags by more than a second, although a fetch takes longer than the
+            // interval between changes.
             if (version > 6) {
                 CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(version - 5));
             }
