--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -75,8 +75,8 @@
         return backends;
     }
 
-    /// The sweep to 300 machines: three nodes told 3,000 back ends to each of 225 forwarders
-    /// whenever one of them changed, and went over their memory of 256 MB.
+    /// Guards against excessive memory use: directory nodes must not send the full list to every
+    /// forwarder after each change.
     void an_earlier_list_is_told_the_differences() {
         constexpr std::size_t kept = 8;
         list_memory teller(kept);
--- a/tests/plane/discovery/poller_election_test.cpp
+++ b/tests/plane/discovery/poller_election_test.cpp
@@ -22,7 +22,7 @@
         const instant started = at(100'000);
         CPPUNIT_ASSERT(!discovery::forwarder_polls(instant{}, started, at(100'050)));
         CPPUNIT_ASSERT(discovery::forwarder_polls(instant{}, started, at(102'450)));
-        // Told once, it reads when nobody has seen the list for as long.
+        // After an update, the forwarder polls only when the list has become too old.
         CPPUNIT_ASSERT(!discovery::forwarder_polls(at(101'000), started, at(103'300)));
         CPPUNIT_ASSERT(discovery::forwarder_polls(at(101'000), started, at(103'500)));
     }
