--- a/tests/plane/routing/configuration_change_test.cpp
+++ b/tests/plane/routing/configuration_change_test.cpp
@@ -26,7 +26,7 @@
         return made;
     }
 
-    /// A configuration from numbers: equal numbers make equal items.
+    /// Makes a configuration from numbers; equal numbers make equal items.
     static configuration make(configuration_version version,
                               const std::vector<std::uint8_t>& routes,
                               const std::vector<std::uint8_t>& tenants) {
@@ -103,8 +103,7 @@
         configuration_change altered = difference(from, plain(2, 6));
         altered.routes.runs.back().then.back().timeout_ms = 1;
         CPPUNIT_ASSERT(apply(altered, from).error() == change_failure::damaged);
-        // The same version with other content: what is held isn't what the difference was made
-        // from.
+        // The base has the same version, but other contents.
         configuration other = plain(1, 5);
         other.routes[0].timeout_ms = 3;
         CPPUNIT_ASSERT(apply(difference(from, plain(2, 6)), other).error() ==
