--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -113,8 +113,8 @@
     co_return co_await wait(token);
 }
 
-http::endpoint_response admin_api::failed(const http::endpoint_request& request,
-                                          answer_kind kind) const {
+http::endpoint_response admin_api::failure_response(const http::endpoint_request& request,
+                                                    answer_kind kind) const {
     if (kind != answer_kind::not_leader || !core_ || core_->leader_address().empty() ||
         core_->leads()) {
         return codec_.refused(503, "no majority has confirmed this call; ask again");
@@ -131,7 +131,7 @@
     }
     // Only the leader parses the text: parsing a large one is expensive.
     if (!core_->leads()) {
-        co_return failed(request, answer_kind::not_leader);
+        co_return failure_response(request, answer_kind::not_leader);
     }
     if (request.body == core_->state().configuration_text()) {
         log_change(core_->state().configuration().version, answer_kind::done);
@@ -139,14 +139,14 @@
     }
     if (const auto open = changes_.find(request.body)) {
         const answer_kind kind = co_await wait(*open);
-        co_return kind == answer_kind::done ? codec_.accepted() : failed(request, kind);
+        co_return kind == answer_kind::done ? codec_.accepted() : failure_response(request, kind);
     }
     operator_call call = co_await parse(request);
     if (const auto* invalid = std::get_if<invalid_call>(&call)) {
         co_return refuse(request, *invalid);
     }
     if (!core_ || !core_->leads()) {
-        co_return failed(request, answer_kind::not_leader);
+        co_return failure_response(request, answer_kind::not_leader);
     }
     // A named variable, because GCC 12 destroys aggregate temporaries in a co_await expression
     // twice.
@@ -156,7 +156,7 @@
         co_return refuse(request, early);
     }
     const answer_kind kind = co_await change(std::move(replacement), request.body);
-    co_return kind == answer_kind::done ? codec_.accepted() : failed(request, kind);
+    co_return kind == answer_kind::done ? codec_.accepted() : failure_response(request, kind);
 }
 
 asio::awaitable<answer_kind> admin_api::change(replace_call call, const std::string& text) {
@@ -183,7 +183,7 @@
     const http::endpoint_request& request) {
     const answer_kind kind = co_await confirm();
     if (kind != answer_kind::done || !core_) {
-        co_return failed(request, kind);
+        co_return failure_response(request, kind);
     }
     if (core_->state().configuration().version == routing::no_version) {
         co_return codec_.refused(503, "no configuration is known yet");
@@ -201,7 +201,7 @@
                                                            const std::string& node) {
     const answer_kind confirmed = co_await confirm();
     if (confirmed != answer_kind::done || !core_) {
-        co_return failed(request, confirmed);
+        co_return failure_response(request, confirmed);
     }
     if (is_retired(node)) {
         co_return codec_.accepted();
@@ -218,14 +218,14 @@
     }
     directory_command command = retire_store{node, std::move(disks)};
     const answer_kind kind = co_await submit(std::move(command));
-    co_return kind == answer_kind::done ? codec_.accepted() : failed(request, kind);
+    co_return kind == answer_kind::done ? codec_.accepted() : failure_response(request, kind);
 }
 
 asio::awaitable<http::endpoint_response> admin_api::retire_state(
     const http::endpoint_request& request, const std::string& node) {
     const answer_kind confirmed = co_await confirm();
     if (confirmed != answer_kind::done || !core_) {
-        co_return failed(request, confirmed);
+        co_return failure_response(request, confirmed);
     }
     if (!is_retired(node)) {
         co_return codec_.refused(404, "nobody asked to empty this store");
