--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -60,7 +60,7 @@
       calls_(net::add_counter(process.metrics(), "tallyfold_directory_operator_calls_total",
                               "Calls of operators")) {}
 
-void admin_api::answered(const directory_answer& answer) {
+void admin_api::on_answer(const directory_answer& answer) {
     changes_.ended(answer.token);
     const auto [first, last] = waiting_.equal_range(answer.token);
     for (auto entry = first; entry != last; ++entry) {
--- a/src/tallyfold/plane/directory/admin_api_shell.hpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.hpp
@@ -20,7 +20,7 @@
 class admin_api {
   public:
     /// @param core null while the data folder is unavailable
-    /// @param pump carries out the core's pending work and passes its answers to answered()
+    /// @param pump carries out the core's pending work and passes its answers to on_answer()
     admin_api(net::node_process& process, const admin_codec& codec,
               const std::unique_ptr<directory_core>& core, std::function<void()> pump);
 
@@ -28,7 +28,7 @@
     /// the leader, and the codec's status for invalid calls.
     asio::awaitable<http::endpoint_response> serve(http::endpoint_request request);
     /// Completes the calls that wait for the answer's token.
-    void answered(const directory_answer& answer);
+    void on_answer(const directory_answer& answer);
     /// Ends all waiting calls with an unknown outcome; the core that would have answered them is
     /// gone.
     void storage_lost();
--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -77,7 +77,7 @@
 replica_handlers directory_node::make_replica_handlers() {
     replica_handlers handlers;
     handlers.send = [this](addressed_message message) { links_.send(std::move(message)); };
-    handlers.on_answer = [this](const directory_answer& answer) { admin_.answered(answer); };
+    handlers.on_answer = [this](const directory_answer& answer) { admin_.on_answer(answer); };
     handlers.on_proof = [this](const directory_proof& proof) {
         reports_.end_proof(*replica_.core(), proof);
     };
--- a/tests/plane/directory/admin_api_test.cpp
+++ b/tests/plane/directory/admin_api_test.cpp
@@ -90,7 +90,7 @@
                     core->persisted();
                 }
                 for (const directory_answer& answer : work.answers) {
-                    at_work->answered(answer);
+                    at_work->on_answer(answer);
                 }
             }
         });
