--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -71,7 +71,7 @@
     waiting_.erase(first, last);
 }
 
-void admin_api::storage_lost() {
+void admin_api::on_storage_lost() {
     changes_.clear();
     for (const auto& [token, call] : waiting_) {
         call->answered = true;
--- a/src/tallyfold/plane/directory/admin_api_shell.hpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.hpp
@@ -31,7 +31,7 @@
     void on_answer(const directory_answer& answer);
     /// Ends all waiting calls with an unknown outcome; the core that would have answered them is
     /// gone.
-    void storage_lost();
+    void on_storage_lost();
 
   private:
     struct waiting_call;
--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -87,7 +87,7 @@
 
 void directory_node::on_storage_lost() {
     reports_.forget_questions();
-    admin_.storage_lost();
+    admin_.on_storage_lost();
 }
 
 void directory_node::receive(const messaging::channel_pointer& channel,
