--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -20,7 +20,7 @@
 /// Minimum size in bytes of a text that is parsed on the parser thread. Parsing a larger one on the
 /// loop thread of a slow machine would delay heartbeats beyond the election timeout.
 constexpr std::size_t large_text_bytes = 64U << 10U;
-constexpr const char* unusable_folder = "the data folder can't be used now";
+constexpr const char* folder_unavailable_reason = "the data folder can't be used now";
 
 asio::awaitable<operator_call> parse_in_this_thread(const admin_codec& codec,
                                                     const http::endpoint_request& request) {
@@ -127,7 +127,7 @@
 
 asio::awaitable<http::endpoint_response> admin_api::replace(const http::endpoint_request& request) {
     if (!core_) {
-        co_return codec_.refused(503, unusable_folder);
+        co_return codec_.refused(503, folder_unavailable_reason);
     }
     // Only the leader parses the text: parsing a large one is expensive.
     if (!core_->leads()) {
@@ -257,7 +257,7 @@
         co_return refuse(request, *invalid);
     }
     if (!core_) {
-        co_return codec_.refused(503, unusable_folder);
+        co_return codec_.refused(503, folder_unavailable_reason);
     }
     if (const auto* start = std::get_if<retire_call>(&call)) {
         co_return co_await retire(request, start->node);
