--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -16,7 +16,7 @@
 
 /// Maximum time for which an operator's call waits for the log; shorter than the one-second timeout
 /// of operators' clients.
-constexpr duration answer_limit = std::chrono::milliseconds(900);
+constexpr duration log_timeout = std::chrono::milliseconds(900);
 /// Minimum size in bytes of a text that is parsed on the parser thread. Parsing a larger one on the
 /// loop thread of a slow machine would delay heartbeats beyond the election timeout.
 constexpr std::size_t large_text_bytes = 64U << 10U;
@@ -45,7 +45,7 @@
 
 /// An operator's call that waits for its log entry.
 struct admin_api::waiting_call {
-    explicit waiting_call(asio::io_context& loop) : timer(loop, answer_limit) {}
+    explicit waiting_call(asio::io_context& loop) : timer(loop, log_timeout) {}
     asio::steady_timer timer;
     answer_kind kind = answer_kind::unknown;
     bool answered = false;
