--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -19,7 +19,7 @@
 constexpr duration log_timeout = std::chrono::milliseconds(900);
 /// Minimum size in bytes of a text that is parsed on the parser thread. Parsing a larger one on the
 /// loop thread of a slow machine would delay heartbeats beyond the election timeout.
-constexpr std::size_t large_text_bytes = 64U << 10U;
+constexpr std::size_t parser_thread_min_bytes = 64U << 10U;
 constexpr const char* folder_unavailable_reason = "the data folder can't be used now";
 
 asio::awaitable<operator_call> parse_in_this_thread(const admin_codec& codec,
@@ -94,7 +94,7 @@
 }
 
 asio::awaitable<operator_call> admin_api::parse(const http::endpoint_request& request) {
-    if (request.body.size() < large_text_bytes) {
+    if (request.body.size() < parser_thread_min_bytes) {
         co_return codec_.parse(request);
     }
     co_return co_await asio::co_spawn(parser_, parse_in_this_thread(codec_, request),
