--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -48,7 +48,7 @@
     return list_.tell(report.list, std::chrono::milliseconds(report.list_age_ms), now);
 }
 
-std::optional<node_report> backend_list_sharing::question_for_leader() const {
+std::optional<node_report> backend_list_sharing::list_request() const {
     if (!core_ || core_->leads() || core_->leader_address().empty()) {
         return std::nullopt;
     }
--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
@@ -29,7 +29,7 @@
                                                                instant now);
     /// Returns the report that requests the list from the leader; empty at the leader and when no
     /// leader is known.
-    [[nodiscard]] std::optional<node_report> question_for_leader() const;
+    [[nodiscard]] std::optional<node_report> list_request() const;
 
   private:
     /// True when this node should poll the list in the next round.
--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -117,7 +117,7 @@
 }
 
 void directory_node::ask_leader_for_list() {
-    if (const auto question = list_.question_for_leader()) {
+    if (const auto question = list_.list_request()) {
         links_.send(replica_.core()->leader_address(), *question);
     }
 }
