--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -40,8 +40,8 @@
     }
 }
 
-std::vector<discovery::list_sight> backend_list_sharing::newer_for(const node_report& report,
-                                                                   instant now) {
+std::vector<discovery::list_sight> backend_list_sharing::changes_for(const node_report& report,
+                                                                     instant now) {
     if (!report.wants_list) {
         return {};
     }
--- a/src/tallyfold/plane/directory/report_service_shell.cpp
+++ b/src/tallyfold/plane/directory/report_service_shell.cpp
@@ -11,7 +11,7 @@
     const instant now = http::steady_now();
     node_report_answer answer = core.receive(report, now, channel->peer_format());
     propagation_.on_report(report, now);
-    answer.list = list_.newer_for(report, now);
+    answer.list = list_.changes_for(report, now);
     answer.backend_failures = failures_.recent(now);
     channel->send(answer);
     if (report.question != 0) {
