--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -22,10 +22,10 @@
         [this](const std::vector<discovery::listed_backend>& backends) {
             list_.see(backends, http::steady_now());
         },
-        [this] { return polls(); });
+        [this] { return is_poller(); });
 }
 
-bool backend_list_sharing::polls() const {
+bool backend_list_sharing::is_poller() const {
     discovery::poller_election election;
     election.leads = core_ && core_->leads();
     election.known = list_.known();
--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
@@ -33,7 +33,7 @@
 
   private:
     /// True when this node should poll the list in the next round.
-    [[nodiscard]] bool polls() const;
+    [[nodiscard]] bool is_poller() const;
 
     net::node_process& process_;
     const std::unique_ptr<directory_core>& core_;
