--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -34,7 +34,7 @@
     return election.should_poll();
 }
 
-void backend_list_sharing::learn(const node_report_answer& answer) {
+void backend_list_sharing::on_leader_answer(const node_report_answer& answer) {
     for (const discovery::list_sight& sight : answer.list) {
         list_.learn(sight, http::steady_now());
     }
--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
@@ -22,7 +22,7 @@
 
     void start();
     /// Applies the list in the leader's answer.
-    void learn(const node_report_answer& answer);
+    void on_leader_answer(const node_report_answer& answer);
     /// Returns the changes that the reporting node lacks; empty when it holds the newest list or
     /// does not use it.
     [[nodiscard]] std::vector<discovery::list_sight> changes_for(const node_report& report,
