--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -8,14 +8,14 @@
 
 /// Number of earlier lists from which differences can be sent. A reporting node rarely lags by more
 /// than one list.
-constexpr std::size_t kept_lists = 8;
+constexpr std::size_t earlier_list_count = 8;
 
 }  // namespace
 
 backend_list_sharing::backend_list_sharing(net::node_process& process,
                                            const discovery::backend_list_codec& codec,
                                            const std::unique_ptr<directory_core>& core)
-    : process_(process), core_(core), poller_(process, codec), list_(kept_lists) {}
+    : process_(process), core_(core), poller_(process, codec), list_(earlier_list_count) {}
 
 void backend_list_sharing::start() {
     poller_.start(
