--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -42,7 +42,7 @@
     void start_timers();
     void receive(const messaging::channel_pointer& channel, const messaging::peer_message& message);
     void on_storage_lost();
-    void ask_leader_for_list();
+    void request_list_from_leader();
     void check_propagation();
     void tick();
     [[nodiscard]] replica_handlers make_replica_handlers();
@@ -117,7 +117,7 @@
     replica_.run_work();
 }
 
-void directory_node::ask_leader_for_list() {
+void directory_node::request_list_from_leader() {
     if (const auto question = list_.list_request()) {
         links_.send(replica_.core()->leader_address(), *question);
     }
@@ -149,7 +149,7 @@
 }
 
 void directory_node::start_timers() {
-    process_.every(list_question_interval, [this] { ask_leader_for_list(); });
+    process_.every(list_question_interval, [this] { request_list_from_leader(); });
     process_.every(propagation_check_interval, [this] { check_propagation(); });
     process_.every(tick_interval, [this] { tick(); });
 }
