--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -22,7 +22,7 @@
 constexpr duration stop_delay = std::chrono::milliseconds(300);
 /// Interval at which a follower requests the list of back ends from the leader; a fifth of the poll
 /// interval.
-constexpr duration list_question_interval = std::chrono::milliseconds(200);
+constexpr duration list_request_interval = std::chrono::milliseconds(200);
 /// Interval at which the propagation of the configuration is checked.
 constexpr duration propagation_check_interval = std::chrono::milliseconds(200);
 /// Maximum size in bytes of an operator's request; several times a large configuration.
@@ -149,7 +149,7 @@
 }
 
 void directory_node::start_timers() {
-    process_.every(list_question_interval, [this] { request_list_from_leader(); });
+    process_.every(list_request_interval, [this] { request_list_from_leader(); });
     process_.every(propagation_check_interval, [this] { check_propagation(); });
     process_.every(tick_interval, [this] { tick(); });
 }
