--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -24,7 +24,7 @@
     on_configuration_ = std::move(on_configuration);
     on_stores_ = std::move(on_stores);
     describe_store_ = std::move(describe_store);
-    heard_ = http::steady_now();
+    last_answer_at_ = http::steady_now();
     use_seeds(process_.settings().seed_directories());
     process_.every(settings_.report_interval, [this] { report(); });
 }
@@ -87,10 +87,10 @@
 }
 
 void directory_client::log_silence(instant now) {
-    if (!is_lost_ && now - heard_ > lost_after) {
+    if (!is_lost_ && now - last_answer_at_ > lost_after) {
         is_lost_ = true;
         logging::write_event(logging::event_id::directory_lost,
-                             "silent_ms=" + std::to_string(to_milliseconds(now - heard_)) +
+                             "silent_ms=" + std::to_string(to_milliseconds(now - last_answer_at_)) +
                                  " version=" + std::to_string(version()));
     }
 }
@@ -153,7 +153,7 @@
 }
 
 void directory_client::on_answer(const node_name& from, const node_report_answer& answer) {
-    heard_ = http::steady_now();
+    last_answer_at_ = http::steady_now();
     log_answer(answer.configuration);
     for (const std::string& address : answer.directory_addresses) {
         add_address(address);
@@ -176,7 +176,7 @@
                                            const node_report_answer& answer) {
     const auto link = links_.find(from);
     if (link != links_.end() && link->second->peer_format() >= protocol::format_version::v2) {
-        fetch(from, fetch_.on_version_report(from, answer.configuration, heard_));
+        fetch(from, fetch_.on_version_report(from, answer.configuration, last_answer_at_));
         return;
     }
     // A node that supports only format v1 sends the full configuration in its answer, not in parts.
@@ -206,7 +206,7 @@
     }
     for (const discovery::list_sight& sight : answer.list) {
         if (list_ != nullptr) {
-            on_list_(list_->learn(sight, heard_));
+            on_list_(list_->learn(sight, last_answer_at_));
         }
     }
 }
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -112,7 +112,7 @@
     configuration_fetch fetch_;
     configuration_proofs proofs_;
     /// Time of the last answer from any directory node.
-    instant heard_{};
+    instant last_answer_at_{};
     /// True from the logged loss of all directory nodes until the next answer.
     bool is_lost_ = false;
     configuration_handler on_configuration_;
