--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -87,8 +87,8 @@
 }
 
 void directory_client::log_silence(instant now) {
-    if (!is_lost_ && now - last_answer_at_ > lost_after) {
-        is_lost_ = true;
+    if (!is_loss_logged_ && now - last_answer_at_ > lost_after) {
+        is_loss_logged_ = true;
         logging::write_event(logging::event_id::directory_lost,
                              "silent_ms=" + std::to_string(to_milliseconds(now - last_answer_at_)) +
                                  " version=" + std::to_string(version()));
@@ -96,8 +96,8 @@
 }
 
 void directory_client::log_answer(routing::configuration_version version) {
-    if (is_lost_) {
-        is_lost_ = false;
+    if (is_loss_logged_) {
+        is_loss_logged_ = false;
         logging::write_event(logging::event_id::directory_regained,
                              "version=" + std::to_string(version));
     }
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -114,7 +114,7 @@
     /// Time of the last answer from any directory node.
     instant last_answer_at_{};
     /// True from the logged loss of all directory nodes until the next answer.
-    bool is_lost_ = false;
+    bool is_loss_logged_ = false;
     configuration_handler on_configuration_;
     stores_handler on_stores_;
     std::function<std::vector<store_report>()> describe_store_;
