--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -53,8 +53,8 @@
                 on_answer(address, *answer);
             } else if (const auto* part = std::get_if<configuration_part>(&message)) {
                 on_part(address, *part);
-            } else if (on_other_) {
-                on_other_(message);
+            } else if (on_other_message_) {
+                on_other_message_(message);
             }
         },
         [this, address](bool up, const std::string& reason) {
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -57,7 +57,7 @@
     /// @param handler receives the directory nodes' messages that are neither report answers nor
     /// configuration parts
     void on_other_messages(std::function<void(const messaging::peer_message&)> handler) {
-        on_other_ = std::move(handler);
+        on_other_message_ = std::move(handler);
     }
     /// Reports to all directory nodes that a back end aborted a call.
     void report_failure(const backend_name& backend);
@@ -120,7 +120,7 @@
     std::function<std::vector<store_report>()> describe_store_;
     discovery::list_memory* list_ = nullptr;
     std::function<void(bool changed)> on_list_;
-    std::function<void(const messaging::peer_message&)> on_other_;
+    std::function<void(const messaging::peer_message&)> on_other_message_;
     std::function<void(const std::vector<discovery::relayed_failure>&)> on_relayed_failures_;
     node_name leader_;
     consensus::term_number term_ = 0;
