--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -168,7 +168,7 @@
     }
     if (answer.question != 0) {
         proofs_.on_answer(from, answer.question, answer.configuration);
-        wake_waiting();
+        wake_waiters();
     }
 }
 
@@ -195,7 +195,7 @@
                              " took_ms=" + std::to_string(to_milliseconds(taken)));
     proofs_.set_held_version(version());
     on_configuration_(fetch_.held());
-    wake_waiting();
+    wake_waiters();
 }
 
 void directory_client::learn_stores_and_list(const node_report_answer& answer) {
@@ -249,7 +249,7 @@
     }
 }
 
-void directory_client::wake_waiting() {
+void directory_client::wake_waiters() {
     for (const auto& timer : waiting_) {
         timer->cancel();
     }
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -98,7 +98,7 @@
     /// Handles a newer configuration.
     /// @param bytes number of bytes fetched; 0 when it was part of an answer
     void use_configuration(const node_name& from, std::uint64_t bytes, duration taken);
-    void wake_waiting();
+    void wake_waiters();
     void add_address(const std::string& address);
     void on_answer(const node_name& from, const node_report_answer& answer);
     /// Merges the store groups and the list of back ends in an answer.
