--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -255,7 +255,7 @@
     }
 }
 
-bool directory_client::knows_first_format_alone() const {
+bool directory_client::peers_support_only_first_format() const {
     const auto connected = [](const auto& entry) { return entry.second->connected(); };
     const auto has_later = [](const auto& entry) {
         return entry.second->peer_format() > protocol::oldest_format;
@@ -265,7 +265,7 @@
 }
 
 asio::awaitable<bool> directory_client::refresh(duration limit) {
-    if (knows_first_format_alone()) {
+    if (peers_support_only_first_format()) {
         // No connected node can give a proof, so waiting is pointless.
         co_return false;
     }
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -85,7 +85,7 @@
     /// null when there is none.
     messaging::link_pointer next_link(protocol::format_version format);
     /// True when some directory nodes are connected and all of them support only format v1.
-    [[nodiscard]] bool knows_first_format_alone() const;
+    [[nodiscard]] bool peers_support_only_first_format() const;
     void ask_for_proof();
     /// Requests a new proof when the last one becomes too old (proof_interval).
     void renew_proof(instant now);
