--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -161,7 +161,7 @@
     learn_leader(answer.leader, answer.term);
     learn_stores_and_list(answer);
     if (settings_.wants_configuration) {
-        learn_configuration(from, answer);
+        on_configuration_report(from, answer);
     }
     if (on_relayed_failures_ && !answer.backend_failures.empty()) {
         on_relayed_failures_(answer.backend_failures);
@@ -172,8 +172,8 @@
     }
 }
 
-void directory_client::learn_configuration(const node_name& from,
-                                           const node_report_answer& answer) {
+void directory_client::on_configuration_report(const node_name& from,
+                                               const node_report_answer& answer) {
     const auto link = links_.find(from);
     if (link != links_.end() && link->second->peer_format() >= protocol::format_version::v2) {
         fetch(from, fetch_.on_version_report(from, answer.configuration, last_answer_at_));
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -94,7 +94,7 @@
     void fetch(const node_name& from, const std::optional<configuration_request>& request);
     void on_part(const node_name& from, const configuration_part& part);
     /// Adopts the configuration in the answer, or starts to fetch it.
-    void learn_configuration(const node_name& from, const node_report_answer& answer);
+    void on_configuration_report(const node_name& from, const node_report_answer& answer);
     /// Handles a newer configuration.
     /// @param bytes number of bytes fetched; 0 when it was part of an answer
     void use_configuration(const node_name& from, std::uint64_t bytes, duration taken);
