--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -182,13 +182,13 @@
     // A node that supports only format v1 sends the full configuration in its answer, not in parts.
     for (const configuration_pointer& newer : answer.newer_configuration) {
         if (fetch_.accept_full_configuration(newer)) {
-            use_configuration(from, 0, duration::zero());
+            on_new_configuration(from, 0, duration::zero());
         }
     }
 }
 
-void directory_client::use_configuration(const node_name& from, std::uint64_t bytes,
-                                         duration taken) {
+void directory_client::on_new_configuration(const node_name& from, std::uint64_t bytes,
+                                            duration taken) {
     logging::write_event(logging::event_id::configuration_fetched,
                          "from=" + from + " version=" + std::to_string(version()) +
                              " bytes=" + std::to_string(bytes) +
@@ -231,7 +231,7 @@
                                  progress.problem->detail + "\"");
     }
     if (progress.new_configuration) {
-        use_configuration(from, part.size, taken);
+        on_new_configuration(from, part.size, taken);
     }
 }
 
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -97,7 +97,7 @@
     void on_configuration_report(const node_name& from, const node_report_answer& answer);
     /// Handles a newer configuration.
     /// @param bytes number of bytes fetched; 0 when it was part of an answer
-    void use_configuration(const node_name& from, std::uint64_t bytes, duration taken);
+    void on_new_configuration(const node_name& from, std::uint64_t bytes, duration taken);
     void wake_waiters();
     void add_address(const std::string& address);
     void on_answer(const node_name& from, const node_report_answer& answer);
