--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -159,7 +159,7 @@
         add_address(address);
     }
     learn_leader(answer.leader, answer.term);
-    learn_stores_and_list(answer);
+    merge_stores_and_list(answer);
     if (settings_.wants_configuration) {
         on_configuration_report(from, answer);
     }
@@ -198,7 +198,7 @@
     wake_waiters();
 }
 
-void directory_client::learn_stores_and_list(const node_report_answer& answer) {
+void directory_client::merge_stores_and_list(const node_report_answer& answer) {
     for (const turns::store_table& stores : answer.newer_stores) {
         if (stores_.merge_newer(stores)) {
             on_stores_(stores_);
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -102,7 +102,7 @@
     void add_address(const std::string& address);
     void on_answer(const node_name& from, const node_report_answer& answer);
     /// Merges the store groups and the list of back ends in an answer.
-    void learn_stores_and_list(const node_report_answer& answer);
+    void merge_stores_and_list(const node_report_answer& answer);
 
     net::node_process& process_;
     directory_client_settings settings_;
