--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -86,7 +86,7 @@
     return report;
 }
 
-void directory_client::log_silence(instant now) {
+void directory_client::log_loss(instant now) {
     if (!is_loss_logged_ && now - last_answer_at_ > lost_after) {
         is_loss_logged_ = true;
         logging::write_event(logging::event_id::directory_lost,
@@ -105,7 +105,7 @@
 
 void directory_client::report() {
     const instant now = http::steady_now();
-    log_silence(now);
+    log_loss(now);
     renew_proof(now);
     const node_report report = make_report();
     if (settings_.reports_to_all) {
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -89,7 +89,7 @@
     void ask_for_proof();
     /// Requests a new proof when the last one becomes too old (proof_interval).
     void renew_proof(instant now);
-    void log_silence(instant now);
+    void log_loss(instant now);
     void log_answer(routing::configuration_version version);
     void fetch(const node_name& from, const std::optional<configuration_request>& request);
     void on_part(const node_name& from, const configuration_part& part);
