--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -95,7 +95,7 @@
     }
 }
 
-void directory_client::log_answer(routing::configuration_version version) {
+void directory_client::log_recovery(routing::configuration_version version) {
     if (is_loss_logged_) {
         is_loss_logged_ = false;
         logging::write_event(logging::event_id::directory_regained,
@@ -154,7 +154,7 @@
 
 void directory_client::on_answer(const node_name& from, const node_report_answer& answer) {
     last_answer_at_ = http::steady_now();
-    log_answer(answer.configuration);
+    log_recovery(answer.configuration);
     for (const std::string& address : answer.directory_addresses) {
         add_address(address);
     }
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -90,7 +90,7 @@
     /// Requests a new proof when the last one becomes too old (proof_interval).
     void renew_proof(instant now);
     void log_loss(instant now);
-    void log_answer(routing::configuration_version version);
+    void log_recovery(routing::configuration_version version);
     void fetch(const node_name& from, const std::optional<configuration_request>& request);
     void on_part(const node_name& from, const configuration_part& part);
     /// Adopts the configuration in the answer, or starts to fetch it.
