--- a/src/tallyfold/plane/directory/directory_links_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_links_shell.cpp
@@ -37,7 +37,7 @@
     messaging::peer_link& link = link_to(message.to);
     if (auto* replica = std::get_if<consensus::replica_message>(&message.body)) {
         if (link.peer_format() < protocol::format_version::v2 &&
-            !give_first_format(message.to, *replica)) {
+            !convert_to_first_format(message.to, *replica)) {
             return;
         }
         link.send(messaging::replica_envelope{own_address, std::move(*replica)});
@@ -46,7 +46,8 @@
     }
 }
 
-bool directory_links::give_first_format(const node_name& to, consensus::replica_message& message) {
+bool directory_links::convert_to_first_format(const node_name& to,
+                                              consensus::replica_message& message) {
     const auto done = to_first_format(message);
     if (!done && std::has_single_bit(++withheld_)) {
         logging::write_event(logging::event_id::message_withheld,
--- a/src/tallyfold/plane/directory/directory_links_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_links_shell.hpp
@@ -28,7 +28,7 @@
   private:
     /// Converts a message for a node that supports only format v1.
     /// @return false when the message cannot be represented in that format
-    bool give_first_format(const node_name& to, consensus::replica_message& message);
+    bool convert_to_first_format(const node_name& to, consensus::replica_message& message);
     messaging::peer_link& link_to(const node_name& address);
 
     net::node_process& process_;
