--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint64_t segment_bytes = 4U << 20U;
 
 /// Returns a random number above 0.
-std::uint64_t draw_number() {
+std::uint64_t random_nonzero() {
     std::random_device source;
     const std::uint64_t high = source();
     return std::max<std::uint64_t>(1, (high << 32U) ^ source());
@@ -31,7 +31,7 @@
     chosen.members.max_voters = 2 * settings.losses_borne + 3;
     chosen.members.min_voters = 2 * settings.losses_borne + 1;
     chosen.stores.losses = settings.losses_borne;
-    chosen.seed = draw_number();
+    chosen.seed = random_nonzero();
     return chosen;
 }
 
@@ -39,7 +39,7 @@
 consensus::replica_id new_identity(const directory_settings& settings) {
     const bool is_seed = std::find(settings.seeds.begin(), settings.seeds.end(),
                                    settings.address) != settings.seeds.end();
-    return settings.first_start && is_seed ? first_identity(settings.address) : draw_number();
+    return settings.first_start && is_seed ? first_identity(settings.address) : random_nonzero();
 }
 
 void log_storage_failure(const std::string& detail) {
@@ -83,7 +83,7 @@
     // Data in another build's format is intact, so the folder is kept for a build that can read it.
     if (!opened && opened.error().failure == storage::storage_failure::damaged) {
         empty_untrusted_folder(opened.error().detail);
-        opened = open_as(draw_number());
+        opened = open_as(random_nonzero());
     }
     if (!opened) {
         log_storage_failure(opened.error().detail);
