--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -23,16 +23,16 @@
 }
 
 directory_settings core_settings_of(const settings::node_settings& settings) {
-    directory_settings chosen;
-    chosen.address = settings.directory_address();
-    chosen.seeds = settings.seed_directories();
-    chosen.first_start = settings.first_start;
+    directory_settings core_settings;
+    core_settings.address = settings.directory_address();
+    core_settings.seeds = settings.seed_directories();
+    core_settings.first_start = settings.first_start;
     // 2f+1 voters tolerate f losses; two more keep that tolerance while a lost one is replaced.
-    chosen.members.max_voters = 2 * settings.losses_borne + 3;
-    chosen.members.min_voters = 2 * settings.losses_borne + 1;
-    chosen.stores.losses = settings.losses_borne;
-    chosen.seed = random_nonzero();
-    return chosen;
+    core_settings.members.max_voters = 2 * settings.losses_borne + 3;
+    core_settings.members.min_voters = 2 * settings.losses_borne + 1;
+    core_settings.stores.losses = settings.losses_borne;
+    core_settings.seed = random_nonzero();
+    return core_settings;
 }
 
 /// Returns the identity of a replica whose folder is empty.
