--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -65,7 +65,7 @@
     process_.after(reopen_interval, [this] { start(); });
 }
 
-void directory_replica::empty_untrusted_folder(const std::string& reason) {
+void directory_replica::clear_damaged_folder(const std::string& reason) {
     // The folder's contents are not reliable: this node starts as a new replica and obtains the
     // state from its peers.
     logging::write_event(logging::event_id::identity_renewed, "reason=\"" + reason + "\"");
@@ -82,7 +82,7 @@
     auto opened = open_as(new_identity(settings));
     // Data in another build's format is intact, so the folder is kept for a build that can read it.
     if (!opened && opened.error().failure == storage::storage_failure::damaged) {
-        empty_untrusted_folder(opened.error().detail);
+        clear_damaged_folder(opened.error().detail);
         opened = open_as(random_nonzero());
     }
     if (!opened) {
--- a/src/tallyfold/plane/directory/directory_replica_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.hpp
@@ -45,7 +45,7 @@
     /// @return false when the folder cannot be read or written; the reason is logged
     bool open();
     void open_later();
-    void empty_untrusted_folder(const std::string& reason);
+    void clear_damaged_folder(const std::string& reason);
     /// @return false when the write failed; the core is then destroyed
     bool make_durable(const consensus::group_write& write);
     /// @return false when the core was destroyed
