--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -148,17 +148,17 @@
 }
 
 void directory_replica::run_work() {
-    if (working_) {
+    if (is_running_work_) {
         return;
     }
-    working_ = true;
+    is_running_work_ = true;
     while (core_) {
         directory_work work = core_->take_work();
         if (work.empty() || !do_work(std::move(work))) {
             break;
         }
     }
-    working_ = false;
+    is_running_work_ = false;
 }
 
 void directory_replica::tick() {
--- a/src/tallyfold/plane/directory/directory_replica_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.hpp
@@ -58,7 +58,7 @@
     std::unique_ptr<storage::log_store> store_;
     std::unique_ptr<directory_core> core_;
     applied_state_cache cache_;
-    bool working_ = false;
+    bool is_running_work_ = false;
 };
 
 }  // namespace tallyfold::directory
