--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -57,11 +57,11 @@
 
 void directory_replica::start() {
     if (!open()) {
-        open_later();
+        schedule_reopen();
     }
 }
 
-void directory_replica::open_later() {
+void directory_replica::schedule_reopen() {
     process_.after(reopen_interval, [this] { start(); });
 }
 
@@ -115,7 +115,7 @@
     store_.reset();
     core_.reset();
     handlers_.on_storage_lost();
-    open_later();
+    schedule_reopen();
     return false;
 }
 
--- a/src/tallyfold/plane/directory/directory_replica_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.hpp
@@ -44,7 +44,7 @@
   private:
     /// @return false when the folder cannot be read or written; the reason is logged
     bool open();
-    void open_later();
+    void schedule_reopen();
     void clear_damaged_folder(const std::string& reason);
     /// @return false when the write failed; the core is then destroyed
     bool make_durable(const consensus::group_write& write);
