--- a/src/tallyfold/plane/directory/directory_settings.cpp
+++ b/src/tallyfold/plane/directory/directory_settings.cpp
@@ -20,15 +20,15 @@
 
 consensus::replica_settings replica_settings_of(const directory_settings& settings,
                                                 consensus::replica_id identity) {
-    consensus::replica_settings chosen;
-    chosen.group = configuration_group;
-    chosen.self = identity;
-    chosen.election_timeout = settings.election_timeout;
-    chosen.heartbeat_interval = settings.heartbeat_interval;
-    chosen.first_election_timeout = settings.first_election_timeout;
-    chosen.read_round_gap = read_round_gap;
-    chosen.seed = settings.seed;
-    return chosen;
+    consensus::replica_settings result;
+    result.group = configuration_group;
+    result.self = identity;
+    result.election_timeout = settings.election_timeout;
+    result.heartbeat_interval = settings.heartbeat_interval;
+    result.first_election_timeout = settings.first_election_timeout;
+    result.read_round_gap = read_round_gap;
+    result.seed = settings.seed;
+    return result;
 }
 
 consensus::replica_id first_identity(const node_name& address) {
