--- a/src/tallyfold/plane/directory/failure_relay.hpp
+++ b/src/tallyfold/plane/directory/failure_relay.hpp
@@ -16,7 +16,7 @@
   public:
     /// Time for which a report is relayed. Long enough for a node to query six directory nodes in
     /// turn, one per reporting interval of 120 ms.
-    static constexpr duration told_for = std::chrono::milliseconds(800);
+    static constexpr duration relay_duration = std::chrono::milliseconds(800);
     /// Maximum number of back ends that are relayed at once. When more fail, nodes detect the
     /// failures themselves.
     static constexpr std::size_t max_told = 64;
@@ -36,7 +36,8 @@
 
     /// Returns the failures to relay, with their age in milliseconds; removes expired ones.
     [[nodiscard]] std::vector<discovery::relayed_failure> recent(instant now) {
-        std::erase_if(reported_, [&](const auto& each) { return now - each.second > told_for; });
+        std::erase_if(reported_,
+                      [&](const auto& each) { return now - each.second > relay_duration; });
         std::vector<discovery::relayed_failure> failures;
         for (const auto& [backend, at] : reported_) {
             failures.push_back({backend, static_cast<std::uint32_t>(to_milliseconds(now - at))});
--- a/tests/plane/directory/failure_relay_test.cpp
+++ b/tests/plane/directory/failure_relay_test.cpp
@@ -23,7 +23,7 @@
         const auto told = relay.recent(now + milliseconds(120));
         CPPUNIT_ASSERT_EQUAL(std::string("b"), told.front().backend);
         CPPUNIT_ASSERT_EQUAL(120U, told.front().age_ms);
-        CPPUNIT_ASSERT(relay.recent(now + failure_relay::told_for + milliseconds(1)).empty());
+        CPPUNIT_ASSERT(relay.recent(now + failure_relay::relay_duration + milliseconds(1)).empty());
     }
 
     void reports_of_one_failure_count_once() {
