--- a/src/tallyfold/plane/directory/failure_relay.hpp
+++ b/src/tallyfold/plane/directory/failure_relay.hpp
@@ -19,7 +19,7 @@
     static constexpr duration relay_duration = std::chrono::milliseconds(800);
     /// Maximum number of back ends that are relayed at once. When more fail, nodes detect the
     /// failures themselves.
-    static constexpr std::size_t max_told = 64;
+    static constexpr std::size_t max_relayed = 64;
 
     /// Records a reported failure. Reports of the same failure by several nodes count once, with
     /// the time of the first; reports beyond the bound are dropped.
@@ -29,7 +29,7 @@
         if (is_known && now - known->second < discovery::same_failure_window) {
             return;
         }
-        if (is_known || reported_.size() < max_told) {
+        if (is_known || reported_.size() < max_relayed) {
             reported_[backend] = now;
         }
     }
--- a/tests/plane/directory/failure_relay_test.cpp
+++ b/tests/plane/directory/failure_relay_test.cpp
@@ -41,7 +41,7 @@
         for (int number = 0; number < 1'000; ++number) {
             relay.add("b" + std::to_string(number), now);
         }
-        CPPUNIT_ASSERT_EQUAL(failure_relay::max_told, relay.recent(now).size());
+        CPPUNIT_ASSERT_EQUAL(failure_relay::max_relayed, relay.recent(now).size());
     }
 };
 
