--- a/src/tallyfold/plane/directory/leader_stall_log.cpp
+++ b/src/tallyfold/plane/directory/leader_stall_log.cpp
@@ -24,7 +24,7 @@
 
 void leader_stall_log::start(instant now) {
     leads_since_ = now;
-    changing_since_.reset();
+    changes_open_since_.reset();
     next_report_ = now + report_interval;
 }
 
@@ -42,9 +42,9 @@
     const consensus::replica_fsm& replica, consensus::replica_id self,
     const std::vector<std::string>& open_changes, instant now) {
     if (open_changes.empty()) {
-        changing_since_.reset();
-    } else if (!changing_since_.has_value()) {
-        changing_since_ = now;
+        changes_open_since_.reset();
+    } else if (!changes_open_since_.has_value()) {
+        changes_open_since_ = now;
         next_report_ = now + report_interval;
     }
     if (now < next_report_) {
@@ -59,7 +59,7 @@
     for (const std::string& fields : open_changes) {
         events.push_back(
             {logging::event_id::store_change_open,
-             fields + " open_ms=" + std::to_string(to_milliseconds(now - *changing_since_))});
+             fields + " open_ms=" + std::to_string(to_milliseconds(now - *changes_open_since_))});
     }
     return events;
 }
--- a/src/tallyfold/plane/directory/leader_stall_log.hpp
+++ b/src/tallyfold/plane/directory/leader_stall_log.hpp
@@ -29,7 +29,7 @@
 
     instant leads_since_{};
     /// Time since which at least one change has been open; empty when none is.
-    std::optional<instant> changing_since_;
+    std::optional<instant> changes_open_since_;
     instant next_report_{};
 };
 
