--- a/src/tallyfold/plane/directory/leader_stall_log.cpp
+++ b/src/tallyfold/plane/directory/leader_stall_log.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 void leader_stall_log::start(instant now) {
-    leads_since_ = now;
+    leadership_start_ = now;
     changes_open_since_.reset();
     next_report_ = now + report_interval;
 }
@@ -32,7 +32,7 @@
                                                     consensus::replica_id self, instant now) const {
     return {logging::event_id::leader_uncommitted,
             "term=" + std::to_string(replica.term()) +
-                " led_ms=" + std::to_string(to_milliseconds(now - leads_since_)) +
+                " led_ms=" + std::to_string(to_milliseconds(now - leadership_start_)) +
                 " last=" + std::to_string(replica.log().last_index()) +
                 " commit=" + std::to_string(replica.commit_index()) + " durable=" +
                 std::to_string(replica.match_index(self)) + " matched=" + matched_indexes(replica)};
--- a/src/tallyfold/plane/directory/leader_stall_log.hpp
+++ b/src/tallyfold/plane/directory/leader_stall_log.hpp
@@ -27,7 +27,7 @@
     [[nodiscard]] logging::event_record uncommitted(const consensus::replica_fsm& replica,
                                                     consensus::replica_id self, instant now) const;
 
-    instant leads_since_{};
+    instant leadership_start_{};
     /// Time since which at least one change has been open; empty when none is.
     std::optional<instant> changes_open_since_;
     instant next_report_{};
