--- a/src/tallyfold/plane/directory/leader_stall_log.cpp
+++ b/src/tallyfold/plane/directory/leader_stall_log.cpp
@@ -28,8 +28,9 @@
     next_report_ = now + report_interval;
 }
 
-logging::event_record leader_stall_log::uncommitted(const consensus::replica_fsm& replica,
-                                                    consensus::replica_id self, instant now) const {
+logging::event_record leader_stall_log::uncommitted_event(const consensus::replica_fsm& replica,
+                                                          consensus::replica_id self,
+                                                          instant now) const {
     return {logging::event_id::leader_uncommitted,
             "term=" + std::to_string(replica.term()) +
                 " led_ms=" + std::to_string(to_milliseconds(now - leadership_start_)) +
@@ -52,7 +53,7 @@
     }
     next_report_ = now + report_interval;
     if (!replica.has_committed_in_term()) {
-        return {uncommitted(replica, self, now)};
+        return {uncommitted_event(replica, self, now)};
     }
     std::vector<logging::event_record> events;
     events.reserve(open_changes.size());
--- a/src/tallyfold/plane/directory/leader_stall_log.hpp
+++ b/src/tallyfold/plane/directory/leader_stall_log.hpp
@@ -24,8 +24,9 @@
         const std::vector<std::string>& open_changes, instant now);
 
   private:
-    [[nodiscard]] logging::event_record uncommitted(const consensus::replica_fsm& replica,
-                                                    consensus::replica_id self, instant now) const;
+    [[nodiscard]] logging::event_record uncommitted_event(const consensus::replica_fsm& replica,
+                                                          consensus::replica_id self,
+                                                          instant now) const;
 
     instant leadership_start_{};
     /// Time since which at least one change has been open; empty when none is.
