--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -61,7 +61,7 @@
                               "Calls of operators")) {}
 
 void admin_api::on_answer(const directory_answer& answer) {
-    changes_.ended(answer.token);
+    changes_.remove(answer.token);
     const auto [first, last] = waiting_.equal_range(answer.token);
     for (auto entry = first; entry != last; ++entry) {
         entry->second->kind = answer.kind;
--- a/src/tallyfold/plane/directory/open_changes.hpp
+++ b/src/tallyfold/plane/directory/open_changes.hpp
@@ -17,7 +17,7 @@
     [[nodiscard]] std::optional<request_token> find(const std::string& text) const;
     void begin(request_token token, const std::string& text) { texts_[token] = text; }
     /// Removes the request after the log has answered it, with any outcome.
-    void ended(request_token token) { texts_.erase(token); }
+    void remove(request_token token) { texts_.erase(token); }
     void clear() { texts_.clear(); }
 
   private:
--- a/tests/plane/directory/open_changes_test.cpp
+++ b/tests/plane/directory/open_changes_test.cpp
@@ -24,7 +24,7 @@
         open_changes changes;
         changes.begin(1, "a");
         changes.begin(2, "b");
-        changes.ended(1);
+        changes.remove(1);
         CPPUNIT_ASSERT(!changes.find("a").has_value());
         changes.clear();
         CPPUNIT_ASSERT(!changes.find("b").has_value());
