--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -163,7 +163,7 @@
     const routing::configuration_version version = call.parsed.version;
     directory_command command = replace_configuration{std::move(call.parsed), text};
     const request_token token = next_token_++;
-    changes_.begin(token, text);
+    changes_.add(token, text);
     core_->submit(token, command);
     const answer_kind kind = co_await wait(token);
     log_change(version, kind);
--- a/src/tallyfold/plane/directory/open_changes.hpp
+++ b/src/tallyfold/plane/directory/open_changes.hpp
@@ -15,7 +15,7 @@
   public:
     /// Returns the request that appended exactly this text; empty when none is open.
     [[nodiscard]] std::optional<request_token> find(const std::string& text) const;
-    void begin(request_token token, const std::string& text) { texts_[token] = text; }
+    void add(request_token token, const std::string& text) { texts_[token] = text; }
     /// Removes the request after the log has answered it, with any outcome.
     void remove(request_token token) { texts_.erase(token); }
     void clear() { texts_.clear(); }
--- a/tests/plane/directory/open_changes_test.cpp
+++ b/tests/plane/directory/open_changes_test.cpp
@@ -14,16 +14,16 @@
 
     void a_repeat_finds_the_change_that_it_repeats() {
         open_changes changes;
-        changes.begin(1, "version 7, one content");
-        changes.begin(2, "version 7, another content");
+        changes.add(1, "version 7, one content");
+        changes.add(2, "version 7, another content");
         CPPUNIT_ASSERT(changes.find("version 7, another content") == request_token{2});
         CPPUNIT_ASSERT(!changes.find("version 8").has_value());
     }
 
     void an_answered_change_is_open_no_more() {
         open_changes changes;
-        changes.begin(1, "a");
-        changes.begin(2, "b");
+        changes.add(1, "a");
+        changes.add(2, "b");
         changes.remove(1);
         CPPUNIT_ASSERT(!changes.find("a").has_value());
         changes.clear();
