--- a/src/tallyfold/plane/directory/permit_lending_shell.cpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.cpp
@@ -37,7 +37,7 @@
     lending_by_ = in_force.version;
 }
 
-void permit_lending::log_heard(const tenants::permit_report& report, instant now) const {
+void permit_lending::log_first_report(const tenants::permit_report& report, instant now) const {
     std::uint64_t recent = 0;
     std::uint64_t lent = 0;
     for (const tenants::permit_use& use : report.uses) {
@@ -58,7 +58,7 @@
         const bool known = lender_.has_report_from(report.node, report.process_id);
         answer = lender_.answer(report, now);
         if (!known && lender_.has_report_from(report.node, report.process_id)) {
-            log_heard(report, now);
+            log_first_report(report, now);
         }
     } else {
         answer.sequence = report.sequence;
--- a/src/tallyfold/plane/directory/permit_lending_shell.hpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.hpp
@@ -26,7 +26,7 @@
 
   private:
     /// Logs the first report that the lender receives from a node's process.
-    void log_heard(const tenants::permit_report& report, instant now) const;
+    void log_first_report(const tenants::permit_report& report, instant now) const;
     void handle_leadership_change(instant now);
 
     const std::unique_ptr<directory_core>& core_;
