--- a/src/tallyfold/plane/directory/permit_lending_shell.cpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.cpp
@@ -19,14 +19,14 @@
 
 void permit_lending::handle_leadership_change(instant now) {
     if (!core_ || !core_->leads()) {
-        lending_by_.reset();
+        lending_version_.reset();
         return;
     }
     const routing::configuration& in_force = core_->state().configuration();
-    if (lending_by_ == in_force.version) {
+    if (lending_version_ == in_force.version) {
         return;
     }
-    if (!lending_by_) {
+    if (!lending_version_) {
         lender_.start(now);
         lending_since_ = now;
         logging::write_event(logging::event_id::quota_keeper_started,
@@ -34,7 +34,7 @@
                                  " tenants=" + std::to_string(in_force.tenants.size()));
     }
     lender_.use(in_force.tenants);
-    lending_by_ = in_force.version;
+    lending_version_ = in_force.version;
 }
 
 void permit_lending::log_first_report(const tenants::permit_report& report, instant now) const {
@@ -54,7 +54,7 @@
 
 tenants::permit_answer permit_lending::answer(const tenants::permit_report& report, instant now) {
     tenants::permit_answer answer;
-    if (lending_by_) {
+    if (lending_version_) {
         const bool known = lender_.has_report_from(report.node, report.process_id);
         answer = lender_.answer(report, now);
         if (!known && lender_.has_report_from(report.node, report.process_id)) {
--- a/src/tallyfold/plane/directory/permit_lending_shell.hpp
+++ b/src/tallyfold/plane/directory/permit_lending_shell.hpp
@@ -32,7 +32,7 @@
     const std::unique_ptr<directory_core>& core_;
     tenants::permit_lender lender_;
     /// Configuration version of the limits in use; empty while this node does not lend.
-    std::optional<routing::configuration_version> lending_by_;
+    std::optional<routing::configuration_version> lending_version_;
     instant lending_since_{};
 };
 
