--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -110,7 +110,7 @@
     } else if (const auto* request = std::get_if<configuration_request>(&message)) {
         reports_.answer(core, channel, *request);
     } else if (const auto* failure = std::get_if<discovery::failure_report>(&message)) {
-        reports_.take(*failure);
+        reports_.record_failure(*failure);
     } else if (const auto* spent = std::get_if<tenants::permit_report>(&message)) {
         channel->send(permits_.answer(*spent, now));
     }
--- a/src/tallyfold/plane/directory/report_service_shell.cpp
+++ b/src/tallyfold/plane/directory/report_service_shell.cpp
@@ -29,7 +29,7 @@
     channel->send(part);
 }
 
-void report_service::take(const discovery::failure_report& report) {
+void report_service::record_failure(const discovery::failure_report& report) {
     failures_.add(report.backend, http::steady_now());
 }
 
--- a/src/tallyfold/plane/directory/report_service_shell.hpp
+++ b/src/tallyfold/plane/directory/report_service_shell.hpp
@@ -28,7 +28,7 @@
     void answer(directory_core& core, const messaging::channel_pointer& channel,
                 const configuration_request& request);
     /// Records a back end's failure that a node reported.
-    void take(const discovery::failure_report& report);
+    void record_failure(const discovery::failure_report& report);
     /// Answers the question for which the core has completed a proof. Without proof, the question
     /// is dropped: the node asks the next directory node.
     void end_proof(const directory_core& core, const directory_proof& proof);
