--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -80,7 +80,7 @@
     handlers.send = [this](addressed_message message) { links_.send(std::move(message)); };
     handlers.on_answer = [this](const directory_answer& answer) { admin_.on_answer(answer); };
     handlers.on_proof = [this](const directory_proof& proof) {
-        reports_.end_proof(*replica_.core(), proof);
+        reports_.on_proof(*replica_.core(), proof);
     };
     handlers.on_storage_lost = [this] { on_storage_lost(); };
     return handlers;
--- a/src/tallyfold/plane/directory/report_service_shell.cpp
+++ b/src/tallyfold/plane/directory/report_service_shell.cpp
@@ -33,7 +33,7 @@
     failures_.add(report.backend, http::steady_now());
 }
 
-void report_service::end_proof(const directory_core& core, const directory_proof& proof) {
+void report_service::on_proof(const directory_core& core, const directory_proof& proof) {
     const auto found = questions_.find(proof.token);
     if (found == questions_.end()) {
         return;
--- a/src/tallyfold/plane/directory/report_service_shell.hpp
+++ b/src/tallyfold/plane/directory/report_service_shell.hpp
@@ -31,7 +31,7 @@
     void record_failure(const discovery::failure_report& report);
     /// Answers the question for which the core has completed a proof. Without proof, the question
     /// is dropped: the node asks the next directory node.
-    void end_proof(const directory_core& core, const directory_proof& proof);
+    void on_proof(const directory_core& core, const directory_proof& proof);
     /// Drops all pending questions after the core was destroyed.
     void forget_questions() { questions_.clear(); }
 
