--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -87,7 +87,7 @@
 }
 
 void directory_node::on_storage_lost() {
-    reports_.forget_questions();
+    reports_.drop_questions();
     admin_.on_storage_lost();
 }
 
--- a/src/tallyfold/plane/directory/report_service_shell.hpp
+++ b/src/tallyfold/plane/directory/report_service_shell.hpp
@@ -33,7 +33,7 @@
     /// is dropped: the node asks the next directory node.
     void on_proof(const directory_core& core, const directory_proof& proof);
     /// Drops all pending questions after the core was destroyed.
-    void forget_questions() { questions_.clear(); }
+    void drop_questions() { questions_.clear(); }
 
   private:
     /// A question of a node that waits for a proof.
