--- a/src/tallyfold/plane/directory/report_service_shell.hpp
+++ b/src/tallyfold/plane/directory/report_service_shell.hpp
@@ -37,7 +37,7 @@
 
   private:
     /// A question of a node that waits for a proof.
-    struct waiting_question {
+    struct pending_question {
         std::weak_ptr<messaging::frame_channel> channel;
         node_report report;
     };
@@ -46,7 +46,7 @@
     backend_list_sharing& list_;
     propagation_monitor& propagation_;
     failure_relay failures_;
-    std::map<request_token, waiting_question> questions_;
+    std::map<request_token, pending_question> questions_;
     request_token next_question_ = 1;
 };
 
