--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -83,7 +83,7 @@
     co_return body;
 }
 
-asio::awaitable<tl::expected<std::vector<listed_backend>, std::string>> list_poller::ask() {
+asio::awaitable<tl::expected<std::vector<listed_backend>, std::string>> list_poller::fetch_list() {
     std::vector<listed_backend> backends;
     std::string token;
     for (std::size_t number = 0; number < max_pages; ++number) {
@@ -121,7 +121,7 @@
             co_await timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
             continue;
         }
-        auto backends = co_await ask();
+        auto backends = co_await fetch_list();
         duration pause = poll_interval;
         if (backends) {
             if (lost) {
--- a/src/tallyfold/plane/discovery/list_poller_shell.hpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.hpp
@@ -26,7 +26,7 @@
 
   private:
     asio::awaitable<void> poll();
-    asio::awaitable<tl::expected<std::vector<listed_backend>, std::string>> ask();
+    asio::awaitable<tl::expected<std::vector<listed_backend>, std::string>> fetch_list();
     asio::awaitable<tl::expected<std::string, std::string>> get(std::string target);
 
     net::node_process& process_;
