--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -40,7 +40,8 @@
     asio::co_spawn(process_.loop(), poll(), asio::detached);
 }
 
-asio::awaitable<tl::expected<std::string, std::string>> list_poller::get(std::string target) {
+asio::awaitable<tl::expected<std::string, std::string>> list_poller::fetch_page(
+    std::string target) {
     const instant deadline = http::steady_now() + answer_limit;
     const std::string address = process_.settings().backend_list_address;
     if (!connection_ || connection_->stale()) {
@@ -87,7 +88,7 @@
     std::vector<listed_backend> backends;
     std::string token;
     for (std::size_t number = 0; number < max_pages; ++number) {
-        auto body = co_await get(codec_.list_target(token));
+        auto body = co_await fetch_page(codec_.list_target(token));
         if (!body) {
             if (connection_) {
                 connection_->close();
--- a/src/tallyfold/plane/discovery/list_poller_shell.hpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.hpp
@@ -27,7 +27,7 @@
   private:
     asio::awaitable<void> poll();
     asio::awaitable<tl::expected<std::vector<listed_backend>, std::string>> fetch_list();
-    asio::awaitable<tl::expected<std::string, std::string>> get(std::string target);
+    asio::awaitable<tl::expected<std::string, std::string>> fetch_page(std::string target);
 
     net::node_process& process_;
     const backend_list_codec& codec_;
