--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -34,9 +34,9 @@
     : process_(process), codec_(codec) {}
 
 void list_poller::start(std::function<void(const std::vector<listed_backend>&)> on_list,
-                        std::function<bool()> wanted) {
+                        std::function<bool()> should_poll) {
     on_list_ = std::move(on_list);
-    wanted_ = std::move(wanted);
+    should_poll_ = std::move(should_poll);
     asio::co_spawn(process_.loop(), poll(), asio::detached);
 }
 
@@ -117,7 +117,7 @@
     bool lost = false;
     bool first = true;
     while (true) {
-        if (!wanted_()) {
+        if (!should_poll_()) {
             timer.expires_after(retry_interval);
             co_await timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
             continue;
--- a/src/tallyfold/plane/discovery/list_poller_shell.hpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.hpp
@@ -20,9 +20,9 @@
     list_poller(net::node_process& process, const backend_list_codec& codec);
     /// Starts polling.
     /// @param on_list called with each complete list
-    /// @param wanted returns whether this node should poll in the next round
+    /// @param should_poll returns whether this node should poll in the next round
     void start(std::function<void(const std::vector<listed_backend>&)> on_list,
-               std::function<bool()> wanted);
+               std::function<bool()> should_poll);
 
   private:
     asio::awaitable<void> poll();
@@ -33,7 +33,7 @@
     const backend_list_codec& codec_;
     http::connection_pointer connection_;
     std::function<void(const std::vector<listed_backend>&)> on_list_;
-    std::function<bool()> wanted_;
+    std::function<bool()> should_poll_;
 };
 
 }  // namespace tallyfold::discovery
