--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -19,7 +19,7 @@
 /// poll.
 constexpr duration retry_interval = std::chrono::milliseconds(300);
 /// Maximum time to fetch one page; below the poll interval.
-constexpr duration answer_limit = std::chrono::milliseconds(900);
+constexpr duration page_timeout = std::chrono::milliseconds(900);
 /// Maximum size of a response's head in bytes; the usual limit of HTTP servers.
 constexpr std::size_t max_head_bytes = 16U << 10U;
 /// Maximum number of pages of one list; ends a list whose pages never stop naming a next one.
@@ -42,7 +42,7 @@
 
 asio::awaitable<tl::expected<std::string, std::string>> list_poller::fetch_page(
     std::string target) {
-    const instant deadline = http::steady_now() + answer_limit;
+    const instant deadline = http::steady_now() + page_timeout;
     const std::string address = process_.settings().backend_list_address;
     if (!connection_ || connection_->stale()) {
         connection_ = std::make_shared<http::connection>(
