--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t max_pages = 1'000;
 /// Maximum offset between the nodes' polls, in milliseconds; each node derives its offset from its
 /// name.
-constexpr std::uint64_t max_phase_ms = 400;
+constexpr std::uint64_t max_offset_ms = 400;
 
 }  // namespace
 
@@ -113,7 +113,7 @@
     asio::steady_timer timer(process_.loop());
     // Spreads the polls of nodes that start at the same time.
     const auto phase =
-        static_cast<std::int64_t>(stable_hash(process_.settings().node) % max_phase_ms);
+        static_cast<std::int64_t>(stable_hash(process_.settings().node) % max_offset_ms);
     bool lost = false;
     bool first = true;
     while (true) {
