--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -112,7 +112,7 @@
 asio::awaitable<void> list_poller::poll() {
     asio::steady_timer timer(process_.loop());
     // Spreads the polls of nodes that start at the same time.
-    const auto phase =
+    const auto offset =
         static_cast<std::int64_t>(stable_hash(process_.settings().node) % max_offset_ms);
     bool lost = false;
     bool first = true;
@@ -133,7 +133,7 @@
             on_list_(*backends);
             if (first) {
                 first = false;
-                pause += std::chrono::milliseconds(phase);
+                pause += std::chrono::milliseconds(offset);
             }
         } else {
             if (!lost) {
@@ -141,7 +141,7 @@
                                      "reason=\"" + backends.error() + "\"");
             }
             lost = true;
-            pause = retry_interval + std::chrono::milliseconds(phase);
+            pause = retry_interval + std::chrono::milliseconds(offset);
         }
         timer.expires_after(pause);
         co_await timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
