--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -114,7 +114,7 @@
     // Spreads the polls of nodes that start at the same time.
     const auto offset =
         static_cast<std::int64_t>(stable_hash(process_.settings().node) % max_offset_ms);
-    bool lost = false;
+    bool is_failing = false;
     bool first = true;
     while (true) {
         if (!should_poll_()) {
@@ -125,22 +125,22 @@
         auto backends = co_await fetch_list();
         duration pause = poll_interval;
         if (backends) {
-            if (lost) {
+            if (is_failing) {
                 logging::write_event(logging::event_id::backend_list_regained,
                                      "backends=" + std::to_string(backends->size()));
             }
-            lost = false;
+            is_failing = false;
             on_list_(*backends);
             if (first) {
                 first = false;
                 pause += std::chrono::milliseconds(offset);
             }
         } else {
-            if (!lost) {
+            if (!is_failing) {
                 logging::write_event(logging::event_id::backend_list_lost,
                                      "reason=\"" + backends.error() + "\"");
             }
-            lost = true;
+            is_failing = true;
             pause = retry_interval + std::chrono::milliseconds(offset);
         }
         timer.expires_after(pause);
