--- a/src/tallyfold/plane/discovery/poller_election.hpp
+++ b/src/tallyfold/plane/discovery/poller_election.hpp
@@ -30,12 +30,12 @@
     static constexpr duration first_successor_age = std::chrono::milliseconds(1'500);
     /// Additional age for each further rank, long enough to receive the list polled by the previous
     /// rank.
-    static constexpr duration next_successor_after = std::chrono::milliseconds(150);
+    static constexpr duration successor_age_step = std::chrono::milliseconds(150);
 
     /// True when this node should poll now.
     [[nodiscard]] bool should_poll() const {
         const auto place = static_cast<std::int64_t>(rank);
-        return leads || !known || age > first_successor_age + next_successor_after * place;
+        return leads || !known || age > first_successor_age + successor_age_step * place;
     }
 };
 
