--- a/src/tallyfold/plane/discovery/poller_election.hpp
+++ b/src/tallyfold/plane/discovery/poller_election.hpp
@@ -41,7 +41,7 @@
 
 /// Age of the list at which a forwarder polls it itself; later than seven directory nodes in order
 /// of rank.
-constexpr duration forwarder_polls_after = std::chrono::milliseconds(2'400);
+constexpr duration forwarder_poll_age = std::chrono::milliseconds(2'400);
 
 /// True when a forwarder should poll the list itself. A forwarder that has just started first waits
 /// to receive the list: if many restarted together and polled, they would exceed the list's rate
@@ -49,7 +49,7 @@
 /// @param seen when some node last polled the list that this forwarder holds
 /// @param started when this process started
 [[nodiscard]] inline bool forwarder_polls(instant seen, instant started, instant now) {
-    return now - std::max(seen, started) > forwarder_polls_after;
+    return now - std::max(seen, started) > forwarder_poll_age;
 }
 
 }  // namespace tallyfold::discovery
