--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -105,12 +105,12 @@
         std::find_if(earlier_.begin(), earlier_.end(),
                      [held](const earlier_list& list) { return list.fingerprint == held; });
     base = earlier == earlier_.end() ? 0 : held;
-    const auto [told, fresh] = told_.try_emplace(base);
+    const auto [entry, fresh] = told_.try_emplace(base);
     if (fresh) {
-        told->second = changes_between(
+        entry->second = changes_between(
             base == 0 ? std::vector<listed_backend>{} : earlier->backends, backends_);
     }
-    return told->second;
+    return entry->second;
 }
 
 std::vector<list_sight> list_memory::tell(list_fingerprint held, duration held_age, instant now) {
