--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -105,8 +105,8 @@
         std::find_if(earlier_.begin(), earlier_.end(),
                      [held](const earlier_list& list) { return list.fingerprint == held; });
     base = earlier == earlier_.end() ? 0 : held;
-    const auto [entry, fresh] = told_.try_emplace(base);
-    if (fresh) {
+    const auto [entry, inserted] = told_.try_emplace(base);
+    if (inserted) {
         entry->second = changes_between(
             base == 0 ? std::vector<listed_backend>{} : earlier->backends, backends_);
     }
