--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -89,14 +89,14 @@
         return false;
     }
     const bool whole = sight.base == 0;
-    std::vector<listed_backend> learnt =
+    std::vector<listed_backend> updated =
         with_changes(whole ? std::vector<listed_backend>{} : backends_, sight.changes);
     // The changes were applied to a different list; the sender will send them again.
-    if (fingerprint_of(learnt) != sight.fingerprint) {
+    if (fingerprint_of(updated) != sight.fingerprint) {
         return false;
     }
     seen_ = seen;
-    replace(std::move(learnt), sight.fingerprint);
+    replace(std::move(updated), sight.fingerprint);
     return true;
 }
 
