--- a/src/tallyfold/plane/routing/configuration_change.cpp
+++ b/src/tallyfold/plane/routing/configuration_change.cpp
@@ -36,7 +36,7 @@
 
 /// Appends the older list's item at `position` to a change.
 template <class Item>
-void take(list_change<Item>& change, std::size_t position) {
+void append_base_item(list_change<Item>& change, std::size_t position) {
     const auto place = static_cast<std::uint32_t>(position);
     if (!change.runs.empty()) {
         auto& last = change.runs.back();
@@ -71,18 +71,18 @@
     }
     list_change<Item> change;
     for (std::size_t position = 0; position < head; ++position) {
-        take(change, position);
+        append_base_item(change, position);
     }
     const item_index<Item> between(from, head, from.size() - tail);
     for (std::size_t position = head; position < to.size() - tail; ++position) {
         if (const auto found = between.find(to[position])) {
-            take(change, *found);
+            append_base_item(change, *found);
         } else {
             add(change, to[position]);
         }
     }
     for (std::size_t position = from.size() - tail; position < from.size(); ++position) {
-        take(change, position);
+        append_base_item(change, position);
     }
     return change;
 }
