--- a/src/tallyfold/plane/routing/configuration_change.cpp
+++ b/src/tallyfold/plane/routing/configuration_change.cpp
@@ -49,7 +49,7 @@
 }
 
 template <class Item>
-void add(list_change<Item>& change, const Item& item) {
+void append_new_item(list_change<Item>& change, const Item& item) {
     if (change.runs.empty()) {
         change.runs.emplace_back();
     }
@@ -78,7 +78,7 @@
         if (const auto found = between.find(to[position])) {
             append_base_item(change, *found);
         } else {
-            add(change, to[position]);
+            append_new_item(change, to[position]);
         }
     }
     for (std::size_t position = from.size() - tail; position < from.size(); ++position) {
