--- a/src/tallyfold/plane/routing/configuration_change.cpp
+++ b/src/tallyfold/plane/routing/configuration_change.cpp
@@ -73,9 +73,9 @@
     for (std::size_t position = 0; position < head; ++position) {
         append_base_item(change, position);
     }
-    const item_index<Item> between(from, head, from.size() - tail);
+    const item_index<Item> middle_index(from, head, from.size() - tail);
     for (std::size_t position = head; position < to.size() - tail; ++position) {
-        if (const auto found = between.find(to[position])) {
+        if (const auto found = middle_index.find(to[position])) {
             append_base_item(change, *found);
         } else {
             append_new_item(change, to[position]);
