--- a/src/tallyfold/plane/routing/validation.cpp
+++ b/src/tallyfold/plane/routing/validation.cpp
@@ -29,10 +29,10 @@
 }
 
 /// Upper bound of rates and bursts; larger values are rejected as mistakes.
-constexpr double largest_limit = 1e9;
+constexpr double max_limit = 1e9;
 
 bool is_limit(double value) {
-    return std::isfinite(value) && value >= 0 && value <= largest_limit;
+    return std::isfinite(value) && value >= 0 && value <= max_limit;
 }
 
 /// @param names names of the preceding tenants; the candidate's is added
