--- a/src/tallyfold/plane/routing/validation.cpp
+++ b/src/tallyfold/plane/routing/validation.cpp
@@ -31,7 +31,7 @@
 /// Upper bound of rates and bursts; larger values are rejected as mistakes.
 constexpr double max_limit = 1e9;
 
-bool is_limit(double value) {
+bool is_valid_limit(double value) {
     return std::isfinite(value) && value >= 0 && value <= max_limit;
 }
 
@@ -42,7 +42,7 @@
     if (candidate.name.empty() || !names.insert(candidate.name).second) {
         return "has no name or stands twice";
     }
-    if (!is_limit(candidate.rate_per_second) || !is_limit(candidate.burst)) {
+    if (!is_valid_limit(candidate.rate_per_second) || !is_valid_limit(candidate.burst)) {
         return "has a rate or a burst that is no number from 0 to a thousand million";
     }
     for (const std::string& key : candidate.keys) {
