--- a/src/tallyfold/plane/routing/validation.cpp
+++ b/src/tallyfold/plane/routing/validation.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 std::string problem_of(const route& candidate, const std::set<std::string>& services) {
-    const bool slashed = candidate.prefix.starts_with('/') && candidate.prefix.ends_with('/');
-    if (candidate.host.empty() || !slashed) {
+    const bool has_slashes = candidate.prefix.starts_with('/') && candidate.prefix.ends_with('/');
+    if (candidate.host.empty() || !has_slashes) {
         return "needs a host, and a prefix that starts and ends with a slash";
     }
     if (candidate.timeout_ms == 0) {
