--- a/src/tallyfold/plane/routing/validation.cpp
+++ b/src/tallyfold/plane/routing/validation.cpp
@@ -82,13 +82,13 @@
                 invalid_configuration{"service '" + entry.name + "' has no name or stands twice"});
         }
     }
-    std::set<std::pair<std::string, std::string>> places;
+    std::set<std::pair<std::string, std::string>> host_prefixes;
     for (const route& entry : candidate.routes) {
         const std::string problem = problem_of(entry, services);
         if (!problem.empty()) {
             return tl::unexpected(invalid_configuration{"route '" + entry.name + "' " + problem});
         }
-        if (!places.insert({entry.host, entry.prefix}).second) {
+        if (!host_prefixes.insert({entry.host, entry.prefix}).second) {
             return tl::unexpected(
                 invalid_configuration{"route '" + entry.name + "' has the place of another route"});
         }
