--- a/tests/plane/directory/admin_api_test.cpp
+++ b/tests/plane/directory/admin_api_test.cpp
@@ -17,14 +17,14 @@
 /// A codec whose parse() waits until another task has run on the loop thread.
 class slow_codec final : public admin_codec {
   public:
-    explicit slow_codec(std::future<void> other_duty) : other_duty_(std::move(other_duty)) {}
+    explicit slow_codec(std::future<void> other_task) : other_task_(std::move(other_task)) {}
 
     [[nodiscard]] bool changes_configuration(const http::endpoint_request&) const override {
         return true;
     }
     [[nodiscard]] operator_call parse(const http::endpoint_request&) const override {
         constexpr std::chrono::seconds longest(3);
-        other_duty_ran = other_duty_.wait_for(longest) == std::future_status::ready;
+        other_task_ran = other_task_.wait_for(longest) == std::future_status::ready;
         replace_call call;
         call.parsed.version = 1;
         return call;
@@ -45,7 +45,7 @@
         return answer(200);
     }
 
-    mutable std::atomic<bool> other_duty_ran{false};
+    mutable std::atomic<bool> other_task_ran{false};
 
   private:
     static http::endpoint_response answer(unsigned status) {
@@ -54,7 +54,7 @@
         return made;
     }
 
-    std::future<void> other_duty_;
+    std::future<void> other_task_;
 };
 
 class admin_api_test : public CppUnit::TestFixture {
@@ -80,8 +80,8 @@
 
     void a_large_text_is_read_beside_the_other_duties() {
         net::node_process process{settings::node_settings{}};
-        std::promise<void> other_duty;
-        const slow_codec codec(other_duty.get_future());
+        std::promise<void> other_task;
+        const slow_codec codec(other_task.get_future());
         const std::unique_ptr<directory_core> core = leader();
         admin_api* at_work = nullptr;
         admin_api admin(process, codec, core, [&] {
@@ -103,9 +103,9 @@
             status = response.status;
         };
         asio::co_spawn(process.loop(), call, asio::detached);
-        process.after(std::chrono::milliseconds(1), [&] { other_duty.set_value(); });
+        process.after(std::chrono::milliseconds(1), [&] { other_task.set_value(); });
         process.loop().run();
-        CPPUNIT_ASSERT(codec.other_duty_ran);
+        CPPUNIT_ASSERT(codec.other_task_ran);
         CPPUNIT_ASSERT_EQUAL(200U, status);
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1},
                              core->state().configuration().version);
