--- a/tests/plane/directory/admin_api_test.cpp
+++ b/tests/plane/directory/admin_api_test.cpp
@@ -83,18 +83,18 @@
         std::promise<void> other_task;
         const slow_codec codec(other_task.get_future());
         const std::unique_ptr<directory_core> core = leader();
-        admin_api* at_work = nullptr;
+        admin_api* admin_pointer = nullptr;
         admin_api admin(process, codec, core, [&] {
             for (directory_work work = core->take_work(); !work.empty(); work = core->take_work()) {
                 if (work.write.has_value()) {
                     core->persisted();
                 }
                 for (const directory_answer& answer : work.answers) {
-                    at_work->on_answer(answer);
+                    admin_pointer->on_answer(answer);
                 }
             }
         });
-        at_work = &admin;
+        admin_pointer = &admin;
         unsigned status = 0;
         const auto call = [&]() -> asio::awaitable<void> {
             http::endpoint_request request;
