--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -52,9 +52,9 @@
     return std::make_shared<const routing::configuration>(std::move(made));
 }
 
-class spread_world {
+class propagation_simulation {
   public:
-    spread_world() : directories_(directory_count), forwarders_(forwarder_count) {
+    propagation_simulation() : directories_(directory_count), forwarders_(forwarder_count) {
         for (std::size_t number = 0; number < forwarder_count; ++number) {
             forwarders_[number].asks = number % directory_count;
             const duration offset = report_interval * number / forwarder_count;
@@ -202,7 +202,7 @@
 
     /// Brings all forwarders to version 1, which has 4,000 routes.
     /// @param sent set to the bytes sent until then
-    static void begin(spread_world& world, std::size_t& sent) {
+    static void begin(propagation_simulation& world, std::size_t& sent) {
         const configuration_pointer first = configuration_of(1, 4'000);
         for (std::size_t directory = 0; directory < directory_count; ++directory) {
             world.show(directory, first, world.now());
@@ -225,7 +225,7 @@
     }
 
     void a_large_change_is_everywhere_within_a_second() {
-        spread_world world;
+        propagation_simulation world;
         std::size_t before = 0;
         begin(world, before);
         const configuration_pointer next = configuration_of(2, 6'000);
@@ -243,7 +243,7 @@
     }
 
     void directory_nodes_that_fall_silent_hold_nobody_up() {
-        spread_world world;
+        propagation_simulation world;
         std::size_t before = 0;
         begin(world, before);
         const configuration_pointer next = configuration_of(2, 6'000);
@@ -259,7 +259,7 @@
     }
 
     void changes_in_quick_succession_are_fetched_as_they_come() {
-        spread_world world;
+        propagation_simulation world;
         std::size_t before = 0;
         begin(world, before);
         constexpr routing::configuration_version last = 20;
