--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -63,7 +63,7 @@
     }
 
     /// The directory node holds the configuration from `when` on.
-    void show(std::size_t directory, const configuration_pointer& configuration, instant when) {
+    void publish(std::size_t directory, const configuration_pointer& configuration, instant when) {
         at(when, [this, directory, configuration] {
             directories_[directory].source.publish(configuration);
             directories_[directory].version = configuration->version;
@@ -205,7 +205,7 @@
     static void begin(propagation_simulation& world, std::size_t& sent) {
         const configuration_pointer first = configuration_of(1, 4'000);
         for (std::size_t directory = 0; directory < directory_count; ++directory) {
-            world.show(directory, first, world.now());
+            world.publish(directory, first, world.now());
         }
         world.run_until(world.now() + std::chrono::seconds(10));
         CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(1));
@@ -232,7 +232,7 @@
         for (std::size_t directory = 0; directory < directory_count; ++directory) {
             // Two of the six directory nodes lag by two seconds.
             const duration late = directory < 2 ? std::chrono::seconds(2) : duration::zero();
-            world.show(directory, next, world.now() + late);
+            world.publish(directory, next, world.now() + late);
         }
         world.run_until(world.now() + std::chrono::seconds(1));
         CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(2));
@@ -248,7 +248,7 @@
         begin(world, before);
         const configuration_pointer next = configuration_of(2, 6'000);
         for (std::size_t directory = 0; directory < directory_count; ++directory) {
-            world.show(directory, next, world.now());
+            world.publish(directory, next, world.now());
         }
         // At this time, most forwarders have received a part of the change.
         const instant silent = world.now() + std::chrono::milliseconds(150);
@@ -266,7 +266,7 @@
         for (routing::configuration_version version = 2; version <= last; ++version) {
             const configuration_pointer next = configuration_of(version, 4'000 + version * 50);
             for (std::size_t directory = 0; directory < directory_count; ++directory) {
-                world.show(directory, next, world.now());
+                world.publish(directory, next, world.now());
             }
             world.run_until(world.now() + std::chrono::milliseconds(200));
             // No forwarder lags by more than a second, although a fetch takes longer than the
