--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t directory_count = 6;
 constexpr std::size_t forwarder_count = 255;
 constexpr duration report_interval = std::chrono::milliseconds(120);
-constexpr duration way = std::chrono::microseconds(1'500);
+constexpr duration one_way_delay = std::chrono::microseconds(1'500);
 /// Available share of a processor core; the processing times of a machine are divided by it.
 constexpr double directory_share = 0.15;
 constexpr double forwarder_share = 0.12;
@@ -132,7 +132,7 @@
         forwarder& asker = forwarders_[number];
         asker.asks = (asker.asks + 1) % directory_count;
         const std::size_t asked = asker.asks;
-        at(now_ + way, [this, number, asked] { answer_report(number, asked); });
+        at(now_ + one_way_delay, [this, number, asked] { answer_report(number, asked); });
         at(now_ + report_interval, [this, number] { report(number); });
     }
 
@@ -142,7 +142,7 @@
             return;
         }
         const routing::configuration_version version = machine.version;
-        at(work_at(machine, answer_cost) + way, [this, number, asked, version] {
+        at(work_at(machine, answer_cost) + one_way_delay, [this, number, asked, version] {
             request(number, asked,
                     forwarders_[number].fetch.on_version_report(name(asked), version, now_));
         });
@@ -151,7 +151,8 @@
     void request(std::size_t number, std::size_t asked,
                  const std::optional<configuration_request>& wanted) {
         if (wanted) {
-            at(now_ + way, [this, number, asked, wanted] { give(number, asked, *wanted); });
+            at(now_ + one_way_delay,
+               [this, number, asked, wanted] { give(number, asked, *wanted); });
         }
     }
 
@@ -167,7 +168,8 @@
         const instant made = work_at(machine, answer_cost + byte_cost * size);
         forwarder& taker = forwarders_[number];
         taker.link_free = std::max(taker.link_free, made) + seconds(size / forwarder_bandwidth);
-        at(taker.link_free + way, [this, number, asked, part] { take(number, asked, part); });
+        at(taker.link_free + one_way_delay,
+           [this, number, asked, part] { take(number, asked, part); });
     }
 
     void take(std::size_t number, std::size_t asked, const configuration_part& part) {
