--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -152,11 +152,11 @@
                  const std::optional<configuration_request>& wanted) {
         if (wanted) {
             at(now_ + one_way_delay,
-               [this, number, asked, wanted] { give(number, asked, *wanted); });
+               [this, number, asked, wanted] { send_part(number, asked, *wanted); });
         }
     }
 
-    void give(std::size_t number, std::size_t asked, const configuration_request& wanted) {
+    void send_part(std::size_t number, std::size_t asked, const configuration_request& wanted) {
         directory_machine& machine = directories_[asked];
         if (machine.stopped) {
             return;
