--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -169,13 +169,14 @@
         forwarder& taker = forwarders_[number];
         taker.link_free = std::max(taker.link_free, made) + seconds(size / forwarder_bandwidth);
         at(taker.link_free + one_way_delay,
-           [this, number, asked, part] { take(number, asked, part); });
+           [this, number, asked, part] { receive_part(number, asked, part); });
     }
 
-    void take(std::size_t number, std::size_t asked, const configuration_part& part) {
+    void receive_part(std::size_t number, std::size_t asked, const configuration_part& part) {
         forwarder& taker = forwarders_[number];
         if (now_ < taker.busy_until) {
-            at(taker.busy_until, [this, number, asked, part] { take(number, asked, part); });
+            at(taker.busy_until,
+               [this, number, asked, part] { receive_part(number, asked, part); });
             return;
         }
         const configuration_fetch::progress progress = taker.fetch.receive(name(asked), part, now_);
