--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -56,7 +56,7 @@
   public:
     propagation_simulation() : directories_(directory_count), forwarders_(forwarder_count) {
         for (std::size_t number = 0; number < forwarder_count; ++number) {
-            forwarders_[number].asks = number % directory_count;
+            forwarders_[number].last_asked = number % directory_count;
             const duration offset = report_interval * number / forwarder_count;
             at(now_ + offset, [this, number] { report(number); });
         }
@@ -110,7 +110,7 @@
     };
     struct forwarder {
         configuration_fetch fetch;
-        std::size_t asks = 0;
+        std::size_t last_asked = 0;
         instant link_free{};
         instant busy_until{};
     };
@@ -130,8 +130,8 @@
 
     void report(std::size_t number) {
         forwarder& asker = forwarders_[number];
-        asker.asks = (asker.asks + 1) % directory_count;
-        const std::size_t asked = asker.asks;
+        asker.last_asked = (asker.last_asked + 1) % directory_count;
+        const std::size_t asked = asker.last_asked;
         at(now_ + one_way_delay, [this, number, asked] { answer_report(number, asked); });
         at(now_ + report_interval, [this, number] { report(number); });
     }
