--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -85,7 +85,7 @@
 
     [[nodiscard]] instant now() const { return now_; }
     [[nodiscard]] std::size_t bytes_sent() const { return bytes_sent_; }
-    [[nodiscard]] std::size_t holders(routing::configuration_version version) const {
+    [[nodiscard]] std::size_t holder_count(routing::configuration_version version) const {
         std::size_t count = 0;
         for (const forwarder& each : forwarders_) {
             count += each.fetch.version() >= version ? 1 : 0;
@@ -211,7 +211,7 @@
             world.publish(directory, first, world.now());
         }
         world.run_until(world.now() + std::chrono::seconds(10));
-        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(1));
+        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holder_count(1));
         sent = world.bytes_sent();
     }
 
@@ -238,7 +238,7 @@
             world.publish(directory, next, world.now() + late);
         }
         world.run_until(world.now() + std::chrono::seconds(1));
-        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(2));
+        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holder_count(2));
         const std::size_t needed =
             forwarder_count * bytes_between(configuration_of(1, 4'000), next);
         // One copy per forwarder; the margin allows for the headers of the parts.
@@ -258,7 +258,7 @@
         world.stop(0, silent);
         world.stop(1, silent);
         world.run_until(world.now() + std::chrono::seconds(2));
-        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(2));
+        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holder_count(2));
     }
 
     void changes_in_quick_succession_are_fetched_as_they_come() {
@@ -275,11 +275,11 @@
             // No forwarder lags by more than a second, although a fetch takes longer than the
             // interval between changes.
             if (version > 6) {
-                CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(version - 5));
+                CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holder_count(version - 5));
             }
         }
         world.run_until(world.now() + std::chrono::seconds(1));
-        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(last));
+        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holder_count(last));
     }
 };
 
