--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -41,12 +41,12 @@
     }
 
     void a_list_that_is_held_travels_without_its_contents() {
-        list_memory teller;
-        teller.see(list(false), at(700));
+        list_memory sender;
+        sender.see(list(false), at(700));
         list_memory node;
         node.see(list(false), at(0));
         const list_sight sight =
-            teller.tell(node.fingerprint(), std::chrono::seconds(1), at(1000)).front();
+            sender.tell(node.fingerprint(), std::chrono::seconds(1), at(1000)).front();
         CPPUNIT_ASSERT(sight.changes.changed.empty() && sight.changes.removed.empty());
         CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
         CPPUNIT_ASSERT(node.seen() == at(700));
@@ -54,10 +54,10 @@
     }
 
     void a_fingerprint_without_contents_is_not_believed() {
-        list_memory teller;
-        teller.see(list(true), at(700));
+        list_memory sender;
+        sender.see(list(true), at(700));
         list_sight sight =
-            teller.tell(teller.fingerprint(), std::chrono::seconds(1), at(1000)).front();
+            sender.tell(sender.fingerprint(), std::chrono::seconds(1), at(1000)).front();
         list_memory node;
         node.see(list(false), at(0));
         CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
@@ -79,27 +79,27 @@
     /// forwarder after each change.
     void an_earlier_list_is_told_the_differences() {
         constexpr std::size_t kept = 8;
-        list_memory teller(kept);
-        teller.see(numbered(1, 500), at(0));
+        list_memory sender(kept);
+        sender.see(numbered(1, 500), at(0));
         list_memory node;
-        CPPUNIT_ASSERT(node.learn(teller.tell(0, {}, at(10)).front(), at(10)));
+        CPPUNIT_ASSERT(node.learn(sender.tell(0, {}, at(10)).front(), at(10)));
         auto later = numbered(2, 501);
         later[5].member.leaving = true;
-        teller.see(later, at(500));
+        sender.see(later, at(500));
         const list_sight sight =
-            teller.tell(node.fingerprint(), std::chrono::milliseconds(600), at(600)).front();
+            sender.tell(node.fingerprint(), std::chrono::milliseconds(600), at(600)).front();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sight.changes.changed.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sight.changes.removed.size());
         CPPUNIT_ASSERT(node.learn(sight, at(600)));
-        CPPUNIT_ASSERT(node.backends() == teller.backends());
+        CPPUNIT_ASSERT(node.backends() == sender.backends());
     }
 
     void differences_from_another_list_are_not_taken() {
-        list_memory teller(1);
-        teller.see(numbered(1, 9), at(0));
-        const list_fingerprint first = teller.fingerprint();
-        teller.see(numbered(1, 10), at(100));
-        const list_sight sight = teller.tell(first, std::chrono::seconds(1), at(200)).front();
+        list_memory sender(1);
+        sender.see(numbered(1, 9), at(0));
+        const list_fingerprint first = sender.fingerprint();
+        sender.see(numbered(1, 10), at(100));
+        const list_sight sight = sender.tell(first, std::chrono::seconds(1), at(200)).front();
         list_memory other;
         other.see(numbered(3, 9), at(50));
         CPPUNIT_ASSERT(!other.learn(sight, at(200)));
@@ -107,10 +107,10 @@
     }
 
     void whoever_holds_a_newer_list_is_told_nothing() {
-        list_memory teller(1);
-        teller.see(numbered(1, 9), at(0));
-        CPPUNIT_ASSERT(teller.tell(77, std::chrono::milliseconds(100), at(500)).empty());
-        CPPUNIT_ASSERT(!teller.tell(77, std::chrono::milliseconds(900), at(500)).empty());
+        list_memory sender(1);
+        sender.see(numbered(1, 9), at(0));
+        CPPUNIT_ASSERT(sender.tell(77, std::chrono::milliseconds(100), at(500)).empty());
+        CPPUNIT_ASSERT(!sender.tell(77, std::chrono::milliseconds(900), at(500)).empty());
     }
 
     void any_two_lists_and_their_differences_agree() {
