--- a/tests/plane/routing/routing_test.cpp
+++ b/tests/plane/routing/routing_test.cpp
@@ -58,9 +58,9 @@
         configuration unknown_service = make();
         unknown_service.routes[0].services = {{"nobody", 1}};
         CPPUNIT_ASSERT(!validate(unknown_service).has_value());
-        configuration same_place = make();
-        same_place.routes[1].prefix = "/a/";
-        CPPUNIT_ASSERT(!validate(same_place).has_value());
+        configuration duplicate_prefix = make();
+        duplicate_prefix.routes[1].prefix = "/a/";
+        CPPUNIT_ASSERT(!validate(duplicate_prefix).has_value());
         configuration no_weight = make();
         no_weight.routes[0].services = {{"s", 0}, {"t", 0}};
         CPPUNIT_ASSERT(!validate(no_weight).has_value());
