--- a/tests/plane/directory/admin_api_test.cpp
+++ b/tests/plane/directory/admin_api_test.cpp
@@ -59,7 +59,7 @@
 
 class admin_api_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(admin_api_test);
-    CPPUNIT_TEST(a_large_text_is_read_beside_the_other_duties);
+    CPPUNIT_TEST(large_text_is_parsed_off_the_loop_thread);
     CPPUNIT_TEST_SUITE_END();
 
     static std::unique_ptr<directory_core> leader() {
@@ -78,7 +78,7 @@
         return core;
     }
 
-    void a_large_text_is_read_beside_the_other_duties() {
+    void large_text_is_parsed_off_the_loop_thread() {
         net::node_process process{settings::node_settings{}};
         std::promise<void> other_task;
         const slow_codec codec(other_task.get_future());
