--- a/tests/plane/directory/applied_state_cache_test.cpp
+++ b/tests/plane/directory/applied_state_cache_test.cpp
@@ -12,7 +12,7 @@
 class applied_state_cache_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(applied_state_cache_test);
     CPPUNIT_TEST(the_newest_saved_state_is_loaded);
-    CPPUNIT_TEST(a_torn_file_leaves_the_one_before);
+    CPPUNIT_TEST(torn_file_falls_back_to_previous_state);
     CPPUNIT_TEST(saves_in_quick_succession_are_left_out);
     CPPUNIT_TEST_SUITE_END();
 
@@ -43,7 +43,7 @@
         }
     }
 
-    void a_torn_file_leaves_the_one_before() {
+    void torn_file_falls_back_to_previous_state() {
         const temporary_path folder("cache");
         std::filesystem::create_directory(folder.path());
         applied_state_cache cache(folder.text());
