--- a/tests/plane/directory/applied_state_cache_test.cpp
+++ b/tests/plane/directory/applied_state_cache_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST_SUITE(applied_state_cache_test);
     CPPUNIT_TEST(the_newest_saved_state_is_loaded);
     CPPUNIT_TEST(torn_file_falls_back_to_previous_state);
-    CPPUNIT_TEST(saves_in_quick_succession_are_left_out);
+    CPPUNIT_TEST(saves_within_the_interval_are_skipped);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr duration interval = std::chrono::milliseconds(500);
@@ -60,7 +60,7 @@
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1}, loaded(folder.text()));
     }
 
-    void saves_in_quick_succession_are_left_out() {
+    void saves_within_the_interval_are_skipped() {
         const temporary_path folder("cache");
         std::filesystem::create_directory(folder.path());
         applied_state_cache cache(folder.text());
