--- a/tests/plane/directory/applied_state_cache_test.cpp
+++ b/tests/plane/directory/applied_state_cache_test.cpp
@@ -11,7 +11,7 @@
 
 class applied_state_cache_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(applied_state_cache_test);
-    CPPUNIT_TEST(the_newest_saved_state_is_loaded);
+    CPPUNIT_TEST(newest_saved_state_is_loaded);
     CPPUNIT_TEST(torn_file_falls_back_to_previous_state);
     CPPUNIT_TEST(saves_within_the_interval_are_skipped);
     CPPUNIT_TEST_SUITE_END();
@@ -30,7 +30,7 @@
         return applied_state_cache(folder).load().configuration().version;
     }
 
-    void the_newest_saved_state_is_loaded() {
+    void newest_saved_state_is_loaded() {
         const temporary_path folder("cache");
         std::filesystem::create_directory(folder.path());
         CPPUNIT_ASSERT_EQUAL(routing::no_version, loaded(folder.text()));
