--- a/tests/plane/directory/failure_relay_test.cpp
+++ b/tests/plane/directory/failure_relay_test.cpp
@@ -9,14 +9,14 @@
 
 class failure_relay_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(failure_relay_test);
-    CPPUNIT_TEST(a_failure_is_passed_on_with_its_age_and_then_no_more);
+    CPPUNIT_TEST(failure_is_relayed_with_its_age_until_it_expires);
     CPPUNIT_TEST(reports_of_one_failure_count_once);
     CPPUNIT_TEST(a_flood_of_failures_is_bounded);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant now{std::chrono::seconds(9)};
 
-    void a_failure_is_passed_on_with_its_age_and_then_no_more() {
+    void failure_is_relayed_with_its_age_until_it_expires() {
         failure_relay relay;
         CPPUNIT_ASSERT(relay.recent(now).empty());
         relay.add("b", now);
