--- a/tests/plane/directory/failure_relay_test.cpp
+++ b/tests/plane/directory/failure_relay_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST_SUITE(failure_relay_test);
     CPPUNIT_TEST(failure_is_relayed_with_its_age_until_it_expires);
     CPPUNIT_TEST(reports_of_one_failure_count_once);
-    CPPUNIT_TEST(a_flood_of_failures_is_bounded);
+    CPPUNIT_TEST(number_of_relayed_failures_is_bounded);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr instant now{std::chrono::seconds(9)};
@@ -36,7 +36,7 @@
         CPPUNIT_ASSERT_EQUAL(0U, relay.recent(now + milliseconds(400)).front().age_ms);
     }
 
-    void a_flood_of_failures_is_bounded() {
+    void number_of_relayed_failures_is_bounded() {
         failure_relay relay;
         for (int number = 0; number < 1'000; ++number) {
             relay.add("b" + std::to_string(number), now);
