--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -19,7 +19,7 @@
 class mixed_formats_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(mixed_formats_test);
     CPPUNIT_TEST(change_reaches_members_of_both_formats);
-    CPPUNIT_TEST(tenants_wait_until_no_member_of_the_first_format_is_met);
+    CPPUNIT_TEST(tenants_are_deferred_for_first_format_members);
     CPPUNIT_TEST(tenants_wait_for_forwarders_too);
     CPPUNIT_TEST(a_forwarder_of_the_first_format_gets_the_configuration_whole);
     CPPUNIT_TEST(a_forwarder_of_the_first_format_is_never_told_a_configuration_with_tenants);
@@ -75,7 +75,7 @@
         }
     }
 
-    void tenants_wait_until_no_member_of_the_first_format_is_met() {
+    void tenants_are_deferred_for_first_format_members() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         const node_name earlier = group.followers().front();
