--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST_SUITE(mixed_formats_test);
     CPPUNIT_TEST(change_reaches_members_of_both_formats);
     CPPUNIT_TEST(tenants_are_deferred_for_first_format_members);
-    CPPUNIT_TEST(tenants_wait_for_forwarders_too);
+    CPPUNIT_TEST(tenants_are_deferred_for_first_format_forwarders);
     CPPUNIT_TEST(a_forwarder_of_the_first_format_gets_the_configuration_whole);
     CPPUNIT_TEST(a_forwarder_of_the_first_format_is_never_told_a_configuration_with_tenants);
     CPPUNIT_TEST(a_replica_that_cannot_read_an_entry_stands_still);
@@ -93,7 +93,7 @@
         CPPUNIT_ASSERT(group.node(leader).state().needs_second_format());
     }
 
-    void tenants_wait_for_forwarders_too() {
+    void tenants_are_deferred_for_first_format_forwarders() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         directory_core& core = group.node(leader);
