--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -22,7 +22,7 @@
     CPPUNIT_TEST(tenants_are_deferred_for_first_format_members);
     CPPUNIT_TEST(tenants_are_deferred_for_first_format_forwarders);
     CPPUNIT_TEST(first_format_forwarder_receives_full_configuration);
-    CPPUNIT_TEST(a_forwarder_of_the_first_format_is_never_told_a_configuration_with_tenants);
+    CPPUNIT_TEST(first_format_forwarder_receives_no_configuration_with_tenants);
     CPPUNIT_TEST(a_replica_that_cannot_read_an_entry_stands_still);
     CPPUNIT_TEST(a_snapshot_of_a_later_form_is_not_taken_for_an_empty_state);
     CPPUNIT_TEST(stored_values_go_back_to_the_first_format);
@@ -137,7 +137,7 @@
                            .newer_configuration.empty());
     }
 
-    void a_forwarder_of_the_first_format_is_never_told_a_configuration_with_tenants() {
+    void first_format_forwarder_receives_no_configuration_with_tenants() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(group.change(leader, with_tenants(50)));
