--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -23,7 +23,7 @@
     CPPUNIT_TEST(tenants_are_deferred_for_first_format_forwarders);
     CPPUNIT_TEST(first_format_forwarder_receives_full_configuration);
     CPPUNIT_TEST(first_format_forwarder_receives_no_configuration_with_tenants);
-    CPPUNIT_TEST(a_replica_that_cannot_read_an_entry_stands_still);
+    CPPUNIT_TEST(replica_halts_on_unreadable_entry);
     CPPUNIT_TEST(a_snapshot_of_a_later_form_is_not_taken_for_an_empty_state);
     CPPUNIT_TEST(stored_values_go_back_to_the_first_format);
     CPPUNIT_TEST(values_of_the_second_format_are_never_read_as_the_first);
@@ -169,7 +169,7 @@
         return message;
     }
 
-    void a_replica_that_cannot_read_an_entry_stands_still() {
+    void replica_halts_on_unreadable_entry() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(group.change(leader, configuration_of(46, 2)));
