--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -24,7 +24,7 @@
     CPPUNIT_TEST(first_format_forwarder_receives_full_configuration);
     CPPUNIT_TEST(first_format_forwarder_receives_no_configuration_with_tenants);
     CPPUNIT_TEST(replica_halts_on_unreadable_entry);
-    CPPUNIT_TEST(a_snapshot_of_a_later_form_is_not_taken_for_an_empty_state);
+    CPPUNIT_TEST(snapshot_in_later_format_is_rejected);
     CPPUNIT_TEST(stored_values_go_back_to_the_first_format);
     CPPUNIT_TEST(values_of_the_second_format_are_never_read_as_the_first);
     CPPUNIT_TEST(a_later_form_is_told_apart_from_damage);
@@ -200,7 +200,7 @@
                              core.state().configuration().version);
     }
 
-    void a_snapshot_of_a_later_form_is_not_taken_for_an_empty_state() {
+    void snapshot_in_later_format_is_rejected() {
         const std::uint64_t mark = protocol::numbered_form_mark | 3U;
         directory_state state;
         state.apply(replace_configuration{configuration_of(46, 2), "text"});
