--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -25,7 +25,7 @@
     CPPUNIT_TEST(first_format_forwarder_receives_no_configuration_with_tenants);
     CPPUNIT_TEST(replica_halts_on_unreadable_entry);
     CPPUNIT_TEST(snapshot_in_later_format_is_rejected);
-    CPPUNIT_TEST(stored_values_go_back_to_the_first_format);
+    CPPUNIT_TEST(stored_values_use_first_format_when_possible);
     CPPUNIT_TEST(values_of_the_second_format_are_never_read_as_the_first);
     CPPUNIT_TEST(a_later_form_is_told_apart_from_damage);
     CPPUNIT_TEST_SUITE_END();
@@ -211,7 +211,7 @@
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46}, state.configuration().version);
     }
 
-    void stored_values_go_back_to_the_first_format() {
+    void stored_values_use_first_format_when_possible() {
         directory_state state;
         state.apply(replace_configuration{configuration_of(46, many_routes), "text"});
         const std::string packed = state.to_bytes();
