--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -26,7 +26,7 @@
     CPPUNIT_TEST(replica_halts_on_unreadable_entry);
     CPPUNIT_TEST(snapshot_in_later_format_is_rejected);
     CPPUNIT_TEST(stored_values_use_first_format_when_possible);
-    CPPUNIT_TEST(values_of_the_second_format_are_never_read_as_the_first);
+    CPPUNIT_TEST(second_format_values_do_not_decode_as_first_format);
     CPPUNIT_TEST(a_later_form_is_told_apart_from_damage);
     CPPUNIT_TEST_SUITE_END();
 
@@ -238,7 +238,7 @@
 
     /// Formats v1 and v2 have no format number, so a value in format v2 must not be a valid value
     /// in format v1.
-    void values_of_the_second_format_are_never_read_as_the_first() {
+    void second_format_values_do_not_decode_as_first_format() {
         random_source random(42);
         for (int round = 0; round < 20'000; ++round) {
             change_store_groups change;
