--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -27,7 +27,7 @@
     CPPUNIT_TEST(snapshot_in_later_format_is_rejected);
     CPPUNIT_TEST(stored_values_use_first_format_when_possible);
     CPPUNIT_TEST(second_format_values_do_not_decode_as_first_format);
-    CPPUNIT_TEST(a_later_form_is_told_apart_from_damage);
+    CPPUNIT_TEST(later_format_is_distinguished_from_damage);
     CPPUNIT_TEST_SUITE_END();
 
     static routing::configuration configuration_of(routing::configuration_version version,
@@ -261,7 +261,7 @@
         }
     }
 
-    void a_later_form_is_told_apart_from_damage() {
+    void later_format_is_distinguished_from_damage() {
         const std::uint64_t mark = protocol::numbered_form_mark | 3U;
         const std::string later = std::string(reinterpret_cast<const char*>(&mark), sizeof(mark));
         const auto read = protocol::decode_stored<directory_command>(later + "whatever");
