--- a/tests/plane/directory/open_changes_test.cpp
+++ b/tests/plane/directory/open_changes_test.cpp
@@ -8,11 +8,11 @@
 
 class open_changes_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(open_changes_test);
-    CPPUNIT_TEST(a_repeat_finds_the_change_that_it_repeats);
+    CPPUNIT_TEST(retry_finds_the_original_change);
     CPPUNIT_TEST(an_answered_change_is_open_no_more);
     CPPUNIT_TEST_SUITE_END();
 
-    void a_repeat_finds_the_change_that_it_repeats() {
+    void retry_finds_the_original_change() {
         open_changes changes;
         changes.add(1, "version 7, one content");
         changes.add(2, "version 7, another content");
