--- a/tests/plane/directory/open_changes_test.cpp
+++ b/tests/plane/directory/open_changes_test.cpp
@@ -9,7 +9,7 @@
 class open_changes_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(open_changes_test);
     CPPUNIT_TEST(retry_finds_the_original_change);
-    CPPUNIT_TEST(an_answered_change_is_open_no_more);
+    CPPUNIT_TEST(removed_change_is_not_found);
     CPPUNIT_TEST_SUITE_END();
 
     void retry_finds_the_original_change() {
@@ -20,7 +20,7 @@
         CPPUNIT_ASSERT(!changes.find("version 8").has_value());
     }
 
-    void an_answered_change_is_open_no_more() {
+    void removed_change_is_not_found() {
         open_changes changes;
         changes.add(1, "a");
         changes.add(2, "b");
