--- a/tests/plane/directory/pending_requests_test.cpp
+++ b/tests/plane/directory/pending_requests_test.cpp
@@ -9,7 +9,7 @@
 class pending_requests_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(pending_requests_test);
     CPPUNIT_TEST(an_applied_command_is_answered_once);
-    CPPUNIT_TEST(another_leaders_entry_in_its_place_leaves_the_outcome_unknown);
+    CPPUNIT_TEST(command_replaced_by_other_leader_has_unknown_outcome);
     CPPUNIT_TEST(nobody_waits_for_the_leaders_own_command);
     CPPUNIT_TEST(reads_and_proofs_are_told_apart);
     CPPUNIT_TEST(lost_leadership_ends_all_commands);
@@ -26,7 +26,7 @@
         CPPUNIT_ASSERT(!pending.on_applied(5, 2).has_value());
     }
 
-    void another_leaders_entry_in_its_place_leaves_the_outcome_unknown() {
+    void command_replaced_by_other_leader_has_unknown_outcome() {
         pending_requests pending;
         pending.add_command(5, 77, 2);
         const auto answer = pending.on_applied(5, 3);
