--- a/tests/plane/directory/pending_requests_test.cpp
+++ b/tests/plane/directory/pending_requests_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(pending_requests_test);
     CPPUNIT_TEST(an_applied_command_is_answered_once);
     CPPUNIT_TEST(command_replaced_by_other_leader_has_unknown_outcome);
-    CPPUNIT_TEST(nobody_waits_for_the_leaders_own_command);
+    CPPUNIT_TEST(leaders_own_command_needs_no_answer);
     CPPUNIT_TEST(reads_and_proofs_are_told_apart);
     CPPUNIT_TEST(lost_leadership_ends_all_commands);
     CPPUNIT_TEST_SUITE_END();
@@ -33,7 +33,7 @@
         CPPUNIT_ASSERT(answer.has_value() && answer->kind == answer_kind::unknown);
     }
 
-    void nobody_waits_for_the_leaders_own_command() {
+    void leaders_own_command_needs_no_answer() {
         pending_requests pending;
         pending.add_command(5, own_command, 2);
         CPPUNIT_ASSERT(pending.has_own_command());
