--- a/tests/plane/directory/pending_requests_test.cpp
+++ b/tests/plane/directory/pending_requests_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST(an_applied_command_is_answered_once);
     CPPUNIT_TEST(command_replaced_by_other_leader_has_unknown_outcome);
     CPPUNIT_TEST(leaders_own_command_needs_no_answer);
-    CPPUNIT_TEST(reads_and_proofs_are_told_apart);
+    CPPUNIT_TEST(reads_and_proofs_are_separate);
     CPPUNIT_TEST(lost_leadership_ends_all_commands);
     CPPUNIT_TEST_SUITE_END();
 
@@ -41,7 +41,7 @@
         CPPUNIT_ASSERT(!pending.has_own_command());
     }
 
-    void reads_and_proofs_are_told_apart() {
+    void reads_and_proofs_are_separate() {
         pending_requests pending;
         const auto read = pending.next_read();
         const auto proof = pending.next_read();
