--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -198,7 +198,7 @@
 
 class spread_simulation_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(spread_simulation_test);
-    CPPUNIT_TEST(a_large_change_is_everywhere_within_a_second);
+    CPPUNIT_TEST(large_change_propagates_within_one_second);
     CPPUNIT_TEST(directory_nodes_that_fall_silent_hold_nobody_up);
     CPPUNIT_TEST(changes_in_quick_succession_are_fetched_as_they_come);
     CPPUNIT_TEST_SUITE_END();
@@ -227,7 +227,7 @@
         return source.answer(request).size;
     }
 
-    void a_large_change_is_everywhere_within_a_second() {
+    void large_change_propagates_within_one_second() {
         propagation_simulation world;
         std::size_t before = 0;
         begin(world, before);
