--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -199,7 +199,7 @@
 class spread_simulation_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(spread_simulation_test);
     CPPUNIT_TEST(large_change_propagates_within_one_second);
-    CPPUNIT_TEST(directory_nodes_that_fall_silent_hold_nobody_up);
+    CPPUNIT_TEST(fetch_continues_after_directory_nodes_stop);
     CPPUNIT_TEST(changes_in_quick_succession_are_fetched_as_they_come);
     CPPUNIT_TEST_SUITE_END();
 
@@ -245,7 +245,7 @@
         CPPUNIT_ASSERT(world.bytes_sent() - before <= needed * 21 / 20);
     }
 
-    void directory_nodes_that_fall_silent_hold_nobody_up() {
+    void fetch_continues_after_directory_nodes_stop() {
         propagation_simulation world;
         std::size_t before = 0;
         begin(world, before);
