--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -9,7 +9,7 @@
 
 class list_memory_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(list_memory_test);
-    CPPUNIT_TEST(an_older_sight_never_replaces_a_newer_one);
+    CPPUNIT_TEST(older_update_does_not_replace_newer_list);
     CPPUNIT_TEST(a_list_that_is_held_travels_without_its_contents);
     CPPUNIT_TEST(a_fingerprint_without_contents_is_not_believed);
     CPPUNIT_TEST(an_earlier_list_is_told_the_differences);
@@ -27,7 +27,7 @@
         return backends;
     }
 
-    void an_older_sight_never_replaces_a_newer_one() {
+    void older_update_does_not_replace_newer_list() {
         list_memory slow;
         slow.see(list(false), at(0));
         list_memory node;
