--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -10,7 +10,7 @@
 class list_memory_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(list_memory_test);
     CPPUNIT_TEST(older_update_does_not_replace_newer_list);
-    CPPUNIT_TEST(a_list_that_is_held_travels_without_its_contents);
+    CPPUNIT_TEST(update_of_held_list_has_no_contents);
     CPPUNIT_TEST(a_fingerprint_without_contents_is_not_believed);
     CPPUNIT_TEST(an_earlier_list_is_told_the_differences);
     CPPUNIT_TEST(differences_from_another_list_are_not_taken);
@@ -40,7 +40,7 @@
         CPPUNIT_ASSERT(slow.seen() == at(500));
     }
 
-    void a_list_that_is_held_travels_without_its_contents() {
+    void update_of_held_list_has_no_contents() {
         list_memory sender;
         sender.see(list(false), at(700));
         list_memory node;
