--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST_SUITE(list_memory_test);
     CPPUNIT_TEST(older_update_does_not_replace_newer_list);
     CPPUNIT_TEST(update_of_held_list_has_no_contents);
-    CPPUNIT_TEST(a_fingerprint_without_contents_is_not_believed);
+    CPPUNIT_TEST(update_without_contents_of_other_list_is_ignored);
     CPPUNIT_TEST(an_earlier_list_is_told_the_differences);
     CPPUNIT_TEST(differences_from_another_list_are_not_taken);
     CPPUNIT_TEST(whoever_holds_a_newer_list_is_told_nothing);
@@ -53,7 +53,7 @@
         CPPUNIT_ASSERT(list_memory{}.tell(0, {}, at(0)).empty());
     }
 
-    void a_fingerprint_without_contents_is_not_believed() {
+    void update_without_contents_of_other_list_is_ignored() {
         list_memory sender;
         sender.see(list(true), at(700));
         list_sight sight =
