--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(older_update_does_not_replace_newer_list);
     CPPUNIT_TEST(update_of_held_list_has_no_contents);
     CPPUNIT_TEST(update_without_contents_of_other_list_is_ignored);
-    CPPUNIT_TEST(an_earlier_list_is_told_the_differences);
+    CPPUNIT_TEST(holder_of_earlier_list_receives_differences);
     CPPUNIT_TEST(differences_from_another_list_are_not_taken);
     CPPUNIT_TEST(whoever_holds_a_newer_list_is_told_nothing);
     CPPUNIT_TEST(any_two_lists_and_their_differences_agree);
@@ -77,7 +77,7 @@
 
     /// Guards against excessive memory use: directory nodes must not send the full list to every
     /// forwarder after each change.
-    void an_earlier_list_is_told_the_differences() {
+    void holder_of_earlier_list_receives_differences() {
         constexpr std::size_t kept = 8;
         list_memory sender(kept);
         sender.see(numbered(1, 500), at(0));
