--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(update_of_held_list_has_no_contents);
     CPPUNIT_TEST(update_without_contents_of_other_list_is_ignored);
     CPPUNIT_TEST(holder_of_earlier_list_receives_differences);
-    CPPUNIT_TEST(differences_from_another_list_are_not_taken);
+    CPPUNIT_TEST(differences_from_other_base_are_ignored);
     CPPUNIT_TEST(whoever_holds_a_newer_list_is_told_nothing);
     CPPUNIT_TEST(any_two_lists_and_their_differences_agree);
     CPPUNIT_TEST_SUITE_END();
@@ -94,7 +94,7 @@
         CPPUNIT_ASSERT(node.backends() == sender.backends());
     }
 
-    void differences_from_another_list_are_not_taken() {
+    void differences_from_other_base_are_ignored() {
         list_memory sender(1);
         sender.see(numbered(1, 9), at(0));
         const list_fingerprint first = sender.fingerprint();
