--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(update_without_contents_of_other_list_is_ignored);
     CPPUNIT_TEST(holder_of_earlier_list_receives_differences);
     CPPUNIT_TEST(differences_from_other_base_are_ignored);
-    CPPUNIT_TEST(whoever_holds_a_newer_list_is_told_nothing);
+    CPPUNIT_TEST(holder_of_newer_list_receives_no_update);
     CPPUNIT_TEST(any_two_lists_and_their_differences_agree);
     CPPUNIT_TEST_SUITE_END();
 
@@ -106,7 +106,7 @@
         CPPUNIT_ASSERT(other.backends() == numbered(3, 9));
     }
 
-    void whoever_holds_a_newer_list_is_told_nothing() {
+    void holder_of_newer_list_receives_no_update() {
         list_memory sender(1);
         sender.see(numbered(1, 9), at(0));
         CPPUNIT_ASSERT(sender.tell(77, std::chrono::milliseconds(100), at(500)).empty());
