--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(holder_of_earlier_list_receives_differences);
     CPPUNIT_TEST(differences_from_other_base_are_ignored);
     CPPUNIT_TEST(holder_of_newer_list_receives_no_update);
-    CPPUNIT_TEST(any_two_lists_and_their_differences_agree);
+    CPPUNIT_TEST(difference_transforms_any_list_into_any_other);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int milliseconds) { return instant(std::chrono::milliseconds(milliseconds)); }
@@ -113,7 +113,7 @@
         CPPUNIT_ASSERT(!sender.tell(77, std::chrono::milliseconds(900), at(500)).empty());
     }
 
-    void any_two_lists_and_their_differences_agree() {
+    void difference_transforms_any_list_into_any_other() {
         check_property("differences lead from one list to the other",
                        [](const std::set<std::uint8_t>& one, const std::set<std::uint8_t>& other,
                           const std::set<std::uint8_t>& leaving) {
