--- a/tests/plane/discovery/poller_election_test.cpp
+++ b/tests/plane/discovery/poller_election_test.cpp
@@ -9,7 +9,7 @@
 class poller_election_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(poller_election_test);
     CPPUNIT_TEST(the_leader_polls);
-    CPPUNIT_TEST(a_node_that_knows_no_list_reads);
+    CPPUNIT_TEST(node_without_list_polls);
     CPPUNIT_TEST(successors_take_over_one_after_the_other);
     CPPUNIT_TEST(a_forwarder_that_has_just_started_waits_to_be_told);
     CPPUNIT_TEST_SUITE_END();
@@ -31,7 +31,7 @@
         CPPUNIT_ASSERT((poller_election{true, true, after(0), 0}.should_poll()));
     }
 
-    void a_node_that_knows_no_list_reads() {
+    void node_without_list_polls() {
         CPPUNIT_ASSERT((poller_election{false, false, after(0), 4}.should_poll()));
     }
 
