--- a/tests/plane/discovery/poller_election_test.cpp
+++ b/tests/plane/discovery/poller_election_test.cpp
@@ -11,14 +11,14 @@
     CPPUNIT_TEST(the_leader_polls);
     CPPUNIT_TEST(node_without_list_polls);
     CPPUNIT_TEST(successors_take_over_one_after_the_other);
-    CPPUNIT_TEST(a_forwarder_that_has_just_started_waits_to_be_told);
+    CPPUNIT_TEST(started_forwarder_waits_before_polling);
     CPPUNIT_TEST_SUITE_END();
 
     static duration after(int milliseconds) { return std::chrono::milliseconds(milliseconds); }
 
     static instant at(int milliseconds) { return instant(after(milliseconds)); }
 
-    void a_forwarder_that_has_just_started_waits_to_be_told() {
+    void started_forwarder_waits_before_polling() {
         const instant started = at(100'000);
         CPPUNIT_ASSERT(!discovery::forwarder_polls(instant{}, started, at(100'050)));
         CPPUNIT_ASSERT(discovery::forwarder_polls(instant{}, started, at(102'450)));
