--- a/tests/plane/discovery/poller_election_test.cpp
+++ b/tests/plane/discovery/poller_election_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(poller_election_test);
     CPPUNIT_TEST(the_leader_polls);
     CPPUNIT_TEST(node_without_list_polls);
-    CPPUNIT_TEST(successors_take_over_one_after_the_other);
+    CPPUNIT_TEST(successors_take_over_in_rank_order);
     CPPUNIT_TEST(started_forwarder_waits_before_polling);
     CPPUNIT_TEST_SUITE_END();
 
@@ -35,7 +35,7 @@
         CPPUNIT_ASSERT((poller_election{false, false, after(0), 4}.should_poll()));
     }
 
-    void successors_take_over_one_after_the_other() {
+    void successors_take_over_in_rank_order() {
         CPPUNIT_ASSERT(!(poller_election{false, true, after(1'300), 0}.should_poll()));
         CPPUNIT_ASSERT((poller_election{false, true, after(1'600), 0}.should_poll()));
         CPPUNIT_ASSERT(!(poller_election{false, true, after(1'600), 1}.should_poll()));
