--- a/tests/plane/routing/configuration_change_test.cpp
+++ b/tests/plane/routing/configuration_change_test.cpp
@@ -9,7 +9,7 @@
 
 class configuration_change_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_change_test);
-    CPPUNIT_TEST(a_difference_leads_to_the_other_configuration);
+    CPPUNIT_TEST(applied_difference_gives_the_target);
     CPPUNIT_TEST(a_whole_configuration_is_the_difference_from_none);
     CPPUNIT_TEST(a_changed_route_costs_one_route);
     CPPUNIT_TEST(a_difference_from_another_version_is_refused);
@@ -54,7 +54,7 @@
         return made;
     }
 
-    void a_difference_leads_to_the_other_configuration() {
+    void applied_difference_gives_the_target() {
         check_property(
             "applied to its base, a difference gives the target, in the same order",
             [](const std::vector<std::uint8_t>& before, const std::vector<std::uint8_t>& after,
