--- a/tests/plane/routing/configuration_change_test.cpp
+++ b/tests/plane/routing/configuration_change_test.cpp
@@ -10,7 +10,7 @@
 class configuration_change_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_change_test);
     CPPUNIT_TEST(applied_difference_gives_the_target);
-    CPPUNIT_TEST(a_whole_configuration_is_the_difference_from_none);
+    CPPUNIT_TEST(full_configuration_is_difference_from_empty_one);
     CPPUNIT_TEST(a_changed_route_costs_one_route);
     CPPUNIT_TEST(a_difference_from_another_version_is_refused);
     CPPUNIT_TEST(a_damaged_difference_is_refused);
@@ -71,7 +71,7 @@
             });
     }
 
-    void a_whole_configuration_is_the_difference_from_none() {
+    void full_configuration_is_difference_from_empty_one() {
         const configuration to = plain(9, 50);
         const auto result = apply(difference({}, to), {});
         CPPUNIT_ASSERT(result.has_value() && *result == to);
