--- a/tests/plane/routing/configuration_change_test.cpp
+++ b/tests/plane/routing/configuration_change_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST_SUITE(configuration_change_test);
     CPPUNIT_TEST(applied_difference_gives_the_target);
     CPPUNIT_TEST(full_configuration_is_difference_from_empty_one);
-    CPPUNIT_TEST(a_changed_route_costs_one_route);
+    CPPUNIT_TEST(difference_contains_only_changed_routes);
     CPPUNIT_TEST(a_difference_from_another_version_is_refused);
     CPPUNIT_TEST(a_damaged_difference_is_refused);
     CPPUNIT_TEST_SUITE_END();
@@ -77,7 +77,7 @@
         CPPUNIT_ASSERT(result.has_value() && *result == to);
     }
 
-    void a_changed_route_costs_one_route() {
+    void difference_contains_only_changed_routes() {
         const configuration from = plain(1, 2'000);
         configuration to = plain(2, 2'000);
         to.routes[700].timeout_ms = 7;
