--- a/tests/plane/routing/routing_test.cpp
+++ b/tests/plane/routing/routing_test.cpp
@@ -9,7 +9,7 @@
 class routing_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(routing_test);
     CPPUNIT_TEST(the_longest_prefix_of_the_host_wins);
-    CPPUNIT_TEST(shares_follow_their_weights_at_any_time);
+    CPPUNIT_TEST(shares_match_weights_over_short_periods);
     CPPUNIT_TEST(each_kind_of_invalid_configuration_is_refused);
     CPPUNIT_TEST_SUITE_END();
 
@@ -40,7 +40,7 @@
         CPPUNIT_ASSERT(table.find("h.example", "") == nullptr);
     }
 
-    void shares_follow_their_weights_at_any_time() {
+    void shares_match_weights_over_short_periods() {
         route split = make_route("split", "/a/");
         split.services = {{"s", 90}, {"t", 10}};
         traffic_splitter splitter;
