--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -53,7 +53,7 @@
 }
 
 void list_memory::replace(std::vector<listed_backend> backends, list_fingerprint fingerprint) {
-    told_.clear();
+    differences_.clear();
     if (kept_lists_ > 0 && known()) {
         earlier_.push_back({fingerprint_, std::move(backends_)});
         if (earlier_.size() > kept_lists_) {
@@ -105,7 +105,7 @@
         std::find_if(earlier_.begin(), earlier_.end(),
                      [held](const earlier_list& list) { return list.fingerprint == held; });
     base = earlier == earlier_.end() ? 0 : held;
-    const auto [entry, inserted] = told_.try_emplace(base);
+    const auto [entry, inserted] = differences_.try_emplace(base);
     if (inserted) {
         entry->second = changes_between(
             base == 0 ? std::vector<listed_backend>{} : earlier->backends, backends_);
--- a/src/tallyfold/plane/discovery/types.hpp
+++ b/src/tallyfold/plane/discovery/types.hpp
@@ -115,7 +115,7 @@
     instant seen_{};
     std::deque<earlier_list> earlier_;
     /// Differences to the current list by their base, computed on demand.
-    std::map<list_fingerprint, list_changes> told_;
+    std::map<list_fingerprint, list_changes> differences_;
 };
 
 }  // namespace tallyfold::discovery
