--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Silence of all directory nodes after which their loss is logged. Longer than an election.
-constexpr duration lost_after = std::chrono::milliseconds(1500);
+constexpr duration loss_timeout = std::chrono::milliseconds(1500);
 
 }  // namespace
 
@@ -87,7 +87,7 @@
 }
 
 void directory_client::log_loss(instant now) {
-    if (!is_loss_logged_ && now - last_answer_at_ > lost_after) {
+    if (!is_loss_logged_ && now - last_answer_at_ > loss_timeout) {
         is_loss_logged_ = true;
         logging::write_event(logging::event_id::directory_lost,
                              "silent_ms=" + std::to_string(to_milliseconds(now - last_answer_at_)) +
