--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -179,7 +179,7 @@
                              " held=" + std::to_string(held));
 }
 
-asio::awaitable<http::endpoint_response> admin_api::describe(
+asio::awaitable<http::endpoint_response> admin_api::get_configuration(
     const http::endpoint_request& request) {
     const answer_kind kind = co_await confirm();
     if (kind != answer_kind::done || !core_) {
@@ -265,7 +265,7 @@
     if (const auto* state = std::get_if<retire_state_call>(&call)) {
         co_return co_await retire_state(request, state->node);
     }
-    co_return co_await describe(request);
+    co_return co_await get_configuration(request);
 }
 
 }  // namespace tallyfold::directory
--- a/src/tallyfold/plane/directory/admin_api_shell.hpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.hpp
@@ -37,7 +37,8 @@
     struct waiting_call;
 
     asio::awaitable<http::endpoint_response> replace(const http::endpoint_request& request);
-    asio::awaitable<http::endpoint_response> describe(const http::endpoint_request& request);
+    asio::awaitable<http::endpoint_response> get_configuration(
+        const http::endpoint_request& request);
     asio::awaitable<http::endpoint_response> retire(const http::endpoint_request& request,
                                                     const std::string& node);
     asio::awaitable<http::endpoint_response> retire_state(const http::endpoint_request& request,
