--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -152,8 +152,9 @@
     // twice.
     replace_call replacement = std::get<replace_call>(std::move(call));
     if (!replacement.parsed.tenants.empty() && !core_->may_apply_tenants(http::steady_now())) {
-        const invalid_call early{503, "a node of an earlier build can't read tenants; ask again"};
-        co_return refuse(request, early);
+        const invalid_call unsupported{503,
+                                       "a node of an earlier build can't read tenants; ask again"};
+        co_return refuse(request, unsupported);
     }
     const answer_kind kind = co_await change(std::move(replacement), request.body);
     co_return kind == answer_kind::done ? codec_.accepted() : failure_response(request, kind);
