--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -137,8 +137,8 @@
         log_change(core_->state().configuration().version, answer_kind::done);
         co_return codec_.accepted();
     }
-    if (const auto open = changes_.find(request.body)) {
-        const answer_kind kind = co_await wait(*open);
+    if (const auto original_token = changes_.find(request.body)) {
+        const answer_kind kind = co_await wait(*original_token);
         co_return kind == answer_kind::done ? codec_.accepted() : failure_response(request, kind);
     }
     operator_call call = co_await parse(request);
