--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -82,13 +82,13 @@
 
 asio::awaitable<answer_kind> admin_api::wait(request_token token) {
     auto call = std::make_shared<waiting_call>(process_.loop());
-    const auto place = waiting_.emplace(token, call);
+    const auto position = waiting_.emplace(token, call);
     pump_();
     if (!call->answered) {
         co_await call->timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
     }
     if (!call->answered) {
-        waiting_.erase(place);
+        waiting_.erase(position);
     }
     co_return call->kind;
 }
