--- a/src/tallyfold/plane/directory/directory_links_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_links_shell.cpp
@@ -48,13 +48,13 @@
 
 bool directory_links::convert_to_first_format(const node_name& to,
                                               consensus::replica_message& message) {
-    const auto done = to_first_format(message);
-    if (!done && std::has_single_bit(++withheld_)) {
+    const auto converted = to_first_format(message);
+    if (!converted && std::has_single_bit(++withheld_)) {
         logging::write_event(logging::event_id::message_withheld,
                              "peer=" + to + " format=1 withheld=" + std::to_string(withheld_) +
-                                 " lacking=\"" + done.error().lacking + "\"");
+                                 " lacking=\"" + converted.error().lacking + "\"");
     }
-    return done.has_value();
+    return converted.has_value();
 }
 
 void directory_links::send(const node_name& address, const node_report& report) {
