--- a/src/tallyfold/plane/directory/stored_forms.cpp
+++ b/src/tallyfold/plane/directory/stored_forms.cpp
@@ -44,7 +44,7 @@
         std::string plain = protocol::unpacked(entry.payload);
         if (!is_first_format_of_command(plain)) {
             return tl::unexpected(
-                encode_error{"the entry " + std::to_string(entry.index) + " of a later form"});
+                encode_error{"log entry " + std::to_string(entry.index) + " in a later format"});
         }
         entry.payload = std::move(plain);
     }
@@ -54,7 +54,7 @@
 tl::expected<void, encode_error> state_to_first_format(std::string& packed) {
     std::string plain = protocol::unpacked(packed);
     if (!is_first_format_of_state(plain)) {
-        return tl::unexpected(encode_error{"a snapshot of a later form"});
+        return tl::unexpected(encode_error{"a snapshot in a later format"});
     }
     packed = std::move(plain);
     return {};
--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -79,7 +79,7 @@
         connection_->close();
     }
     if (status != 200) {
-        co_return tl::unexpected("status " + std::to_string(status));
+        co_return tl::unexpected("unexpected HTTP status " + std::to_string(status));
     }
     co_return body;
 }
--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -181,7 +181,8 @@
             for (const logging::event_record& event : work.events) {
                 logged = logged || event.id == logging::event_id::entry_unreadable;
             }
-            CPPUNIT_ASSERT_MESSAGE("it acknowledges nothing", work.after_sync.empty());
+            CPPUNIT_ASSERT_MESSAGE("a halted replica acknowledges nothing",
+                                   work.after_sync.empty());
             core.persisted();
         }
         CPPUNIT_ASSERT(logged);
--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -114,7 +114,7 @@
     }
 
     void difference_transforms_any_list_into_any_other() {
-        check_property("differences lead from one list to the other",
+        check_property("a difference transforms one list into the other",
                        [](const std::set<std::uint8_t>& one, const std::set<std::uint8_t>& other,
                           const std::set<std::uint8_t>& leaving) {
                            const auto build = [&leaving](const std::set<std::uint8_t>& numbers) {
