--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -45,7 +45,7 @@
     if (!report.wants_list) {
         return {};
     }
-    return list_.tell(report.list, std::chrono::milliseconds(report.list_age_ms), now);
+    return list_.update_for(report.list, std::chrono::milliseconds(report.list_age_ms), now);
 }
 
 std::optional<node_report> backend_list_sharing::list_request() const {
--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -113,7 +113,8 @@
     return entry->second;
 }
 
-std::vector<list_sight> list_memory::tell(list_fingerprint held, duration held_age, instant now) {
+std::vector<list_sight> list_memory::update_for(list_fingerprint held, duration held_age,
+                                                instant now) {
     if (!known() || (held != 0 && seen_ <= now - held_age)) {
         return {};
     }
--- a/src/tallyfold/plane/discovery/types.hpp
+++ b/src/tallyfold/plane/discovery/types.hpp
@@ -88,8 +88,8 @@
     /// Returns the update for a node that holds the list `held`; empty when this node holds none or
     /// none that is newer.
     /// @param held_age time since some node polled the list `held`
-    [[nodiscard]] std::vector<list_sight> tell(list_fingerprint held, duration held_age,
-                                               instant now);
+    [[nodiscard]] std::vector<list_sight> update_for(list_fingerprint held, duration held_age,
+                                                     instant now);
 
     [[nodiscard]] list_fingerprint fingerprint() const { return fingerprint_; }
     [[nodiscard]] const std::vector<listed_backend>& backends() const { return backends_; }
--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -32,10 +32,11 @@
         slow.see(list(false), at(0));
         list_memory node;
         node.see(list(true), at(500));
-        CPPUNIT_ASSERT(!node.learn(slow.tell(0, {}, at(1000)).front(), at(1000)));
+        CPPUNIT_ASSERT(!node.learn(slow.update_for(0, {}, at(1000)).front(), at(1000)));
         CPPUNIT_ASSERT(node.backends().front().member.leaving);
         CPPUNIT_ASSERT(slow.learn(
-            node.tell(slow.fingerprint(), std::chrono::seconds(1), at(1000)).front(), at(1000)));
+            node.update_for(slow.fingerprint(), std::chrono::seconds(1), at(1000)).front(),
+            at(1000)));
         CPPUNIT_ASSERT(slow.backends().front().member.leaving);
         CPPUNIT_ASSERT(slow.seen() == at(500));
     }
@@ -46,18 +47,18 @@
         list_memory node;
         node.see(list(false), at(0));
         const list_sight sight =
-            sender.tell(node.fingerprint(), std::chrono::seconds(1), at(1000)).front();
+            sender.update_for(node.fingerprint(), std::chrono::seconds(1), at(1000)).front();
         CPPUNIT_ASSERT(sight.changes.changed.empty() && sight.changes.removed.empty());
         CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
         CPPUNIT_ASSERT(node.seen() == at(700));
-        CPPUNIT_ASSERT(list_memory{}.tell(0, {}, at(0)).empty());
+        CPPUNIT_ASSERT(list_memory{}.update_for(0, {}, at(0)).empty());
     }
 
     void update_without_contents_of_other_list_is_ignored() {
         list_memory sender;
         sender.see(list(true), at(700));
         list_sight sight =
-            sender.tell(sender.fingerprint(), std::chrono::seconds(1), at(1000)).front();
+            sender.update_for(sender.fingerprint(), std::chrono::seconds(1), at(1000)).front();
         list_memory node;
         node.see(list(false), at(0));
         CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
@@ -82,12 +83,12 @@
         list_memory sender(kept);
         sender.see(numbered(1, 500), at(0));
         list_memory node;
-        CPPUNIT_ASSERT(node.learn(sender.tell(0, {}, at(10)).front(), at(10)));
+        CPPUNIT_ASSERT(node.learn(sender.update_for(0, {}, at(10)).front(), at(10)));
         auto later = numbered(2, 501);
         later[5].member.leaving = true;
         sender.see(later, at(500));
         const list_sight sight =
-            sender.tell(node.fingerprint(), std::chrono::milliseconds(600), at(600)).front();
+            sender.update_for(node.fingerprint(), std::chrono::milliseconds(600), at(600)).front();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sight.changes.changed.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sight.changes.removed.size());
         CPPUNIT_ASSERT(node.learn(sight, at(600)));
@@ -99,7 +100,7 @@
         sender.see(numbered(1, 9), at(0));
         const list_fingerprint first = sender.fingerprint();
         sender.see(numbered(1, 10), at(100));
-        const list_sight sight = sender.tell(first, std::chrono::seconds(1), at(200)).front();
+        const list_sight sight = sender.update_for(first, std::chrono::seconds(1), at(200)).front();
         list_memory other;
         other.see(numbered(3, 9), at(50));
         CPPUNIT_ASSERT(!other.learn(sight, at(200)));
@@ -109,8 +110,8 @@
     void holder_of_newer_list_receives_no_update() {
         list_memory sender(1);
         sender.see(numbered(1, 9), at(0));
-        CPPUNIT_ASSERT(sender.tell(77, std::chrono::milliseconds(100), at(500)).empty());
-        CPPUNIT_ASSERT(!sender.tell(77, std::chrono::milliseconds(900), at(500)).empty());
+        CPPUNIT_ASSERT(sender.update_for(77, std::chrono::milliseconds(100), at(500)).empty());
+        CPPUNIT_ASSERT(!sender.update_for(77, std::chrono::milliseconds(900), at(500)).empty());
     }
 
     void difference_transforms_any_list_into_any_other() {
