--- a/tests/plane/directory/failure_relay_test.cpp
+++ b/tests/plane/directory/failure_relay_test.cpp
@@ -20,9 +20,9 @@
         failure_relay relay;
         CPPUNIT_ASSERT(relay.recent(now).empty());
         relay.add("b", now);
-        const auto told = relay.recent(now + milliseconds(120));
-        CPPUNIT_ASSERT_EQUAL(std::string("b"), told.front().backend);
-        CPPUNIT_ASSERT_EQUAL(120U, told.front().age_ms);
+        const auto failures = relay.recent(now + milliseconds(120));
+        CPPUNIT_ASSERT_EQUAL(std::string("b"), failures.front().backend);
+        CPPUNIT_ASSERT_EQUAL(120U, failures.front().age_ms);
         CPPUNIT_ASSERT(relay.recent(now + failure_relay::relay_duration + milliseconds(1)).empty());
     }
 
