--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -88,9 +88,9 @@
     if (sight.base != 0 && sight.base != fingerprint_) {
         return false;
     }
-    const bool whole = sight.base == 0;
+    const bool is_full_list = sight.base == 0;
     std::vector<listed_backend> updated =
-        with_changes(whole ? std::vector<listed_backend>{} : backends_, sight.changes);
+        with_changes(is_full_list ? std::vector<listed_backend>{} : backends_, sight.changes);
     // The changes were applied to a different list; the sender will send them again.
     if (fingerprint_of(updated) != sight.fingerprint) {
         return false;
