--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -39,7 +39,7 @@
 
     using configuration_handler = std::function<void(const configuration_pointer&)>;
     using stores_handler = std::function<void(const turns::store_table&)>;
-    /// @param describe_store returns the reports of this node's store disks; empty for other nodes
+    /// @param describe_store returns the report of this node's store; null for other nodes
     void start(configuration_handler on_configuration, stores_handler on_stores,
                std::function<std::vector<store_report>()> describe_store);
     /// Keeps `list` up to date with the directory nodes' list of back ends.
--- a/src/tallyfold/plane/directory/directory_replica_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.hpp
@@ -16,7 +16,7 @@
 
 namespace tallyfold::directory {
 
-/// Receive the output of the core's work.
+/// Handlers for the core's output.
 struct replica_handlers {
     std::function<void(addressed_message)> send;
     std::function<void(const directory_answer&)> on_answer;
--- a/src/tallyfold/plane/directory/messages.hpp
+++ b/src/tallyfold/plane/directory/messages.hpp
@@ -14,10 +14,10 @@
 
 namespace tallyfold::directory {
 
-/// Report of one disk of a store.
+/// A store's report about itself.
 struct store_report {
     turns::store_member member;
-    /// Epoch of the newest map for which the disk holds a complete copy.
+    /// Epoch of the newest map for which the store holds a complete copy.
     turns::map_epoch copied_epoch = 0;
 
     template <class Archive>
@@ -34,7 +34,7 @@
     routing::configuration_version configuration = routing::no_version;
     /// Epoch of the table of store groups.
     turns::map_epoch stores = 0;
-    /// One entry for each disk when the node is a store.
+    /// One entry when the node is a store; otherwise empty.
     std::vector<store_report> store;
     /// True when the node uses the list of back ends.
     bool wants_list = true;
