--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -6,27 +6,26 @@
 
 namespace {
 
-/// Earlier lists of back ends that nodes may still hold, so that they are told differences only.
-/// Chosen, not measured: nodes report every 120 ms and the list is polled once a second, so a node
-/// rarely lags by more than one list.
-constexpr std::size_t kept_lists = 8;
+/// Number of earlier lists from which differences can be sent. A reporting node rarely lags by more
+/// than one list.
+constexpr std::size_t earlier_list_count = 8;
 
 }  // namespace
 
 backend_list_sharing::backend_list_sharing(net::node_process& process,
                                            const discovery::backend_list_codec& codec,
                                            const std::unique_ptr<directory_core>& core)
-    : process_(process), core_(core), poller_(process, codec), list_(kept_lists) {}
+    : process_(process), core_(core), poller_(process, codec), list_(earlier_list_count) {}
 
 void backend_list_sharing::start() {
     poller_.start(
         [this](const std::vector<discovery::listed_backend>& backends) {
             list_.see(backends, http::steady_now());
         },
-        [this] { return polls(); });
+        [this] { return is_poller(); });
 }
 
-bool backend_list_sharing::polls() const {
+bool backend_list_sharing::is_poller() const {
     discovery::poller_election election;
     election.leads = core_ && core_->leads();
     election.known = list_.known();
@@ -35,27 +34,27 @@
     return election.should_poll();
 }
 
-void backend_list_sharing::learn(const node_report_answer& answer) {
+void backend_list_sharing::on_leader_answer(const node_report_answer& answer) {
     for (const discovery::list_sight& sight : answer.list) {
         list_.learn(sight, http::steady_now());
     }
 }
 
-std::vector<discovery::list_sight> backend_list_sharing::newer_for(const node_report& report,
-                                                                   instant now) {
+std::vector<discovery::list_sight> backend_list_sharing::changes_for(const node_report& report,
+                                                                     instant now) {
     if (!report.wants_list) {
         return {};
     }
-    return list_.tell(report.list, std::chrono::milliseconds(report.list_age_ms), now);
+    return list_.update_for(report.list, std::chrono::milliseconds(report.list_age_ms), now);
 }
 
-std::optional<node_report> backend_list_sharing::question_for_leader() const {
+std::optional<node_report> backend_list_sharing::list_request() const {
     if (!core_ || core_->leads() || core_->leader_address().empty()) {
         return std::nullopt;
     }
     node_report report;
     report.node = process_.settings().node;
-    // Only the list is asked for: store groups and the configuration come over the log.
+    // Requests the list only: store groups and the configuration arrive through the log.
     report.stores = core_->state().stores().epoch;
     report.list = list_.fingerprint();
     const duration age = http::steady_now() - list_.seen();
--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -16,23 +16,19 @@
 
 namespace {
 
-/// Resolution of all timers of the core: a quarter of its heartbeat interval (80 ms). Chosen, not
-/// measured.
+/// Resolution of all timers of the core; a quarter of its heartbeat interval.
 constexpr duration tick_interval = std::chrono::milliseconds(20);
-/// Time from a stop to the end of the process, in which answers under way leave. Chosen, not
-/// measured: some hundred times the way between zones.
+/// Time between a stop request and the end of the process, in which pending answers are sent.
 constexpr duration stop_delay = std::chrono::milliseconds(300);
-/// A node that doesn't lead asks the leader for the list of back ends this often. Chosen, not
-/// measured: a fifth of the second between two polls of it.
-constexpr duration list_question_interval = std::chrono::milliseconds(200);
-/// How far a configuration has propagated is looked at this often. Chosen, not measured: changes
-/// take 0.2 to 0.4 s to all nodes (docs/design/configuration-spread.md).
+/// Interval at which a follower requests the list of back ends from the leader; a fifth of the poll
+/// interval.
+constexpr duration list_request_interval = std::chrono::milliseconds(200);
+/// Interval at which the propagation of the configuration is checked.
 constexpr duration propagation_check_interval = std::chrono::milliseconds(200);
-/// An operator's call may have so many bytes. Chosen, not measured: four times the text of a
-/// configuration with 6,000 routes (2 MB).
+/// Maximum size in bytes of an operator's request; several times a large configuration.
 constexpr std::size_t max_body_bytes = 8U << 20U;
 
-/// Joins the duties of a directory node: each is an object of its own, all run in the loop thread.
+/// Wires the components of a directory node, all of which run on the loop thread.
 class directory_node {
   public:
     directory_node(const settings::node_settings& settings, const admin_codec& codec,
@@ -41,12 +37,12 @@
     int run();
 
   private:
-    /// @return why other nodes or operators can't reach this node; empty when they can
+    /// @return why the node cannot be reached by other nodes or operators; empty on success
     std::string start_servers();
     void start_timers();
     void receive(const messaging::channel_pointer& channel, const messaging::peer_message& message);
     void on_storage_lost();
-    void ask_leader_for_list();
+    void request_list_from_leader();
     void check_propagation();
     void tick();
     [[nodiscard]] replica_handlers make_replica_handlers();
@@ -69,7 +65,8 @@
     : process_(settings),
       metrics_(process_.metrics()),
       replica_(process_, metrics_, make_replica_handlers()),
-      links_(process_, [this](const node_report_answer& answer) { list_.learn(answer); }),
+      links_(process_,
+             [this](const node_report_answer& answer) { list_.on_leader_answer(answer); }),
       list_(process_, lists, replica_.core()),
       propagation_(metrics_),
       reports_(metrics_, list_, propagation_),
@@ -81,17 +78,17 @@
 replica_handlers directory_node::make_replica_handlers() {
     replica_handlers handlers;
     handlers.send = [this](addressed_message message) { links_.send(std::move(message)); };
-    handlers.on_answer = [this](const directory_answer& answer) { admin_.answered(answer); };
+    handlers.on_answer = [this](const directory_answer& answer) { admin_.on_answer(answer); };
     handlers.on_proof = [this](const directory_proof& proof) {
-        reports_.end_proof(*replica_.core(), proof);
+        reports_.on_proof(*replica_.core(), proof);
     };
     handlers.on_storage_lost = [this] { on_storage_lost(); };
     return handlers;
 }
 
 void directory_node::on_storage_lost() {
-    reports_.forget_questions();
-    admin_.storage_lost();
+    reports_.drop_questions();
+    admin_.on_storage_lost();
 }
 
 void directory_node::receive(const messaging::channel_pointer& channel,
@@ -113,15 +110,15 @@
     } else if (const auto* request = std::get_if<configuration_request>(&message)) {
         reports_.answer(core, channel, *request);
     } else if (const auto* failure = std::get_if<discovery::failure_report>(&message)) {
-        reports_.take(*failure);
+        reports_.record_failure(*failure);
     } else if (const auto* spent = std::get_if<tenants::permit_report>(&message)) {
         channel->send(permits_.answer(*spent, now));
     }
     replica_.run_work();
 }
 
-void directory_node::ask_leader_for_list() {
-    if (const auto question = list_.question_for_leader()) {
+void directory_node::request_list_from_leader() {
+    if (const auto question = list_.list_request()) {
         links_.send(replica_.core()->leader_address(), *question);
     }
 }
@@ -152,7 +149,7 @@
 }
 
 void directory_node::start_timers() {
-    process_.every(list_question_interval, [this] { ask_leader_for_list(); });
+    process_.every(list_request_interval, [this] { request_list_from_leader(); });
     process_.every(propagation_check_interval, [this] { check_propagation(); });
     process_.every(tick_interval, [this] { tick(); });
 }
--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -53,7 +53,7 @@
 }
 
 void list_memory::replace(std::vector<listed_backend> backends, list_fingerprint fingerprint) {
-    told_.clear();
+    differences_.clear();
     if (kept_lists_ > 0 && known()) {
         earlier_.push_back({fingerprint_, std::move(backends_)});
         if (earlier_.size() > kept_lists_) {
@@ -66,7 +66,7 @@
 
 bool list_memory::see(const std::vector<listed_backend>& backends, instant now) {
     seen_ = now;
-    // Lists with the same entries are the same list, in whatever order they came.
+    // Sorted by name, so that the fingerprint does not depend on the order of the entries.
     std::vector<listed_backend> sorted = with_changes({}, {backends, {}});
     const list_fingerprint fingerprint = fingerprint_of(sorted);
     if (fingerprint == fingerprint_) {
@@ -88,15 +88,15 @@
     if (sight.base != 0 && sight.base != fingerprint_) {
         return false;
     }
-    const bool whole = sight.base == 0;
-    std::vector<listed_backend> learnt =
-        with_changes(whole ? std::vector<listed_backend>{} : backends_, sight.changes);
-    // Another list than was meant: it is told anew the next time.
-    if (fingerprint_of(learnt) != sight.fingerprint) {
+    const bool is_full_list = sight.base == 0;
+    std::vector<listed_backend> updated =
+        with_changes(is_full_list ? std::vector<listed_backend>{} : backends_, sight.changes);
+    // The changes were applied to a different list; the sender will send them again.
+    if (fingerprint_of(updated) != sight.fingerprint) {
         return false;
     }
     seen_ = seen;
-    replace(std::move(learnt), sight.fingerprint);
+    replace(std::move(updated), sight.fingerprint);
     return true;
 }
 
@@ -105,15 +105,16 @@
         std::find_if(earlier_.begin(), earlier_.end(),
                      [held](const earlier_list& list) { return list.fingerprint == held; });
     base = earlier == earlier_.end() ? 0 : held;
-    const auto [told, fresh] = told_.try_emplace(base);
-    if (fresh) {
-        told->second = changes_between(
+    const auto [entry, inserted] = differences_.try_emplace(base);
+    if (inserted) {
+        entry->second = changes_between(
             base == 0 ? std::vector<listed_backend>{} : earlier->backends, backends_);
     }
-    return told->second;
+    return entry->second;
 }
 
-std::vector<list_sight> list_memory::tell(list_fingerprint held, duration held_age, instant now) {
+std::vector<list_sight> list_memory::update_for(list_fingerprint held, duration held_age,
+                                                instant now) {
     if (!known() || (held != 0 && seen_ <= now - held_age)) {
         return {};
     }
--- a/src/tallyfold/plane/routing/validation.cpp
+++ b/src/tallyfold/plane/routing/validation.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 std::string problem_of(const route& candidate, const std::set<std::string>& services) {
-    const bool slashed = candidate.prefix.starts_with('/') && candidate.prefix.ends_with('/');
-    if (candidate.host.empty() || !slashed) {
+    const bool has_slashes = candidate.prefix.starts_with('/') && candidate.prefix.ends_with('/');
+    if (candidate.host.empty() || !has_slashes) {
         return "needs a host, and a prefix that starts and ends with a slash";
     }
     if (candidate.timeout_ms == 0) {
@@ -28,27 +28,28 @@
     return sum > 0 ? std::string{} : "has weights that sum to 0";
 }
 
-/// Rates and bursts above this are taken for mistakes.
-constexpr double largest_limit = 1e9;
+/// Upper bound of rates and bursts; larger values are rejected as mistakes.
+constexpr double max_limit = 1e9;
 
-bool is_limit(double value) {
-    return std::isfinite(value) && value >= 0 && value <= largest_limit;
+bool is_valid_limit(double value) {
+    return std::isfinite(value) && value >= 0 && value <= max_limit;
 }
 
-/// @param names and `keys` of the tenants before this one; its own are added
+/// @param names names of the preceding tenants; the candidate's is added
+/// @param keys keys of the preceding tenants; the candidate's are added
 std::string problem_of(const tenant& candidate, std::set<std::string>& names,
                        std::set<std::string>& keys) {
     if (candidate.name.empty() || !names.insert(candidate.name).second) {
         return "has no name or stands twice";
     }
-    if (!is_limit(candidate.rate_per_second) || !is_limit(candidate.burst)) {
+    if (!is_valid_limit(candidate.rate_per_second) || !is_valid_limit(candidate.burst)) {
         return "has a rate or a burst that is no number from 0 to a thousand million";
     }
     for (const std::string& key : candidate.keys) {
         if (key.empty()) {
             return "has an empty key";
         }
-        // The key itself stays out of answers and logs.
+        // The key is a secret and must not appear in responses or logs.
         if (!keys.insert(key).second) {
             return "has a key that stands twice or belongs to another tenant";
         }
@@ -81,13 +82,13 @@
                 invalid_configuration{"service '" + entry.name + "' has no name or stands twice"});
         }
     }
-    std::set<std::pair<std::string, std::string>> places;
+    std::set<std::pair<std::string, std::string>> host_prefixes;
     for (const route& entry : candidate.routes) {
         const std::string problem = problem_of(entry, services);
         if (!problem.empty()) {
             return tl::unexpected(invalid_configuration{"route '" + entry.name + "' " + problem});
         }
-        if (!places.insert({entry.host, entry.prefix}).second) {
+        if (!host_prefixes.insert({entry.host, entry.prefix}).second) {
             return tl::unexpected(
                 invalid_configuration{"route '" + entry.name + "' has the place of another route"});
         }
--- a/tests/plane/directory/applied_state_cache_test.cpp
+++ b/tests/plane/directory/applied_state_cache_test.cpp
@@ -11,9 +11,9 @@
 
 class applied_state_cache_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(applied_state_cache_test);
-    CPPUNIT_TEST(the_newest_saved_state_is_loaded);
-    CPPUNIT_TEST(a_torn_file_leaves_the_one_before);
-    CPPUNIT_TEST(saves_in_quick_succession_are_left_out);
+    CPPUNIT_TEST(newest_saved_state_is_loaded);
+    CPPUNIT_TEST(torn_file_falls_back_to_previous_state);
+    CPPUNIT_TEST(saves_within_the_interval_are_skipped);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr duration interval = std::chrono::milliseconds(500);
@@ -30,7 +30,7 @@
         return applied_state_cache(folder).load().configuration().version;
     }
 
-    void the_newest_saved_state_is_loaded() {
+    void newest_saved_state_is_loaded() {
         const temporary_path folder("cache");
         std::filesystem::create_directory(folder.path());
         CPPUNIT_ASSERT_EQUAL(routing::no_version, loaded(folder.text()));
@@ -43,7 +43,7 @@
         }
     }
 
-    void a_torn_file_leaves_the_one_before() {
+    void torn_file_falls_back_to_previous_state() {
         const temporary_path folder("cache");
         std::filesystem::create_directory(folder.path());
         applied_state_cache cache(folder.text());
@@ -52,7 +52,7 @@
         cache.save(with_version(2), now + interval);
         std::ofstream(folder.text() + "/applied-state-1", std::ios::trunc) << "torn";
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1}, loaded(folder.text()));
-        // The next process writes over the torn one, not over the one that is left.
+        // The next process overwrites the torn file, not the intact one.
         applied_state_cache next(folder.text());
         next.load();
         next.save(with_version(3), now);
@@ -60,7 +60,7 @@
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1}, loaded(folder.text()));
     }
 
-    void saves_in_quick_succession_are_left_out() {
+    void saves_within_the_interval_are_skipped() {
         const temporary_path folder("cache");
         std::filesystem::create_directory(folder.path());
         applied_state_cache cache(folder.text());
--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -1,8 +1,7 @@
 /// @file
-/// Directory nodes of two builds in one group: an entry that the older one couldn't read was
-/// committed by the newer ones, skipped by it without a line, and the forwarders that asked it went
-/// on by the version before. Now each entry has a form that all members read, what has none waits,
-/// and a node that can't read an entry stands still.
+/// Guards against entries in a group of two builds that the older build cannot read: they must not
+/// be committed before all members support their format, and a node that cannot read one must halt
+/// instead of skipping it.
 
 #include "tallyfold/base/common/random.hpp"
 #include "tallyfold/base/protocol/stored_value.hpp"
@@ -19,16 +18,16 @@
 
 class mixed_formats_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(mixed_formats_test);
-    CPPUNIT_TEST(a_change_reaches_members_of_both_builds);
-    CPPUNIT_TEST(tenants_wait_until_no_member_of_the_first_format_is_met);
-    CPPUNIT_TEST(tenants_wait_for_forwarders_too);
-    CPPUNIT_TEST(a_forwarder_of_the_first_format_gets_the_configuration_whole);
-    CPPUNIT_TEST(a_forwarder_of_the_first_format_is_never_told_a_configuration_with_tenants);
-    CPPUNIT_TEST(a_replica_that_cannot_read_an_entry_stands_still);
-    CPPUNIT_TEST(a_snapshot_of_a_later_form_is_not_taken_for_an_empty_state);
-    CPPUNIT_TEST(stored_values_go_back_to_the_first_format);
-    CPPUNIT_TEST(values_of_the_second_format_are_never_read_as_the_first);
-    CPPUNIT_TEST(a_later_form_is_told_apart_from_damage);
+    CPPUNIT_TEST(change_reaches_members_of_both_formats);
+    CPPUNIT_TEST(tenants_are_deferred_for_first_format_members);
+    CPPUNIT_TEST(tenants_are_deferred_for_first_format_forwarders);
+    CPPUNIT_TEST(first_format_forwarder_receives_full_configuration);
+    CPPUNIT_TEST(first_format_forwarder_receives_no_configuration_with_tenants);
+    CPPUNIT_TEST(replica_halts_on_unreadable_entry);
+    CPPUNIT_TEST(snapshot_in_later_format_is_rejected);
+    CPPUNIT_TEST(stored_values_use_first_format_when_possible);
+    CPPUNIT_TEST(second_format_values_do_not_decode_as_first_format);
+    CPPUNIT_TEST(later_format_is_distinguished_from_damage);
     CPPUNIT_TEST_SUITE_END();
 
     static routing::configuration configuration_of(routing::configuration_version version,
@@ -52,7 +51,7 @@
         return made;
     }
 
-    /// Large enough to be compressed between nodes of the second form.
+    /// Enough routes for the configuration to be compressed in format v2.
     static constexpr std::size_t many_routes = 200;
 
     static routing::configuration_version version_at(directory_group& group,
@@ -60,14 +59,14 @@
         return group.node(address).state().configuration().version;
     }
 
-    void a_change_reaches_members_of_both_builds() {
+    void change_reaches_members_of_both_formats() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         const node_name earlier = group.followers().front();
         group.set_first_format(earlier, true);
         CPPUNIT_ASSERT(group.change(leader, configuration_of(46, many_routes)));
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46}, version_at(group, earlier));
-        // The same from a leader of the first form.
+        // The leader supports only format v1.
         group.set_first_format(earlier, false);
         group.set_first_format(leader, true);
         CPPUNIT_ASSERT(group.change(leader, configuration_of(48, many_routes)));
@@ -76,7 +75,7 @@
         }
     }
 
-    void tenants_wait_until_no_member_of_the_first_format_is_met() {
+    void tenants_are_deferred_for_first_format_members() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         const node_name earlier = group.followers().front();
@@ -86,7 +85,7 @@
         group.set_first_format(earlier, false);
         group.run(seconds(1));
         CPPUNIT_ASSERT(group.node(leader).may_apply_tenants(group.now()));
-        // A member that was heard to know the second form may be away.
+        // A member known to support format v2 may be unreachable.
         group.cut(earlier);
         group.run(seconds(20));
         CPPUNIT_ASSERT(group.node(leader).may_apply_tenants(group.now()));
@@ -94,13 +93,13 @@
         CPPUNIT_ASSERT(group.node(leader).state().needs_second_format());
     }
 
-    void tenants_wait_for_forwarders_too() {
+    void tenants_are_deferred_for_first_format_forwarders() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         directory_core& core = group.node(leader);
         core.record_peer_format("forwarder-1", format_version::v1, group.now());
         CPPUNIT_ASSERT(!core.may_apply_tenants(group.now()));
-        // It was replaced, or is silent for long.
+        // The forwarder was replaced; the next one becomes silent.
         core.record_peer_format("forwarder-1", format_version::v2, group.now());
         CPPUNIT_ASSERT(core.may_apply_tenants(group.now()));
         core.record_peer_format("forwarder-2", format_version::v1, group.now());
@@ -116,7 +115,7 @@
         return report;
     }
 
-    void a_forwarder_of_the_first_format_gets_the_configuration_whole() {
+    void first_format_forwarder_receives_full_configuration() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(group.change(leader, configuration_of(48, many_routes)));
@@ -130,7 +129,7 @@
             CPPUNIT_ASSERT(*answer->newer_configuration.front() ==
                            configuration_of(48, many_routes));
         }
-        // Whoever asks for parts, or holds it, gets no copy.
+        // A node that requests parts, or that holds the version, receives no full copy.
         CPPUNIT_ASSERT(
             group.node(leader).receive(*report, group.now()).newer_configuration.empty());
         CPPUNIT_ASSERT(group.node(leader)
@@ -138,7 +137,7 @@
                            .newer_configuration.empty());
     }
 
-    void a_forwarder_of_the_first_format_is_never_told_a_configuration_with_tenants() {
+    void first_format_forwarder_receives_no_configuration_with_tenants() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(group.change(leader, with_tenants(50)));
@@ -148,7 +147,8 @@
         CPPUNIT_ASSERT(answer->newer_configuration.empty());
     }
 
-    /// An entry of a form that this build doesn't know, handed to a follower by its leader.
+    /// Message from the leader to a follower with an entry in a format that this build does not
+    /// support.
     static consensus::replica_message with_later_entry(const directory_core& leader,
                                                        const node_name& follower) {
         const std::uint64_t mark = protocol::numbered_form_mark | 3U;
@@ -169,7 +169,7 @@
         return message;
     }
 
-    void a_replica_that_cannot_read_an_entry_stands_still() {
+    void replica_halts_on_unreadable_entry() {
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(group.change(leader, configuration_of(46, 2)));
@@ -181,26 +181,27 @@
             for (const logging::event_record& event : work.events) {
                 logged = logged || event.id == logging::event_id::entry_unreadable;
             }
-            CPPUNIT_ASSERT_MESSAGE("it acknowledges nothing", work.after_sync.empty());
+            CPPUNIT_ASSERT_MESSAGE("a halted replica acknowledges nothing",
+                                   work.after_sync.empty());
             core.persisted();
         }
         CPPUNIT_ASSERT(logged);
         CPPUNIT_ASSERT(core.is_halted());
         CPPUNIT_ASSERT(!core.leads());
-        // What it held is still shown, and proves nothing.
+        // The node still serves its last state, but gives no proofs.
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46},
                              core.state().configuration().version);
         core.prove(7, group.now());
         directory_work work = core.take_work();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, work.proofs.size());
         CPPUNIT_ASSERT(!work.proofs.front().proved);
-        // The two others are a majority and go on.
+        // The other two members form a majority.
         CPPUNIT_ASSERT(group.change(leader, configuration_of(48, 2)));
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46},
                              core.state().configuration().version);
     }
 
-    void a_snapshot_of_a_later_form_is_not_taken_for_an_empty_state() {
+    void snapshot_in_later_format_is_rejected() {
         const std::uint64_t mark = protocol::numbered_form_mark | 3U;
         directory_state state;
         state.apply(replace_configuration{configuration_of(46, 2), "text"});
@@ -211,7 +212,7 @@
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46}, state.configuration().version);
     }
 
-    void stored_values_go_back_to_the_first_format() {
+    void stored_values_use_first_format_when_possible() {
         directory_state state;
         state.apply(replace_configuration{configuration_of(46, many_routes), "text"});
         const std::string packed = state.to_bytes();
@@ -236,9 +237,9 @@
         return map;
     }
 
-    /// The two forms have no number: a value of the second one that a reader of the first one could
-    /// take for its own would be misread.
-    void values_of_the_second_format_are_never_read_as_the_first() {
+    /// Formats v1 and v2 have no format number, so a value in format v2 must not be a valid value
+    /// in format v1.
+    void second_format_values_do_not_decode_as_first_format() {
         random_source random(42);
         for (int round = 0; round < 20'000; ++round) {
             change_store_groups change;
@@ -261,7 +262,7 @@
         }
     }
 
-    void a_later_form_is_told_apart_from_damage() {
+    void later_format_is_distinguished_from_damage() {
         const std::uint64_t mark = protocol::numbered_form_mark | 3U;
         const std::string later = std::string(reinterpret_cast<const char*>(&mark), sizeof(mark));
         const auto read = protocol::decode_stored<directory_command>(later + "whatever");
--- a/tests/plane/discovery/poller_election_test.cpp
+++ b/tests/plane/discovery/poller_election_test.cpp
@@ -9,20 +9,20 @@
 class poller_election_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(poller_election_test);
     CPPUNIT_TEST(the_leader_polls);
-    CPPUNIT_TEST(a_node_that_knows_no_list_reads);
-    CPPUNIT_TEST(successors_take_over_one_after_the_other);
-    CPPUNIT_TEST(a_forwarder_that_has_just_started_waits_to_be_told);
+    CPPUNIT_TEST(node_without_list_polls);
+    CPPUNIT_TEST(successors_take_over_in_rank_order);
+    CPPUNIT_TEST(started_forwarder_waits_before_polling);
     CPPUNIT_TEST_SUITE_END();
 
     static duration after(int milliseconds) { return std::chrono::milliseconds(milliseconds); }
 
     static instant at(int milliseconds) { return instant(after(milliseconds)); }
 
-    void a_forwarder_that_has_just_started_waits_to_be_told() {
+    void started_forwarder_waits_before_polling() {
         const instant started = at(100'000);
         CPPUNIT_ASSERT(!discovery::forwarder_polls(instant{}, started, at(100'050)));
         CPPUNIT_ASSERT(discovery::forwarder_polls(instant{}, started, at(102'450)));
-        // Told once, it reads when nobody has seen the list for as long.
+        // After an update, the forwarder polls only when the list has become too old.
         CPPUNIT_ASSERT(!discovery::forwarder_polls(at(101'000), started, at(103'300)));
         CPPUNIT_ASSERT(discovery::forwarder_polls(at(101'000), started, at(103'500)));
     }
@@ -31,11 +31,11 @@
         CPPUNIT_ASSERT((poller_election{true, true, after(0), 0}.should_poll()));
     }
 
-    void a_node_that_knows_no_list_reads() {
+    void node_without_list_polls() {
         CPPUNIT_ASSERT((poller_election{false, false, after(0), 4}.should_poll()));
     }
 
-    void successors_take_over_one_after_the_other() {
+    void successors_take_over_in_rank_order() {
         CPPUNIT_ASSERT(!(poller_election{false, true, after(1'300), 0}.should_poll()));
         CPPUNIT_ASSERT((poller_election{false, true, after(1'600), 0}.should_poll()));
         CPPUNIT_ASSERT(!(poller_election{false, true, after(1'600), 1}.should_poll()));
--- a/tests/plane/routing/configuration_change_test.cpp
+++ b/tests/plane/routing/configuration_change_test.cpp
@@ -9,9 +9,9 @@
 
 class configuration_change_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_change_test);
-    CPPUNIT_TEST(a_difference_leads_to_the_other_configuration);
-    CPPUNIT_TEST(a_whole_configuration_is_the_difference_from_none);
-    CPPUNIT_TEST(a_changed_route_costs_one_route);
+    CPPUNIT_TEST(applied_difference_gives_the_target);
+    CPPUNIT_TEST(full_configuration_is_difference_from_empty_one);
+    CPPUNIT_TEST(difference_contains_only_changed_routes);
     CPPUNIT_TEST(a_difference_from_another_version_is_refused);
     CPPUNIT_TEST(a_damaged_difference_is_refused);
     CPPUNIT_TEST_SUITE_END();
@@ -26,7 +26,7 @@
         return made;
     }
 
-    /// A configuration from numbers: equal numbers make equal items.
+    /// Makes a configuration from numbers; equal numbers make equal items.
     static configuration make(configuration_version version,
                               const std::vector<std::uint8_t>& routes,
                               const std::vector<std::uint8_t>& tenants) {
@@ -54,7 +54,7 @@
         return made;
     }
 
-    void a_difference_leads_to_the_other_configuration() {
+    void applied_difference_gives_the_target() {
         check_property(
             "applied to its base, a difference gives the target, in the same order",
             [](const std::vector<std::uint8_t>& before, const std::vector<std::uint8_t>& after,
@@ -71,13 +71,13 @@
             });
     }
 
-    void a_whole_configuration_is_the_difference_from_none() {
+    void full_configuration_is_difference_from_empty_one() {
         const configuration to = plain(9, 50);
         const auto result = apply(difference({}, to), {});
         CPPUNIT_ASSERT(result.has_value() && *result == to);
     }
 
-    void a_changed_route_costs_one_route() {
+    void difference_contains_only_changed_routes() {
         const configuration from = plain(1, 2'000);
         configuration to = plain(2, 2'000);
         to.routes[700].timeout_ms = 7;
@@ -103,8 +103,7 @@
         configuration_change altered = difference(from, plain(2, 6));
         altered.routes.runs.back().then.back().timeout_ms = 1;
         CPPUNIT_ASSERT(apply(altered, from).error() == change_failure::damaged);
-        // The same version with other content: what is held isn't what the difference was made
-        // from.
+        // The base has the same version, but other contents.
         configuration other = plain(1, 5);
         other.routes[0].timeout_ms = 3;
         CPPUNIT_ASSERT(apply(difference(from, plain(2, 6)), other).error() ==
--- a/tests/plane/routing/routing_test.cpp
+++ b/tests/plane/routing/routing_test.cpp
@@ -9,7 +9,7 @@
 class routing_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(routing_test);
     CPPUNIT_TEST(the_longest_prefix_of_the_host_wins);
-    CPPUNIT_TEST(shares_follow_their_weights_at_any_time);
+    CPPUNIT_TEST(shares_match_weights_over_short_periods);
     CPPUNIT_TEST(each_kind_of_invalid_configuration_is_refused);
     CPPUNIT_TEST_SUITE_END();
 
@@ -40,7 +40,7 @@
         CPPUNIT_ASSERT(table.find("h.example", "") == nullptr);
     }
 
-    void shares_follow_their_weights_at_any_time() {
+    void shares_match_weights_over_short_periods() {
         route split = make_route("split", "/a/");
         split.services = {{"s", 90}, {"t", 10}};
         traffic_splitter splitter;
@@ -58,9 +58,9 @@
         configuration unknown_service = make();
         unknown_service.routes[0].services = {{"nobody", 1}};
         CPPUNIT_ASSERT(!validate(unknown_service).has_value());
-        configuration same_place = make();
-        same_place.routes[1].prefix = "/a/";
-        CPPUNIT_ASSERT(!validate(same_place).has_value());
+        configuration duplicate_prefix = make();
+        duplicate_prefix.routes[1].prefix = "/a/";
+        CPPUNIT_ASSERT(!validate(duplicate_prefix).has_value());
         configuration no_weight = make();
         no_weight.routes[0].services = {{"s", 0}, {"t", 0}};
         CPPUNIT_ASSERT(!validate(no_weight).has_value());
