--- a/src/tallyfold/base/common/bounded_ring.hpp
+++ b/src/tallyfold/base/common/bounded_ring.hpp
@@ -46,7 +46,7 @@
     /// Waits while the ring is full. For a consumer that never waits on this producer.
     void push(Element element) {
         while (!queue_.try_enqueue(std::move(element))) {
-            std::this_thread::sleep_for(full_pause);
+            std::this_thread::sleep_for(full_retry_delay);
         }
         notify_();
     }
@@ -54,7 +54,7 @@
     [[nodiscard]] bool try_pop(Element& element) { return queue_.try_dequeue(element); }
 
   private:
-    static constexpr std::chrono::microseconds full_pause{200};
+    static constexpr std::chrono::microseconds full_retry_delay{200};
 
     moodycamel::ReaderWriterQueue<Element> queue_;
     std::function<void()> notify_;
