--- a/src/tallyfold/base/logging/bounded_log.cpp
+++ b/src/tallyfold/base/logging/bounded_log.cpp
@@ -77,10 +77,10 @@
     if (!log) {
         return;
     }
-    const std::uint64_t left_out = log->sink.left_out();
-    if (left_out > log->reported_left_out) {
-        const std::uint64_t since = left_out - log->reported_left_out;
-        log->reported_left_out = left_out;
+    const std::uint64_t dropped_lines = log->sink.dropped_lines();
+    if (dropped_lines > log->reported_left_out) {
+        const std::uint64_t since = dropped_lines - log->reported_left_out;
+        log->reported_left_out = dropped_lines;
         write_event(event_id::lines_left_out, "count=" + std::to_string(since));
     }
     log->sink.flush();
--- a/tests/base/logging/line_sink_test.cpp
+++ b/tests/base/logging/line_sink_test.cpp
@@ -47,7 +47,7 @@
             sink.add(line, count);
             CPPUNIT_ASSERT(sink.held_bytes() <= (64U << 10U));
         }
-        CPPUNIT_ASSERT(sink.left_out() > 0);
+        CPPUNIT_ASSERT(sink.dropped_lines() > 0);
         // The reader comes back: what is held arrives, and nothing was lost without being counted.
         std::string text = read_all(pipe_[0]);
         sink.flush();
@@ -56,7 +56,7 @@
         text += read_all(pipe_[0]);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, sink.held_bytes());
         const std::size_t written = text.size() / (line.size() + 1);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{lines}, written + sink.left_out());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{lines}, written + sink.dropped_lines());
     }
 
     void lines_over_the_rate_are_left_out_and_counted() {
@@ -64,11 +64,11 @@
         for (int count = 0; count < 100; ++count) {
             sink.add("line", 0.0);
         }
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{80}, sink.left_out());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{80}, sink.dropped_lines());
         for (int count = 0; count < 100; ++count) {
             sink.add("line", 1.0);
         }
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{170}, sink.left_out());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{170}, sink.dropped_lines());
     }
 };
 
