--- a/src/tallyfold/base/logging/line_sink.cpp
+++ b/src/tallyfold/base/logging/line_sink.cpp
@@ -29,7 +29,7 @@
     last_seconds_ = now_seconds;
     allowance_ = std::min(settings_.burst, allowance_ + passed * settings_.lines_per_second);
     if (allowance_ < 1 || buffer_.size() + line.size() + 1 > settings_.capacity) {
-        ++left_out_;
+        ++dropped_lines_;
         return;
     }
     allowance_ -= 1;
--- a/src/tallyfold/base/logging/line_sink.hpp
+++ b/src/tallyfold/base/logging/line_sink.hpp
@@ -30,7 +30,7 @@
     /// Hands over what the descriptor takes now.
     void flush();
     /// Lines left out so far.
-    [[nodiscard]] std::uint64_t dropped_lines() const { return left_out_; }
+    [[nodiscard]] std::uint64_t dropped_lines() const { return dropped_lines_; }
     [[nodiscard]] std::size_t held_bytes() const { return buffer_.size(); }
 
   private:
@@ -38,7 +38,7 @@
     std::string buffer_;
     double allowance_;
     double last_seconds_ = 0;
-    std::uint64_t left_out_ = 0;
+    std::uint64_t dropped_lines_ = 0;
 };
 
 }  // namespace tallyfold::logging
