--- a/src/tallyfold/base/logging/bounded_log.cpp
+++ b/src/tallyfold/base/logging/bounded_log.cpp
@@ -15,7 +15,7 @@
 struct bounded_log {
     line_sink sink{line_sink_settings{}};
     event_level lowest = event_level::info;
-    std::uint64_t reported_left_out = 0;
+    std::uint64_t reported_dropped_lines = 0;
 };
 
 std::unique_ptr<bounded_log>& log_of_process() {
@@ -78,9 +78,9 @@
         return;
     }
     const std::uint64_t dropped_lines = log->sink.dropped_lines();
-    if (dropped_lines > log->reported_left_out) {
-        const std::uint64_t since = dropped_lines - log->reported_left_out;
-        log->reported_left_out = dropped_lines;
+    if (dropped_lines > log->reported_dropped_lines) {
+        const std::uint64_t since = dropped_lines - log->reported_dropped_lines;
+        log->reported_dropped_lines = dropped_lines;
         write_event(event_id::lines_left_out, "count=" + std::to_string(since));
     }
     log->sink.flush();
