--- a/src/tallyfold/base/logging/line_sink.hpp
+++ b/src/tallyfold/base/logging/line_sink.hpp
@@ -31,7 +31,7 @@
     void flush();
     /// Lines left out so far.
     [[nodiscard]] std::uint64_t dropped_lines() const { return dropped_lines_; }
-    [[nodiscard]] std::size_t held_bytes() const { return buffer_.size(); }
+    [[nodiscard]] std::size_t buffered_bytes() const { return buffer_.size(); }
 
   private:
     line_sink_settings settings_;
--- a/tests/base/logging/line_sink_test.cpp
+++ b/tests/base/logging/line_sink_test.cpp
@@ -45,7 +45,7 @@
         constexpr int lines = 50'000;
         for (int count = 0; count < lines; ++count) {
             sink.add(line, count);
-            CPPUNIT_ASSERT(sink.held_bytes() <= (64U << 10U));
+            CPPUNIT_ASSERT(sink.buffered_bytes() <= (64U << 10U));
         }
         CPPUNIT_ASSERT(sink.dropped_lines() > 0);
         // The reader comes back: what is held arrives, and nothing was lost without being counted.
@@ -54,7 +54,7 @@
         text += read_all(pipe_[0]);
         sink.flush();
         text += read_all(pipe_[0]);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, sink.held_bytes());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, sink.buffered_bytes());
         const std::size_t written = text.size() / (line.size() + 1);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{lines}, written + sink.dropped_lines());
     }
