--- a/src/tallyfold/base/logging/line_sink.cpp
+++ b/src/tallyfold/base/logging/line_sink.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 line_sink::line_sink(line_sink_settings settings)
-    : settings_(settings), allowance_(settings.burst) {
+    : settings_(settings), available_tokens_(settings.burst) {
     // A descriptor that can't be set is written to as it is; there is no log to say so.
     const int flags = ::fcntl(settings_.descriptor, F_GETFL);
     if (flags >= 0) {
@@ -27,12 +27,13 @@
 void line_sink::add(std::string_view line, double now_seconds) {
     const double passed = std::max(0.0, now_seconds - last_seconds_);
     last_seconds_ = now_seconds;
-    allowance_ = std::min(settings_.burst, allowance_ + passed * settings_.lines_per_second);
-    if (allowance_ < 1 || buffer_.size() + line.size() + 1 > settings_.capacity) {
+    available_tokens_ =
+        std::min(settings_.burst, available_tokens_ + passed * settings_.lines_per_second);
+    if (available_tokens_ < 1 || buffer_.size() + line.size() + 1 > settings_.capacity) {
         ++dropped_lines_;
         return;
     }
-    allowance_ -= 1;
+    available_tokens_ -= 1;
     buffer_ += line;
     buffer_ += '\n';
     if (buffer_.size() >= write_threshold) {
--- a/src/tallyfold/base/logging/line_sink.hpp
+++ b/src/tallyfold/base/logging/line_sink.hpp
@@ -36,7 +36,7 @@
   private:
     line_sink_settings settings_;
     std::string buffer_;
-    double allowance_;
+    double available_tokens_;
     double last_seconds_ = 0;
     std::uint64_t dropped_lines_ = 0;
 };
