--- a/src/tallyfold/base/logging/line_sink.cpp
+++ b/src/tallyfold/base/logging/line_sink.cpp
@@ -25,10 +25,10 @@
 }
 
 void line_sink::add(std::string_view line, double now_seconds) {
-    const double passed = std::max(0.0, now_seconds - last_seconds_);
+    const double elapsed = std::max(0.0, now_seconds - last_seconds_);
     last_seconds_ = now_seconds;
     available_tokens_ =
-        std::min(settings_.burst, available_tokens_ + passed * settings_.lines_per_second);
+        std::min(settings_.burst, available_tokens_ + elapsed * settings_.lines_per_second);
     if (available_tokens_ < 1 || buffer_.size() + line.size() + 1 > settings_.capacity) {
         ++dropped_lines_;
         return;
