--- a/src/tallyfold/base/logging/bounded_log.cpp
+++ b/src/tallyfold/base/logging/bounded_log.cpp
@@ -14,7 +14,7 @@
 
 struct bounded_log {
     line_sink sink{line_sink_settings{}};
-    event_level lowest = event_level::info;
+    event_level minimum_level = event_level::info;
     std::uint64_t reported_dropped_lines = 0;
 };
 
@@ -52,7 +52,7 @@
 }
 
 void write_line(bounded_log& log, event_level level, const std::string& line) {
-    if (level < log.lowest) {
+    if (level < log.minimum_level) {
         return;
     }
     const double seconds =
@@ -66,7 +66,7 @@
 
 void open_bounded_log(const std::string& node, const std::string& level) {
     log_of_process() = std::make_unique<bounded_log>();
-    log_of_process()->lowest = parse_level(level);
+    log_of_process()->minimum_level = parse_level(level);
     set_line_writer(node, [](event_level event, const std::string& line) {
         write_line(*log_of_process(), event, line);
     });
