--- a/src/tallyfold/base/logging/bounded_log.cpp
+++ b/src/tallyfold/base/logging/bounded_log.cpp
@@ -57,9 +57,9 @@
     }
     const double seconds =
         std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
-    const std::string whole =
+    const std::string full_line =
         "time=" + time_text() + " level=" + std::string(level_text(level)) + " " + line;
-    log.sink.add(whole, seconds);
+    log.sink.add(full_line, seconds);
 }
 
 }  // namespace
