--- a/src/tallyfold/base/protocol/compression.cpp
+++ b/src/tallyfold/base/protocol/compression.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 /// The quickest of the library's usual levels: nodes that pack have a small share of a core.
-constexpr int quick_level = 1;
+constexpr int compression_level = 1;
 
 }  // namespace
 
 std::string compress(std::string_view bytes) {
     std::string packed(ZSTD_compressBound(bytes.size()), '\0');
     const std::size_t size =
-        ZSTD_compress(packed.data(), packed.size(), bytes.data(), bytes.size(), quick_level);
+        ZSTD_compress(packed.data(), packed.size(), bytes.data(), bytes.size(), compression_level);
     if (ZSTD_isError(size) != 0) {
         // The buffer is as large as the library asks: only a lack of memory is left.
         throw std::runtime_error(ZSTD_getErrorName(size));
