--- a/src/tallyfold/base/protocol/compression.hpp
+++ b/src/tallyfold/base/protocol/compression.hpp
@@ -17,7 +17,7 @@
 tl::expected<std::string, decode_error> decompress(std::string_view packed, std::size_t most);
 
 /// Shorter bytes aren't worth compressing.
-constexpr std::size_t min_packed_bytes = 1U << 10U;
+constexpr std::size_t compression_threshold_bytes = 1U << 10U;
 /// More bytes than any record of ours holds.
 constexpr std::size_t max_unpacked_bytes = 256U << 20U;
 
@@ -25,7 +25,7 @@
 template <class T>
 std::string encode_packed(const T& value) {
     std::string bytes = encode_stored(value);
-    return bytes.size() < min_packed_bytes ? bytes : compress(bytes);
+    return bytes.size() < compression_threshold_bytes ? bytes : compress(bytes);
 }
 
 /// The bytes without their compression; as they are when they have none.
