--- a/src/tallyfold/base/protocol/compression.cpp
+++ b/src/tallyfold/base/protocol/compression.cpp
@@ -44,8 +44,8 @@
 
 std::size_t unpacked_size(std::string_view bytes) {
     const unsigned long long size = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
-    const bool is_packed = size != ZSTD_CONTENTSIZE_ERROR && size != ZSTD_CONTENTSIZE_UNKNOWN;
-    return is_packed ? size : bytes.size();
+    const bool is_compressed = size != ZSTD_CONTENTSIZE_ERROR && size != ZSTD_CONTENTSIZE_UNKNOWN;
+    return is_compressed ? size : bytes.size();
 }
 
 std::string unpacked(std::string_view bytes) {
