--- a/src/tallyfold/base/protocol/stored_value.hpp
+++ b/src/tallyfold/base/protocol/stored_value.hpp
@@ -20,7 +20,7 @@
 constexpr std::uint64_t numbered_form_mark = 0xFFFF'FFFF'FFFF'FE00U;
 
 /// The form's number when the bytes begin with one.
-inline std::optional<std::uint8_t> numbered_form(std::string_view bytes) {
+inline std::optional<std::uint8_t> leading_format_number(std::string_view bytes) {
     std::uint64_t first = 0;
     if (bytes.size() < sizeof(first)) {
         return std::nullopt;
@@ -44,7 +44,7 @@
 /// without a number are told apart by their length: whichever reading ends with the bytes.
 template <class T>
 tl::expected<T, decode_error> decode_stored(std::string_view bytes) {
-    if (const auto number = numbered_form(bytes)) {
+    if (const auto number = leading_format_number(bytes)) {
         return tl::unexpected(decode_error{"its form has the number " + std::to_string(*number) +
                                                ", this build knows " + to_string(newest_format) +
                                                " and earlier ones",
