--- a/src/tallyfold/base/settings/settings_reader.cpp
+++ b/src/tallyfold/base/settings/settings_reader.cpp
@@ -23,7 +23,8 @@
     return !host.empty() && !failure && port != 0;
 }
 
-constexpr const char* address_reason = "must be an IP number and a port, like \"127.0.0.1:7000\"";
+constexpr const char* invalid_address_reason =
+    "must be an IP number and a port, like \"127.0.0.1:7000\"";
 
 }  // namespace
 
@@ -107,7 +108,7 @@
 std::string settings_reader::address(const std::string& key) {
     std::string value = text(key);
     if (!value.empty() && !is_ip_address(value)) {
-        problem(key, address_reason);
+        problem(key, invalid_address_reason);
     }
     return value;
 }
@@ -125,7 +126,7 @@
         const auto address = value.value<std::string>();
         const std::string full_key = key + "." + std::string(name.str());
         if (!address || !is_ip_address(*address)) {
-            problem(full_key, address_reason);
+            problem(full_key, invalid_address_reason);
             continue;
         }
         entries.emplace_back(std::string(name.str()), *address);
