--- a/src/tallyfold/base/storage/checksum.cpp
+++ b/src/tallyfold/base/storage/checksum.cpp
@@ -30,7 +30,7 @@
     return rest ^ all_ones;
 }
 
-bool has_instruction() {
+bool has_sse42() {
     static const bool has = __builtin_cpu_supports("sse4.2") != 0;
     return has;
 }
@@ -47,7 +47,7 @@
 
 std::uint32_t checksum(std::string_view bytes) {
 #if defined(__x86_64__)
-    if (has_instruction()) {
+    if (has_sse42()) {
         return checksum_sse42(bytes);
     }
 #endif
