--- a/src/tallyfold/base/storage/segmented_log.cpp
+++ b/src/tallyfold/base/storage/segmented_log.cpp
@@ -103,7 +103,7 @@
 }
 
 tl::expected<std::uint64_t, storage_error> segmented_log::write_replacement(
-    const std::string& path, const segment_pages& pages) {
+    const std::string& path, const segment_chunk_source& pages) {
     auto file = append_file::create(replacement_path(path));
     if (!file) {
         return tl::unexpected(file.error());
@@ -122,7 +122,7 @@
     return file->size();
 }
 
-tl::expected<void, storage_error> segmented_log::rewrite(const segment_pages& pages) {
+tl::expected<void, storage_error> segmented_log::rewrite(const segment_chunk_source& pages) {
     const std::string next = path_of(number_ + 1);
     const auto length = write_replacement(next, pages);
     if (!length) {
