--- a/src/tallyfold/base/storage/segmented_log.cpp
+++ b/src/tallyfold/base/storage/segmented_log.cpp
@@ -103,7 +103,7 @@
 }
 
 tl::expected<std::uint64_t, storage_error> segmented_log::write_replacement(
-    const std::string& path, const segment_chunk_source& pages) {
+    const std::string& path, const segment_chunk_source& next_chunk) {
     auto file = append_file::create(replacement_path(path));
     if (!file) {
         return tl::unexpected(file.error());
@@ -111,7 +111,7 @@
     bool more = true;
     while (more) {
         std::string bytes;
-        more = pages(bytes);
+        more = next_chunk(bytes);
         if (auto written = file->append(bytes); !written) {
             return tl::unexpected(written.error());
         }
@@ -122,9 +122,9 @@
     return file->size();
 }
 
-tl::expected<void, storage_error> segmented_log::rewrite(const segment_chunk_source& pages) {
+tl::expected<void, storage_error> segmented_log::rewrite(const segment_chunk_source& next_chunk) {
     const std::string next = path_of(number_ + 1);
-    const auto length = write_replacement(next, pages);
+    const auto length = write_replacement(next, next_chunk);
     if (!length) {
         return tl::unexpected(length.error());
     }
--- a/src/tallyfold/base/storage/segmented_log.hpp
+++ b/src/tallyfold/base/storage/segmented_log.hpp
@@ -35,7 +35,7 @@
     tl::expected<void, storage_error> append(std::string_view records);
     /// Begins a new segment, page by page, and removes the older ones. After an error the log may
     /// have failed.
-    tl::expected<void, storage_error> rewrite(const segment_chunk_source& pages);
+    tl::expected<void, storage_error> rewrite(const segment_chunk_source& next_chunk);
     /// True when the segment is large, and at least twice what it began with: the live records
     /// alone may be larger than `segment_bytes`, and writing them anew has to pay.
     [[nodiscard]] bool needs_rewrite() const;
@@ -48,8 +48,8 @@
 
   private:
     [[nodiscard]] std::string path_of(std::uint64_t number) const;
-    tl::expected<std::uint64_t, storage_error> write_replacement(const std::string& path,
-                                                                 const segment_chunk_source& pages);
+    tl::expected<std::uint64_t, storage_error> write_replacement(
+        const std::string& path, const segment_chunk_source& next_chunk);
     void remove_older();
 
     std::string folder_;
