--- a/src/tallyfold/base/storage/segmented_log.cpp
+++ b/src/tallyfold/base/storage/segmented_log.cpp
@@ -74,7 +74,7 @@
             return taken;
         }
     }
-    cut_bytes_ = records->tail_length();
+    truncated_bytes_ = records->tail_length();
     start_bytes_ = records->valid_length();
     auto file = append_file::open_at(path(), start_bytes_);
     if (!file) {
--- a/src/tallyfold/base/storage/segmented_log.hpp
+++ b/src/tallyfold/base/storage/segmented_log.hpp
@@ -42,7 +42,7 @@
     [[nodiscard]] bool failed() const { return failed_; }
 
     /// Bytes of a half-written tail that open() left out.
-    [[nodiscard]] std::uint64_t truncated_bytes() const { return cut_bytes_; }
+    [[nodiscard]] std::uint64_t truncated_bytes() const { return truncated_bytes_; }
     /// Path of the newest segment, for messages.
     [[nodiscard]] std::string path() const { return path_of(number_); }
 
@@ -58,7 +58,7 @@
     std::uint64_t number_ = 0;
     std::uint64_t start_bytes_ = 0;
     std::optional<append_file> file_;
-    std::uint64_t cut_bytes_ = 0;
+    std::uint64_t truncated_bytes_ = 0;
     bool failed_ = false;
 };
 
