--- a/src/tallyfold/base/storage/segmented_log.cpp
+++ b/src/tallyfold/base/storage/segmented_log.cpp
@@ -75,8 +75,8 @@
         }
     }
     truncated_bytes_ = records->tail_length();
-    start_bytes_ = records->valid_length();
-    auto file = append_file::open_at(path(), start_bytes_);
+    initial_bytes_ = records->valid_length();
+    auto file = append_file::open_at(path(), initial_bytes_);
     if (!file) {
         return tl::unexpected(file.error());
     }
@@ -99,7 +99,8 @@
 }
 
 bool segmented_log::needs_rewrite() const {
-    return file_.has_value() && file_->size() > segment_bytes_ && file_->size() > 2 * start_bytes_;
+    return file_.has_value() && file_->size() > segment_bytes_ &&
+           file_->size() > 2 * initial_bytes_;
 }
 
 tl::expected<std::uint64_t, storage_error> segmented_log::write_replacement(
@@ -140,7 +141,7 @@
     }
     file_.emplace(std::move(*file));
     ++number_;
-    start_bytes_ = *length;
+    initial_bytes_ = *length;
     failed_ = false;
     remove_older();
     return {};
--- a/src/tallyfold/base/storage/segmented_log.hpp
+++ b/src/tallyfold/base/storage/segmented_log.hpp
@@ -56,7 +56,7 @@
     std::string prefix_;
     std::uint64_t segment_bytes_;
     std::uint64_t number_ = 0;
-    std::uint64_t start_bytes_ = 0;
+    std::uint64_t initial_bytes_ = 0;
     std::optional<append_file> file_;
     std::uint64_t truncated_bytes_ = 0;
     bool failed_ = false;
