--- a/src/tallyfold/base/storage/segmented_log.cpp
+++ b/src/tallyfold/base/storage/segmented_log.cpp
@@ -15,7 +15,7 @@
 namespace fs = std::filesystem;
 
 /// Number in the name of a segment; 0 for other files.
-std::uint64_t number_in(std::string_view name, std::string_view prefix) {
+std::uint64_t segment_number(std::string_view name, std::string_view prefix) {
     if (!name.starts_with(prefix)) {
         return 0;
     }
@@ -53,7 +53,7 @@
     tail_policy tail,
     const std::function<tl::expected<void, storage_error>(std::string_view payload)>& on_payload) {
     for (const auto& entry : fs::directory_iterator(folder_)) {
-        number_ = std::max(number_, number_in(entry.path().filename().string(), prefix_));
+        number_ = std::max(number_, segment_number(entry.path().filename().string(), prefix_));
     }
     if (number_ == 0) {
         return rewrite([](std::string&) { return false; });
@@ -149,7 +149,7 @@
 
 void segmented_log::remove_older() {
     remove_files(folder_, [this](const std::string& name) {
-        const std::uint64_t number = number_in(name, prefix_);
+        const std::uint64_t number = segment_number(name, prefix_);
         const bool unfinished = name.starts_with(prefix_) && name.ends_with(".tmp");
         return unfinished || (number > 0 && number < number_);
     });
