--- a/src/tallyfold/base/storage/segmented_log.cpp
+++ b/src/tallyfold/base/storage/segmented_log.cpp
@@ -81,7 +81,7 @@
         return tl::unexpected(file.error());
     }
     file_.emplace(std::move(*file));
-    remove_older();
+    remove_older_segments();
     return {};
 }
 
@@ -143,11 +143,11 @@
     ++number_;
     initial_bytes_ = *length;
     failed_ = false;
-    remove_older();
+    remove_older_segments();
     return {};
 }
 
-void segmented_log::remove_older() {
+void segmented_log::remove_older_segments() {
     remove_files(folder_, [this](const std::string& name) {
         const std::uint64_t number = segment_number(name, prefix_);
         const bool unfinished = name.starts_with(prefix_) && name.ends_with(".tmp");
--- a/src/tallyfold/base/storage/segmented_log.hpp
+++ b/src/tallyfold/base/storage/segmented_log.hpp
@@ -50,7 +50,7 @@
     [[nodiscard]] std::string path_of(std::uint64_t number) const;
     tl::expected<std::uint64_t, storage_error> write_replacement(
         const std::string& path, const segment_chunk_source& next_chunk);
-    void remove_older();
+    void remove_older_segments();
 
     std::string folder_;
     std::string prefix_;
