--- a/src/tallyfold/consensus/follower_reads.cpp
+++ b/src/tallyfold/consensus/follower_reads.cpp
@@ -8,7 +8,7 @@
     unasked_.push_back({token, now});
 }
 
-std::optional<std::uint64_t> follower_reads::next_question(instant now, duration repeat_after) {
+std::optional<std::uint64_t> follower_reads::next_request_id(instant now, duration repeat_after) {
     if (!asked_.empty()) {
         if (now - sent_ < repeat_after) {
             return std::nullopt;
--- a/src/tallyfold/consensus/follower_reads.hpp
+++ b/src/tallyfold/consensus/follower_reads.hpp
@@ -24,7 +24,7 @@
     void add(std::uint64_t token, instant now);
     /// The question that is to be sent to the leader now: a new one when none is under way and
     /// reads wait, or the one under way again when it was sent `repeat_after` ago.
-    std::optional<std::uint64_t> next_question(instant now, duration repeat_after);
+    std::optional<std::uint64_t> next_request_id(instant now, duration repeat_after);
     /// The leader's answer; one to another question is ignored.
     void answered(std::uint64_t question, log_index commit_index);
     /// Takes out the reads that the log, committed up to `commit_index`, confirms.
--- a/src/tallyfold/consensus/replica_reads.cpp
+++ b/src/tallyfold/consensus/replica_reads.cpp
@@ -48,7 +48,7 @@
     if (leader_ == no_replica || role_ == replica_role::leader) {
         return;
     }
-    if (const auto question = follower_reads_.next_question(now, settings_.heartbeat_interval)) {
+    if (const auto question = follower_reads_.next_request_id(now, settings_.heartbeat_interval)) {
         send(leader_, read_index_request{*question}, false);
     }
 }
--- a/tests/consensus/follower_reads_test.cpp
+++ b/tests/consensus/follower_reads_test.cpp
@@ -22,10 +22,10 @@
         follower_reads reads(100);
         reads.add(1, now_);
         reads.add(2, now_);
-        const auto question = reads.next_question(now_, repeat);
+        const auto question = reads.next_request_id(now_, repeat);
         CPPUNIT_ASSERT(question.has_value());
-        CPPUNIT_ASSERT(!reads.next_question(now_, repeat).has_value());
-        CPPUNIT_ASSERT(question == reads.next_question(now_ + repeat, repeat));
+        CPPUNIT_ASSERT(!reads.next_request_id(now_, repeat).has_value());
+        CPPUNIT_ASSERT(question == reads.next_request_id(now_ + repeat, repeat));
         reads.answered(*question, 9);
         CPPUNIT_ASSERT(reads.take_confirmed(8).empty());
         CPPUNIT_ASSERT(reads.take_confirmed(9) == tokens({1, 2}));
@@ -35,11 +35,11 @@
     void a_read_that_came_after_the_question_needs_the_next() {
         follower_reads reads(100);
         reads.add(1, now_);
-        const auto first = reads.next_question(now_, repeat);
+        const auto first = reads.next_request_id(now_, repeat);
         reads.add(2, now_);
         reads.answered(*first, 9);
         CPPUNIT_ASSERT(reads.take_confirmed(9) == tokens({1}));
-        const auto second = reads.next_question(now_, repeat);
+        const auto second = reads.next_request_id(now_, repeat);
         CPPUNIT_ASSERT(second.has_value() && second != first);
         // The same answer once more, late.
         reads.answered(*first, 12);
@@ -49,10 +49,10 @@
     void an_answer_to_an_earlier_life_confirms_nothing() {
         follower_reads before(100);
         before.add(1, now_);
-        const auto question = before.next_question(now_, repeat);
+        const auto question = before.next_request_id(now_, repeat);
         follower_reads after(7'000);
         after.add(2, now_);
-        CPPUNIT_ASSERT(after.next_question(now_, repeat).has_value());
+        CPPUNIT_ASSERT(after.next_request_id(now_, repeat).has_value());
         after.answered(*question, 9);
         CPPUNIT_ASSERT(after.take_confirmed(9).empty());
     }
@@ -60,7 +60,7 @@
     void what_nobody_answers_expires() {
         follower_reads reads(100);
         reads.add(1, now_);
-        reads.next_question(now_, repeat);
+        reads.next_request_id(now_, repeat);
         reads.add(2, now_ + repeat);
         CPPUNIT_ASSERT(reads.take_expired(now_ + repeat, repeat).empty());
         CPPUNIT_ASSERT(reads.take_expired(now_ + repeat * 3 / 2, repeat) == tokens({1}));
