--- a/src/tallyfold/consensus/follower_reads.cpp
+++ b/src/tallyfold/consensus/follower_reads.cpp
@@ -14,18 +14,18 @@
             return std::nullopt;
         }
         sent_ = now;
-        return question_;
+        return request_id_;
     }
     if (unasked_.empty()) {
         return std::nullopt;
     }
     std::swap(asked_, unasked_);
     sent_ = now;
-    return ++question_;
+    return ++request_id_;
 }
 
 void follower_reads::answered(std::uint64_t question, log_index commit_index) {
-    if (question != question_) {
+    if (question != request_id_) {
         return;
     }
     for (const read& each : asked_) {
--- a/src/tallyfold/consensus/follower_reads.hpp
+++ b/src/tallyfold/consensus/follower_reads.hpp
@@ -18,7 +18,7 @@
   public:
     /// @param first drawn anew in each life of the replica: an answer to a question of an earlier
     /// life, which may still be under way, must not pass for one to a question of this life
-    explicit follower_reads(std::uint64_t first) : question_(first) {}
+    explicit follower_reads(std::uint64_t first) : request_id_(first) {}
 
     /// A read under the caller's number.
     void add(std::uint64_t token, instant now);
@@ -45,7 +45,7 @@
     std::vector<read> asked_;
     /// Those that wait for the log, by position.
     std::multimap<log_index, read> answered_;
-    std::uint64_t question_;
+    std::uint64_t request_id_;
     instant sent_{};
 };
 
