--- a/src/tallyfold/consensus/follower_reads.cpp
+++ b/src/tallyfold/consensus/follower_reads.cpp
@@ -24,8 +24,8 @@
     return ++request_id_;
 }
 
-void follower_reads::answered(std::uint64_t question, log_index commit_index) {
-    if (question != request_id_) {
+void follower_reads::answered(std::uint64_t request_id, log_index commit_index) {
+    if (request_id != request_id_) {
         return;
     }
     for (const read& each : asked_) {
