--- a/src/tallyfold/consensus/follower_reads.cpp
+++ b/src/tallyfold/consensus/follower_reads.cpp
@@ -24,7 +24,7 @@
     return ++request_id_;
 }
 
-void follower_reads::answered(std::uint64_t request_id, log_index commit_index) {
+void follower_reads::on_reply(std::uint64_t request_id, log_index commit_index) {
     if (request_id != request_id_) {
         return;
     }
--- a/src/tallyfold/consensus/follower_reads.hpp
+++ b/src/tallyfold/consensus/follower_reads.hpp
@@ -26,7 +26,7 @@
     /// reads wait, or the one under way again when it was sent `repeat_after` ago.
     std::optional<std::uint64_t> next_request_id(instant now, duration repeat_after);
     /// The leader's answer; one to another question is ignored.
-    void answered(std::uint64_t request_id, log_index commit_index);
+    void on_reply(std::uint64_t request_id, log_index commit_index);
     /// Takes out the reads that the log, committed up to `commit_index`, confirms.
     std::vector<std::uint64_t> take_confirmed(log_index commit_index);
     /// Takes out the reads that have waited for longer than `limit`.
--- a/src/tallyfold/consensus/replica_reads.cpp
+++ b/src/tallyfold/consensus/replica_reads.cpp
@@ -65,7 +65,7 @@
     if (message.from != leader_) {
         return;
     }
-    follower_reads_.answered(body.question, body.commit_index);
+    follower_reads_.on_reply(body.question, body.commit_index);
     confirm_follower_reads();
 }
 
--- a/tests/consensus/follower_reads_test.cpp
+++ b/tests/consensus/follower_reads_test.cpp
@@ -26,7 +26,7 @@
         CPPUNIT_ASSERT(question.has_value());
         CPPUNIT_ASSERT(!reads.next_request_id(now_, repeat).has_value());
         CPPUNIT_ASSERT(question == reads.next_request_id(now_ + repeat, repeat));
-        reads.answered(*question, 9);
+        reads.on_reply(*question, 9);
         CPPUNIT_ASSERT(reads.take_confirmed(8).empty());
         CPPUNIT_ASSERT(reads.take_confirmed(9) == tokens({1, 2}));
         CPPUNIT_ASSERT(reads.take_confirmed(9).empty());
@@ -37,12 +37,12 @@
         reads.add(1, now_);
         const auto first = reads.next_request_id(now_, repeat);
         reads.add(2, now_);
-        reads.answered(*first, 9);
+        reads.on_reply(*first, 9);
         CPPUNIT_ASSERT(reads.take_confirmed(9) == tokens({1}));
         const auto second = reads.next_request_id(now_, repeat);
         CPPUNIT_ASSERT(second.has_value() && second != first);
         // The same answer once more, late.
-        reads.answered(*first, 12);
+        reads.on_reply(*first, 12);
         CPPUNIT_ASSERT(reads.take_confirmed(12).empty());
     }
 
@@ -53,7 +53,7 @@
         follower_reads after(7'000);
         after.add(2, now_);
         CPPUNIT_ASSERT(after.next_request_id(now_, repeat).has_value());
-        after.answered(*question, 9);
+        after.on_reply(*question, 9);
         CPPUNIT_ASSERT(after.take_confirmed(9).empty());
     }
 
