--- a/src/tallyfold/consensus/follower_reads.cpp
+++ b/src/tallyfold/consensus/follower_reads.cpp
@@ -29,18 +29,18 @@
         return;
     }
     for (const read& each : asked_) {
-        answered_.emplace(commit_index, each);
+        awaiting_commit_.emplace(commit_index, each);
     }
     asked_.clear();
 }
 
 std::vector<std::uint64_t> follower_reads::take_confirmed(log_index commit_index) {
     std::vector<std::uint64_t> tokens;
-    const auto end = answered_.upper_bound(commit_index);
-    for (auto each = answered_.begin(); each != end; ++each) {
+    const auto end = awaiting_commit_.upper_bound(commit_index);
+    for (auto each = awaiting_commit_.begin(); each != end; ++each) {
         tokens.push_back(each->second.token);
     }
-    answered_.erase(answered_.begin(), end);
+    awaiting_commit_.erase(awaiting_commit_.begin(), end);
     return tokens;
 }
 
@@ -55,7 +55,7 @@
     };
     std::erase_if(unasked_, expired);
     std::erase_if(asked_, expired);
-    std::erase_if(answered_, [&](const auto& entry) { return expired(entry.second); });
+    std::erase_if(awaiting_commit_, [&](const auto& entry) { return expired(entry.second); });
     return tokens;
 }
 
@@ -67,12 +67,12 @@
     for (const read& each : asked_) {
         tokens.push_back(each.token);
     }
-    for (const auto& [position, each] : answered_) {
+    for (const auto& [position, each] : awaiting_commit_) {
         tokens.push_back(each.token);
     }
     unasked_.clear();
     asked_.clear();
-    answered_.clear();
+    awaiting_commit_.clear();
     return tokens;
 }
 
--- a/src/tallyfold/consensus/follower_reads.hpp
+++ b/src/tallyfold/consensus/follower_reads.hpp
@@ -44,7 +44,7 @@
     /// Those that the question under way is for.
     std::vector<read> asked_;
     /// Those that wait for the log, by position.
-    std::multimap<log_index, read> answered_;
+    std::multimap<log_index, read> awaiting_commit_;
     std::uint64_t request_id_;
     instant sent_{};
 };
