--- a/src/tallyfold/consensus/follower_reads.cpp
+++ b/src/tallyfold/consensus/follower_reads.cpp
@@ -5,7 +5,7 @@
 namespace tallyfold::consensus {
 
 void follower_reads::add(std::uint64_t token, instant now) {
-    unasked_.push_back({token, now});
+    queued_.push_back({token, now});
 }
 
 std::optional<std::uint64_t> follower_reads::next_request_id(instant now, duration repeat_after) {
@@ -16,10 +16,10 @@
         sent_ = now;
         return request_id_;
     }
-    if (unasked_.empty()) {
+    if (queued_.empty()) {
         return std::nullopt;
     }
-    std::swap(asked_, unasked_);
+    std::swap(asked_, queued_);
     sent_ = now;
     return ++request_id_;
 }
@@ -53,7 +53,7 @@
         }
         return late;
     };
-    std::erase_if(unasked_, expired);
+    std::erase_if(queued_, expired);
     std::erase_if(asked_, expired);
     std::erase_if(awaiting_commit_, [&](const auto& entry) { return expired(entry.second); });
     return tokens;
@@ -61,7 +61,7 @@
 
 std::vector<std::uint64_t> follower_reads::take_all() {
     std::vector<std::uint64_t> tokens;
-    for (const read& each : unasked_) {
+    for (const read& each : queued_) {
         tokens.push_back(each.token);
     }
     for (const read& each : asked_) {
@@ -70,7 +70,7 @@
     for (const auto& [position, each] : awaiting_commit_) {
         tokens.push_back(each.token);
     }
-    unasked_.clear();
+    queued_.clear();
     asked_.clear();
     awaiting_commit_.clear();
     return tokens;
--- a/src/tallyfold/consensus/follower_reads.hpp
+++ b/src/tallyfold/consensus/follower_reads.hpp
@@ -40,7 +40,7 @@
         instant since{};
     };
 
-    std::vector<read> unasked_;
+    std::vector<read> queued_;
     /// Those that the question under way is for.
     std::vector<read> asked_;
     /// Those that wait for the log, by position.
