--- a/src/tallyfold/consensus/follower_reads.cpp
+++ b/src/tallyfold/consensus/follower_reads.cpp
@@ -9,7 +9,7 @@
 }
 
 std::optional<std::uint64_t> follower_reads::next_request_id(instant now, duration repeat_after) {
-    if (!asked_.empty()) {
+    if (!in_flight_reads_.empty()) {
         if (now - sent_ < repeat_after) {
             return std::nullopt;
         }
@@ -19,7 +19,7 @@
     if (queued_.empty()) {
         return std::nullopt;
     }
-    std::swap(asked_, queued_);
+    std::swap(in_flight_reads_, queued_);
     sent_ = now;
     return ++request_id_;
 }
@@ -28,10 +28,10 @@
     if (request_id != request_id_) {
         return;
     }
-    for (const read& each : asked_) {
+    for (const read& each : in_flight_reads_) {
         awaiting_commit_.emplace(commit_index, each);
     }
-    asked_.clear();
+    in_flight_reads_.clear();
 }
 
 std::vector<std::uint64_t> follower_reads::take_confirmed(log_index commit_index) {
@@ -54,7 +54,7 @@
         return late;
     };
     std::erase_if(queued_, expired);
-    std::erase_if(asked_, expired);
+    std::erase_if(in_flight_reads_, expired);
     std::erase_if(awaiting_commit_, [&](const auto& entry) { return expired(entry.second); });
     return tokens;
 }
@@ -64,14 +64,14 @@
     for (const read& each : queued_) {
         tokens.push_back(each.token);
     }
-    for (const read& each : asked_) {
+    for (const read& each : in_flight_reads_) {
         tokens.push_back(each.token);
     }
     for (const auto& [position, each] : awaiting_commit_) {
         tokens.push_back(each.token);
     }
     queued_.clear();
-    asked_.clear();
+    in_flight_reads_.clear();
     awaiting_commit_.clear();
     return tokens;
 }
--- a/src/tallyfold/consensus/follower_reads.hpp
+++ b/src/tallyfold/consensus/follower_reads.hpp
@@ -42,7 +42,7 @@
 
     std::vector<read> queued_;
     /// Those that the question under way is for.
-    std::vector<read> asked_;
+    std::vector<read> in_flight_reads_;
     /// Those that wait for the log, by position.
     std::multimap<log_index, read> awaiting_commit_;
     std::uint64_t request_id_;
