--- a/src/tallyfold/consensus/follower_reads.cpp
+++ b/src/tallyfold/consensus/follower_reads.cpp
@@ -8,9 +8,10 @@
     queued_.push_back({token, now});
 }
 
-std::optional<std::uint64_t> follower_reads::next_request_id(instant now, duration repeat_after) {
+std::optional<std::uint64_t> follower_reads::next_request_id(instant now,
+                                                             duration resend_interval) {
     if (!in_flight_reads_.empty()) {
-        if (now - sent_ < repeat_after) {
+        if (now - sent_ < resend_interval) {
             return std::nullopt;
         }
         sent_ = now;
--- a/src/tallyfold/consensus/follower_reads.hpp
+++ b/src/tallyfold/consensus/follower_reads.hpp
@@ -23,8 +23,8 @@
     /// A read under the caller's number.
     void add(std::uint64_t token, instant now);
     /// The question that is to be sent to the leader now: a new one when none is under way and
-    /// reads wait, or the one under way again when it was sent `repeat_after` ago.
-    std::optional<std::uint64_t> next_request_id(instant now, duration repeat_after);
+    /// reads wait, or the one under way again when it was sent `resend_interval` ago.
+    std::optional<std::uint64_t> next_request_id(instant now, duration resend_interval);
     /// The leader's answer; one to another question is ignored.
     void on_reply(std::uint64_t request_id, log_index commit_index);
     /// Takes out the reads that the log, committed up to `commit_index`, confirms.
