--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -18,7 +18,7 @@
     election_deadline_ = now + duration(random_.between(base, 2 * base));
 }
 
-void replica_fsm::step_down_if_cut_off(instant now) {
+void replica_fsm::step_down_without_quorum(instant now) {
     // A leader that has not heard from a quorum for a whole election timeout may have been
     // replaced: it stops leading, so that nobody waits on it.
     std::size_t reachable = 0;
--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -32,7 +32,7 @@
 
 void replica_fsm::tick(instant now) {
     if (role_ == replica_role::leader) {
-        step_down_if_cut_off(now);
+        step_down_without_quorum(now);
     }
     if (role_ == replica_role::leader) {
         if (now >= heartbeat_due_) {
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -180,7 +180,7 @@
     void fail_reads(const std::vector<std::uint64_t>& tokens);
     /// The newest round that a quorum of voters has acknowledged.
     [[nodiscard]] std::uint64_t confirmed_round() const;
-    void step_down_if_cut_off(instant now);
+    void step_down_without_quorum(instant now);
     [[nodiscard]] bool log_is_current(log_index last_index, term_number last_term) const;
     [[nodiscard]] bool heard_from_leader_recently(instant now) const;
     [[nodiscard]] bool is_voter() const { return members().is_voter(settings_.self); }
