--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -106,7 +106,7 @@
     return last_index >= log_.last_index();
 }
 
-bool replica_fsm::heard_from_leader_recently(instant now) const {
+bool replica_fsm::has_recent_leader_contact(instant now) const {
     if (role_ == replica_role::leader) {
         return true;
     }
@@ -123,7 +123,7 @@
     const bool entitled = !members().members.empty();
     if (body.pre_vote) {
         const bool granted =
-            entitled && current && message.term > state_.term && !heard_from_leader_recently(now);
+            entitled && current && message.term > state_.term && !has_recent_leader_contact(now);
         send(message.from, vote_reply{true, granted}, false);
         if (granted) {
             ready_.messages_before_sync.back().term = message.term;
--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -77,7 +77,7 @@
     }
     if (const auto* request = std::get_if<vote_request>(&message.body)) {
         // Neither a pre-vote nor a vote asked for while a leader is alive moves the term.
-        return !request->pre_vote && !heard_from_leader_recently(now);
+        return !request->pre_vote && !has_recent_leader_contact(now);
     }
     if (const auto* reply = std::get_if<vote_reply>(&message.body)) {
         return !(reply->pre_vote && reply->granted);
