--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -111,7 +111,7 @@
         return true;
     }
     return heard_leader_ever_ && leader_ != no_replica &&
-           now - leader_heard_ < settings_.election_timeout;
+           now - last_leader_contact_ < settings_.election_timeout;
 }
 
 void replica_fsm::on_vote_request(const replica_message& message, const vote_request& body,
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -200,7 +200,7 @@
     log_index persisted_index_ = 0;
     instant election_deadline_{};
     instant heartbeat_due_{};
-    instant leader_heard_{};
+    instant last_leader_contact_{};
     bool heard_leader_ever_ = false;
 
     std::set<replica_id> votes_;
--- a/src/tallyfold/consensus/replica_membership.cpp
+++ b/src/tallyfold/consensus/replica_membership.cpp
@@ -37,7 +37,7 @@
     }
     append_own(entry_kind::membership, protocol::encode(next));
     for (const auto& [id, member] : members().members) {
-        progress_.try_emplace(id, log_.last_index(), leader_heard_);
+        progress_.try_emplace(id, log_.last_index(), last_leader_contact_);
     }
     broadcast_append(false);
     return log_.last_index();
--- a/src/tallyfold/consensus/replica_replication.cpp
+++ b/src/tallyfold/consensus/replica_replication.cpp
@@ -10,7 +10,7 @@
 
 void replica_fsm::follow(const replica_message& message, instant now) {
     become_follower(message.term, message.from);
-    leader_heard_ = now;
+    last_leader_contact_ = now;
     heard_leader_ever_ = true;
     reset_election_deadline(now);
 }
