--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -110,7 +110,7 @@
     if (role_ == replica_role::leader) {
         return true;
     }
-    return heard_leader_ever_ && leader_ != no_replica &&
+    return has_had_leader_contact_ && leader_ != no_replica &&
            now - last_leader_contact_ < settings_.election_timeout;
 }
 
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -201,7 +201,7 @@
     instant election_deadline_{};
     instant heartbeat_due_{};
     instant last_leader_contact_{};
-    bool heard_leader_ever_ = false;
+    bool has_had_leader_contact_ = false;
 
     std::set<replica_id> votes_;
     std::map<replica_id, replica_progress> progress_;
--- a/src/tallyfold/consensus/replica_replication.cpp
+++ b/src/tallyfold/consensus/replica_replication.cpp
@@ -11,7 +11,7 @@
 void replica_fsm::follow(const replica_message& message, instant now) {
     become_follower(message.term, message.from);
     last_leader_contact_ = now;
-    heard_leader_ever_ = true;
+    has_had_leader_contact_ = true;
     reset_election_deadline(now);
 }
 
