--- a/src/tallyfold/consensus/replica_progress.cpp
+++ b/src/tallyfold/consensus/replica_progress.cpp
@@ -4,7 +4,7 @@
 
 namespace tallyfold::consensus {
 
-void replica_progress::heard(std::uint64_t round, instant now) {
+void replica_progress::record_reply(std::uint64_t round, instant now) {
     last_heard_ = now;
     acknowledged_round_ = std::max(acknowledged_round_, round);
 }
--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -27,7 +27,7 @@
     [[nodiscard]] instant last_heard() const { return last_heard_; }
 
     /// It has answered in `round`.
-    void heard(std::uint64_t round, instant now);
+    void record_reply(std::uint64_t round, instant now);
     /// Entries up to `last_index` went out, with so many bytes of payload.
     void sent(log_index last_index, std::size_t bytes);
     /// Its log matches up to `index`.
--- a/src/tallyfold/consensus/replica_replication.cpp
+++ b/src/tallyfold/consensus/replica_replication.cpp
@@ -67,7 +67,7 @@
         return;
     }
     replica_progress& peer = found->second;
-    peer.heard(body.round, now);
+    peer.record_reply(body.round, now);
     if (body.accepted) {
         peer.matched(body.match_index);
         advance_commit();
