--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -24,7 +24,7 @@
     /// The last entry that is known to be durable there.
     [[nodiscard]] log_index match_index() const { return match_index_; }
     [[nodiscard]] std::uint64_t acknowledged_round() const { return acknowledged_round_; }
-    [[nodiscard]] instant last_heard() const { return last_heard_; }
+    [[nodiscard]] instant last_contact() const { return last_heard_; }
 
     /// It has answered in `round`.
     void record_reply(std::uint64_t round, instant now);
