--- a/src/tallyfold/consensus/replica_progress.cpp
+++ b/src/tallyfold/consensus/replica_progress.cpp
@@ -5,7 +5,7 @@
 namespace tallyfold::consensus {
 
 void replica_progress::record_reply(std::uint64_t round, instant now) {
-    last_heard_ = now;
+    last_contact_ = now;
     acknowledged_round_ = std::max(acknowledged_round_, round);
 }
 
--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -17,14 +17,14 @@
   public:
     replica_progress() = default;
     replica_progress(log_index next_index, instant heard)
-        : next_index_(next_index), last_heard_(heard) {}
+        : next_index_(next_index), last_contact_(heard) {}
 
     /// The first entry that is to be sent next.
     [[nodiscard]] log_index next_index() const { return next_index_; }
     /// The last entry that is known to be durable there.
     [[nodiscard]] log_index match_index() const { return match_index_; }
     [[nodiscard]] std::uint64_t acknowledged_round() const { return acknowledged_round_; }
-    [[nodiscard]] instant last_contact() const { return last_heard_; }
+    [[nodiscard]] instant last_contact() const { return last_contact_; }
 
     /// It has answered in `round`.
     void record_reply(std::uint64_t round, instant now);
@@ -53,7 +53,7 @@
     log_index match_index_ = 0;
     std::uint64_t acknowledged_round_ = 0;
     std::uint64_t repeat_round_ = 0;
-    instant last_heard_{};
+    instant last_contact_{};
     std::deque<unanswered_entries> unanswered_;
     std::size_t unanswered_bytes_ = 0;
 };
