--- a/src/tallyfold/consensus/replica_progress.cpp
+++ b/src/tallyfold/consensus/replica_progress.cpp
@@ -9,7 +9,7 @@
     acknowledged_round_ = std::max(acknowledged_round_, round);
 }
 
-void replica_progress::sent(log_index last_index, std::size_t bytes) {
+void replica_progress::record_sent(log_index last_index, std::size_t bytes) {
     unanswered_.push_back({last_index, bytes});
     unanswered_bytes_ += bytes;
     next_index_ = last_index + 1;
--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -29,7 +29,7 @@
     /// It has answered in `round`.
     void record_reply(std::uint64_t round, instant now);
     /// Entries up to `last_index` went out, with so many bytes of payload.
-    void sent(log_index last_index, std::size_t bytes);
+    void record_sent(log_index last_index, std::size_t bytes);
     /// Its log matches up to `index`.
     void matched(log_index index);
     /// The next message begins at `index`, with nothing taken to be under way.
--- a/src/tallyfold/consensus/replica_replication.cpp
+++ b/src/tallyfold/consensus/replica_replication.cpp
@@ -122,7 +122,7 @@
         for (const log_entry& entry : request.entries) {
             bytes += entry.payload.size();
         }
-        peer.sent(request.entries.back().index, bytes);
+        peer.record_sent(request.entries.back().index, bytes);
     }
     send(to, std::move(request), false);
 }
