--- a/src/tallyfold/consensus/replica_progress.cpp
+++ b/src/tallyfold/consensus/replica_progress.cpp
@@ -15,7 +15,7 @@
     next_index_ = last_index + 1;
 }
 
-void replica_progress::matched(log_index index) {
+void replica_progress::record_match(log_index index) {
     match_index_ = std::max(match_index_, index);
     next_index_ = std::max(next_index_, match_index_ + 1);
     while (!unanswered_.empty() && unanswered_.front().last_index <= match_index_) {
--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -31,7 +31,7 @@
     /// Entries up to `last_index` went out, with so many bytes of payload.
     void record_sent(log_index last_index, std::size_t bytes);
     /// Its log matches up to `index`.
-    void matched(log_index index);
+    void record_match(log_index index);
     /// The next message begins at `index`, with nothing taken to be under way.
     void go_on_at(log_index index) { next_index_ = index; }
     /// True when a rejection of `round` answers something sent after the last repeat. One of an
--- a/src/tallyfold/consensus/replica_replication.cpp
+++ b/src/tallyfold/consensus/replica_replication.cpp
@@ -69,7 +69,7 @@
     replica_progress& peer = found->second;
     peer.record_reply(body.round, now);
     if (body.accepted) {
-        peer.matched(body.match_index);
+        peer.record_match(body.match_index);
         advance_commit();
         if (peer.next_index() <= log_.last_index()) {
             send_append(message.from, false);
