--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -33,7 +33,7 @@
     /// Its log matches up to `index`.
     void record_match(log_index index);
     /// The next message begins at `index`, with nothing taken to be under way.
-    void go_on_at(log_index index) { next_index_ = index; }
+    void set_next_index(log_index index) { next_index_ = index; }
     /// True when a rejection of `round` answers something sent after the last repeat. One of an
     /// earlier round was already answered by that repeat: another would only fill the connection.
     [[nodiscard]] bool wants_repeat(std::uint64_t round) const { return round >= repeat_round_; }
--- a/src/tallyfold/consensus/replica_replication.cpp
+++ b/src/tallyfold/consensus/replica_replication.cpp
@@ -100,10 +100,10 @@
 
 void replica_fsm::send_append(replica_id to, bool allow_empty) {
     replica_progress& peer = progress_[to];
-    peer.go_on_at(std::min(peer.next_index(), log_.last_index() + 1));
+    peer.set_next_index(std::min(peer.next_index(), log_.last_index() + 1));
     const std::optional<term_number> previous_term = log_.term_at(peer.next_index() - 1);
     if (!previous_term.has_value()) {
-        peer.go_on_at(latest_snapshot_.index + 1);
+        peer.set_next_index(latest_snapshot_.index + 1);
         send(to, snapshot_request{round_, latest_snapshot_}, false);
         return;
     }
