--- a/src/tallyfold/consensus/replica_progress.cpp
+++ b/src/tallyfold/consensus/replica_progress.cpp
@@ -24,7 +24,7 @@
     }
 }
 
-void replica_progress::repeat_from(log_index index, std::uint64_t round) {
+void replica_progress::resend_from(log_index index, std::uint64_t round) {
     next_index_ = index;
     repeat_round_ = round;
     unanswered_.clear();
--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -38,7 +38,7 @@
     /// earlier round was already answered by that repeat: another would only fill the connection.
     [[nodiscard]] bool needs_resend(std::uint64_t round) const { return round >= repeat_round_; }
     /// Everything from `index` on is sent again, in a round of its own.
-    void repeat_from(log_index index, std::uint64_t round);
+    void resend_from(log_index index, std::uint64_t round);
     /// True when a further entry of `bytes` may go out beside `planned` bytes of the same message.
     [[nodiscard]] bool has_room(std::size_t bytes, std::size_t planned, std::size_t most) const;
 
--- a/src/tallyfold/consensus/replica_replication.cpp
+++ b/src/tallyfold/consensus/replica_replication.cpp
@@ -76,7 +76,7 @@
         }
     } else if (peer.needs_resend(body.round)) {
         // A round of its own tells the answers to the repeat from those to what went before it.
-        peer.repeat_from(std::max(peer.match_index(), body.match_index) + 1, ++round_);
+        peer.resend_from(std::max(peer.match_index(), body.match_index) + 1, ++round_);
         send_append(message.from, true);
     }
     confirm_reads(now);
