--- a/src/tallyfold/consensus/replica_progress.cpp
+++ b/src/tallyfold/consensus/replica_progress.cpp
@@ -26,7 +26,7 @@
 
 void replica_progress::resend_from(log_index index, std::uint64_t round) {
     next_index_ = index;
-    repeat_round_ = round;
+    resend_round_ = round;
     unanswered_.clear();
     unanswered_bytes_ = 0;
 }
--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -36,7 +36,7 @@
     void set_next_index(log_index index) { next_index_ = index; }
     /// True when a rejection of `round` answers something sent after the last repeat. One of an
     /// earlier round was already answered by that repeat: another would only fill the connection.
-    [[nodiscard]] bool needs_resend(std::uint64_t round) const { return round >= repeat_round_; }
+    [[nodiscard]] bool needs_resend(std::uint64_t round) const { return round >= resend_round_; }
     /// Everything from `index` on is sent again, in a round of its own.
     void resend_from(log_index index, std::uint64_t round);
     /// True when a further entry of `bytes` may go out beside `planned` bytes of the same message.
@@ -52,7 +52,7 @@
     log_index next_index_ = 1;
     log_index match_index_ = 0;
     std::uint64_t acknowledged_round_ = 0;
-    std::uint64_t repeat_round_ = 0;
+    std::uint64_t resend_round_ = 0;
     instant last_contact_{};
     std::deque<unanswered_entries> unanswered_;
     std::size_t unanswered_bytes_ = 0;
