--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -44,7 +44,7 @@
 
   private:
     /// Entries of one message that it has not answered for.
-    struct unanswered_entries {
+    struct in_flight_message {
         log_index last_index = 0;
         std::size_t bytes = 0;
     };
@@ -54,7 +54,7 @@
     std::uint64_t acknowledged_round_ = 0;
     std::uint64_t resend_round_ = 0;
     instant last_contact_{};
-    std::deque<unanswered_entries> unanswered_;
+    std::deque<in_flight_message> unanswered_;
     std::size_t unanswered_bytes_ = 0;
 };
 
