--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -55,7 +55,7 @@
     std::uint64_t resend_round_ = 0;
     instant last_contact_{};
     std::deque<in_flight_message> in_flight_;
-    std::size_t unanswered_bytes_ = 0;
+    std::size_t in_flight_bytes_ = 0;
 };
 
 }  // namespace tallyfold::consensus
