--- a/src/tallyfold/consensus/replica_progress.cpp
+++ b/src/tallyfold/consensus/replica_progress.cpp
@@ -31,10 +31,11 @@
     in_flight_bytes_ = 0;
 }
 
-bool replica_progress::has_room(std::size_t bytes, std::size_t planned, std::size_t most) const {
+bool replica_progress::has_room(std::size_t bytes, std::size_t planned,
+                                std::size_t max_in_flight_bytes) const {
     // One entry goes out however large it is.
     const bool alone = in_flight_.empty() && planned == 0;
-    return alone || in_flight_bytes_ + planned + bytes <= most;
+    return alone || in_flight_bytes_ + planned + bytes <= max_in_flight_bytes;
 }
 
 }  // namespace tallyfold::consensus
--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -40,7 +40,8 @@
     /// Everything from `index` on is sent again, in a round of its own.
     void resend_from(log_index index, std::uint64_t round);
     /// True when a further entry of `bytes` may go out beside `planned` bytes of the same message.
-    [[nodiscard]] bool has_room(std::size_t bytes, std::size_t planned, std::size_t most) const;
+    [[nodiscard]] bool has_room(std::size_t bytes, std::size_t planned,
+                                std::size_t max_in_flight_bytes) const;
 
   private:
     /// Entries of one message that it has not answered for.
