--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -41,7 +41,7 @@
         begin_round_for_reads(now);
         return;
     }
-    ask_leader_for_reads(now);
+    request_read_index(now);
     if (now >= election_deadline_ && is_voter()) {
         start_pre_vote(now);
     }
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -173,7 +173,7 @@
     /// Begins a round when reads wait for one, none is out, and the last began long enough ago.
     void begin_round_for_reads(instant now);
     void confirm_reads(instant now);
-    void ask_leader_for_reads(instant now);
+    void request_read_index(instant now);
     void confirm_follower_reads();
     /// Gives up all reads that wait: the leader that was to confirm them may have changed.
     void fail_reads();
--- a/src/tallyfold/consensus/replica_reads.cpp
+++ b/src/tallyfold/consensus/replica_reads.cpp
@@ -25,7 +25,7 @@
         return tl::unexpected(replica_error::not_leader);
     }
     follower_reads_.add(token, now);
-    ask_leader_for_reads(now);
+    request_read_index(now);
     return {};
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-void replica_fsm::ask_leader_for_reads(instant now) {
+void replica_fsm::request_read_index(instant now) {
     // A leader that doesn't answer for an election timeout may be none any more.
     fail_reads(follower_reads_.take_expired(now, settings_.election_timeout));
     if (leader_ == no_replica || role_ == replica_role::leader) {
