--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -21,7 +21,7 @@
     memberships_.push_back({latest_snapshot_.index, latest_snapshot_.members});
     for (const log_entry& entry : recovered.entries) {
         if (entry.kind == entry_kind::membership) {
-            take_membership(entry);
+            apply_membership(entry);
         }
     }
     commit_index_ = log_.snapshot_index();
@@ -137,11 +137,11 @@
         unsaved_from_ = entry.index;
     }
     if (entry.kind == entry_kind::membership) {
-        take_membership(entry);
+        apply_membership(entry);
     }
 }
 
-void replica_fsm::take_membership(const log_entry& entry) {
+void replica_fsm::apply_membership(const log_entry& entry) {
     auto members = protocol::decode<membership>(entry.payload);
     if (members) {
         memberships_.push_back({entry.index, std::move(*members)});
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -160,7 +160,7 @@
     void store_missing(entry_iterator entry, entry_iterator end);
     void append_own(entry_kind kind, std::string payload);
     void store_entry(const log_entry& entry);
-    void take_membership(const log_entry& entry);
+    void apply_membership(const log_entry& entry);
     void truncate_from(log_index index);
     void send_append(replica_id to, bool allow_empty);
     /// What goes to `peer` next, within the bounds of one message and of what is under way.
