--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -99,7 +99,7 @@
     begin_round(now);
 }
 
-bool replica_fsm::log_is_current(log_index last_index, term_number last_term) const {
+bool replica_fsm::is_log_up_to_date(log_index last_index, term_number last_term) const {
     if (last_term != log_.last_term()) {
         return last_term > log_.last_term();
     }
@@ -116,7 +116,7 @@
 
 void replica_fsm::on_vote_request(const replica_message& message, const vote_request& body,
                                   instant now) {
-    const bool current = log_is_current(body.last_index, body.last_term);
+    const bool current = is_log_up_to_date(body.last_index, body.last_term);
     // The candidate's membership decides whose votes count, not ours: ours may be older, and its
     // newer one may need this vote. A removed candidate fails by its log, which lacks its removal.
     // A replica without any membership has not been formed yet; forming it would forget its vote.
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -181,7 +181,7 @@
     /// The newest round that a quorum of voters has acknowledged.
     [[nodiscard]] std::uint64_t confirmed_round() const;
     void step_down_without_quorum(instant now);
-    [[nodiscard]] bool log_is_current(log_index last_index, term_number last_term) const;
+    [[nodiscard]] bool is_log_up_to_date(log_index last_index, term_number last_term) const;
     [[nodiscard]] bool has_recent_leader_contact(instant now) const;
     [[nodiscard]] bool is_voter() const { return members().is_voter(settings_.self); }
     [[nodiscard]] bool is_newer_term(const replica_message& message, instant now);
