--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -120,10 +120,10 @@
     // The candidate's membership decides whose votes count, not ours: ours may be older, and its
     // newer one may need this vote. A removed candidate fails by its log, which lacks its removal.
     // A replica without any membership has not been formed yet; forming it would forget its vote.
-    const bool entitled = !members().members.empty();
+    const bool has_membership = !members().members.empty();
     if (body.pre_vote) {
-        const bool granted =
-            entitled && current && message.term > state_.term && !has_recent_leader_contact(now);
+        const bool granted = has_membership && current && message.term > state_.term &&
+                             !has_recent_leader_contact(now);
         send(message.from, vote_reply{true, granted}, false);
         if (granted) {
             ready_.messages_before_sync.back().term = message.term;
@@ -132,7 +132,7 @@
     }
     const bool may_vote =
         message.term == state_.term && (state_.vote == no_replica || state_.vote == message.from);
-    const bool granted = entitled && current && may_vote && role_ != replica_role::leader;
+    const bool granted = has_membership && current && may_vote && role_ != replica_role::leader;
     if (granted) {
         state_.vote = message.from;
         ready_.new_state = state_;
