--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -157,7 +157,7 @@
     void follow(const replica_message& message, instant now);
     using entry_iterator = std::vector<log_entry>::const_iterator;
     /// Stores the entries that the log lacks; one of another term replaces what follows it too.
-    void store_missing(entry_iterator entry, entry_iterator end);
+    void append_missing_entries(entry_iterator entry, entry_iterator end);
     void append_own(entry_kind kind, std::string payload);
     void store_entry(const log_entry& entry);
     void apply_membership(const log_entry& entry);
--- a/src/tallyfold/consensus/replica_replication.cpp
+++ b/src/tallyfold/consensus/replica_replication.cpp
@@ -15,7 +15,7 @@
     reset_election_deadline(now);
 }
 
-void replica_fsm::store_missing(entry_iterator entry, entry_iterator end) {
+void replica_fsm::append_missing_entries(entry_iterator entry, entry_iterator end) {
     for (; entry != end; ++entry) {
         const std::optional<term_number> own_term = log_.term_at(entry->index);
         if (own_term == entry->term) {
@@ -55,7 +55,7 @@
         return;
     }
     const log_index last_new = entry == body.entries.end() ? previous : body.entries.back().index;
-    store_missing(entry, body.entries.end());
+    append_missing_entries(entry, body.entries.end());
     commit_to(std::min(body.commit_index, last_new));
     send(message.from, append_reply{true, last_new, body.round}, true);
 }
