--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -154,7 +154,7 @@
     void on_read_index_reply(const replica_message& message, const read_index_reply& body);
 
     /// The message is of the leader of the current term, or of a newer one.
-    void follow(const replica_message& message, instant now);
+    void accept_leader(const replica_message& message, instant now);
     using entry_iterator = std::vector<log_entry>::const_iterator;
     /// Stores the entries that the log lacks; one of another term replaces what follows it too.
     void append_missing_entries(entry_iterator entry, entry_iterator end);
--- a/src/tallyfold/consensus/replica_replication.cpp
+++ b/src/tallyfold/consensus/replica_replication.cpp
@@ -8,7 +8,7 @@
 
 namespace tallyfold::consensus {
 
-void replica_fsm::follow(const replica_message& message, instant now) {
+void replica_fsm::accept_leader(const replica_message& message, instant now) {
     become_follower(message.term, message.from);
     last_leader_contact_ = now;
     has_had_leader_contact_ = true;
@@ -34,7 +34,7 @@
         send(message.from, append_reply{false, log_.last_index(), body.round}, true);
         return;
     }
-    follow(message, now);
+    accept_leader(message, now);
     log_index previous = body.previous_index;
     auto entry = body.entries.begin();
     // Entries at or before our snapshot are committed, hence equal: skip them.
--- a/src/tallyfold/consensus/replica_snapshots.cpp
+++ b/src/tallyfold/consensus/replica_snapshots.cpp
@@ -12,7 +12,7 @@
         send(message.from, append_reply{false, log_.last_index(), body.round}, true);
         return;
     }
-    follow(message, now);
+    accept_leader(message, now);
     if (body.contents.index <= commit_index_) {
         send(message.from, append_reply{true, commit_index_, body.round}, true);
         return;
