--- a/tests/base/storage/checksum_test.cpp
+++ b/tests/base/storage/checksum_test.cpp
@@ -6,12 +6,12 @@
 
 class checksum_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(checksum_test);
-    CPPUNIT_TEST(it_is_the_known_checksum);
+    CPPUNIT_TEST(checksum_matches_the_crc32c_check_value);
     CPPUNIT_TEST(both_ways_give_the_same);
     CPPUNIT_TEST_SUITE_END();
 
     /// The check value that catalogues of checksums give for CRC-32C.
-    void it_is_the_known_checksum() {
+    void checksum_matches_the_crc32c_check_value() {
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0xE3069283}, storage::checksum("123456789"));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, storage::checksum(""));
     }
