--- a/tests/base/storage/checksum_test.cpp
+++ b/tests/base/storage/checksum_test.cpp
@@ -7,7 +7,7 @@
 class checksum_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(checksum_test);
     CPPUNIT_TEST(checksum_matches_the_crc32c_check_value);
-    CPPUNIT_TEST(both_ways_give_the_same);
+    CPPUNIT_TEST(hardware_and_portable_checksums_agree);
     CPPUNIT_TEST_SUITE_END();
 
     /// The check value that catalogues of checksums give for CRC-32C.
@@ -16,7 +16,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, storage::checksum(""));
     }
 
-    void both_ways_give_the_same() {
+    void hardware_and_portable_checksums_agree() {
         check_property("the processor's instruction gives the same", [](const std::string& bytes) {
             RC_ASSERT(storage::checksum(bytes) == storage::portable_checksum(bytes));
         });
