--- a/tests/base/protocol/compression_test.cpp
+++ b/tests/base/protocol/compression_test.cpp
@@ -6,12 +6,12 @@
 
 class compression_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(compression_test);
-    CPPUNIT_TEST(bytes_come_back);
+    CPPUNIT_TEST(decompression_restores_the_input);
     CPPUNIT_TEST(other_bytes_give_an_error);
     CPPUNIT_TEST(a_result_over_its_bound_is_refused);
     CPPUNIT_TEST_SUITE_END();
 
-    void bytes_come_back() {
+    void decompression_restores_the_input() {
         check_property("what was compressed comes back", [] {
             const std::string bytes = *any_bytes();
             const auto back = protocol::decompress(protocol::compress(bytes), bytes.size());
