--- a/tests/base/protocol/compression_test.cpp
+++ b/tests/base/protocol/compression_test.cpp
@@ -7,7 +7,7 @@
 class compression_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(compression_test);
     CPPUNIT_TEST(decompression_restores_the_input);
-    CPPUNIT_TEST(other_bytes_give_an_error);
+    CPPUNIT_TEST(truncated_data_is_refused);
     CPPUNIT_TEST(a_result_over_its_bound_is_refused);
     CPPUNIT_TEST_SUITE_END();
 
@@ -20,7 +20,7 @@
         });
     }
 
-    void other_bytes_give_an_error() {
+    void truncated_data_is_refused() {
         check_property("arbitrary, cut or altered bytes are refused or give other bytes", [] {
             constexpr std::size_t most = 1U << 20U;
             const std::string bytes = *any_bytes();
