--- a/tests/base/protocol/compression_test.cpp
+++ b/tests/base/protocol/compression_test.cpp
@@ -8,7 +8,7 @@
     CPPUNIT_TEST_SUITE(compression_test);
     CPPUNIT_TEST(decompression_restores_the_input);
     CPPUNIT_TEST(truncated_data_is_refused);
-    CPPUNIT_TEST(a_result_over_its_bound_is_refused);
+    CPPUNIT_TEST(a_result_over_the_size_limit_is_refused);
     CPPUNIT_TEST_SUITE_END();
 
     void decompression_restores_the_input() {
@@ -31,7 +31,7 @@
         });
     }
 
-    void a_result_over_its_bound_is_refused() {
+    void a_result_over_the_size_limit_is_refused() {
         const std::string packed = protocol::compress(std::string(100'000, 'a'));
         CPPUNIT_ASSERT(packed.size() < 1'000);
         CPPUNIT_ASSERT(!protocol::decompress(packed, 99'999).has_value());
