--- a/tests/base/protocol/binary_codec_test.cpp
+++ b/tests/base/protocol/binary_codec_test.cpp
@@ -7,7 +7,7 @@
 
 class binary_codec_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(binary_codec_test);
-    CPPUNIT_TEST(messages_are_read_back);
+    CPPUNIT_TEST(messages_round_trip);
     CPPUNIT_TEST(any_bytes_are_decoded_or_refused);
     CPPUNIT_TEST(flipped_and_cut_messages_are_decoded_or_refused);
     CPPUNIT_TEST(a_count_beyond_the_bytes_is_refused);
@@ -25,7 +25,7 @@
         return request;
     }
 
-    void messages_are_read_back() {
+    void messages_round_trip() {
         const std::string bytes = protocol::encode(sample());
         const auto again = protocol::decode<protocol::internal_message>(bytes);
         CPPUNIT_ASSERT(again.has_value());
