--- a/tests/base/protocol/binary_codec_test.cpp
+++ b/tests/base/protocol/binary_codec_test.cpp
@@ -9,7 +9,7 @@
     CPPUNIT_TEST_SUITE(binary_codec_test);
     CPPUNIT_TEST(messages_round_trip);
     CPPUNIT_TEST(any_bytes_are_decoded_or_refused);
-    CPPUNIT_TEST(flipped_and_cut_messages_are_decoded_or_refused);
+    CPPUNIT_TEST(corrupt_and_truncated_messages_are_decoded_or_refused);
     CPPUNIT_TEST(a_count_beyond_the_bytes_is_refused);
     CPPUNIT_TEST_SUITE_END();
 
@@ -40,7 +40,7 @@
         });
     }
 
-    void flipped_and_cut_messages_are_decoded_or_refused() {
+    void corrupt_and_truncated_messages_are_decoded_or_refused() {
         check_property("decode answers damaged messages", [] {
             std::string bytes = protocol::encode(sample());
             const auto at =
