--- a/tests/base/protocol/binary_codec_test.cpp
+++ b/tests/base/protocol/binary_codec_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST(messages_round_trip);
     CPPUNIT_TEST(any_bytes_are_decoded_or_refused);
     CPPUNIT_TEST(corrupt_and_truncated_messages_are_decoded_or_refused);
-    CPPUNIT_TEST(a_count_beyond_the_bytes_is_refused);
+    CPPUNIT_TEST(an_element_count_over_the_message_size_is_refused);
     CPPUNIT_TEST_SUITE_END();
 
     static protocol::internal_message sample() {
@@ -52,7 +52,7 @@
         });
     }
 
-    void a_count_beyond_the_bytes_is_refused() {
+    void an_element_count_over_the_message_size_is_refused() {
         std::string bytes = protocol::encode(std::vector<std::string>{"a"});
         bytes[0] = '\xff';
         bytes[1] = '\xff';
