--- a/tests/base/logging/line_sink_test.cpp
+++ b/tests/base/logging/line_sink_test.cpp
@@ -13,7 +13,7 @@
 
 class line_sink_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(line_sink_test);
-    CPPUNIT_TEST(a_blocked_reader_neither_waits_nor_grows_memory);
+    CPPUNIT_TEST(a_blocked_reader_neither_blocks_the_writer_nor_grows_memory);
     CPPUNIT_TEST(lines_over_the_rate_are_left_out_and_counted);
     CPPUNIT_TEST_SUITE_END();
 
@@ -38,7 +38,7 @@
         return text;
     }
 
-    void a_blocked_reader_neither_waits_nor_grows_memory() {
+    void a_blocked_reader_neither_blocks_the_writer_nor_grows_memory() {
         // Nobody reads. A sink that waited would never return from here.
         line_sink sink({pipe_[1], 64U << 10U, 1e9, 1e9});
         const std::string line(200, 'x');
