--- a/tests/base/logging/line_sink_test.cpp
+++ b/tests/base/logging/line_sink_test.cpp
@@ -14,7 +14,7 @@
 class line_sink_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(line_sink_test);
     CPPUNIT_TEST(a_blocked_reader_neither_blocks_the_writer_nor_grows_memory);
-    CPPUNIT_TEST(lines_over_the_rate_are_left_out_and_counted);
+    CPPUNIT_TEST(lines_over_the_rate_limit_are_dropped_and_counted);
     CPPUNIT_TEST_SUITE_END();
 
     std::array<int, 2> pipe_{};
@@ -59,7 +59,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{lines}, written + sink.dropped_lines());
     }
 
-    void lines_over_the_rate_are_left_out_and_counted() {
+    void lines_over_the_rate_limit_are_dropped_and_counted() {
         line_sink sink({pipe_[1], 1U << 20U, 10, 20});
         for (int count = 0; count < 100; ++count) {
             sink.add("line", 0.0);
