--- a/tests/base/storage/record_reader_test.cpp
+++ b/tests/base/storage/record_reader_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST_SUITE(record_reader_test);
     CPPUNIT_TEST(records_larger_than_a_block_are_read);
     CPPUNIT_TEST(a_missing_file_is_an_error);
-    CPPUNIT_TEST(any_file_is_read_as_when_it_is_scanned_at_once);
+    CPPUNIT_TEST(reader_and_scan_agree_on_any_file);
     CPPUNIT_TEST_SUITE_END();
 
     struct outcome {
@@ -68,7 +68,7 @@
         CPPUNIT_ASSERT(!record_reader::open(file_.text(), tail_policy::refuse).has_value());
     }
 
-    void any_file_is_read_as_when_it_is_scanned_at_once() {
+    void reader_and_scan_agree_on_any_file() {
         check_property("reader and scan agree", [this](const std::vector<std::string>& payloads,
                                                        std::uint32_t cut, std::uint32_t flip,
                                                        bool cuts, bool flips) {
