--- a/tests/base/storage/segmented_log_test.cpp
+++ b/tests/base/storage/segmented_log_test.cpp
@@ -13,7 +13,7 @@
 
 class segmented_log_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(segmented_log_test);
-    CPPUNIT_TEST(nothing_is_added_behind_a_segment_that_may_be_the_newest);
+    CPPUNIT_TEST(a_failed_rewrite_loses_no_appended_records);
     CPPUNIT_TEST_SUITE_END();
 
     /// Files can't be opened while it lives.
@@ -53,7 +53,7 @@
     // went on into the older segment; the restart read the newer one and removed the older.
     // Cause: a failed rewrite left the log usable, whatever the step at which it had failed.
     // Settled by: reading; this test, with no descriptor left for the folder.
-    void nothing_is_added_behind_a_segment_that_may_be_the_newest() {
+    void a_failed_rewrite_loses_no_appended_records() {
         const temporary_path folder("tallyfold-segmented-log");
         std::filesystem::create_directories(folder.path());
         std::vector<std::string> none;
