--- a/tests/base/storage/segmented_log_test.cpp
+++ b/tests/base/storage/segmented_log_test.cpp
@@ -17,16 +17,16 @@
     CPPUNIT_TEST_SUITE_END();
 
     /// Files can't be opened while it lives.
-    class without_descriptors {
+    class descriptor_exhaustion {
       public:
-        without_descriptors() {
+        descriptor_exhaustion() {
             getrlimit(RLIMIT_NOFILE, &before_);
             rlimit none{0, before_.rlim_max};
             setrlimit(RLIMIT_NOFILE, &none);
         }
-        ~without_descriptors() { setrlimit(RLIMIT_NOFILE, &before_); }
-        without_descriptors(const without_descriptors&) = delete;
-        without_descriptors& operator=(const without_descriptors&) = delete;
+        ~descriptor_exhaustion() { setrlimit(RLIMIT_NOFILE, &before_); }
+        descriptor_exhaustion(const descriptor_exhaustion&) = delete;
+        descriptor_exhaustion& operator=(const descriptor_exhaustion&) = delete;
 
       private:
         rlimit before_{};
@@ -59,7 +59,7 @@
         std::vector<std::string> none;
         segmented_log log = opened(folder.path(), none);
         CPPUNIT_ASSERT(log.append(record("first")).has_value());
-        std::optional<without_descriptors> starved;
+        std::optional<descriptor_exhaustion> starved;
         const auto rewritten = log.rewrite([&](std::string& bytes) {
             bytes = record("first");
             starved.emplace();
