--- a/tests/base/storage/segmented_log_test.cpp
+++ b/tests/base/storage/segmented_log_test.cpp
@@ -59,13 +59,13 @@
         std::vector<std::string> none;
         segmented_log log = opened(folder.path(), none);
         CPPUNIT_ASSERT(log.append(record("first")).has_value());
-        std::optional<descriptor_exhaustion> starved;
+        std::optional<descriptor_exhaustion> exhausted;
         const auto rewritten = log.rewrite([&](std::string& bytes) {
             bytes = record("first");
-            starved.emplace();
+            exhausted.emplace();
             return false;
         });
-        starved.reset();
+        exhausted.reset();
         CPPUNIT_ASSERT(!rewritten.has_value());
         const bool added = log.append(record("second")).has_value();
         std::vector<std::string> kept;
