--- a/tests/consensus/follower_reads_test.cpp
+++ b/tests/consensus/follower_reads_test.cpp
@@ -8,7 +8,7 @@
 
 class follower_reads_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(follower_reads_test);
-    CPPUNIT_TEST(reads_share_a_question_and_wait_for_the_log);
+    CPPUNIT_TEST(reads_share_a_request_and_wait_for_the_commit_index);
     CPPUNIT_TEST(a_read_that_came_after_the_question_needs_the_next);
     CPPUNIT_TEST(an_answer_to_an_earlier_life_confirms_nothing);
     CPPUNIT_TEST(what_nobody_answers_expires);
@@ -18,7 +18,7 @@
     static constexpr duration repeat = std::chrono::milliseconds(80);
     instant now_{std::chrono::seconds(1)};
 
-    void reads_share_a_question_and_wait_for_the_log() {
+    void reads_share_a_request_and_wait_for_the_commit_index() {
         follower_reads reads(100);
         reads.add(1, now_);
         reads.add(2, now_);
