--- a/tests/consensus/follower_reads_test.cpp
+++ b/tests/consensus/follower_reads_test.cpp
@@ -9,7 +9,7 @@
 class follower_reads_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(follower_reads_test);
     CPPUNIT_TEST(reads_share_a_request_and_wait_for_the_commit_index);
-    CPPUNIT_TEST(a_read_that_came_after_the_question_needs_the_next);
+    CPPUNIT_TEST(a_read_added_after_the_request_needs_another);
     CPPUNIT_TEST(an_answer_to_an_earlier_life_confirms_nothing);
     CPPUNIT_TEST(what_nobody_answers_expires);
     CPPUNIT_TEST_SUITE_END();
@@ -32,7 +32,7 @@
         CPPUNIT_ASSERT(reads.take_confirmed(9).empty());
     }
 
-    void a_read_that_came_after_the_question_needs_the_next() {
+    void a_read_added_after_the_request_needs_another() {
         follower_reads reads(100);
         reads.add(1, now_);
         const auto first = reads.next_request_id(now_, repeat);
