--- a/tests/consensus/follower_reads_test.cpp
+++ b/tests/consensus/follower_reads_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(follower_reads_test);
     CPPUNIT_TEST(reads_share_a_request_and_wait_for_the_commit_index);
     CPPUNIT_TEST(a_read_added_after_the_request_needs_another);
-    CPPUNIT_TEST(an_answer_to_an_earlier_life_confirms_nothing);
+    CPPUNIT_TEST(a_reply_to_a_request_before_a_restart_is_ignored);
     CPPUNIT_TEST(what_nobody_answers_expires);
     CPPUNIT_TEST_SUITE_END();
 
@@ -46,7 +46,7 @@
         CPPUNIT_ASSERT(reads.take_confirmed(12).empty());
     }
 
-    void an_answer_to_an_earlier_life_confirms_nothing() {
+    void a_reply_to_a_request_before_a_restart_is_ignored() {
         follower_reads before(100);
         before.add(1, now_);
         const auto question = before.next_request_id(now_, repeat);
