--- a/tests/consensus/follower_reads_test.cpp
+++ b/tests/consensus/follower_reads_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST(reads_share_a_request_and_wait_for_the_commit_index);
     CPPUNIT_TEST(a_read_added_after_the_request_needs_another);
     CPPUNIT_TEST(a_reply_to_a_request_before_a_restart_is_ignored);
-    CPPUNIT_TEST(what_nobody_answers_expires);
+    CPPUNIT_TEST(unanswered_reads_expire);
     CPPUNIT_TEST_SUITE_END();
 
     using tokens = std::vector<std::uint64_t>;
@@ -57,7 +57,7 @@
         CPPUNIT_ASSERT(after.take_confirmed(9).empty());
     }
 
-    void what_nobody_answers_expires() {
+    void unanswered_reads_expire() {
         follower_reads reads(100);
         reads.add(1, now_);
         reads.next_request_id(now_, repeat);
