--- a/tests/consensus/follower_reads_test.cpp
+++ b/tests/consensus/follower_reads_test.cpp
@@ -22,11 +22,11 @@
         follower_reads reads(100);
         reads.add(1, now_);
         reads.add(2, now_);
-        const auto question = reads.next_request_id(now_, repeat);
-        CPPUNIT_ASSERT(question.has_value());
+        const auto request_id = reads.next_request_id(now_, repeat);
+        CPPUNIT_ASSERT(request_id.has_value());
         CPPUNIT_ASSERT(!reads.next_request_id(now_, repeat).has_value());
-        CPPUNIT_ASSERT(question == reads.next_request_id(now_ + repeat, repeat));
-        reads.on_reply(*question, 9);
+        CPPUNIT_ASSERT(request_id == reads.next_request_id(now_ + repeat, repeat));
+        reads.on_reply(*request_id, 9);
         CPPUNIT_ASSERT(reads.take_confirmed(8).empty());
         CPPUNIT_ASSERT(reads.take_confirmed(9) == tokens({1, 2}));
         CPPUNIT_ASSERT(reads.take_confirmed(9).empty());
@@ -49,11 +49,11 @@
     void a_reply_to_a_request_before_a_restart_is_ignored() {
         follower_reads before(100);
         before.add(1, now_);
-        const auto question = before.next_request_id(now_, repeat);
+        const auto request_id = before.next_request_id(now_, repeat);
         follower_reads after(7'000);
         after.add(2, now_);
         CPPUNIT_ASSERT(after.next_request_id(now_, repeat).has_value());
-        after.on_reply(*question, 9);
+        after.on_reply(*request_id, 9);
         CPPUNIT_ASSERT(after.take_confirmed(9).empty());
     }
 
