--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -15,7 +15,7 @@
 
 class log_store_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(log_store_test);
-    CPPUNIT_TEST(what_was_written_is_read_back);
+    CPPUNIT_TEST(written_entries_are_recovered);
     CPPUNIT_TEST(a_half_written_tail_is_cut_at_every_length);
     CPPUNIT_TEST(a_flipped_bit_before_the_tail_is_damage);
     CPPUNIT_TEST(an_emptied_folder_is_another_replica);
@@ -53,7 +53,7 @@
         return newest;
     }
 
-    void what_was_written_is_read_back() {
+    void written_entries_are_recovered() {
         {
             log_store store = open();
             CPPUNIT_ASSERT(store.write(entries(1, 5)).has_value());
