--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -16,7 +16,7 @@
 class log_store_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(log_store_test);
     CPPUNIT_TEST(written_entries_are_recovered);
-    CPPUNIT_TEST(a_half_written_tail_is_cut_at_every_length);
+    CPPUNIT_TEST(a_torn_tail_is_truncated_at_every_length);
     CPPUNIT_TEST(a_flipped_bit_before_the_tail_is_damage);
     CPPUNIT_TEST(an_emptied_folder_is_another_replica);
     CPPUNIT_TEST(rotation_keeps_the_live_state);
@@ -67,7 +67,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{77}, again.recovered().identity);
     }
 
-    void a_half_written_tail_is_cut_at_every_length() {
+    void a_torn_tail_is_truncated_at_every_length() {
         {
             log_store store = open();
             CPPUNIT_ASSERT(store.write(entries(1, 2)).has_value());
