--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST_SUITE(log_store_test);
     CPPUNIT_TEST(written_entries_are_recovered);
     CPPUNIT_TEST(a_torn_tail_is_truncated_at_every_length);
-    CPPUNIT_TEST(a_flipped_bit_before_the_tail_is_damage);
+    CPPUNIT_TEST(a_flipped_bit_before_the_tail_is_reported_as_damage);
     CPPUNIT_TEST(an_emptied_folder_is_another_replica);
     CPPUNIT_TEST(rotation_keeps_the_live_state);
     CPPUNIT_TEST(a_live_state_over_the_segment_size_is_not_written_with_each_entry);
@@ -88,7 +88,7 @@
         }
     }
 
-    void a_flipped_bit_before_the_tail_is_damage() {
+    void a_flipped_bit_before_the_tail_is_reported_as_damage() {
         {
             log_store store = open();
             CPPUNIT_ASSERT(store.write(entries(1, 20)).has_value());
