--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(written_entries_are_recovered);
     CPPUNIT_TEST(a_torn_tail_is_truncated_at_every_length);
     CPPUNIT_TEST(a_flipped_bit_before_the_tail_is_reported_as_damage);
-    CPPUNIT_TEST(an_emptied_folder_is_another_replica);
+    CPPUNIT_TEST(an_emptied_folder_gets_a_new_identity);
     CPPUNIT_TEST(rotation_keeps_the_live_state);
     CPPUNIT_TEST(a_live_state_over_the_segment_size_is_not_written_with_each_entry);
     CPPUNIT_TEST(any_bytes_are_cut_or_refused);
@@ -107,7 +107,7 @@
         CPPUNIT_ASSERT(opened.error().detail.find("segment-") != std::string::npos);
     }
 
-    void an_emptied_folder_is_another_replica() {
+    void an_emptied_folder_gets_a_new_identity() {
         { (void)open(); }
         fs::remove_all(folder_.path());
         const auto opened = log_store::open(folder_.text(), 99);
