--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -21,7 +21,7 @@
     CPPUNIT_TEST(an_emptied_folder_gets_a_new_identity);
     CPPUNIT_TEST(rotation_keeps_the_live_state);
     CPPUNIT_TEST(a_live_state_over_the_segment_size_is_not_written_with_each_entry);
-    CPPUNIT_TEST(any_bytes_are_cut_or_refused);
+    CPPUNIT_TEST(arbitrary_bytes_after_a_record_are_truncated_or_refused);
     CPPUNIT_TEST_SUITE_END();
 
     static std::vector<consensus::group_write> entries(consensus::log_index from,
@@ -149,7 +149,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{80}, group.entries.size());
     }
 
-    void any_bytes_are_cut_or_refused() {
+    void arbitrary_bytes_after_a_record_are_truncated_or_refused() {
         check_property("a scan never reads past the bytes", [] {
             const std::string noise = *any_bytes();
             std::string bytes;
