--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -9,7 +9,7 @@
 
 class replica_fsm_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(replica_fsm_test);
-    CPPUNIT_TEST(commits_survive_any_schedule);
+    CPPUNIT_TEST(committed_entries_survive_any_schedule);
     CPPUNIT_TEST(a_group_recovers_once_faults_end);
     CPPUNIT_TEST(each_replica_confirms_reads_while_a_leader_is_there);
     CPPUNIT_TEST(a_replica_without_a_leader_fails_its_reads);
@@ -21,7 +21,7 @@
     CPPUNIT_TEST(a_lost_backlog_is_sent_again);
     CPPUNIT_TEST_SUITE_END();
 
-    void commits_survive_any_schedule() {
+    void committed_entries_survive_any_schedule() {
         check_property("one leader per term, one entry per committed index",
                        [](std::uint64_t seed) {
                            replica_group group(3 + 2 * (seed % 2), seed);
