--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST_SUITE(replica_fsm_test);
     CPPUNIT_TEST(committed_entries_survive_any_schedule);
     CPPUNIT_TEST(a_group_recovers_once_faults_end);
-    CPPUNIT_TEST(each_replica_confirms_reads_while_a_leader_is_there);
+    CPPUNIT_TEST(every_replica_confirms_reads_while_there_is_a_leader);
     CPPUNIT_TEST(a_replica_without_a_leader_fails_its_reads);
     CPPUNIT_TEST(a_lagging_voter_elects_a_member_that_it_knows_as_learner);
     CPPUNIT_TEST(a_replica_without_membership_does_not_vote);
@@ -43,7 +43,7 @@
         });
     }
 
-    void each_replica_confirms_reads_while_a_leader_is_there() {
+    void every_replica_confirms_reads_while_there_is_a_leader() {
         replica_group group(5, 11);
         CPPUNIT_ASSERT(group.settle());
         // One heartbeat tells every replica who leads.
