--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(a_group_recovers_once_faults_end);
     CPPUNIT_TEST(every_replica_confirms_reads_while_there_is_a_leader);
     CPPUNIT_TEST(a_replica_without_a_leader_fails_its_reads);
-    CPPUNIT_TEST(a_lagging_voter_elects_a_member_that_it_knows_as_learner);
+    CPPUNIT_TEST(a_lagging_voter_can_elect_a_promoted_learner);
     CPPUNIT_TEST(a_replica_without_membership_does_not_vote);
     CPPUNIT_TEST(a_second_membership_change_waits_for_the_first);
     CPPUNIT_TEST(a_lagging_follower_gets_its_backlog_once);
@@ -110,7 +110,7 @@
         return false;
     }
 
-    void a_lagging_voter_elects_a_member_that_it_knows_as_learner() {
+    void a_lagging_voter_can_elect_a_promoted_learner() {
         // Seed 21867: replica 2 lost its disk, replica 1 had become a voter, and replica 3 had
         // not yet heard of it; nobody could be elected any more.
         membership older;
