--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(a_second_membership_change_waits_for_the_first);
     CPPUNIT_TEST(a_lagging_follower_gets_its_backlog_once);
     CPPUNIT_TEST(a_follower_that_does_not_answer_gets_a_bounded_backlog);
-    CPPUNIT_TEST(a_lost_backlog_is_sent_again);
+    CPPUNIT_TEST(a_lost_backlog_is_resent);
     CPPUNIT_TEST_SUITE_END();
 
     void committed_entries_survive_any_schedule() {
@@ -231,7 +231,7 @@
         CPPUNIT_ASSERT(lag.sent_bytes <= replica_settings{}.max_bytes_in_flight + entry_bytes);
     }
 
-    void a_lost_backlog_is_sent_again() {
+    void a_lost_backlog_is_resent() {
         lagging lag;
         log_index matched = lag.matched;
         const log_index last = lag.leader->log().last_index();
