--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -189,7 +189,7 @@
     }
 
     /// A leader whose follower has been cut off, and took nothing of a backlog of 6 MB.
-    struct lagging {
+    struct lagging_follower {
         replica_group group{3, 11};
         replica_fsm* leader = nullptr;
         replica_id follower = 0;
@@ -197,7 +197,7 @@
         log_index matched = 0;
         std::size_t sent_bytes = 0;
 
-        lagging() {
+        lagging_follower() {
             CPPUNIT_ASSERT(group.settle());
             leader = &leader_of(group);
             follower = follower_of(group);
@@ -214,7 +214,7 @@
     /// huayin-preview-grown scale-2 --seed 12763920105: after a cut every rejection brought the
     /// whole backlog once more; the channel's queue overflowed, which lost them all, for ever.
     void a_lagging_follower_gets_its_backlog_once() {
-        lagging lag;
+        lagging_follower lag;
         const std::uint64_t old_round = lag.round;
         std::size_t bytes = 0;
         for (int rejection = 0; rejection < 10; ++rejection) {
@@ -227,12 +227,12 @@
     }
 
     void a_follower_that_does_not_answer_gets_a_bounded_backlog() {
-        const lagging lag;
+        const lagging_follower lag;
         CPPUNIT_ASSERT(lag.sent_bytes <= replica_settings{}.max_bytes_in_flight + entry_bytes);
     }
 
     void a_lost_backlog_is_resent() {
-        lagging lag;
+        lagging_follower lag;
         log_index matched = lag.matched;
         const log_index last = lag.leader->log().last_index();
         // A rejection of what was sent after the last repeat: that one was lost as well.
