--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -90,7 +90,7 @@
         return {settings, state, instant(std::chrono::seconds(1))};
     }
 
-    static bool grants(replica_fsm& voter, const vote_request& request) {
+    static bool grants_vote(replica_fsm& voter, const vote_request& request) {
         replica_message message;
         message.from = 1;
         message.to = 3;
@@ -116,16 +116,16 @@
         membership older;
         older.members = {{1, {"a", true}}, {2, {"b", false}}, {3, {"c", false}}};
         replica_fsm voter = voter_with(older, 137);
-        CPPUNIT_ASSERT(grants(voter, {true, 140, 2}));
-        CPPUNIT_ASSERT(grants(voter, {false, 140, 2}));
+        CPPUNIT_ASSERT(grants_vote(voter, {true, 140, 2}));
+        CPPUNIT_ASSERT(grants_vote(voter, {false, 140, 2}));
         replica_fsm current = voter_with(older, 141);
-        CPPUNIT_ASSERT(!grants(current, {false, 140, 2}));
+        CPPUNIT_ASSERT(!grants_vote(current, {false, 140, 2}));
     }
 
     void a_replica_without_membership_does_not_vote() {
         replica_fsm empty = voter_with({}, 0);
-        CPPUNIT_ASSERT(!grants(empty, {true, 10, 2}));
-        CPPUNIT_ASSERT(!grants(empty, {false, 10, 2}));
+        CPPUNIT_ASSERT(!grants_vote(empty, {true, 10, 2}));
+        CPPUNIT_ASSERT(!grants_vote(empty, {false, 10, 2}));
     }
 
     void a_second_membership_change_waits_for_the_first() {
