--- a/src/tallyfold/base/common/bounded_ring.hpp
+++ b/src/tallyfold/base/common/bounded_ring.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The joint between two threads: a bounded queue with one producer and one consumer.
+/// Bounded queue between two threads: one producer and one consumer.
 
 #include <readerwriterqueue/readerwriterqueue.h>
 
@@ -11,11 +11,11 @@
 
 namespace tallyfold {
 
-/// Wakes a thread that waits for any of several rings.
+/// Semaphore that wakes the consumer of several rings when any of them receives an element.
 class wake_signal {
   public:
     void notify() { semaphore_.signal(); }
-    /// Waits until a notification or the timeout.
+    /// Blocks until a notification or the timeout, and clears further pending notifications.
     void wait_for(std::chrono::microseconds timeout) {
         if (semaphore_.wait(timeout.count())) {
             while (semaphore_.tryWait()) {
@@ -34,7 +34,7 @@
     bounded_ring(std::size_t capacity, std::function<void()> notify)
         : queue_(capacity), notify_(std::move(notify)) {}
 
-    /// @return false when the ring is full; the element is untouched then
+    /// @return false when the ring is full; `element` is then unchanged
     [[nodiscard]] bool try_push(Element& element) {
         if (!queue_.try_enqueue(std::move(element))) {
             return false;
@@ -43,7 +43,8 @@
         return true;
     }
 
-    /// Waits while the ring is full. For a consumer that never waits on this producer.
+    /// Blocks while the ring is full. The consumer must never wait for this producer: both would
+    /// deadlock.
     void push(Element element) {
         while (!queue_.try_enqueue(std::move(element))) {
             std::this_thread::sleep_for(full_retry_delay);
--- a/src/tallyfold/base/common/time.hpp
+++ b/src/tallyfold/base/common/time.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Time as pure logic sees it: a value handed in, never read from a clock.
+/// Time types of the state machines, which receive the time as an argument and read no clock.
 
 #include <chrono>
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 using duration = std::chrono::microseconds;
 
-/// Tag of the monotonic time line that shells and the simulator hand to pure logic.
+/// Clock type of monotonic times that I/O code and the simulator pass to state machines.
 struct logical_clock {
     using duration = tallyfold::duration;
     using rep = duration::rep;
@@ -18,10 +18,10 @@
     static constexpr bool is_steady = true;
 };
 
-/// A point on the local monotonic time line, in microseconds since an arbitrary origin.
+/// Monotonic time of this process, in microseconds since an arbitrary origin.
 using instant = logical_clock::time_point;
 
-/// Whole milliseconds in `value`, for messages and reports.
+/// `value` in whole milliseconds, rounded toward zero.
 constexpr std::int64_t to_milliseconds(duration value) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(value).count();
 }
