--- a/src/tallyfold/base/logging/event_catalogue.hpp
+++ b/src/tallyfold/base/logging/event_catalogue.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Numbered events. Each has an entry in docs/EVENTS.md, which a test checks.
+/// Catalogue of log events: number, level and name. Operators' tools match these, so numbers and
+/// names are stable. A test checks that each event is documented.
 
 #include <cstdint>
 #include <string>
@@ -94,15 +95,14 @@
     std::string_view name;
 };
 
-/// Every event, in the order of its number.
+/// All events, ordered by number.
 const std::vector<event_entry>& event_catalogue();
-/// The entry of one event.
 const event_entry& find_event(event_id id);
 
-/// One occurrence, made by pure logic and written by the shell.
+/// Occurrence of an event. State machines return it; the I/O code that drives them logs it.
 struct event_record {
     event_id id;
-    /// "key=value" pairs, separated by spaces.
+    /// Pairs "key=value", separated by spaces.
     std::string fields;
 };
 
--- a/src/tallyfold/base/logging/event_log.hpp
+++ b/src/tallyfold/base/logging/event_log.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Writes numbered events as structured lines. Where the lines go is set up once, at the start.
+/// Formats events as lines of key=value pairs. The destination is set once, at process start.
 
 #include <functional>
 #include <string>
@@ -9,16 +9,16 @@
 
 namespace tallyfold::logging {
 
-/// Takes one event's line, without time and level.
+/// Receives the line of an event, without time and level.
 using line_writer = std::function<void(event_level level, const std::string& line)>;
 
-/// Sets up where the process's events go.
+/// Sets the destination of the process's events.
 void set_line_writer(const std::string& node, line_writer writer);
 
-/// Least level by its name: "debug", "info", "warning", "error".
+/// Level with the name "debug", "info", "warning" or "error"; info for any other text.
 event_level parse_level(const std::string& level);
 
-/// Writes one event. As safe for threads as the writer that was set.
+/// Logs an event; does nothing before set_line_writer(). Thread-safe if the writer is.
 void write_event(const event_record& record);
 void write_event(event_id id, const std::string& fields);
 
--- a/src/tallyfold/base/logging/line_sink.cpp
+++ b/src/tallyfold/base/logging/line_sink.cpp
@@ -9,15 +9,14 @@
 
 namespace {
 
-/// Bytes of lines that are gathered before they are written in one call. Chosen, not measured:
-/// some fifty lines.
+/// Buffered bytes from which lines are written; about fifty lines per system call.
 constexpr std::size_t write_threshold = 8U << 10U;
 
 }  // namespace
 
 line_sink::line_sink(line_sink_settings settings)
     : settings_(settings), available_tokens_(settings.burst) {
-    // A descriptor that can't be set is written to as it is; there is no log to say so.
+    // If this fails, writes may block. The failure can't be logged, since this is the log.
     const int flags = ::fcntl(settings_.descriptor, F_GETFL);
     if (flags >= 0) {
         ::fcntl(settings_.descriptor, F_SETFL, flags | O_NONBLOCK);
@@ -45,7 +44,7 @@
     while (!buffer_.empty()) {
         const ssize_t written = ::write(settings_.descriptor, buffer_.data(), buffer_.size());
         if (written <= 0) {
-            // The reader is slow or gone: the lines stay, and add() counts what no longer fits.
+            // The reader is slow or gone: keep the lines; add() drops and counts what doesn't fit.
             return;
         }
         buffer_.erase(0, static_cast<std::size_t>(written));
--- a/src/tallyfold/base/logging/line_sink.hpp
+++ b/src/tallyfold/base/logging/line_sink.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Writes log lines to a descriptor without ever waiting for its reader. What doesn't fit, or
-/// comes faster than the bound, is left out and counted.
+/// Non-blocking writer of log lines to a file descriptor. Lines that exceed the buffer or the rate
+/// limit are dropped and counted.
 
 #include <cstddef>
 #include <cstdint>
@@ -12,24 +12,24 @@
 
 struct line_sink_settings {
     int descriptor = 1;
-    /// Bytes held while the reader is slow.
+    /// Buffer size in bytes, for a slow reader.
     std::size_t capacity = 128U << 10U;
-    /// Lines a second in the long run, and at once after a pause.
+    /// Token bucket: sustained lines per second, and largest burst in lines.
     double lines_per_second = 300;
     double burst = 1'500;
 };
 
-/// Not thread-safe: the loop thread owns it.
+/// Not thread-safe; owned by the event loop's thread.
 class line_sink {
   public:
     explicit line_sink(line_sink_settings settings);
 
-    /// Takes one line, without its line feed.
-    /// @param now_seconds steady time, for the bound on the rate
+    /// Buffers a line, given without line feed.
+    /// @param now_seconds monotonic time, for the rate limit
     void add(std::string_view line, double now_seconds);
-    /// Hands over what the descriptor takes now.
+    /// Writes as many buffered bytes as the descriptor accepts without blocking.
     void flush();
-    /// Lines left out so far.
+    /// Number of lines dropped so far.
     [[nodiscard]] std::uint64_t dropped_lines() const { return dropped_lines_; }
     [[nodiscard]] std::size_t buffered_bytes() const { return buffer_.size(); }
 
