--- a/src/tallyfold/base/net/socket_address.hpp
+++ b/src/tallyfold/base/net/socket_address.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// "ip:port" texts and endpoints.
+/// Parsing of "ip:port" addresses.
 
 #include <asio/ip/tcp.hpp>
 #include <cstdint>
@@ -10,11 +10,11 @@
 
 namespace tallyfold::net {
 
-/// Splits "ip:port". @return an empty address when it is malformed
+/// Splits "ip:port". @return an empty address and port 0 when `text` is malformed
 std::pair<std::string, std::uint16_t> split_address(const std::string& text);
-/// The endpoint of "ip:port" with an IPv4 number; nothing when it is no such text.
+/// Endpoint of an IPv4 "ip:port" address; nothing when `address` is not of that form.
 std::optional<asio::ip::tcp::endpoint> parse_endpoint(const std::string& address);
-/// The part before the port.
+/// Part of "ip:port" before the port.
 std::string ip_of(const std::string& address);
 std::string join_address(const std::string& ip, unsigned port);
 
--- a/src/tallyfold/base/net/tcp_sockets_shell.cpp
+++ b/src/tallyfold/base/net/tcp_sockets_shell.cpp
@@ -16,8 +16,7 @@
 }  // namespace
 
 void tune_socket(asio::ip::tcp::socket& socket, duration silence_limit) {
-    // Without the option small writes may wait for an acknowledgement; the socket works all the
-    // same.
+    // If this fails, small writes may be delayed until an acknowledgement, which is harmless.
     std::error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
@@ -34,7 +33,7 @@
 std::string listen_on(asio::ip::tcp::acceptor& acceptor, const std::string& address) {
     const auto endpoint = parse_endpoint(address);
     if (!endpoint) {
-        return address + ": not an address";
+        return address + ": not an IPv4 address with a port";
     }
     std::error_code error;
     acceptor.open(endpoint->protocol(), error);
--- a/src/tallyfold/base/net/tcp_sockets_shell.hpp
+++ b/src/tallyfold/base/net/tcp_sockets_shell.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What all TCP sockets of the forwarding plane have in common.
+/// Socket options shared by the TCP connections of the forwarding plane.
 
 #include <asio/ip/tcp.hpp>
 #include <string>
@@ -9,14 +9,14 @@
 
 namespace tallyfold::net {
 
-/// Sends at once, and ends the connection when its bytes aren't acknowledged for `silence_limit`:
-/// a machine that is gone says nothing.
+/// Disables Nagle's algorithm, and closes the connection when sent bytes stay unacknowledged for
+/// `silence_limit`, since a failed host sends no reset.
 void tune_socket(asio::ip::tcp::socket& socket, duration silence_limit);
 
-/// Lets an idle connection end when the other machine is gone, after `idle` and a few probes.
+/// Enables TCP keep-alive: a connection to a failed host is closed after `idle` and a few probes.
 void probe_when_idle(asio::ip::tcp::socket& socket, std::chrono::seconds idle);
 
-/// Opens the acceptor on "ip:port". @return an error text, or empty
+/// Binds the acceptor to "ip:port" and listens. @return an error message, empty on success
 std::string listen_on(asio::ip::tcp::acceptor& acceptor, const std::string& address);
 
 }  // namespace tallyfold::net
