--- a/src/tallyfold/base/protocol/binary_codec.hpp
+++ b/src/tallyfold/base/protocol/binary_codec.hpp
@@ -1,13 +1,13 @@
 #pragma once
 /// @file
-/// The codec of internal messages, snapshots and log records: cereal over a bounded buffer.
+/// Binary codec of internal messages, snapshots and log records, based on cereal.
 ///
-/// cereal's own binary archive trusts every length it reads. This input archive checks each
-/// length against the bytes that are left, so that a damaged or hostile frame gives an error
-/// instead of an allocation of its choosing.
+/// Unlike cereal's binary archive, the input archive checks each length against the remaining
+/// bytes, so that a corrupt or hostile frame gives an error instead of a huge allocation.
 ///
-/// Both archives know the form (format_version) that they write or read. A type whose form has
-/// changed asks for it in its serialize(), and says with lacks() what an older form can't hold.
+/// Both archives carry the format_version that they write or read. A type whose format has changed
+/// checks it in serialize() and reports, with note_lacking(), content that an older format can't
+/// represent.
 
 #include <cereal/cereal.hpp>
 #include <cereal/types/deque.hpp>
@@ -27,16 +27,16 @@
 
 namespace tallyfold::protocol {
 
-/// Why bytes could not be decoded.
+/// Reason for which bytes could not be decoded.
 struct decode_error {
     std::string reason;
-    /// The bytes say that they are of a form later than newest_format: nothing is wrong with them.
+    /// The bytes declare a format later than newest_format, so they are not corrupt.
     bool is_later_format = false;
 };
 
-/// Why a value has no encoding in the form that was asked for.
+/// Reason for which a value can't be encoded in the requested format.
 struct encode_error {
-    /// The content that the form can't hold.
+    /// Content that the format can't represent.
     std::string lacking;
 };
 
@@ -49,9 +49,9 @@
     }
 
     [[nodiscard]] format_version format() const { return format_; }
-    /// The value has content that the form doesn't hold: what is written is of no use.
+    /// Marks the output as unusable: the value has `content`, which the format can't represent.
     void lacks(std::string_view content) { lacking_ = content; }
-    /// What the form doesn't hold; empty when the value is written whole.
+    /// Content that the format can't represent; empty when the encoding is complete.
     [[nodiscard]] const std::string& lacking() const { return lacking_; }
 
   private:
@@ -75,7 +75,7 @@
         source_.remove_prefix(size);
     }
 
-    /// Refuses an element count that the remaining bytes cannot hold.
+    /// Throws when the remaining bytes are too few for `count` elements.
     void check_count(std::uint64_t count) const {
         if (count > source_.size()) {
             throw cereal::Exception("length exceeds the message");
@@ -138,8 +138,8 @@
     archive(pair.value);
 }
 
-/// In a serialize(): the value has content that the archive's form doesn't hold. Readers never get
-/// there, since what they read is of the form.
+/// Called in serialize() when the value has content that the archive's format can't represent.
+/// Applies to writers only: a reader gets no such content.
 template <class Archive>
 void note_lacking(Archive& archive, std::string_view content) {
     if constexpr (std::is_same_v<Archive, binary_writer>) {
@@ -147,7 +147,7 @@
     }
 }
 
-/// Bytes of `value` in the newest form.
+/// Encodes `value` in the newest format.
 template <class T>
 std::string encode(const T& value) {
     std::string bytes;
@@ -156,7 +156,7 @@
     return bytes;
 }
 
-/// Bytes of `value` in one form; an error when that form can't hold all of it.
+/// Encodes `value` in `format`; an error when that format can't represent all of it.
 template <class T>
 tl::expected<std::string, encode_error> encode_as(const T& value, format_version format) {
     std::string bytes;
@@ -168,7 +168,7 @@
     return bytes;
 }
 
-/// The value that `bytes` hold; an error when they are short, long or malformed.
+/// Decodes `bytes`; an error when they are truncated, malformed or followed by further bytes.
 template <class T>
 tl::expected<T, decode_error> decode(std::string_view bytes,
                                      format_version format = newest_format) {
--- a/src/tallyfold/base/protocol/compression.cpp
+++ b/src/tallyfold/base/protocol/compression.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The quickest of the library's usual levels: nodes that pack have a small share of a core.
+/// Fastest standard level, since the nodes that compress have little CPU time.
 constexpr int compression_level = 1;
 
 }  // namespace
@@ -18,7 +18,7 @@
     const std::size_t size =
         ZSTD_compress(packed.data(), packed.size(), bytes.data(), bytes.size(), compression_level);
     if (ZSTD_isError(size) != 0) {
-        // The buffer is as large as the library asks: only a lack of memory is left.
+        // The buffer is large enough, so the only possible error is a lack of memory.
         throw std::runtime_error(ZSTD_getErrorName(size));
     }
     packed.resize(size);
@@ -28,16 +28,16 @@
 tl::expected<std::string, decode_error> decompress(std::string_view packed, std::size_t most) {
     const unsigned long long size = ZSTD_getFrameContentSize(packed.data(), packed.size());
     if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN) {
-        return tl::unexpected(decode_error{"no compressed bytes"});
+        return tl::unexpected(decode_error{"not a Zstandard frame of known size"});
     }
     if (size > most) {
-        return tl::unexpected(decode_error{"too many bytes once decompressed"});
+        return tl::unexpected(decode_error{"decompressed size exceeds the limit"});
     }
     std::string bytes(size, '\0');
     const std::size_t read =
         ZSTD_decompress(bytes.data(), bytes.size(), packed.data(), packed.size());
     if (ZSTD_isError(read) != 0 || read != size) {
-        return tl::unexpected(decode_error{"compressed bytes are damaged"});
+        return tl::unexpected(decode_error{"compressed data is corrupt"});
     }
     return bytes;
 }
--- a/src/tallyfold/base/protocol/compression.hpp
+++ b/src/tallyfold/base/protocol/compression.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Compressed bytes (Zstandard): what many nodes are sent is packed once.
+/// Zstandard compression of values that are sent to many nodes and thus compressed once.
 
 #include <string>
 #include <string_view>
@@ -12,29 +12,29 @@
 
 std::string compress(std::string_view bytes);
 
-/// @param most bytes that the result may have; an error when it would have more, or when `packed`
-/// is no whole result of compress()
+/// Reverses compress(). @param most largest size of the result in bytes
+/// @return an error when the result would be larger, or when `packed` is truncated or corrupt
 tl::expected<std::string, decode_error> decompress(std::string_view packed, std::size_t most);
 
-/// Shorter bytes aren't worth compressing.
+/// Size in bytes below which a value is not compressed.
 constexpr std::size_t compression_threshold_bytes = 1U << 10U;
-/// More bytes than any record of ours holds.
+/// Limit of a decompressed value in bytes, larger than any record.
 constexpr std::size_t max_unpacked_bytes = 256U << 20U;
 
-/// Bytes of `value` as encode_stored() makes them, compressed when there are many.
+/// Encodes `value` like encode_stored(), and compresses the result unless it is small.
 template <class T>
 std::string encode_packed(const T& value) {
     std::string bytes = encode_stored(value);
     return bytes.size() < compression_threshold_bytes ? bytes : compress(bytes);
 }
 
-/// The bytes without their compression; as they are when they have none.
+/// Decompressed bytes; `bytes` unchanged when they are not compressed.
 std::string unpacked(std::string_view bytes);
 
-/// Size of unpacked().
+/// Size of the result of unpacked().
 std::size_t unpacked_size(std::string_view bytes);
 
-/// The value that encode_packed() or encode_stored() made `bytes` of.
+/// Decodes a value that was encoded by encode_packed() or encode_stored().
 template <class T>
 tl::expected<T, decode_error> decode_packed(std::string_view bytes) {
     return decode_stored<T>(unpacked(bytes));
--- a/src/tallyfold/base/protocol/format_version.hpp
+++ b/src/tallyfold/base/protocol/format_version.hpp
@@ -1,20 +1,20 @@
 #pragma once
 /// @file
-/// Numbers of the forms in which nodes send messages and store records. docs/FORMATS.md says what
-/// each holds, who may meet it, and how a form may change.
+/// Versions of the formats in which nodes send messages and store records.
 
 #include <cstdint>
 #include <string>
 
 namespace tallyfold::protocol {
 
-/// Grows with each form that a node of an earlier build can't read. A form never changes once it is
-/// in use: what has to change gets the next number.
+/// Increases with each format that earlier builds can't read. A format in use never changes: an
+/// incompatible change gets the next version.
 enum class format_version : std::uint8_t {
-    /// Of the builds that say no number: whole configurations in answers, no tenants, no read
+    /// Builds that announce no version: replies with complete configurations, no tenants, no read
     /// index.
     v1 = 1,
-    /// Configurations in parts, tenants and permits, read index, groups that lost a majority.
+    /// Adds partial configurations, tenants and permits, the read index, and groups that have lost
+    /// their majority.
     v2 = 2,
 };
 
--- a/src/tallyfold/base/protocol/stored_value.hpp
+++ b/src/tallyfold/base/protocol/stored_value.hpp
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// The form of values on disk and in replicated logs, which outlive the build that wrote them.
+/// Encoding of values on disk and in replicated logs, which other builds may have to read.
 ///
-/// A value is written in the oldest form that can hold it, so that a fleet may go back to the build
-/// before as long as nothing that only the newer one knows is in use. Forms from the third one on
-/// begin with their number: a reader that doesn't know it says so, and never takes it for damage.
+/// A value is written in the oldest format that can represent it, so that a cluster can be
+/// downgraded as long as no newer feature is in use. Formats from the third on begin with their
+/// version, so that an older reader reports an unknown format instead of corruption.
 
 #include <cstring>
 #include <optional>
@@ -15,11 +15,11 @@
 
 namespace tallyfold::protocol {
 
-/// The first eight bytes of a value whose form has a number: this, and the number in the lowest of
-/// them. Earlier forms begin with a version, an epoch or a small number, none of which comes near.
+/// First eight bytes of a value with a format version; the lowest byte holds the version. Values of
+/// earlier formats begin with a version, an epoch or a small number, which never reach this value.
 constexpr std::uint64_t numbered_form_mark = 0xFFFF'FFFF'FFFF'FE00U;
 
-/// The form's number when the bytes begin with one.
+/// Format version at the start of `bytes`, if there is one.
 inline std::optional<std::uint8_t> leading_format_number(std::string_view bytes) {
     std::uint64_t first = 0;
     if (bytes.size() < sizeof(first)) {
@@ -33,15 +33,15 @@
     return static_cast<std::uint8_t>(first & number_bits);
 }
 
-/// Bytes of `value` in the oldest form that holds all of it.
+/// Encodes `value` in the oldest format that can represent all of it.
 template <class T>
 std::string encode_stored(const T& value) {
     auto oldest = encode_as(value, oldest_format);
     return oldest ? std::move(*oldest) : encode(value);
 }
 
-/// The value that encode_stored() of this build or an earlier one made `bytes` of. The two forms
-/// without a number are told apart by their length: whichever reading ends with the bytes.
+/// Decodes a value that was encoded by encode_stored() of this or an earlier build. Of the two
+/// formats without a version, the first whose decoding consumes exactly all bytes applies.
 template <class T>
 tl::expected<T, decode_error> decode_stored(std::string_view bytes) {
     if (const auto number = leading_format_number(bytes)) {
