--- a/src/tallyfold/base/settings/program_flags.cpp
+++ b/src/tallyfold/base/settings/program_flags.cpp
@@ -25,7 +25,7 @@
     TCLAP::SwitchArg check("c", "check-settings", "Check the settings and exit", line);
     std::vector<std::string> levels{"debug", "info", "warning", "error"};
     TCLAP::ValuesConstraint<std::string> allowed(levels);
-    TCLAP::ValueArg<std::string> level("l", "log-level", "Least level that is logged", false,
+    TCLAP::ValueArg<std::string> level("l", "log-level", "Minimum level of logged events", false,
                                        "info", &allowed, line);
     line.parse(argument_count, arguments);
     flags.settings_file = file.getValue();
--- a/src/tallyfold/base/settings/program_flags.hpp
+++ b/src/tallyfold/base/settings/program_flags.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What every program does at its start: flags, settings, log, signals.
+/// Start-up code shared by all programs: command-line flags, settings, signals, exit codes.
 
 #include <atomic>
 #include <iostream>
@@ -21,25 +21,25 @@
 enum class exit_code : int {
     success = 0,
     failure = 1,
-    /// Wrong flags or refused settings.
+    /// Invalid flags or settings.
     usage = 2,
-    /// The data folder cannot be used; docs/OPERATIONS.md says what to do.
+    /// The data folder can't be used.
     storage = 3,
 };
 
 /// Parses the flags shared by the long-running programs; exits on --help and on errors.
 program_flags parse_flags(int argument_count, char** arguments, const std::string& description);
 
-/// Makes SIGTERM and SIGINT set the returned flag, and ignores SIGPIPE.
+/// Installs handlers by which SIGTERM and SIGINT set the returned flag, and ignores SIGPIPE.
 const std::atomic<bool>& stop_requested();
 
-/// Prints each problem on its own line and gives the exit code.
+/// Prints each problem on a line of standard error. @return the exit code
 int refuse(const std::vector<settings_problem>& problems);
 
-/// What every main function does first: parses the flags, reads the settings and, unless they were
-/// only to be checked, goes on with `start`.
-/// @param read turns the settings file into settings or problems
-/// @param start gets the flags and the settings, and gives the exit code
+/// Body of each main function: parses the flags, reads the settings and, unless only a check of the
+/// settings was requested, calls `start`.
+/// @param read parses the settings file into settings or a list of problems
+/// @param start runs the program with the flags and settings, and returns the exit code
 template <class Read, class Start>
 int main_with_settings(int argument_count, char** arguments, const std::string& description,
                        Read read, Start start) {
--- a/src/tallyfold/base/settings/settings_reader.hpp
+++ b/src/tallyfold/base/settings/settings_reader.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Reads a TOML settings file key by key: types and ranges are checked, unknown keys refused.
+/// Reads a TOML settings file key by key. Checks types and ranges, and refuses unknown keys.
 
 #include <cstdint>
 #include <memory>
@@ -10,7 +10,7 @@
 
 namespace tallyfold::settings {
 
-/// One thing that is wrong with a file.
+/// Error in a settings file.
 struct settings_problem {
     std::string file;
     std::string key;
@@ -18,32 +18,32 @@
     [[nodiscard]] std::string text() const { return file + ": " + key + ": " + reason; }
 };
 
-/// Gathers all problems, so that an operator sees them at once.
+/// Collects all problems instead of stopping at the first, so that an operator sees them together.
 class settings_reader {
   public:
-    /// Parses the file; a syntax error becomes a problem.
+    /// Parses the file; an unreadable file or a syntax error is recorded as a problem.
     explicit settings_reader(const std::string& file);
     ~settings_reader();
     settings_reader(const settings_reader&) = delete;
     settings_reader& operator=(const settings_reader&) = delete;
 
-    /// A required text that is not empty.
+    /// Required non-empty string.
     std::string text(const std::string& key);
     std::string text_or(const std::string& key, const std::string& fallback);
-    /// A whole number within [low, high].
+    /// Integer in [low, high]; `fallback` when the key is missing or invalid.
     std::int64_t integer_or(const std::string& key, std::int64_t fallback, std::int64_t low,
                             std::int64_t high);
     double real_or(const std::string& key, double fallback, double low, double high);
-    /// "ip:port" with an IP number.
+    /// Required address "ip:port" with a numeric IP address.
     std::string address(const std::string& key);
-    /// A table whose values are "ip:port", by name.
+    /// Required table of "ip:port" addresses by name.
     std::vector<std::pair<std::string, std::string>> address_table(const std::string& key);
     std::vector<std::string> text_list(const std::string& key);
 
-    /// Reports keys that nobody asked for.
+    /// Records a problem for each top-level key of the file that was never read.
     void finish();
     [[nodiscard]] const std::vector<settings_problem>& problems() const { return problems_; }
-    /// Keys asked for so far, for the documentation test.
+    /// Keys read so far; a test checks that they are documented.
     [[nodiscard]] const std::set<std::string>& known_keys() const { return known_; }
     void problem(const std::string& key, const std::string& reason);
 
