--- a/src/tallyfold/base/storage/checksum.cpp
+++ b/src/tallyfold/base/storage/checksum.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint32_t all_ones = 0xFFFFFFFF;
 
 #if defined(__x86_64__)
-/// A configuration with 6,000 routes has 2.7 MB on disk: 8.3 ms of a core without the instruction.
+/// Uses the CRC-32C instruction; the portable version is too slow for large configurations.
 __attribute__((target("sse4.2"))) std::uint32_t checksum_sse42(std::string_view bytes) {
     std::uint64_t value = all_ones;
     while (bytes.size() >= sizeof(std::uint64_t)) {
--- a/src/tallyfold/base/storage/checksum.hpp
+++ b/src/tallyfold/base/storage/checksum.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The checksum of records on disk: CRC-32C (Castagnoli).
+/// CRC-32C (Castagnoli) checksum of records on disk.
 
 #include <cstdint>
 #include <string_view>
@@ -9,7 +9,7 @@
 
 std::uint32_t checksum(std::string_view bytes);
 
-/// The same without the processor's instruction for it, for processors that have none.
+/// Software implementation, for processors without the SSE 4.2 CRC-32C instruction.
 std::uint32_t portable_checksum(std::string_view bytes);
 
 }  // namespace tallyfold::storage
--- a/src/tallyfold/base/storage/file.cpp
+++ b/src/tallyfold/base/storage/file.cpp
@@ -198,7 +198,7 @@
 }
 
 void empty_folder(const std::string& path) {
-    // What can't be removed is found, and refused with its reason, when the folder is opened next.
+    // An entry that can't be removed is detected and reported when the folder is opened next.
     std::error_code ignored;
     std::vector<std::filesystem::path> entries;
     for (const auto& entry : std::filesystem::directory_iterator(path, ignored)) {
--- a/src/tallyfold/base/storage/file.hpp
+++ b/src/tallyfold/base/storage/file.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Thin owners of POSIX file calls, with the syncs that make a file last.
+/// RAII wrappers of POSIX file descriptors, and durable file replacement.
 
 #include <cstdint>
 #include <string>
@@ -11,11 +11,11 @@
 
 namespace tallyfold::storage {
 
-/// A file opened for appending. A failed write or sync is final for the handle.
+/// File opened for appending. After a failed write or sync, all further calls fail.
 class append_file {
   public:
     static tl::expected<append_file, storage_error> create(const std::string& path);
-    /// Opens an existing file and cuts it to `length`.
+    /// Opens an existing file, truncates it to `length` bytes and syncs it.
     static tl::expected<append_file, storage_error> open_at(const std::string& path,
                                                             std::uint64_t length);
     append_file(append_file&& other) noexcept;
@@ -38,7 +38,7 @@
     bool failed_ = false;
 };
 
-/// A file that is read from its start, block by block.
+/// File that is read sequentially, block by block.
 class input_file {
   public:
     static tl::expected<input_file, storage_error> open(const std::string& path);
@@ -48,7 +48,7 @@
     input_file& operator=(const input_file&) = delete;
     ~input_file();
 
-    /// Adds the next block to `target`. @return bytes added; 0 at the end of the file
+    /// Appends the next block to `target`. @return number of bytes appended; 0 at the end of file
     tl::expected<std::size_t, storage_error> read_block(std::string& target);
 
   private:
@@ -60,22 +60,22 @@
 
 tl::expected<std::string, storage_error> read_file(const std::string& path);
 
-/// The temporary file that replace_file() and commit_replacement() put in the place of `path`.
+/// Path of the temporary file that replace_file() and commit_replacement() rename to `path`.
 std::string replacement_path(const std::string& path);
-/// Puts the written and synced replacement in the place of `path`: rename, sync of the folder.
+/// Renames the written and synced temporary file to `path` and syncs the folder.
 tl::expected<void, storage_error> commit_replacement(const std::string& path);
 
-/// Makes a file appear whole or not at all: temporary file, sync, rename, sync of the folder.
+/// Atomically replaces a file: writes and syncs a temporary file, renames it, syncs the folder.
 tl::expected<void, storage_error> replace_file(const std::string& path, std::string_view bytes);
 
-/// Writes a file's contents anew in place, with a single sync: the old contents are gone as soon
-/// as it begins, so a lost power may leave neither. For pairs of files that are written in turn.
+/// Overwrites a file in place with a single sync. Not atomic: a power failure may lose both the old
+/// and the new contents. For pairs of files that are written alternately.
 tl::expected<void, storage_error> overwrite_file(const std::string& path, std::string_view bytes);
 
-/// Removes everything in the folder, as far as that is possible.
+/// Removes the contents of a folder; errors are ignored.
 void empty_folder(const std::string& path);
 
-/// Syncs the folder's own entries (names of files).
+/// Syncs the directory entries of the folder.
 tl::expected<void, storage_error> sync_folder(const std::string& path);
 
 }  // namespace tallyfold::storage
--- a/src/tallyfold/base/storage/record_file.cpp
+++ b/src/tallyfold/base/storage/record_file.cpp
@@ -13,9 +13,10 @@
     if (!scanned) {
         return tl::unexpected(scanned.error());
     }
-    // Such a file is renamed into place after its sync, so it is never legitimately short.
+    // The file is renamed into place after its sync, so it can't be truncated by a crash.
     if (scanned->payloads.size() != 1 || scanned->valid_length != bytes->size()) {
-        return tl::unexpected(storage_error{storage_failure::damaged, path + ": incomplete"});
+        return tl::unexpected(storage_error{
+            storage_failure::damaged, path + ": does not consist of exactly one complete record"});
     }
     return std::string(scanned->payloads.front());
 }
--- a/src/tallyfold/base/storage/record_file.hpp
+++ b/src/tallyfold/base/storage/record_file.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Files that hold one record: an identity, a snapshot, a map.
+/// Files that consist of a single record, such as an identity, a snapshot or a map.
 
 #include <string>
 #include <string_view>
@@ -10,10 +10,10 @@
 
 namespace tallyfold::storage {
 
-/// Payload of the file's record. A file that holds less, or more, is damage.
+/// Reads the payload of the file's record. Missing or additional bytes are reported as damage.
 tl::expected<std::string, storage_error> read_single_record(const std::string& path);
 
-/// One record that holds `payload`, as a file's whole contents.
+/// Contents of a file with `payload` as its only record.
 std::string single_record(std::string_view payload);
 
 }  // namespace tallyfold::storage
--- a/src/tallyfold/base/storage/record_format.cpp
+++ b/src/tallyfold/base/storage/record_format.cpp
@@ -51,7 +51,7 @@
 
 namespace {
 
-/// True when a whole record starts anywhere behind the first byte.
+/// True when a complete valid record starts anywhere after the first byte.
 bool record_follows(std::string_view bytes) {
     for (std::uint64_t offset = 1; offset < bytes.size(); ++offset) {
         if (whole_record_length(bytes.substr(offset)) > 0) {
@@ -89,7 +89,7 @@
             if (policy == tail_policy::cut_unsynced && !record_follows(rest)) {
                 break;
             }
-            return tl::unexpected(damage(name, offset, "bad checksum of a record's length"));
+            return tl::unexpected(damage(name, offset, "checksum mismatch in a record's length"));
         }
         if (rest.size() < sizeof(header) + header.length) {
             break;
@@ -99,9 +99,9 @@
             if (policy == tail_policy::cut_unsynced && !record_follows(rest)) {
                 break;
             }
-            // The length was written whole, so the record may have been synced and spoken of.
-            // Cutting it could take back a vote: the replica has to be rebuilt instead.
-            return tl::unexpected(damage(name, offset, "bad checksum of a record"));
+            // The length is intact, so the record may have been synced and acknowledged. Truncating
+            // it could revoke a vote; the replica must be recovered instead.
+            return tl::unexpected(damage(name, offset, "checksum mismatch in a record's payload"));
         }
         result.payloads.push_back(payload);
         offset += sizeof(header) + header.length;
--- a/src/tallyfold/base/storage/record_format.hpp
+++ b/src/tallyfold/base/storage/record_format.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Records of a log segment: header {length, checksum of length, checksum of payload}, payload.
+/// Format of records in a log segment: header {length, checksum of length, checksum of payload},
+/// then payload.
 ///
-/// The header has a checksum of its own, so that a flipped bit in a length is told apart from a
-/// record whose end was never written.
+/// The length has its own checksum, which distinguishes a corrupt length from a torn write.
 
 #include <cstdint>
 #include <string>
@@ -15,32 +15,33 @@
 
 namespace tallyfold::storage {
 
-/// Adds one record that holds `payload` to `target`.
+/// Appends a record with `payload` to `target`.
 void append_record(std::string& target, std::string_view payload);
 
-/// Bytes of a record's header.
+/// Size of a record header in bytes.
 constexpr std::size_t record_header_size = 12;
 
-/// Length of the whole record at the start of `bytes`, its header included; 0 when there is none.
+/// Length, with header, of the complete valid record at the start of `bytes`; 0 if there is none.
 std::uint64_t whole_record_length(std::string_view bytes);
 
 struct scan_result {
     std::vector<std::string_view> payloads;
-    /// Bytes up to the end of the last whole record; what follows is a half-written tail.
+    /// Bytes up to the end of the last complete record; the rest is a torn tail.
     std::uint64_t valid_length = 0;
 };
 
-/// How a mismatch behind the last whole record is taken.
+/// Handling of a checksum mismatch after the last complete record.
 enum class tail_policy : std::uint8_t {
-    /// As damage, since the record may have been synced: for disks that keep a crash's order.
+    /// Reports damage, since the record may have been synced. For disks that persist writes in
+    /// order.
     refuse,
-    /// As the torn write of a lost power, when no whole record follows it: for stores that sync
-    /// each single write before the next one. A mismatch with a record behind it stays damage.
+    /// Treats the mismatch as a torn write when no complete record follows it, and as damage
+    /// otherwise. For stores that sync each write before the next one.
     cut_unsynced,
 };
 
-/// Splits `bytes` into records. A tail that ends early or holds only zeros is left out; any
-/// other mismatch is judged by `policy` and, as damage, reported with `name` and the offset.
+/// Splits `bytes` into records. A tail that is truncated or all zeros is skipped; any other
+/// mismatch is handled according to `policy`. Damage is reported with `name` and the offset.
 tl::expected<scan_result, storage_error> scan_records(std::string_view bytes,
                                                       const std::string& name,
                                                       tail_policy policy = tail_policy::refuse);
--- a/src/tallyfold/base/storage/record_reader.cpp
+++ b/src/tallyfold/base/storage/record_reader.cpp
@@ -28,7 +28,7 @@
         length = whole_record_length(unread_);
     }
     if (length == 0) {
-        // Nothing, a half-written tail, or damage.
+        // The rest is empty, a torn tail, or damaged; scan_records() distinguishes these.
         const auto rest = scan_records(unread_, path_, policy_);
         if (!rest) {
             return tl::unexpected(rest.error());
--- a/src/tallyfold/base/storage/record_reader.hpp
+++ b/src/tallyfold/base/storage/record_reader.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Reads the records of a file one after the other. Holds a block of the file at a time, since a
-/// segment may be larger than the memory that is left.
+/// Sequential reader of the records of a file. Buffers one block or record at a time, since a
+/// segment may exceed the available memory.
 
 #include <cstdint>
 #include <optional>
@@ -16,15 +16,15 @@
 
 class record_reader {
   public:
-    /// @param policy how a mismatch behind the last whole record is taken
+    /// @param policy handling of a checksum mismatch after the last complete record
     static tl::expected<record_reader, storage_error> open(const std::string& path,
                                                            tail_policy policy);
 
-    /// The next record's payload, valid until the next call; nothing at the end.
+    /// Payload of the next record, valid until the next call; nothing at the end.
     tl::expected<std::optional<std::string_view>, storage_error> next();
-    /// Bytes up to the end of the last whole record.
+    /// Bytes up to the end of the last complete record.
     [[nodiscard]] std::uint64_t valid_length() const { return valid_length_; }
-    /// Bytes behind it, once the end has been reached.
+    /// Bytes after valid_length(), once the end of the file has been reached.
     [[nodiscard]] std::uint64_t tail_length() const { return unread_.size(); }
 
   private:
@@ -33,7 +33,7 @@
     std::string path_;
     input_file file_;
     tail_policy policy_;
-    /// What was read of the file from `valid_length_` on.
+    /// Bytes of the file that were read last; `unread_` is its part from `valid_length_` on.
     std::string block_;
     std::string_view unread_;
     std::uint64_t valid_length_ = 0;
--- a/src/tallyfold/base/storage/segmented_log.cpp
+++ b/src/tallyfold/base/storage/segmented_log.cpp
@@ -14,7 +14,7 @@
 
 namespace fs = std::filesystem;
 
-/// Number in the name of a segment; 0 for other files.
+/// Number in the file name of a segment; 0 for other files.
 std::uint64_t segment_number(std::string_view name, std::string_view prefix) {
     if (!name.starts_with(prefix)) {
         return 0;
@@ -36,7 +36,7 @@
         }
     }
     for (const fs::path& path : stale) {
-        // A file that stays costs room until the next start, which finds it again.
+        // A file that can't be removed only takes up space; the next call tries again.
         std::error_code ignored;
         fs::remove(path, ignored);
     }
@@ -129,8 +129,8 @@
     if (!length) {
         return tl::unexpected(length.error());
     }
-    // From its renaming on, a restart may read the new segment: nothing is added to the older one
-    // until the new one is in use.
+    // Once the new segment is renamed, a restart may read it instead of the old one. Appending to
+    // the old segment is therefore disabled until the new one is open.
     failed_ = true;
     if (auto replaced = commit_replacement(next); !replaced) {
         return replaced;
--- a/src/tallyfold/base/storage/segmented_log.hpp
+++ b/src/tallyfold/base/storage/segmented_log.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A log of records in numbered files of one folder. Only the newest counts; it is written anew,
-/// from what still matters, once it has grown enough. Not thread-safe.
+/// Log of records in numbered segment files of a folder. Only the newest segment is valid; once it
+/// has grown enough, it is replaced by a new segment with the live records. Not thread-safe.
 
 #include <cstdint>
 #include <functional>
@@ -15,35 +15,35 @@
 
 namespace tallyfold::storage {
 
-/// Adds the next records of a new segment to `bytes`. @return false once there are none left; what
-/// it added to `bytes` then is the last part
+/// Appends the next records of a new segment to `bytes`. @return false when this was the last part
 using segment_chunk_source = std::function<bool(std::string& bytes)>;
 
 class segmented_log {
   public:
-    /// @param prefix of the segments' names, which end with their number
-    /// @param segment_bytes size up to which a segment is not written anew
+    /// @param prefix file name of a segment without its number
+    /// @param segment_bytes size up to which a segment is not rewritten
     segmented_log(std::string folder, std::string prefix, std::uint64_t segment_bytes);
 
-    /// Reads the newest segment back, or begins an empty one. @param on_payload gets each record's
-    /// payload in order, and may refuse it
+    /// Reads the newest segment, or creates an empty one. @param on_payload receives each record's
+    /// payload in order; its error aborts the call
     tl::expected<void, storage_error> open(
         tail_policy tail,
         const std::function<tl::expected<void, storage_error>(std::string_view payload)>&
             on_payload);
-    /// Adds records and syncs them. After an error, only rewrite() makes the log usable again.
+    /// Appends records and syncs them. After an error, the log is unusable until rewrite()
+    /// succeeds.
     tl::expected<void, storage_error> append(std::string_view records);
-    /// Begins a new segment, page by page, and removes the older ones. After an error the log may
-    /// have failed.
+    /// Writes a new segment chunk by chunk and removes older ones. After an error the log may be
+    /// unusable: see failed().
     tl::expected<void, storage_error> rewrite(const segment_chunk_source& next_chunk);
-    /// True when the segment is large, and at least twice what it began with: the live records
-    /// alone may be larger than `segment_bytes`, and writing them anew has to pay.
+    /// True when the segment exceeds `segment_bytes` and twice its initial size. The second
+    /// condition bounds the cost of rewrites when the live records alone exceed `segment_bytes`.
     [[nodiscard]] bool needs_rewrite() const;
     [[nodiscard]] bool failed() const { return failed_; }
 
-    /// Bytes of a half-written tail that open() left out.
+    /// Bytes of a torn tail that open() truncated.
     [[nodiscard]] std::uint64_t truncated_bytes() const { return truncated_bytes_; }
-    /// Path of the newest segment, for messages.
+    /// Path of the newest segment, for error messages.
     [[nodiscard]] std::string path() const { return path_of(number_); }
 
   private:
@@ -62,8 +62,8 @@
     bool failed_ = false;
 };
 
-/// Removes the files of `folder` of which `is_stale` is true; one that stays is found again at
-/// the next start.
+/// Removes the files of `folder` for which `is_stale` returns true. A file that can't be removed
+/// is skipped; the next call tries again.
 void remove_files(const std::string& folder,
                   const std::function<bool(const std::string& name)>& is_stale);
 
--- a/src/tallyfold/base/storage/storage_error.hpp
+++ b/src/tallyfold/base/storage/storage_error.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// How reading or writing the data folder fails.
+/// Errors of reading or writing the data folder.
 
 #include <cstdint>
 #include <string>
@@ -8,18 +8,18 @@
 namespace tallyfold::storage {
 
 enum class storage_failure : std::uint8_t {
-    /// The operating system refused; after a failed write or sync the store is unusable.
+    /// A system call failed. After a failed write or sync the store is unusable.
     input_output,
-    /// Bytes that had been synced are not what was written: recover from the peers.
+    /// Synced data is corrupt; the replica must be recovered from its peers.
     damaged,
-    /// Whole records that this build can't read: another program or a later build wrote them. They
-    /// are to be left alone.
+    /// Complete records of a format unknown to this build, written by another program or a later
+    /// build. They must not be modified.
     foreign,
 };
 
 struct storage_error {
     storage_failure failure = storage_failure::input_output;
-    /// File and offset, and what is wrong there.
+    /// File, offset and description of the error.
     std::string detail;
 };
 
