--- a/src/tallyfold/consensus/follower_reads.hpp
+++ b/src/tallyfold/consensus/follower_reads.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Reads at a replica that doesn't lead (Raft's read index, asked of the leader): one question is
-/// under way at a time, for all reads that came before it was sent. A read is confirmed once the
-/// log is committed here up to the position that the leader answered.
+/// Linearizable reads at a follower (Raft's read index). One read index request to the leader is in
+/// flight at a time, for all reads queued before it was sent. A read is confirmed once this replica
+/// has committed up to the index in the leader's reply.
 
 #include <cstdint>
 #include <map>
@@ -16,22 +16,22 @@
 
 class follower_reads {
   public:
-    /// @param first drawn anew in each life of the replica: an answer to a question of an earlier
-    /// life, which may still be under way, must not pass for one to a question of this life
+    /// @param first random start of the request identifiers, so that a delayed reply to a request
+    /// from before a restart is not taken for a reply to a later request
     explicit follower_reads(std::uint64_t first) : request_id_(first) {}
 
-    /// A read under the caller's number.
+    /// Queues a read. @param token identifies the read to the caller
     void add(std::uint64_t token, instant now);
-    /// The question that is to be sent to the leader now: a new one when none is under way and
-    /// reads wait, or the one under way again when it was sent `resend_interval` ago.
+    /// Identifier of the request to send to the leader now: a new one when reads are queued and
+    /// none is in flight, or the one in flight when it was sent at least `resend_interval` ago.
     std::optional<std::uint64_t> next_request_id(instant now, duration resend_interval);
-    /// The leader's answer; one to another question is ignored.
+    /// Handles the leader's reply. A reply to another request than the latest is ignored.
     void on_reply(std::uint64_t request_id, log_index commit_index);
-    /// Takes out the reads that the log, committed up to `commit_index`, confirms.
+    /// Removes and returns the reads that are confirmed at `commit_index`.
     std::vector<std::uint64_t> take_confirmed(log_index commit_index);
-    /// Takes out the reads that have waited for longer than `limit`.
+    /// Removes and returns the reads that have waited for longer than `limit`.
     std::vector<std::uint64_t> take_expired(instant now, duration limit);
-    /// Takes out all: who answers for them isn't known any more.
+    /// Removes and returns all reads, for a change of leader or of role.
     std::vector<std::uint64_t> take_all();
 
   private:
@@ -41,9 +41,9 @@
     };
 
     std::vector<read> queued_;
-    /// Those that the question under way is for.
+    /// Reads of the request in flight.
     std::vector<read> in_flight_reads_;
-    /// Those that wait for the log, by position.
+    /// Reads that wait for the commit index, by the index that they need.
     std::multimap<log_index, read> awaiting_commit_;
     std::uint64_t request_id_;
     instant sent_{};
--- a/src/tallyfold/consensus/log_store.cpp
+++ b/src/tallyfold/consensus/log_store.cpp
@@ -28,7 +28,7 @@
     }
 };
 
-/// A group's write as the log holds it: the snapshot's state lies in a file of its own.
+/// Log record of a group's write. The snapshot itself is stored in a separate file.
 struct log_record {
     group_id group = 0;
     std::optional<consensus::hard_state> state;
@@ -129,7 +129,8 @@
     if (record->snapshot_index.has_value()) {
         named_snapshots_[record->group] = *record->snapshot_index;
         const std::string path = snapshot_path(record->group, *record->snapshot_index);
-        // A later snapshot may have replaced this one; the record that names it comes later too.
+        // If the file is missing, a later record must refer to the snapshot that replaced it;
+        // load_segment() checks this.
         if (fs::exists(path)) {
             const auto bytes = read_single_record(path);
             if (!bytes) {
@@ -176,7 +177,7 @@
     for (const group_write& write : batch) {
         log_record record{write.group, write.state, std::nullopt, write.entries};
         if (write.base.has_value()) {
-            // The file is durable before the log names it.
+            // The snapshot file must be durable before the log refers to it.
             if (auto written = write_snapshot(write); !written) {
                 return written;
             }
--- a/src/tallyfold/consensus/log_store.hpp
+++ b/src/tallyfold/consensus/log_store.hpp
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// The durable store of one control node: one segmented log shared by all groups of the node,
-/// one snapshot file per group, and the replica's identity. All under one data folder.
+/// Durable storage of a control node in one data folder: a segmented log shared by all groups, a
+/// snapshot file per group, and the replica's identity.
 ///
-/// One sync serves a batch of writes of all groups (group commit). Not thread-safe: the storage
-/// thread owns it.
+/// A batch of writes of all groups is synced once (group commit). Not thread-safe; owned by the
+/// storage thread.
 
 #include <map>
 #include <string>
@@ -20,10 +20,11 @@
 
 class log_store final : public consensus::persistence {
   public:
-    /// A segment larger than this is replaced by a new one that starts with the live state.
+    /// Size above which a segment is replaced by a new one that starts with the live state.
     static constexpr std::uint64_t default_segment_bytes = 16U << 20U;
 
-    /// Opens the folder and reads it back; makes it, with `fresh_identity`, when it is empty.
+    /// Opens the folder and recovers its contents. An empty or missing folder is initialized with
+    /// `fresh_identity`.
     static tl::expected<log_store, storage_error> open(
         const std::string& folder, consensus::replica_id fresh_identity,
         std::uint64_t segment_bytes = default_segment_bytes,
@@ -32,7 +33,7 @@
     tl::expected<void, storage_error> write(
         const std::vector<consensus::group_write>& batch) override;
 
-    /// What the folder held when it was opened.
+    /// Contents of the folder when it was opened.
     [[nodiscard]] const consensus::recovered_node& recovered() const { return recovered_; }
     [[nodiscard]] std::uint64_t bytes_written() const { return bytes_written_; }
     [[nodiscard]] std::uint64_t syncs() const { return syncs_; }
@@ -52,7 +53,7 @@
     segmented_log log_;
     tail_policy tail_;
     std::map<group_id, consensus::durable_group> groups_;
-    /// While reading back: the snapshot that each group's newest record names.
+    /// During recovery: index of the snapshot that the newest record of each group refers to.
     std::map<group_id, consensus::log_index> named_snapshots_;
     consensus::recovered_node recovered_;
     std::uint64_t bytes_written_ = 0;
--- a/src/tallyfold/consensus/messages.hpp
+++ b/src/tallyfold/consensus/messages.hpp
@@ -13,8 +13,8 @@
 
 namespace tallyfold::consensus {
 
-/// Identity of a replica. It is drawn at random when its data folder is made and lives in that
-/// folder, so a replica that lost its disk is another replica.
+/// Identity of a replica, generated at random with its data folder and stored there. A replica that
+/// has lost its disk thus gets a new identity.
 using replica_id = std::uint64_t;
 using term_number = std::uint64_t;
 using log_index = std::uint64_t;
@@ -38,7 +38,7 @@
 
 struct member {
     node_name node;
-    /// A learner receives the log and has no vote.
+    /// A learner receives the log but has no vote.
     bool learner = false;
 
     bool operator==(const member&) const = default;
@@ -48,7 +48,7 @@
     }
 };
 
-/// Who takes part in one group.
+/// Voters and learners of a group.
 struct membership {
     std::map<replica_id, member> members;
 
@@ -72,7 +72,7 @@
     }
 };
 
-/// What must be on disk before a replica speaks of it.
+/// Raft's persistent term and vote, which must be durable before a message depends on them.
 struct hard_state {
     term_number term = 0;
     replica_id vote = no_replica;
@@ -84,7 +84,7 @@
     }
 };
 
-/// State of the group's state machine after `index`, in place of the log up to there.
+/// State of the group's state machine after applying `index`; replaces the log up to there.
 struct snapshot {
     log_index index = 0;
     term_number term = 0;
@@ -98,7 +98,7 @@
 };
 
 struct vote_request {
-    /// A pre-vote asks whether a vote would be granted and changes no state.
+    /// A pre-vote checks whether a vote would be granted, without changing state.
     bool pre_vote = false;
     log_index last_index = 0;
     term_number last_term = 0;
@@ -121,7 +121,7 @@
     log_index previous_index = 0;
     term_number previous_term = 0;
     log_index commit_index = 0;
-    /// Number of the leader's confirmation round; replies carry it back (read index).
+    /// Number of the leader's heartbeat round, echoed in the reply (read index).
     std::uint64_t round = 0;
     std::vector<log_entry> entries;
     template <class Archive>
@@ -132,7 +132,7 @@
 
 struct append_reply {
     bool accepted = false;
-    /// Last index known to match when accepted; otherwise where the leader should try next.
+    /// If accepted, last index known to match; otherwise a hint for the index to match next.
     log_index match_index = 0;
     std::uint64_t round = 0;
     template <class Archive>
@@ -150,9 +150,9 @@
     }
 };
 
-/// A replica that doesn't lead asks the leader up to where the log is committed.
+/// Request of a follower for the leader's commit index.
 struct read_index_request {
-    /// Comes back in the reply.
+    /// Request identifier, echoed in the reply.
     std::uint64_t question = 0;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -160,10 +160,11 @@
     }
 };
 
-/// A quorum has confirmed, after the question came, that its receiver leads.
+/// Sent after a quorum has confirmed, since the request arrived, that its receiver is the leader.
 struct read_index_reply {
     std::uint64_t question = 0;
-    /// Whoever has applied the log up to here has all that was committed before the question.
+    /// A replica that has applied the log up to here has everything that was committed before the
+    /// request.
     log_index commit_index = 0;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -174,15 +175,15 @@
 using message_body = std::variant<vote_request, vote_reply, append_request, append_reply,
                                   snapshot_request, read_index_request, read_index_reply>;
 
-/// Kinds of the first form: without the read index.
+/// Number of message types in format v1, which has no read index messages.
 constexpr std::size_t kinds_in_first_format = 5;
 
-/// One message between two replicas of one group.
+/// Message between two replicas of a group.
 struct replica_message {
     group_id group = 0;
     replica_id from = no_replica;
     replica_id to = no_replica;
-    /// Node that hosts `to`; the transport's address.
+    /// Node that hosts `to`, the address for the transport.
     node_name to_node;
     term_number term = 0;
     message_body body;
--- a/src/tallyfold/consensus/persistence.cpp
+++ b/src/tallyfold/consensus/persistence.cpp
@@ -20,7 +20,7 @@
             return e.index == base.index && e.term == base.term;
         });
         if (holds == entries.end()) {
-            // A snapshot from the leader replaces a log that may have diverged from its own.
+            // The log may have diverged from the leader's, so its snapshot replaces all of it.
             entries = write.entries;
         }
         std::erase_if(entries, [&](const log_entry& entry) { return entry.index <= base.index; });
--- a/src/tallyfold/consensus/persistence.hpp
+++ b/src/tallyfold/consensus/persistence.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What replicas ask of durable storage. Implemented by log_store, on files, and by a simulated
-/// disk in sim/.
+/// Interface of the durable storage of replicas, implemented by log_store and by the simulated disk
+/// in sim/.
 
 #include <map>
 #include <optional>
@@ -15,28 +15,29 @@
 
 namespace tallyfold::consensus {
 
-/// One group's part of a batch; the batch is durable as a whole or not at all.
+/// Write of one group in a batch. The batch becomes durable as a whole or not at all.
 struct group_write {
     group_id group = 0;
     std::optional<hard_state> state;
-    /// Replaces the log up to its index, and the whole log when the log does not hold its entry.
+    /// Replaces the log up to its index, or the whole log if that lacks the entry at its index and
+    /// term.
     std::optional<snapshot> base;
-    /// The first index tells from where the log is overwritten.
+    /// Replace the log from the index of the first entry on.
     std::vector<log_entry> entries;
 };
 
 using storage::storage_error;
 using storage::storage_failure;
 
-/// Everything a node finds in its folder at start.
+/// Contents of a node's data folder at start.
 struct recovered_node {
     replica_id identity = no_replica;
     std::map<group_id, recovered_state> groups;
-    /// Bytes of a half-written last record that were cut off.
+    /// Bytes of a torn last record that were truncated.
     std::uint64_t truncated_bytes = 0;
 };
 
-/// In-memory picture of one group's durable state, used for recovery and for compaction.
+/// In-memory copy of a group's durable state, used for recovery and compaction.
 class durable_group {
   public:
     void apply(const group_write& write);
@@ -49,7 +50,7 @@
 class persistence {
   public:
     virtual ~persistence() = default;
-    /// Returns once the batch is synced. After an error every further call fails.
+    /// Writes and syncs the batch. After an error all further calls fail.
     virtual tl::expected<void, storage_error> write(const std::vector<group_write>& batch) = 0;
 };
 
--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -1,6 +1,5 @@
 /// @file
-/// Elections of a replica: when it asks for votes, when it gives its own, and when it stops
-/// leading. Members of replica_fsm.
+/// Members of replica_fsm for elections: starting them, granting votes, and stepping down.
 
 #include "tallyfold/consensus/replica_fsm.hpp"
 
@@ -19,8 +18,8 @@
 }
 
 void replica_fsm::step_down_without_quorum(instant now) {
-    // A leader that has not heard from a quorum for a whole election timeout may have been
-    // replaced: it stops leading, so that nobody waits on it.
+    // A leader that has lost contact with a quorum for the longest election timeout may have been
+    // replaced. It steps down, so that callers don't wait for it.
     std::size_t reachable = 0;
     for (const auto& [id, member] : members().members) {
         if (member.learner) {
@@ -94,7 +93,7 @@
     for (const auto& [id, member] : members().members) {
         progress_[id] = replica_progress(log_.last_index() + 1, now);
     }
-    // An entry of its own term lets the leader commit what earlier terms left behind.
+    // Committing an entry of its own term lets the leader commit entries of earlier terms.
     append_own(entry_kind::no_operation, {});
     begin_round(now);
 }
@@ -117,9 +116,9 @@
 void replica_fsm::on_vote_request(const replica_message& message, const vote_request& body,
                                   instant now) {
     const bool current = is_log_up_to_date(body.last_index, body.last_term);
-    // The candidate's membership decides whose votes count, not ours: ours may be older, and its
-    // newer one may need this vote. A removed candidate fails by its log, which lacks its removal.
-    // A replica without any membership has not been formed yet; forming it would forget its vote.
+    // The candidate need not be a voter in the local membership: that may be out of date, and the
+    // candidate's newer one may need this vote. A removed candidate loses, since its log lacks the
+    // removal. A replica without membership must not vote: its initialization would lose the vote.
     const bool has_membership = !members().members.empty();
     if (body.pre_vote) {
         const bool granted = has_membership && current && message.term > state_.term &&
--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// A replica's start, the messages and ticks that drive it, its own log, and the work that it hands
-/// out. The other members of replica_fsm stand by their job in replica_election,
-/// replica_replication, replica_snapshots, replica_membership and replica_reads.
+/// Members of replica_fsm for construction, ticks, message dispatch, the local log and ready work.
+/// Further members are in replica_election, replica_replication, replica_snapshots,
+/// replica_membership and replica_reads.
 
 #include "tallyfold/consensus/replica_fsm.hpp"
 
@@ -76,7 +76,7 @@
         return false;
     }
     if (const auto* request = std::get_if<vote_request>(&message.body)) {
-        // Neither a pre-vote nor a vote asked for while a leader is alive moves the term.
+        // Neither a pre-vote nor a vote request during recent leader contact advances the term.
         return !request->pre_vote && !has_recent_leader_contact(now);
     }
     if (const auto* reply = std::get_if<vote_reply>(&message.body)) {
@@ -146,7 +146,8 @@
     if (members) {
         memberships_.push_back({entry.index, std::move(*members)});
     } else if (!unreadable_entry_) {
-        // The members before stay: with none, this replica would take itself for a quorum.
+        // The previous members stay in effect. With an empty membership, this replica would be a
+        // quorum by itself.
         unreadable_entry_ = entry.index;
     }
 }
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -1,13 +1,11 @@
 #pragma once
 /// @file
-/// One replica of one replicated log, as a pure state machine: no input or output, no clock.
+/// Raft replica (Ongaro and Ousterhout, 2014) as a state machine without I/O and without a clock,
+/// with pre-vote, leader stickiness, read index, learners, and single-server membership changes.
 ///
-/// The protocol is Raft (Ongaro and Ousterhout, 2014) with pre-vote, leader stickiness, read
-/// index, learners, and membership change one replica at a time. The caller hands in messages
-/// and the time, takes `ready` work out, makes it durable, and reports back with `persisted`.
-///
-/// Owns the log in memory, the terms and the votes. Relies on the caller to sync before it sends
-/// ready::messages_after_sync, and to hand in times that never go back.
+/// The caller passes in messages and the time, takes the `ready` work, makes it durable, and calls
+/// persisted(). It must sync before it sends ready::messages_after_sync, and its times must never
+/// decrease. Owns the in-memory log, the term and the vote. Not thread-safe.
 
 #include <deque>
 #include <map>
@@ -28,24 +26,23 @@
 struct replica_settings {
     group_id group = 0;
     replica_id self = no_replica;
-    /// An election starts after a silence drawn from [election_timeout, 2 * election_timeout).
+    /// The randomized timeout is drawn from [election_timeout, 2 * election_timeout].
     duration election_timeout = std::chrono::milliseconds(500);
     duration heartbeat_interval = std::chrono::milliseconds(100);
-    /// A replica that has just started, or has asked for a pre-vote in vain, waits only this long,
-    /// up to twice, for a leader to show: a pre-vote disturbs none, and after a stop of the whole
-    /// group nobody leads. Zero waits like any other time.
+    /// Shorter election timeout, also randomized up to twice its value, after a start or a failed
+    /// pre-vote, so that a fully restarted group elects a leader quickly. Safe since a pre-vote
+    /// does not disturb a leader. Zero applies `election_timeout`.
     duration first_election_timeout = duration::zero();
-    /// Rounds for reads begin this far apart at least, so that many readers don't fill the group's
-    /// connections; reads wait for the next one together.
+    /// Minimum interval between rounds for reads, so that many reads don't saturate the group's
+    /// connections. Reads that arrive in between share the next round.
     duration read_round_gap = duration::zero();
     std::size_t max_entries_per_message = 256;
-    /// Entries that one replica has not answered for, in bytes of payload; one entry goes out
-    /// however large it is.
+    /// Limit of unacknowledged payload bytes per replica. A single entry is sent whatever its size.
     std::size_t max_bytes_in_flight = 1U << 20U;
     std::uint64_t seed = 0;
 };
 
-/// What the storage gave back at start.
+/// State recovered from storage at start.
 struct recovered_state {
     hard_state state;
     snapshot base;
@@ -56,19 +53,19 @@
 
 enum class replica_error : std::uint8_t { not_leader, change_in_progress, invalid_change };
 
-/// Work for the shell, in this order: send `messages_before_sync` at any time; make
-/// `new_state`, `received_snapshot` and `new_entries` durable; then send `messages_after_sync`
-/// and call persisted(). `committed` entries and `confirmed_reads` may be used at once.
+/// Work for the caller: send `messages_before_sync` at any time; make `new_state`,
+/// `received_snapshot` and `new_entries` durable; then send `messages_after_sync` and call
+/// persisted(). `committed` entries and `confirmed_reads` may be used at once.
 struct ready {
     std::vector<replica_message> messages_before_sync;
     std::optional<hard_state> new_state;
     std::optional<snapshot> received_snapshot;
-    /// The first index tells from where the durable log is overwritten.
+    /// Replace the durable log from the index of the first entry on.
     std::vector<log_entry> new_entries;
     std::vector<replica_message> messages_after_sync;
     std::vector<log_entry> committed;
     std::vector<std::uint64_t> confirmed_reads;
-    /// Reads that nobody answers any more: they may be asked for again.
+    /// Reads that can no longer be confirmed; the caller may request them again.
     std::vector<std::uint64_t> failed_reads;
 
     [[nodiscard]] bool needs_sync() const {
@@ -83,24 +80,24 @@
     void tick(instant now);
     void step(const replica_message& message, instant now);
 
-    /// Appends a command at the leader. @return its index; it is not committed yet.
+    /// Appends a command at the leader. @return its index, which is not yet committed
     tl::expected<log_index, replica_error> propose(std::string payload);
-    /// Appends a membership that differs from the current one in a single replica.
+    /// Appends a membership that differs from the current one in at most one voter.
     tl::expected<log_index, replica_error> propose_membership(const membership& next);
-    /// Confirms leadership with a quorum in a round started after this call; the token then
-    /// comes out in ready::confirmed_reads, or in ready::failed_reads when the lead is lost.
+    /// Confirms leadership with a quorum in a round started after this call. The token is then
+    /// returned in ready::confirmed_reads, or in ready::failed_reads when leadership is lost.
     tl::expected<void, replica_error> request_read(std::uint64_t token, instant now);
-    /// The same at any replica: one that doesn't lead asks the leader, and confirms the read once
-    /// its log is committed up to the position that the leader answers. @return an error when no
-    /// leader is known
+    /// Like request_read(), but also at a follower, which requests the read index from the leader
+    /// and confirms the read once it has committed up to there. @return an error when no leader is
+    /// known
     tl::expected<void, replica_error> request_read_at_any_replica(std::uint64_t token, instant now);
 
-    /// The log up to `index`, whose entry there has `term`, is durable at this replica.
+    /// Reports that the log up to `index`, whose entry there has `term`, is durable here.
     void persisted(log_index index, term_number term);
-    /// The state machine's state at `index` is durable as a snapshot: drop the log up to there.
+    /// Reports that a snapshot at `index` is durable, and drops the log up to there.
     void compacted(log_index index);
 
-    /// Takes the work that has gathered.
+    /// Removes and returns the pending work.
     ready take_ready();
     [[nodiscard]] bool has_ready() const;
 
@@ -110,18 +107,18 @@
     [[nodiscard]] log_index commit_index() const { return commit_index_; }
     [[nodiscard]] const replicated_log& log() const { return log_; }
     [[nodiscard]] const membership& members() const { return memberships_.back().value; }
-    /// The membership in force at `index`, for a snapshot taken there.
+    /// Membership in effect at `index`, for a snapshot taken there.
     [[nodiscard]] const membership& members_at(log_index index) const;
-    /// At the leader: last index known to be durable at `replica`.
+    /// At the leader: last index known to be durable at `replica`; 0 if unknown.
     [[nodiscard]] log_index match_index(replica_id replica) const;
-    /// The first entry of the log that changes the members in a form that this build can't read:
-    /// whose votes count from there on isn't known. Nothing in a log that can be read.
+    /// First membership entry of the log that this build can't decode, if any. The voters from
+    /// there on are unknown.
     [[nodiscard]] std::optional<log_index> unreadable_entry() const { return unreadable_entry_; }
-    /// True when the leader has committed an entry of its own term, so that its view of what is
-    /// committed is complete.
+    /// True when this replica leads and has committed an entry of its own term, so that its commit
+    /// index covers all earlier commits.
     [[nodiscard]] bool has_committed_in_term() const;
-    /// At the leader: the snapshot to send to a replica whose log lies before ours. The caller
-    /// keeps it current, since the state machine's state is not held here.
+    /// At the leader: snapshot for replicas that need entries already compacted here. The caller
+    /// keeps it up to date, since this class does not hold the state machine's state.
     void set_snapshot(snapshot latest) { latest_snapshot_ = std::move(latest); }
 
   private:
@@ -132,7 +129,8 @@
     struct pending_read {
         std::uint64_t token;
         std::uint64_t round;
-        /// The replica that asked, under its question's number; none for a read of this replica.
+        /// Replica that requested the read index, with `token` as its request identifier; none for
+        /// a local read.
         replica_id asker = no_replica;
     };
 
@@ -153,32 +151,33 @@
                                instant now);
     void on_read_index_reply(const replica_message& message, const read_index_reply& body);
 
-    /// The message is of the leader of the current term, or of a newer one.
+    /// Follows the sender, which is the leader of the current or a newer term.
     void accept_leader(const replica_message& message, instant now);
     using entry_iterator = std::vector<log_entry>::const_iterator;
-    /// Stores the entries that the log lacks; one of another term replaces what follows it too.
+    /// Appends the entries that the log lacks. An entry of a different term replaces the existing
+    /// one and all that follow.
     void append_missing_entries(entry_iterator entry, entry_iterator end);
     void append_own(entry_kind kind, std::string payload);
     void store_entry(const log_entry& entry);
     void apply_membership(const log_entry& entry);
     void truncate_from(log_index index);
     void send_append(replica_id to, bool allow_empty);
-    /// What goes to `peer` next, within the bounds of one message and of what is under way.
+    /// Next entries for `peer`, within the limits of one message and of bytes in flight.
     [[nodiscard]] std::vector<log_entry> next_entries(const replica_progress& peer) const;
     void broadcast_append(bool allow_empty);
     void begin_round(instant now);
     void advance_commit();
     void commit_to(log_index index);
     void await_round(pending_read read, instant now);
-    /// Begins a round when reads wait for one, none is out, and the last began long enough ago.
+    /// Begins a round when reads wait for one, none is in flight, and `read_round_gap` has passed.
     void begin_round_for_reads(instant now);
     void confirm_reads(instant now);
     void request_read_index(instant now);
     void confirm_follower_reads();
-    /// Gives up all reads that wait: the leader that was to confirm them may have changed.
+    /// Fails all pending reads, since the leader that would confirm them may have changed.
     void fail_reads();
     void fail_reads(const std::vector<std::uint64_t>& tokens);
-    /// The newest round that a quorum of voters has acknowledged.
+    /// Latest round that a quorum of voters has acknowledged.
     [[nodiscard]] std::uint64_t confirmed_round() const;
     void step_down_without_quorum(instant now);
     [[nodiscard]] bool is_log_up_to_date(log_index last_index, term_number last_term) const;
--- a/src/tallyfold/consensus/replica_membership.cpp
+++ b/src/tallyfold/consensus/replica_membership.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Changes of the voters and learners of a replicated log, one at a time. Members of replica_fsm.
+/// Members of replica_fsm for membership changes, one at a time.
 
 #include "tallyfold/base/protocol/binary_codec.hpp"
 #include "tallyfold/consensus/replica_fsm.hpp"
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Replicas that vote in one of the memberships and not in the other.
+/// Number of replicas that are voters in exactly one of the two memberships.
 std::size_t changed_voters(const membership& before, const membership& after) {
     std::size_t changed = 0;
     for (const auto& [id, member] : before.members) {
@@ -27,8 +27,8 @@
     if (role_ != replica_role::leader) {
         return tl::unexpected(replica_error::not_leader);
     }
-    // One change at a time, and only after an entry of this term is committed: otherwise two
-    // leaders could each count a quorum that does not overlap the other's.
+    // Only one change at a time, and only after an entry of this term is committed: otherwise two
+    // leaders could have quorums that don't overlap.
     if (memberships_.back().index > commit_index_ || !has_committed_in_term()) {
         return tl::unexpected(replica_error::change_in_progress);
     }
--- a/src/tallyfold/consensus/replica_progress.cpp
+++ b/src/tallyfold/consensus/replica_progress.cpp
@@ -33,7 +33,7 @@
 
 bool replica_progress::has_room(std::size_t bytes, std::size_t planned,
                                 std::size_t max_in_flight_bytes) const {
-    // One entry goes out however large it is.
+    // A single entry is sent whatever its size, so that replication can't stall.
     const bool alone = in_flight_.empty() && planned == 0;
     return alone || in_flight_bytes_ + planned + bytes <= max_in_flight_bytes;
 }
--- a/src/tallyfold/consensus/replica_progress.hpp
+++ b/src/tallyfold/consensus/replica_progress.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What a leader knows of one other replica: how far its log matches, and what is under way to it.
-/// Pure; replica_fsm decides what to send.
+/// Leader's view of the replication to one peer: match index, next index, and entries in flight.
+/// Plain bookkeeping; replica_fsm decides what to send.
 
 #include <cstddef>
 #include <cstdint>
@@ -19,32 +19,32 @@
     replica_progress(log_index next_index, instant heard)
         : next_index_(next_index), last_contact_(heard) {}
 
-    /// The first entry that is to be sent next.
+    /// Index of the next entry to send.
     [[nodiscard]] log_index next_index() const { return next_index_; }
-    /// The last entry that is known to be durable there.
+    /// Last index known to be durable at the peer.
     [[nodiscard]] log_index match_index() const { return match_index_; }
     [[nodiscard]] std::uint64_t acknowledged_round() const { return acknowledged_round_; }
     [[nodiscard]] instant last_contact() const { return last_contact_; }
 
-    /// It has answered in `round`.
+    /// Records a reply of the peer that belongs to `round`.
     void record_reply(std::uint64_t round, instant now);
-    /// Entries up to `last_index` went out, with so many bytes of payload.
+    /// Records that entries up to `last_index`, with `bytes` of payload, were sent.
     void record_sent(log_index last_index, std::size_t bytes);
-    /// Its log matches up to `index`.
+    /// Records that the peer's log matches up to `index`.
     void record_match(log_index index);
-    /// The next message begins at `index`, with nothing taken to be under way.
+    /// Sets the index at which the next message begins; entries in flight stay counted.
     void set_next_index(log_index index) { next_index_ = index; }
-    /// True when a rejection of `round` answers something sent after the last repeat. One of an
-    /// earlier round was already answered by that repeat: another would only fill the connection.
+    /// True when a rejection of `round` refers to a message sent since the last resend. The last
+    /// resend already covers earlier rounds; another one would only load the connection.
     [[nodiscard]] bool needs_resend(std::uint64_t round) const { return round >= resend_round_; }
-    /// Everything from `index` on is sent again, in a round of its own.
+    /// Restarts sending at `index`, in the new round `round`; nothing counts as in flight.
     void resend_from(log_index index, std::uint64_t round);
-    /// True when a further entry of `bytes` may go out beside `planned` bytes of the same message.
+    /// True when an entry of `bytes` may be added to a message that already has `planned` bytes.
     [[nodiscard]] bool has_room(std::size_t bytes, std::size_t planned,
                                 std::size_t max_in_flight_bytes) const;
 
   private:
-    /// Entries of one message that it has not answered for.
+    /// Unacknowledged entries of one message.
     struct in_flight_message {
         log_index last_index = 0;
         std::size_t bytes = 0;
--- a/src/tallyfold/consensus/replica_reads.cpp
+++ b/src/tallyfold/consensus/replica_reads.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Reads of a replica (Raft's read index): how a leader, or a replica that asks the leader,
-/// confirms that its state is the newest. Members of replica_fsm.
+/// Members of replica_fsm for linearizable reads (Raft's read index) at the leader and at
+/// followers.
 
 #include <algorithm>
 
@@ -43,7 +43,7 @@
 }
 
 void replica_fsm::request_read_index(instant now) {
-    // A leader that doesn't answer for an election timeout may be none any more.
+    // A leader that doesn't reply for an election timeout may have been replaced.
     fail_reads(follower_reads_.take_expired(now, settings_.election_timeout));
     if (leader_ == no_replica || role_ == replica_role::leader) {
         return;
--- a/src/tallyfold/consensus/replica_replication.cpp
+++ b/src/tallyfold/consensus/replica_replication.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Replication of the log: what a leader sends and counts as committed, and what a follower takes.
-/// Members of replica_fsm.
+/// Members of replica_fsm for log replication: sending and committing at the leader, appending at
+/// followers.
 
 #include <algorithm>
 
@@ -37,7 +37,7 @@
     accept_leader(message, now);
     log_index previous = body.previous_index;
     auto entry = body.entries.begin();
-    // Entries at or before our snapshot are committed, hence equal: skip them.
+    // Entries covered by the local snapshot are committed, hence identical: skip them.
     while (previous < log_.snapshot_index() && entry != body.entries.end()) {
         ++previous;
         ++entry;
@@ -75,7 +75,7 @@
             send_append(message.from, false);
         }
     } else if (peer.needs_resend(body.round)) {
-        // A round of its own tells the answers to the repeat from those to what went before it.
+        // A new round distinguishes replies to the resend from replies to earlier messages.
         peer.resend_from(std::max(peer.match_index(), body.match_index) + 1, ++round_);
         send_append(message.from, true);
     }
@@ -117,7 +117,7 @@
         return;
     }
     if (!request.entries.empty()) {
-        // Optimistic: a lost message shows as a rejection of the next one.
+        // Pipelined without waiting for replies; a loss leads to a rejection of the next message.
         std::size_t bytes = 0;
         for (const log_entry& entry : request.entries) {
             bytes += entry.payload.size();
@@ -155,9 +155,9 @@
     }
     std::sort(durable.rbegin(), durable.rend());
     const log_index candidate = durable[members().quorum() - 1];
-    // Only an entry of the leader's own term commits by counting replicas (Raft, figure 8).
+    // Only entries of the leader's own term are committed by counting replicas (Raft, figure 8).
     if (candidate > commit_index_ && log_.term_at(candidate) == state_.term) {
-        // Followers learn the new commit index from the next message that they are sent anyway.
+        // The next message to each follower carries the new commit index.
         commit_to(candidate);
     }
 }
--- a/src/tallyfold/consensus/replica_snapshots.cpp
+++ b/src/tallyfold/consensus/replica_snapshots.cpp
@@ -1,6 +1,5 @@
 /// @file
-/// Snapshots: one that a leader sends in place of entries that it no longer has, and the compaction
-/// of the own log. Members of replica_fsm.
+/// Members of replica_fsm for snapshots: installing one from the leader, and log compaction.
 
 #include "tallyfold/consensus/replica_fsm.hpp"
 
--- a/src/tallyfold/consensus/replicated_log.hpp
+++ b/src/tallyfold/consensus/replicated_log.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The log of one replica, in memory: the entries after its snapshot.
+/// In-memory log of a replica: the entries after its snapshot.
 
 #include <deque>
 #include <optional>
@@ -22,20 +22,20 @@
     [[nodiscard]] log_index snapshot_index() const { return snapshot_index_; }
     [[nodiscard]] term_number snapshot_term() const { return snapshot_term_; }
 
-    /// Term of the entry at `index`; nothing when it was compacted away or does not exist yet.
+    /// Term of the entry at `index`; nothing when it was compacted or does not exist yet.
     [[nodiscard]] std::optional<term_number> term_at(log_index index) const;
     /// Entry at `index`, which must lie in [first_index, last_index].
     [[nodiscard]] const log_entry& at(log_index index) const;
-    /// Up to `limit` entries from `from` on.
+    /// At most `limit` entries, starting at `from`.
     [[nodiscard]] std::vector<log_entry> slice(log_index from, std::size_t limit) const;
 
     /// Appends an entry whose index is last_index() + 1.
     void append(log_entry entry);
     /// Removes the entries from `index` on.
     void truncate_from(log_index index);
-    /// Drops the entries up to `index`, which a snapshot now covers.
+    /// Drops the entries up to `index`, which a snapshot covers.
     void compact(log_index index, term_number term);
-    /// Replaces everything by a snapshot received from the leader.
+    /// Replaces the whole log by a snapshot received from the leader.
     void reset(log_index index, term_number term);
 
   private:
