--- a/tests/base/logging/line_sink_test.cpp
+++ b/tests/base/logging/line_sink_test.cpp
@@ -39,7 +39,7 @@
     }
 
     void a_blocked_reader_neither_blocks_the_writer_nor_grows_memory() {
-        // Nobody reads. A sink that waited would never return from here.
+        // Nothing reads from the pipe: a blocking sink would hang here.
         line_sink sink({pipe_[1], 64U << 10U, 1e9, 1e9});
         const std::string line(200, 'x');
         constexpr int lines = 50'000;
@@ -48,7 +48,7 @@
             CPPUNIT_ASSERT(sink.buffered_bytes() <= (64U << 10U));
         }
         CPPUNIT_ASSERT(sink.dropped_lines() > 0);
-        // The reader comes back: what is held arrives, and nothing was lost without being counted.
+        // Once the reader resumes, buffered lines arrive, and all others were counted as dropped.
         std::string text = read_all(pipe_[0]);
         sink.flush();
         text += read_all(pipe_[0]);
--- a/tests/base/protocol/binary_codec_test.cpp
+++ b/tests/base/protocol/binary_codec_test.cpp
@@ -33,7 +33,7 @@
     }
 
     void any_bytes_are_decoded_or_refused() {
-        check_property("decode answers any bytes", [] {
+        check_property("decode returns a value or a reason for any bytes", [] {
             const std::string noise = *any_bytes();
             const auto decoded = protocol::decode<protocol::internal_message>(noise);
             RC_ASSERT(decoded.has_value() || !decoded.error().reason.empty());
@@ -41,7 +41,7 @@
     }
 
     void corrupt_and_truncated_messages_are_decoded_or_refused() {
-        check_property("decode answers damaged messages", [] {
+        check_property("decode returns for corrupt messages", [] {
             std::string bytes = protocol::encode(sample());
             const auto at =
                 static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(bytes.size())));
--- a/tests/base/protocol/compression_test.cpp
+++ b/tests/base/protocol/compression_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     void decompression_restores_the_input() {
-        check_property("what was compressed comes back", [] {
+        check_property("decompression restores the input", [] {
             const std::string bytes = *any_bytes();
             const auto back = protocol::decompress(protocol::compress(bytes), bytes.size());
             RC_ASSERT(back.has_value());
@@ -21,7 +21,7 @@
     }
 
     void truncated_data_is_refused() {
-        check_property("arbitrary, cut or altered bytes are refused or give other bytes", [] {
+        check_property("arbitrary bytes are handled and truncated data is refused", [] {
             constexpr std::size_t most = 1U << 20U;
             const std::string bytes = *any_bytes();
             (void)protocol::decompress(bytes, most);
--- a/tests/base/storage/checksum_test.cpp
+++ b/tests/base/storage/checksum_test.cpp
@@ -10,14 +10,14 @@
     CPPUNIT_TEST(hardware_and_portable_checksums_agree);
     CPPUNIT_TEST_SUITE_END();
 
-    /// The check value that catalogues of checksums give for CRC-32C.
+    /// Published check value of CRC-32C.
     void checksum_matches_the_crc32c_check_value() {
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0xE3069283}, storage::checksum("123456789"));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, storage::checksum(""));
     }
 
     void hardware_and_portable_checksums_agree() {
-        check_property("the processor's instruction gives the same", [](const std::string& bytes) {
+        check_property("both implementations agree", [](const std::string& bytes) {
             RC_ASSERT(storage::checksum(bytes) == storage::portable_checksum(bytes));
         });
     }
--- a/tests/base/storage/segmented_log_test.cpp
+++ b/tests/base/storage/segmented_log_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(a_failed_rewrite_loses_no_appended_records);
     CPPUNIT_TEST_SUITE_END();
 
-    /// Files can't be opened while it lives.
+    /// Prevents opening files during its lifetime.
     class descriptor_exhaustion {
       public:
         descriptor_exhaustion() {
@@ -48,11 +48,8 @@
         return bytes;
     }
 
-    // Symptom: records that had been synced were gone after a restart.
-    // Sequence: a new segment was renamed into place and the sync of its folder failed; records
-    // went on into the older segment; the restart read the newer one and removed the older.
-    // Cause: a failed rewrite left the log usable, whatever the step at which it had failed.
-    // Settled by: reading; this test, with no descriptor left for the folder.
+    // Guards against loss of synced records: after a rewrite that fails once the new segment is
+    // renamed, a restart reads the new segment, so records must not go to the old one.
     void a_failed_rewrite_loses_no_appended_records() {
         const temporary_path folder("tallyfold-segmented-log");
         std::filesystem::create_directories(folder.path());
