--- a/tests/consensus/follower_reads_test.cpp
+++ b/tests/consensus/follower_reads_test.cpp
@@ -41,7 +41,7 @@
         CPPUNIT_ASSERT(reads.take_confirmed(9) == tokens({1}));
         const auto second = reads.next_request_id(now_, repeat);
         CPPUNIT_ASSERT(second.has_value() && second != first);
-        // The same answer once more, late.
+        // A delayed duplicate of the reply.
         reads.on_reply(*first, 12);
         CPPUNIT_ASSERT(reads.take_confirmed(12).empty());
     }
--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -57,7 +57,7 @@
         {
             log_store store = open();
             CPPUNIT_ASSERT(store.write(entries(1, 5)).has_value());
-            // An overwrite from the middle drops what followed.
+            // Overwriting an entry drops all that follow it.
             CPPUNIT_ASSERT(store.write(entries(4, 4)).has_value());
         }
         const log_store again = open();
@@ -83,7 +83,7 @@
             const log_store cut = open();
             CPPUNIT_ASSERT_EQUAL(std::size_t{2}, cut.recovered().groups.at(1).entries.size());
             CPPUNIT_ASSERT(fs::file_size(newest_segment()) <= length);
-            // Put some bytes back so that the next shorter length can be tried.
+            // Extend the file again, so that the next shorter length can be tested.
             fs::resize_file(newest_segment(), length);
         }
     }
@@ -115,8 +115,8 @@
         CPPUNIT_ASSERT(opened->recovered().groups.empty());
     }
 
-    /// huayin-preview-grown scale-2 --seed 12763920105: with entries of 200 KB the log before the
-    /// next snapshot was larger than a segment, and each write wrote all of it anew.
+    /// Guards against a rewrite on each write once the live entries exceed the segment size.
+    /// Reproduces huayin-preview-grown scale-2 --seed 12763920105.
     void a_live_state_over_the_segment_size_is_not_written_with_each_entry() {
         constexpr std::uint64_t segment_bytes = 2048;
         log_store store = open(segment_bytes);
@@ -150,7 +150,7 @@
     }
 
     void arbitrary_bytes_after_a_record_are_truncated_or_refused() {
-        check_property("a scan never reads past the bytes", [] {
+        check_property("a scan never reads beyond the end", [] {
             const std::string noise = *any_bytes();
             std::string bytes;
             append_record(bytes, "first");
--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -33,7 +33,7 @@
     }
 
     void a_group_recovers_once_faults_end() {
-        check_property("a leader commits after the last fault", [](std::uint64_t seed) {
+        check_property("a leader is elected and commits once faults end", [](std::uint64_t seed) {
             replica_group group(3, seed);
             for (int step = 0; step < 200; ++step) {
                 group.step(0.05);
@@ -46,7 +46,7 @@
     void every_replica_confirms_reads_while_there_is_a_leader() {
         replica_group group(5, 11);
         CPPUNIT_ASSERT(group.settle());
-        // One heartbeat tells every replica who leads.
+        // Long enough for a heartbeat to announce the leader to all replicas.
         for (int count = 0; count < 20; ++count) {
             CPPUNIT_ASSERT(group.settle(1));
         }
@@ -96,7 +96,7 @@
         message.to = 3;
         message.term = 3;
         message.body = request;
-        // Long after any leader was heard.
+        // Long after the last leader contact, which would prevent a vote.
         voter.step(message, instant(std::chrono::seconds(100)));
         ready work = voter.take_ready();
         work.messages_before_sync.insert(work.messages_before_sync.end(),
@@ -111,8 +111,8 @@
     }
 
     void a_lagging_voter_can_elect_a_promoted_learner() {
-        // Seed 21867: replica 2 lost its disk, replica 1 had become a voter, and replica 3 had
-        // not yet heard of it; nobody could be elected any more.
+        // Guards against a group without electable replicas (seed 21867): replica 2 has lost its
+        // disk, and replica 3 has not yet received the promotion of replica 1 to voter.
         membership older;
         older.members = {{1, {"a", true}}, {2, {"b", false}}, {3, {"c", false}}};
         replica_fsm voter = voter_with(older, 137);
@@ -146,7 +146,7 @@
     static constexpr std::size_t entry_bytes = 100'000;
     static constexpr int backlog_entries = 60;
 
-    /// Payload bytes that the leader wants to send to `to` now, and the newest round among them.
+    /// Payload bytes of the leader's pending messages to `to`; sets `round` to their latest round.
     static std::size_t bytes_for(replica_fsm& leader, replica_id to, std::uint64_t& round) {
         const ready work = leader.take_ready();
         std::size_t bytes = 0;
@@ -188,7 +188,7 @@
         return leader == 3 ? 2 : 3;
     }
 
-    /// A leader whose follower has been cut off, and took nothing of a backlog of 6 MB.
+    /// Leader with an unreachable follower that has received nothing of a backlog of 6 MB.
     struct lagging_follower {
         replica_group group{3, 11};
         replica_fsm* leader = nullptr;
@@ -211,8 +211,8 @@
         }
     };
 
-    /// huayin-preview-grown scale-2 --seed 12763920105: after a cut every rejection brought the
-    /// whole backlog once more; the channel's queue overflowed, which lost them all, for ever.
+    /// Guards against resending the backlog for each rejection after an outage, which overflows the
+    /// channel's queue again and again. Reproduces huayin-preview-grown scale-2 --seed 12763920105.
     void a_lagging_follower_gets_its_backlog_once() {
         lagging_follower lag;
         const std::uint64_t old_round = lag.round;
@@ -235,12 +235,12 @@
         lagging_follower lag;
         log_index matched = lag.matched;
         const log_index last = lag.leader->log().last_index();
-        // A rejection of what was sent after the last repeat: that one was lost as well.
+        // Each rejection refers to the last resend, which was lost as well.
         for (int repeat = 0; repeat < 3; ++repeat) {
             lag.leader->step(answer(*lag.leader, lag.follower, {false, matched, lag.round}), {});
             CPPUNIT_ASSERT(bytes_for(*lag.leader, lag.follower, lag.round) > 0);
         }
-        // Each answer brings the next part, up to the end.
+        // Each reply triggers the next part of the backlog.
         for (int step = 0; step < 2 * backlog_entries && matched < last; ++step) {
             matched += 1;
             lag.leader->step(answer(*lag.leader, lag.follower, {true, matched, lag.round}), {});
