--- a/tests/base/storage/segmented_log_test.cpp
+++ b/tests/base/storage/segmented_log_test.cpp
@@ -56,13 +56,13 @@
         std::vector<std::string> none;
         segmented_log log = opened(folder.path(), none);
         CPPUNIT_ASSERT(log.append(record("first")).has_value());
-        std::optional<descriptor_exhaustion> exhausted;
+        std::optional<descriptor_exhaustion> no_descriptors;
         const auto rewritten = log.rewrite([&](std::string& bytes) {
             bytes = record("first");
-            exhausted.emplace();
+            no_descriptors.emplace();
             return false;
         });
-        exhausted.reset();
+        no_descriptors.reset();
         CPPUNIT_ASSERT(!rewritten.has_value());
         const bool added = log.append(record("second")).has_value();
         std::vector<std::string> kept;
