--- a/src/tallyfold/consensus/log_store.cpp
+++ b/src/tallyfold/consensus/log_store.cpp
@@ -109,7 +109,7 @@
     if (!loaded) {
         return loaded;
     }
-    for (const auto& [group, index] : named_snapshots_) {
+    for (const auto& [group, index] : referenced_snapshots_) {
         if (groups_[group].state().base.index != index) {
             return tl::unexpected(
                 storage_error{storage_failure::damaged, snapshot_path(group, index) + ": missing"});
@@ -127,7 +127,7 @@
     }
     group_write write{record->group, record->state, std::nullopt, std::move(record->entries)};
     if (record->snapshot_index.has_value()) {
-        named_snapshots_[record->group] = *record->snapshot_index;
+        referenced_snapshots_[record->group] = *record->snapshot_index;
         const std::string path = snapshot_path(record->group, *record->snapshot_index);
         // If the file is missing, a later record must refer to the snapshot that replaced it;
         // load_segment() checks this.
--- a/src/tallyfold/consensus/log_store.hpp
+++ b/src/tallyfold/consensus/log_store.hpp
@@ -54,7 +54,7 @@
     tail_policy tail_;
     std::map<group_id, consensus::durable_group> groups_;
     /// During recovery: index of the snapshot that the newest record of each group refers to.
-    std::map<group_id, consensus::log_index> named_snapshots_;
+    std::map<group_id, consensus::log_index> referenced_snapshots_;
     consensus::recovered_node recovered_;
     std::uint64_t bytes_written_ = 0;
     std::uint64_t syncs_ = 0;
