--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -131,7 +131,7 @@
         std::uint64_t round;
         /// Replica that requested the read index, with `token` as its request identifier; none for
         /// a local read.
-        replica_id asker = no_replica;
+        replica_id requester = no_replica;
     };
 
     void become_follower(term_number term, replica_id leader);
--- a/src/tallyfold/consensus/replica_reads.cpp
+++ b/src/tallyfold/consensus/replica_reads.cpp
@@ -81,7 +81,7 @@
 
 void replica_fsm::fail_reads() {
     for (const pending_read& read : pending_reads_) {
-        if (read.asker == no_replica) {
+        if (read.requester == no_replica) {
             ready_.failed_reads.push_back(read.token);
         }
     }
@@ -115,10 +115,10 @@
     while (!pending_reads_.empty() && pending_reads_.front().round <= confirmed) {
         const pending_read read = pending_reads_.front();
         pending_reads_.pop_front();
-        if (read.asker == no_replica) {
+        if (read.requester == no_replica) {
             ready_.confirmed_reads.push_back(read.token);
         } else {
-            send(read.asker, read_index_reply{read.token, commit_index_}, false);
+            send(read.requester, read_index_reply{read.token, commit_index_}, false);
         }
     }
     begin_round_for_reads(now);
