--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -49,7 +49,7 @@
 
 void replica_fsm::begin_round(instant now) {
     ++round_;
-    round_began_ = now;
+    last_round_start_ = now;
     heartbeat_due_ = now + settings_.heartbeat_interval;
     broadcast_append(true);
     confirm_reads(now);
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -205,7 +205,7 @@
     std::set<replica_id> votes_;
     std::map<replica_id, replica_progress> progress_;
     std::uint64_t round_ = 0;
-    instant round_began_{};
+    instant last_round_start_{};
     std::deque<pending_read> pending_reads_;
     follower_reads follower_reads_;
 
