--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -94,7 +94,7 @@
         progress_[id] = replica_progress(log_.last_index() + 1, now);
     }
     // Committing an entry of its own term lets the leader commit entries of earlier terms.
-    append_own(entry_kind::no_operation, {});
+    append_new_entry(entry_kind::no_operation, {});
     begin_round(now);
 }
 
--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -118,7 +118,7 @@
     if (role_ != replica_role::leader) {
         return tl::unexpected(replica_error::not_leader);
     }
-    append_own(entry_kind::command, std::move(payload));
+    append_new_entry(entry_kind::command, std::move(payload));
     broadcast_append(false);
     return log_.last_index();
 }
@@ -127,7 +127,7 @@
     return role_ == replica_role::leader && log_.term_at(commit_index_) == state_.term;
 }
 
-void replica_fsm::append_own(entry_kind kind, std::string payload) {
+void replica_fsm::append_new_entry(entry_kind kind, std::string payload) {
     store_entry({state_.term, log_.last_index() + 1, kind, std::move(payload)});
 }
 
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -157,7 +157,7 @@
     /// Appends the entries that the log lacks. An entry of a different term replaces the existing
     /// one and all that follow.
     void append_missing_entries(entry_iterator entry, entry_iterator end);
-    void append_own(entry_kind kind, std::string payload);
+    void append_new_entry(entry_kind kind, std::string payload);
     void store_entry(const log_entry& entry);
     void apply_membership(const log_entry& entry);
     void truncate_from(log_index index);
--- a/src/tallyfold/consensus/replica_membership.cpp
+++ b/src/tallyfold/consensus/replica_membership.cpp
@@ -35,7 +35,7 @@
     if (changed_voters(members(), next) > 1 || next.voter_count() == 0) {
         return tl::unexpected(replica_error::invalid_change);
     }
-    append_own(entry_kind::membership, protocol::encode(next));
+    append_new_entry(entry_kind::membership, protocol::encode(next));
     for (const auto& [id, member] : members().members) {
         progress_.try_emplace(id, log_.last_index(), last_leader_contact_);
     }
