--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -5,7 +5,7 @@
 
 namespace tallyfold::consensus {
 
-void replica_fsm::wait_for_first_leader(instant now) {
+void replica_fsm::set_first_election_deadline(instant now) {
     const std::int64_t first = settings_.first_election_timeout.count();
     if (first > 0) {
         election_deadline_ = now + duration(random_.between(first, 2 * first));
@@ -61,7 +61,7 @@
         start_election(now);
         return;
     }
-    wait_for_first_leader(now);
+    set_first_election_deadline(now);
     for (const auto& [id, member] : members().members) {
         if (id != settings_.self && !member.learner) {
             send(id, vote_request{true, log_.last_index(), log_.last_term()}, false);
--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -27,7 +27,7 @@
     commit_index_ = log_.snapshot_index();
     persisted_index_ = log_.last_index();
     reset_election_deadline(now);
-    wait_for_first_leader(now);
+    set_first_election_deadline(now);
 }
 
 void replica_fsm::tick(instant now) {
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -139,7 +139,7 @@
     void start_election(instant now);
     void become_leader(instant now);
     void reset_election_deadline(instant now);
-    void wait_for_first_leader(instant now);
+    void set_first_election_deadline(instant now);
 
     void on_vote_request(const replica_message& message, const vote_request& body, instant now);
     void on_vote_reply(const replica_message& message, const vote_reply& body, instant now);
