--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -168,7 +168,7 @@
     void begin_round(instant now);
     void advance_commit();
     void commit_to(log_index index);
-    void await_round(pending_read read, instant now);
+    void queue_read(pending_read read, instant now);
     /// Begins a round when reads wait for one, none is in flight, and `read_round_gap` has passed.
     void begin_round_for_reads(instant now);
     void confirm_reads(instant now);
--- a/src/tallyfold/consensus/replica_reads.cpp
+++ b/src/tallyfold/consensus/replica_reads.cpp
@@ -12,7 +12,7 @@
     if (role_ != replica_role::leader) {
         return tl::unexpected(replica_error::not_leader);
     }
-    await_round({token, round_ + 1}, now);
+    queue_read({token, round_ + 1}, now);
     return {};
 }
 
@@ -29,7 +29,7 @@
     return {};
 }
 
-void replica_fsm::await_round(pending_read read, instant now) {
+void replica_fsm::queue_read(pending_read read, instant now) {
     pending_reads_.push_back(read);
     begin_round_for_reads(now);
 }
@@ -56,7 +56,7 @@
 void replica_fsm::on_read_index_request(const replica_message& message,
                                         const read_index_request& body, instant now) {
     if (role_ == replica_role::leader) {
-        await_round({body.question, round_ + 1, message.from}, now);
+        queue_read({body.question, round_ + 1, message.from}, now);
     }
 }
 
