--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -133,8 +133,8 @@
 
 void replica_fsm::store_entry(const log_entry& entry) {
     log_.append(entry);
-    if (!unsaved_from_.has_value() || entry.index < *unsaved_from_) {
-        unsaved_from_ = entry.index;
+    if (!first_unsaved_index_.has_value() || entry.index < *first_unsaved_index_) {
+        first_unsaved_index_ = entry.index;
     }
     if (entry.kind == entry_kind::membership) {
         apply_membership(entry);
@@ -155,8 +155,8 @@
 void replica_fsm::truncate_from(log_index index) {
     log_.truncate_from(index);
     persisted_index_ = std::min(persisted_index_, index - 1);
-    if (unsaved_from_.has_value() && *unsaved_from_ > index) {
-        unsaved_from_ = index;
+    if (first_unsaved_index_.has_value() && *first_unsaved_index_ > index) {
+        first_unsaved_index_ = index;
     }
     while (memberships_.size() > 1 && memberships_.back().index >= index) {
         memberships_.pop_back();
@@ -177,15 +177,15 @@
 }
 
 bool replica_fsm::has_ready() const {
-    return unsaved_from_.has_value() || ready_.needs_sync() || !ready_.committed.empty() ||
+    return first_unsaved_index_.has_value() || ready_.needs_sync() || !ready_.committed.empty() ||
            !ready_.messages_before_sync.empty() || !ready_.messages_after_sync.empty() ||
            !ready_.confirmed_reads.empty() || !ready_.failed_reads.empty();
 }
 
 ready replica_fsm::take_ready() {
-    if (unsaved_from_.has_value()) {
-        ready_.new_entries = log_.slice(*unsaved_from_, log_.last_index());
-        unsaved_from_.reset();
+    if (first_unsaved_index_.has_value()) {
+        ready_.new_entries = log_.slice(*first_unsaved_index_, log_.last_index());
+        first_unsaved_index_.reset();
     }
     ready taken;
     std::swap(taken, ready_);
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -210,7 +210,7 @@
     follower_reads follower_reads_;
 
     ready ready_;
-    std::optional<log_index> unsaved_from_;
+    std::optional<log_index> first_unsaved_index_;
     std::optional<log_index> unreadable_entry_;
 };
 
--- a/src/tallyfold/consensus/replica_snapshots.cpp
+++ b/src/tallyfold/consensus/replica_snapshots.cpp
@@ -20,7 +20,7 @@
     memberships_ = {{body.contents.index, body.contents.members}};
     commit_index_ = body.contents.index;
     persisted_index_ = body.contents.index;
-    unsaved_from_.reset();
+    first_unsaved_index_.reset();
     latest_snapshot_ = body.contents;
     ready_.received_snapshot = body.contents;
     ready_.committed.clear();
