--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -71,7 +71,7 @@
     queue.push_back(std::move(message));
 }
 
-bool replica_fsm::is_newer_term(const replica_message& message, instant now) {
+bool replica_fsm::should_adopt_term(const replica_message& message, instant now) {
     if (message.term <= state_.term) {
         return false;
     }
@@ -89,7 +89,7 @@
     if (message.to != settings_.self || message.group != settings_.group) {
         return;
     }
-    if (is_newer_term(message, now)) {
+    if (should_adopt_term(message, now)) {
         become_follower(message.term, no_replica);
     }
     std::visit(
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -183,7 +183,7 @@
     [[nodiscard]] bool is_log_up_to_date(log_index last_index, term_number last_term) const;
     [[nodiscard]] bool has_recent_leader_contact(instant now) const;
     [[nodiscard]] bool is_voter() const { return members().is_voter(settings_.self); }
-    [[nodiscard]] bool is_newer_term(const replica_message& message, instant now);
+    [[nodiscard]] bool should_adopt_term(const replica_message& message, instant now);
     void send(replica_id to, message_body body, bool after_sync);
 
     replica_settings settings_;
