--- a/src/tallyfold/consensus/persistence.cpp
+++ b/src/tallyfold/consensus/persistence.cpp
@@ -16,10 +16,10 @@
     }
     if (write.base.has_value()) {
         const snapshot& base = *write.base;
-        const auto holds = std::find_if(entries.begin(), entries.end(), [&](const log_entry& e) {
-            return e.index == base.index && e.term == base.term;
-        });
-        if (holds == entries.end()) {
+        const auto matching_entry = std::find_if(
+            entries.begin(), entries.end(),
+            [&](const log_entry& e) { return e.index == base.index && e.term == base.term; });
+        if (matching_entry == entries.end()) {
             // The log may have diverged from the leader's, so its snapshot replaces all of it.
             entries = write.entries;
         }
