--- a/src/tallyfold/base/protocol/compression.cpp
+++ b/src/tallyfold/base/protocol/compression.cpp
@@ -25,12 +25,12 @@
     return packed;
 }
 
-tl::expected<std::string, decode_error> decompress(std::string_view packed, std::size_t most) {
+tl::expected<std::string, decode_error> decompress(std::string_view packed, std::size_t max_size) {
     const unsigned long long size = ZSTD_getFrameContentSize(packed.data(), packed.size());
     if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN) {
         return tl::unexpected(decode_error{"not a Zstandard frame of known size"});
     }
-    if (size > most) {
+    if (size > max_size) {
         return tl::unexpected(decode_error{"decompressed size exceeds the limit"});
     }
     std::string bytes(size, '\0');
--- a/src/tallyfold/base/protocol/compression.hpp
+++ b/src/tallyfold/base/protocol/compression.hpp
@@ -14,7 +14,7 @@
 
 /// Reverses compress(). @param most largest size of the result in bytes
 /// @return an error when the result would be larger, or when `packed` is truncated or corrupt
-tl::expected<std::string, decode_error> decompress(std::string_view packed, std::size_t most);
+tl::expected<std::string, decode_error> decompress(std::string_view packed, std::size_t max_size);
 
 /// Size in bytes below which a value is not compressed.
 constexpr std::size_t compression_threshold_bytes = 1U << 10U;
--- a/tests/base/protocol/compression_test.cpp
+++ b/tests/base/protocol/compression_test.cpp
@@ -22,12 +22,12 @@
 
     void truncated_data_is_refused() {
         check_property("arbitrary bytes are handled and truncated data is refused", [] {
-            constexpr std::size_t most = 1U << 20U;
+            constexpr std::size_t max_size = 1U << 20U;
             const std::string bytes = *any_bytes();
-            (void)protocol::decompress(bytes, most);
+            (void)protocol::decompress(bytes, max_size);
             std::string packed = protocol::compress(bytes);
             packed.pop_back();
-            RC_ASSERT(!protocol::decompress(packed, most).has_value());
+            RC_ASSERT(!protocol::decompress(packed, max_size).has_value());
         });
     }
 
