--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -27,9 +27,10 @@
         }
         const bool self = id == settings_.self;
         const auto found = progress_.find(id);
-        const bool heard = found != progress_.end() &&
-                           now - found->second.last_contact() < 2 * settings_.election_timeout;
-        reachable += self || heard ? 1 : 0;
+        const bool has_recent_contact =
+            found != progress_.end() &&
+            now - found->second.last_contact() < 2 * settings_.election_timeout;
+        reachable += self || has_recent_contact ? 1 : 0;
     }
     if (reachable < members().quorum()) {
         become_follower(state_.term, no_replica);
