--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -60,11 +60,11 @@
             // Overwriting an entry drops all that follow it.
             CPPUNIT_ASSERT(store.write(entries(4, 4)).has_value());
         }
-        const log_store again = open();
-        const auto& group = again.recovered().groups.at(1);
+        const log_store reopened = open();
+        const auto& group = reopened.recovered().groups.at(1);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, group.entries.size());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, group.state.term);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{77}, again.recovered().identity);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{77}, reopened.recovered().identity);
     }
 
     void a_torn_tail_is_truncated_at_every_length() {
@@ -143,8 +143,8 @@
             CPPUNIT_ASSERT(store.write({compacted}).has_value());
             CPPUNIT_ASSERT(store.write(entries(201, 230)).has_value());
         }
-        const log_store again = open(2048);
-        const auto& group = again.recovered().groups.at(1);
+        const log_store reopened = open(2048);
+        const auto& group = reopened.recovered().groups.at(1);
         CPPUNIT_ASSERT_EQUAL(std::string("state at 150"), group.base.state);
         CPPUNIT_ASSERT_EQUAL(std::size_t{80}, group.entries.size());
     }
