--- a/tests/base/protocol/binary_codec_test.cpp
+++ b/tests/base/protocol/binary_codec_test.cpp
@@ -27,9 +27,9 @@
 
     void messages_round_trip() {
         const std::string bytes = protocol::encode(sample());
-        const auto again = protocol::decode<protocol::internal_message>(bytes);
-        CPPUNIT_ASSERT(again.has_value());
-        CPPUNIT_ASSERT_EQUAL(bytes, protocol::encode(*again));
+        const auto decoded = protocol::decode<protocol::internal_message>(bytes);
+        CPPUNIT_ASSERT(decoded.has_value());
+        CPPUNIT_ASSERT_EQUAL(bytes, protocol::encode(*decoded));
     }
 
     void any_bytes_are_decoded_or_refused() {
