--- a/tests/base/protocol/compression_test.cpp
+++ b/tests/base/protocol/compression_test.cpp
@@ -14,9 +14,9 @@
     void decompression_restores_the_input() {
         check_property("decompression restores the input", [] {
             const std::string bytes = *any_bytes();
-            const auto back = protocol::decompress(protocol::compress(bytes), bytes.size());
-            RC_ASSERT(back.has_value());
-            RC_ASSERT(*back == bytes);
+            const auto decompressed = protocol::decompress(protocol::compress(bytes), bytes.size());
+            RC_ASSERT(decompressed.has_value());
+            RC_ASSERT(*decompressed == bytes);
         });
     }
 
