--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -147,7 +147,7 @@
     static constexpr int backlog_entries = 60;
 
     /// Payload bytes of the leader's pending messages to `to`; sets `round` to their latest round.
-    static std::size_t bytes_for(replica_fsm& leader, replica_id to, std::uint64_t& round) {
+    static std::size_t take_append_bytes(replica_fsm& leader, replica_id to, std::uint64_t& round) {
         const ready work = leader.take_ready();
         std::size_t bytes = 0;
         for (const auto* messages : {&work.messages_before_sync, &work.messages_after_sync}) {
@@ -202,11 +202,11 @@
             leader = &leader_of(group);
             follower = follower_of(group);
             matched = leader->log().last_index();
-            bytes_for(*leader, follower, round);
+            take_append_bytes(*leader, follower, round);
             leader->step(answer(*leader, follower, {true, matched, round}), {});
             for (int number = 0; number < backlog_entries; ++number) {
                 CPPUNIT_ASSERT(leader->propose(std::string(entry_bytes, 'x')).has_value());
-                sent_bytes += bytes_for(*leader, follower, round);
+                sent_bytes += take_append_bytes(*leader, follower, round);
             }
         }
     };
@@ -220,7 +220,7 @@
         for (int rejection = 0; rejection < 10; ++rejection) {
             lag.leader->step(answer(*lag.leader, lag.follower, {false, lag.matched, old_round}),
                              {});
-            bytes += bytes_for(*lag.leader, lag.follower, lag.round);
+            bytes += take_append_bytes(*lag.leader, lag.follower, lag.round);
         }
         CPPUNIT_ASSERT(bytes > 0);
         CPPUNIT_ASSERT(bytes <= replica_settings{}.max_bytes_in_flight + entry_bytes);
@@ -238,13 +238,13 @@
         // Each rejection refers to the last resend, which was lost as well.
         for (int repeat = 0; repeat < 3; ++repeat) {
             lag.leader->step(answer(*lag.leader, lag.follower, {false, matched, lag.round}), {});
-            CPPUNIT_ASSERT(bytes_for(*lag.leader, lag.follower, lag.round) > 0);
+            CPPUNIT_ASSERT(take_append_bytes(*lag.leader, lag.follower, lag.round) > 0);
         }
         // Each reply triggers the next part of the backlog.
         for (int step = 0; step < 2 * backlog_entries && matched < last; ++step) {
             matched += 1;
             lag.leader->step(answer(*lag.leader, lag.follower, {true, matched, lag.round}), {});
-            bytes_for(*lag.leader, lag.follower, lag.round);
+            take_append_bytes(*lag.leader, lag.follower, lag.round);
         }
         CPPUNIT_ASSERT_EQUAL(last, lag.leader->match_index(lag.follower));
     }
