--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -174,7 +174,8 @@
         throw std::logic_error("the group has no leader");
     }
 
-    static replica_message answer(const replica_fsm& leader, replica_id from, append_reply reply) {
+    static replica_message reply_from(const replica_fsm& leader, replica_id from,
+                                      append_reply reply) {
         replica_message message;
         message.from = from;
         message.to = leader.leader();
@@ -203,7 +204,7 @@
             follower = follower_of(group);
             matched = leader->log().last_index();
             take_append_bytes(*leader, follower, round);
-            leader->step(answer(*leader, follower, {true, matched, round}), {});
+            leader->step(reply_from(*leader, follower, {true, matched, round}), {});
             for (int number = 0; number < backlog_entries; ++number) {
                 CPPUNIT_ASSERT(leader->propose(std::string(entry_bytes, 'x')).has_value());
                 sent_bytes += take_append_bytes(*leader, follower, round);
@@ -218,7 +219,7 @@
         const std::uint64_t old_round = lag.round;
         std::size_t bytes = 0;
         for (int rejection = 0; rejection < 10; ++rejection) {
-            lag.leader->step(answer(*lag.leader, lag.follower, {false, lag.matched, old_round}),
+            lag.leader->step(reply_from(*lag.leader, lag.follower, {false, lag.matched, old_round}),
                              {});
             bytes += take_append_bytes(*lag.leader, lag.follower, lag.round);
         }
@@ -237,13 +238,14 @@
         const log_index last = lag.leader->log().last_index();
         // Each rejection refers to the last resend, which was lost as well.
         for (int repeat = 0; repeat < 3; ++repeat) {
-            lag.leader->step(answer(*lag.leader, lag.follower, {false, matched, lag.round}), {});
+            lag.leader->step(reply_from(*lag.leader, lag.follower, {false, matched, lag.round}),
+                             {});
             CPPUNIT_ASSERT(take_append_bytes(*lag.leader, lag.follower, lag.round) > 0);
         }
         // Each reply triggers the next part of the backlog.
         for (int step = 0; step < 2 * backlog_entries && matched < last; ++step) {
             matched += 1;
-            lag.leader->step(answer(*lag.leader, lag.follower, {true, matched, lag.round}), {});
+            lag.leader->step(reply_from(*lag.leader, lag.follower, {true, matched, lag.round}), {});
             take_append_bytes(*lag.leader, lag.follower, lag.round);
         }
         CPPUNIT_ASSERT_EQUAL(last, lag.leader->match_index(lag.follower));
