--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -113,12 +113,12 @@
     void a_lagging_voter_can_elect_a_promoted_learner() {
         // Guards against a group without electable replicas (seed 21867): replica 2 has lost its
         // disk, and replica 3 has not yet received the promotion of replica 1 to voter.
-        membership older;
-        older.members = {{1, {"a", true}}, {2, {"b", false}}, {3, {"c", false}}};
-        replica_fsm voter = voter_with(older, 137);
+        membership outdated;
+        outdated.members = {{1, {"a", true}}, {2, {"b", false}}, {3, {"c", false}}};
+        replica_fsm voter = voter_with(outdated, 137);
         CPPUNIT_ASSERT(grants_vote(voter, {true, 140, 2}));
         CPPUNIT_ASSERT(grants_vote(voter, {false, 140, 2}));
-        replica_fsm current = voter_with(older, 141);
+        replica_fsm current = voter_with(outdated, 141);
         CPPUNIT_ASSERT(!grants_vote(current, {false, 140, 2}));
     }
 
