--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -69,14 +69,14 @@
             CPPUNIT_ASSERT(group.settle(1));
         }
         const replica_id leader = leader_of(group).leader();
-        const replica_id asked = leader == 1 ? 2 : 1;
+        const replica_id follower = leader == 1 ? 2 : 1;
         for (replica_id id = 1; id <= 3; ++id) {
-            if (id != asked) {
+            if (id != follower) {
                 group.crash(id);
             }
         }
-        group.read(asked);
-        group.run_alone(asked, std::chrono::seconds(2));
+        group.read(follower);
+        group.run_alone(follower, std::chrono::seconds(2));
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), group.confirmed_reads());
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), group.failed_reads());
     }
