--- a/src/tallyfold/base/logging/bounded_log.cpp
+++ b/src/tallyfold/base/logging/bounded_log.cpp
@@ -14,8 +14,8 @@
 
 struct bounded_log {
     line_sink sink{line_sink_settings{}};
-    event_level lowest = event_level::info;
-    std::uint64_t reported_left_out = 0;
+    event_level minimum_level = event_level::info;
+    std::uint64_t reported_dropped_lines = 0;
 };
 
 std::unique_ptr<bounded_log>& log_of_process() {
@@ -52,21 +52,21 @@
 }
 
 void write_line(bounded_log& log, event_level level, const std::string& line) {
-    if (level < log.lowest) {
+    if (level < log.minimum_level) {
         return;
     }
     const double seconds =
         std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
-    const std::string whole =
+    const std::string full_line =
         "time=" + time_text() + " level=" + std::string(level_text(level)) + " " + line;
-    log.sink.add(whole, seconds);
+    log.sink.add(full_line, seconds);
 }
 
 }  // namespace
 
 void open_bounded_log(const std::string& node, const std::string& level) {
     log_of_process() = std::make_unique<bounded_log>();
-    log_of_process()->lowest = parse_level(level);
+    log_of_process()->minimum_level = parse_level(level);
     set_line_writer(node, [](event_level event, const std::string& line) {
         write_line(*log_of_process(), event, line);
     });
@@ -77,10 +77,10 @@
     if (!log) {
         return;
     }
-    const std::uint64_t left_out = log->sink.left_out();
-    if (left_out > log->reported_left_out) {
-        const std::uint64_t since = left_out - log->reported_left_out;
-        log->reported_left_out = left_out;
+    const std::uint64_t dropped_lines = log->sink.dropped_lines();
+    if (dropped_lines > log->reported_dropped_lines) {
+        const std::uint64_t since = dropped_lines - log->reported_dropped_lines;
+        log->reported_dropped_lines = dropped_lines;
         write_event(event_id::lines_left_out, "count=" + std::to_string(since));
     }
     log->sink.flush();
--- a/src/tallyfold/base/logging/line_sink.cpp
+++ b/src/tallyfold/base/logging/line_sink.cpp
@@ -9,15 +9,14 @@
 
 namespace {
 
-/// Bytes of lines that are gathered before they are written in one call. Chosen, not measured:
-/// some fifty lines.
+/// Buffered bytes from which lines are written; about fifty lines per system call.
 constexpr std::size_t write_threshold = 8U << 10U;
 
 }  // namespace
 
 line_sink::line_sink(line_sink_settings settings)
-    : settings_(settings), allowance_(settings.burst) {
-    // A descriptor that can't be set is written to as it is; there is no log to say so.
+    : settings_(settings), available_tokens_(settings.burst) {
+    // If this fails, writes may block. The failure can't be logged, since this is the log.
     const int flags = ::fcntl(settings_.descriptor, F_GETFL);
     if (flags >= 0) {
         ::fcntl(settings_.descriptor, F_SETFL, flags | O_NONBLOCK);
@@ -25,14 +24,15 @@
 }
 
 void line_sink::add(std::string_view line, double now_seconds) {
-    const double passed = std::max(0.0, now_seconds - last_seconds_);
+    const double elapsed = std::max(0.0, now_seconds - last_seconds_);
     last_seconds_ = now_seconds;
-    allowance_ = std::min(settings_.burst, allowance_ + passed * settings_.lines_per_second);
-    if (allowance_ < 1 || buffer_.size() + line.size() + 1 > settings_.capacity) {
-        ++left_out_;
+    available_tokens_ =
+        std::min(settings_.burst, available_tokens_ + elapsed * settings_.lines_per_second);
+    if (available_tokens_ < 1 || buffer_.size() + line.size() + 1 > settings_.capacity) {
+        ++dropped_lines_;
         return;
     }
-    allowance_ -= 1;
+    available_tokens_ -= 1;
     buffer_ += line;
     buffer_ += '\n';
     if (buffer_.size() >= write_threshold) {
@@ -44,7 +44,7 @@
     while (!buffer_.empty()) {
         const ssize_t written = ::write(settings_.descriptor, buffer_.data(), buffer_.size());
         if (written <= 0) {
-            // The reader is slow or gone: the lines stay, and add() counts what no longer fits.
+            // The reader is slow or gone: keep the lines; add() drops and counts what doesn't fit.
             return;
         }
         buffer_.erase(0, static_cast<std::size_t>(written));
--- a/src/tallyfold/consensus/follower_reads.cpp
+++ b/src/tallyfold/consensus/follower_reads.cpp
@@ -5,42 +5,43 @@
 namespace tallyfold::consensus {
 
 void follower_reads::add(std::uint64_t token, instant now) {
-    unasked_.push_back({token, now});
+    queued_.push_back({token, now});
 }
 
-std::optional<std::uint64_t> follower_reads::next_question(instant now, duration repeat_after) {
-    if (!asked_.empty()) {
-        if (now - sent_ < repeat_after) {
+std::optional<std::uint64_t> follower_reads::next_request_id(instant now,
+                                                             duration resend_interval) {
+    if (!in_flight_reads_.empty()) {
+        if (now - sent_ < resend_interval) {
             return std::nullopt;
         }
         sent_ = now;
-        return question_;
+        return request_id_;
     }
-    if (unasked_.empty()) {
+    if (queued_.empty()) {
         return std::nullopt;
     }
-    std::swap(asked_, unasked_);
+    std::swap(in_flight_reads_, queued_);
     sent_ = now;
-    return ++question_;
+    return ++request_id_;
 }
 
-void follower_reads::answered(std::uint64_t question, log_index commit_index) {
-    if (question != question_) {
+void follower_reads::on_reply(std::uint64_t request_id, log_index commit_index) {
+    if (request_id != request_id_) {
         return;
     }
-    for (const read& each : asked_) {
-        answered_.emplace(commit_index, each);
+    for (const read& each : in_flight_reads_) {
+        awaiting_commit_.emplace(commit_index, each);
     }
-    asked_.clear();
+    in_flight_reads_.clear();
 }
 
 std::vector<std::uint64_t> follower_reads::take_confirmed(log_index commit_index) {
     std::vector<std::uint64_t> tokens;
-    const auto end = answered_.upper_bound(commit_index);
-    for (auto each = answered_.begin(); each != end; ++each) {
+    const auto end = awaiting_commit_.upper_bound(commit_index);
+    for (auto each = awaiting_commit_.begin(); each != end; ++each) {
         tokens.push_back(each->second.token);
     }
-    answered_.erase(answered_.begin(), end);
+    awaiting_commit_.erase(awaiting_commit_.begin(), end);
     return tokens;
 }
 
@@ -53,26 +54,26 @@
         }
         return late;
     };
-    std::erase_if(unasked_, expired);
-    std::erase_if(asked_, expired);
-    std::erase_if(answered_, [&](const auto& entry) { return expired(entry.second); });
+    std::erase_if(queued_, expired);
+    std::erase_if(in_flight_reads_, expired);
+    std::erase_if(awaiting_commit_, [&](const auto& entry) { return expired(entry.second); });
     return tokens;
 }
 
 std::vector<std::uint64_t> follower_reads::take_all() {
     std::vector<std::uint64_t> tokens;
-    for (const read& each : unasked_) {
+    for (const read& each : queued_) {
         tokens.push_back(each.token);
     }
-    for (const read& each : asked_) {
+    for (const read& each : in_flight_reads_) {
         tokens.push_back(each.token);
     }
-    for (const auto& [position, each] : answered_) {
+    for (const auto& [position, each] : awaiting_commit_) {
         tokens.push_back(each.token);
     }
-    unasked_.clear();
-    asked_.clear();
-    answered_.clear();
+    queued_.clear();
+    in_flight_reads_.clear();
+    awaiting_commit_.clear();
     return tokens;
 }
 
--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -1,12 +1,11 @@
 /// @file
-/// Elections of a replica: when it asks for votes, when it gives its own, and when it stops
-/// leading. Members of replica_fsm.
+/// Members of replica_fsm for elections: starting them, granting votes, and stepping down.
 
 #include "tallyfold/consensus/replica_fsm.hpp"
 
 namespace tallyfold::consensus {
 
-void replica_fsm::wait_for_first_leader(instant now) {
+void replica_fsm::set_first_election_deadline(instant now) {
     const std::int64_t first = settings_.first_election_timeout.count();
     if (first > 0) {
         election_deadline_ = now + duration(random_.between(first, 2 * first));
@@ -18,9 +17,9 @@
     election_deadline_ = now + duration(random_.between(base, 2 * base));
 }
 
-void replica_fsm::step_down_if_cut_off(instant now) {
-    // A leader that has not heard from a quorum for a whole election timeout may have been
-    // replaced: it stops leading, so that nobody waits on it.
+void replica_fsm::step_down_without_quorum(instant now) {
+    // A leader that has lost contact with a quorum for the longest election timeout may have been
+    // replaced. It steps down, so that callers don't wait for it.
     std::size_t reachable = 0;
     for (const auto& [id, member] : members().members) {
         if (member.learner) {
@@ -28,9 +27,10 @@
         }
         const bool self = id == settings_.self;
         const auto found = progress_.find(id);
-        const bool heard = found != progress_.end() &&
-                           now - found->second.last_heard() < 2 * settings_.election_timeout;
-        reachable += self || heard ? 1 : 0;
+        const bool has_recent_contact =
+            found != progress_.end() &&
+            now - found->second.last_contact() < 2 * settings_.election_timeout;
+        reachable += self || has_recent_contact ? 1 : 0;
     }
     if (reachable < members().quorum()) {
         become_follower(state_.term, no_replica);
@@ -62,7 +62,7 @@
         start_election(now);
         return;
     }
-    wait_for_first_leader(now);
+    set_first_election_deadline(now);
     for (const auto& [id, member] : members().members) {
         if (id != settings_.self && !member.learner) {
             send(id, vote_request{true, log_.last_index(), log_.last_term()}, false);
@@ -94,36 +94,36 @@
     for (const auto& [id, member] : members().members) {
         progress_[id] = replica_progress(log_.last_index() + 1, now);
     }
-    // An entry of its own term lets the leader commit what earlier terms left behind.
-    append_own(entry_kind::no_operation, {});
+    // Committing an entry of its own term lets the leader commit entries of earlier terms.
+    append_new_entry(entry_kind::no_operation, {});
     begin_round(now);
 }
 
-bool replica_fsm::log_is_current(log_index last_index, term_number last_term) const {
+bool replica_fsm::is_log_up_to_date(log_index last_index, term_number last_term) const {
     if (last_term != log_.last_term()) {
         return last_term > log_.last_term();
     }
     return last_index >= log_.last_index();
 }
 
-bool replica_fsm::heard_from_leader_recently(instant now) const {
+bool replica_fsm::has_recent_leader_contact(instant now) const {
     if (role_ == replica_role::leader) {
         return true;
     }
-    return heard_leader_ever_ && leader_ != no_replica &&
-           now - leader_heard_ < settings_.election_timeout;
+    return has_had_leader_contact_ && leader_ != no_replica &&
+           now - last_leader_contact_ < settings_.election_timeout;
 }
 
 void replica_fsm::on_vote_request(const replica_message& message, const vote_request& body,
                                   instant now) {
-    const bool current = log_is_current(body.last_index, body.last_term);
-    // The candidate's membership decides whose votes count, not ours: ours may be older, and its
-    // newer one may need this vote. A removed candidate fails by its log, which lacks its removal.
-    // A replica without any membership has not been formed yet; forming it would forget its vote.
-    const bool entitled = !members().members.empty();
+    const bool current = is_log_up_to_date(body.last_index, body.last_term);
+    // The candidate need not be a voter in the local membership: that may be out of date, and the
+    // candidate's newer one may need this vote. A removed candidate loses, since its log lacks the
+    // removal. A replica without membership must not vote: its initialization would lose the vote.
+    const bool has_membership = !members().members.empty();
     if (body.pre_vote) {
-        const bool granted =
-            entitled && current && message.term > state_.term && !heard_from_leader_recently(now);
+        const bool granted = has_membership && current && message.term > state_.term &&
+                             !has_recent_leader_contact(now);
         send(message.from, vote_reply{true, granted}, false);
         if (granted) {
             ready_.messages_before_sync.back().term = message.term;
@@ -132,7 +132,7 @@
     }
     const bool may_vote =
         message.term == state_.term && (state_.vote == no_replica || state_.vote == message.from);
-    const bool granted = entitled && current && may_vote && role_ != replica_role::leader;
+    const bool granted = has_membership && current && may_vote && role_ != replica_role::leader;
     if (granted) {
         state_.vote = message.from;
         ready_.new_state = state_;
--- a/tests/consensus/follower_reads_test.cpp
+++ b/tests/consensus/follower_reads_test.cpp
@@ -8,59 +8,59 @@
 
 class follower_reads_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(follower_reads_test);
-    CPPUNIT_TEST(reads_share_a_question_and_wait_for_the_log);
-    CPPUNIT_TEST(a_read_that_came_after_the_question_needs_the_next);
-    CPPUNIT_TEST(an_answer_to_an_earlier_life_confirms_nothing);
-    CPPUNIT_TEST(what_nobody_answers_expires);
+    CPPUNIT_TEST(reads_share_a_request_and_wait_for_the_commit_index);
+    CPPUNIT_TEST(a_read_added_after_the_request_needs_another);
+    CPPUNIT_TEST(a_reply_to_a_request_before_a_restart_is_ignored);
+    CPPUNIT_TEST(unanswered_reads_expire);
     CPPUNIT_TEST_SUITE_END();
 
     using tokens = std::vector<std::uint64_t>;
     static constexpr duration repeat = std::chrono::milliseconds(80);
     instant now_{std::chrono::seconds(1)};
 
-    void reads_share_a_question_and_wait_for_the_log() {
+    void reads_share_a_request_and_wait_for_the_commit_index() {
         follower_reads reads(100);
         reads.add(1, now_);
         reads.add(2, now_);
-        const auto question = reads.next_question(now_, repeat);
-        CPPUNIT_ASSERT(question.has_value());
-        CPPUNIT_ASSERT(!reads.next_question(now_, repeat).has_value());
-        CPPUNIT_ASSERT(question == reads.next_question(now_ + repeat, repeat));
-        reads.answered(*question, 9);
+        const auto request_id = reads.next_request_id(now_, repeat);
+        CPPUNIT_ASSERT(request_id.has_value());
+        CPPUNIT_ASSERT(!reads.next_request_id(now_, repeat).has_value());
+        CPPUNIT_ASSERT(request_id == reads.next_request_id(now_ + repeat, repeat));
+        reads.on_reply(*request_id, 9);
         CPPUNIT_ASSERT(reads.take_confirmed(8).empty());
         CPPUNIT_ASSERT(reads.take_confirmed(9) == tokens({1, 2}));
         CPPUNIT_ASSERT(reads.take_confirmed(9).empty());
     }
 
-    void a_read_that_came_after_the_question_needs_the_next() {
+    void a_read_added_after_the_request_needs_another() {
         follower_reads reads(100);
         reads.add(1, now_);
-        const auto first = reads.next_question(now_, repeat);
+        const auto first = reads.next_request_id(now_, repeat);
         reads.add(2, now_);
-        reads.answered(*first, 9);
+        reads.on_reply(*first, 9);
         CPPUNIT_ASSERT(reads.take_confirmed(9) == tokens({1}));
-        const auto second = reads.next_question(now_, repeat);
+        const auto second = reads.next_request_id(now_, repeat);
         CPPUNIT_ASSERT(second.has_value() && second != first);
-        // The same answer once more, late.
-        reads.answered(*first, 12);
+        // A delayed duplicate of the reply.
+        reads.on_reply(*first, 12);
         CPPUNIT_ASSERT(reads.take_confirmed(12).empty());
     }
 
-    void an_answer_to_an_earlier_life_confirms_nothing() {
+    void a_reply_to_a_request_before_a_restart_is_ignored() {
         follower_reads before(100);
         before.add(1, now_);
-        const auto question = before.next_question(now_, repeat);
+        const auto request_id = before.next_request_id(now_, repeat);
         follower_reads after(7'000);
         after.add(2, now_);
-        CPPUNIT_ASSERT(after.next_question(now_, repeat).has_value());
-        after.answered(*question, 9);
+        CPPUNIT_ASSERT(after.next_request_id(now_, repeat).has_value());
+        after.on_reply(*request_id, 9);
         CPPUNIT_ASSERT(after.take_confirmed(9).empty());
     }
 
-    void what_nobody_answers_expires() {
+    void unanswered_reads_expire() {
         follower_reads reads(100);
         reads.add(1, now_);
-        reads.next_question(now_, repeat);
+        reads.next_request_id(now_, repeat);
         reads.add(2, now_ + repeat);
         CPPUNIT_ASSERT(reads.take_expired(now_ + repeat, repeat).empty());
         CPPUNIT_ASSERT(reads.take_expired(now_ + repeat * 3 / 2, repeat) == tokens({1}));
--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -15,13 +15,13 @@
 
 class log_store_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(log_store_test);
-    CPPUNIT_TEST(what_was_written_is_read_back);
-    CPPUNIT_TEST(a_half_written_tail_is_cut_at_every_length);
-    CPPUNIT_TEST(a_flipped_bit_before_the_tail_is_damage);
-    CPPUNIT_TEST(an_emptied_folder_is_another_replica);
+    CPPUNIT_TEST(written_entries_are_recovered);
+    CPPUNIT_TEST(a_torn_tail_is_truncated_at_every_length);
+    CPPUNIT_TEST(a_flipped_bit_before_the_tail_is_reported_as_damage);
+    CPPUNIT_TEST(an_emptied_folder_gets_a_new_identity);
     CPPUNIT_TEST(rotation_keeps_the_live_state);
     CPPUNIT_TEST(a_live_state_over_the_segment_size_is_not_written_with_each_entry);
-    CPPUNIT_TEST(any_bytes_are_cut_or_refused);
+    CPPUNIT_TEST(arbitrary_bytes_after_a_record_are_truncated_or_refused);
     CPPUNIT_TEST_SUITE_END();
 
     static std::vector<consensus::group_write> entries(consensus::log_index from,
@@ -53,21 +53,21 @@
         return newest;
     }
 
-    void what_was_written_is_read_back() {
+    void written_entries_are_recovered() {
         {
             log_store store = open();
             CPPUNIT_ASSERT(store.write(entries(1, 5)).has_value());
-            // An overwrite from the middle drops what followed.
+            // Overwriting an entry drops all that follow it.
             CPPUNIT_ASSERT(store.write(entries(4, 4)).has_value());
         }
-        const log_store again = open();
-        const auto& group = again.recovered().groups.at(1);
+        const log_store reopened = open();
+        const auto& group = reopened.recovered().groups.at(1);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, group.entries.size());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, group.state.term);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{77}, again.recovered().identity);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{77}, reopened.recovered().identity);
     }
 
-    void a_half_written_tail_is_cut_at_every_length() {
+    void a_torn_tail_is_truncated_at_every_length() {
         {
             log_store store = open();
             CPPUNIT_ASSERT(store.write(entries(1, 2)).has_value());
@@ -83,12 +83,12 @@
             const log_store cut = open();
             CPPUNIT_ASSERT_EQUAL(std::size_t{2}, cut.recovered().groups.at(1).entries.size());
             CPPUNIT_ASSERT(fs::file_size(newest_segment()) <= length);
-            // Put some bytes back so that the next shorter length can be tried.
+            // Extend the file again, so that the next shorter length can be tested.
             fs::resize_file(newest_segment(), length);
         }
     }
 
-    void a_flipped_bit_before_the_tail_is_damage() {
+    void a_flipped_bit_before_the_tail_is_reported_as_damage() {
         {
             log_store store = open();
             CPPUNIT_ASSERT(store.write(entries(1, 20)).has_value());
@@ -107,7 +107,7 @@
         CPPUNIT_ASSERT(opened.error().detail.find("segment-") != std::string::npos);
     }
 
-    void an_emptied_folder_is_another_replica() {
+    void an_emptied_folder_gets_a_new_identity() {
         { (void)open(); }
         fs::remove_all(folder_.path());
         const auto opened = log_store::open(folder_.text(), 99);
@@ -115,8 +115,8 @@
         CPPUNIT_ASSERT(opened->recovered().groups.empty());
     }
 
-    /// huayin-preview-grown scale-2 --seed 12763920105: with entries of 200 KB the log before the
-    /// next snapshot was larger than a segment, and each write wrote all of it anew.
+    /// Guards against a rewrite on each write once the live entries exceed the segment size.
+    /// Reproduces huayin-preview-grown scale-2 --seed 12763920105.
     void a_live_state_over_the_segment_size_is_not_written_with_each_entry() {
         constexpr std::uint64_t segment_bytes = 2048;
         log_store store = open(segment_bytes);
@@ -143,14 +143,14 @@
             CPPUNIT_ASSERT(store.write({compacted}).has_value());
             CPPUNIT_ASSERT(store.write(entries(201, 230)).has_value());
         }
-        const log_store again = open(2048);
-        const auto& group = again.recovered().groups.at(1);
+        const log_store reopened = open(2048);
+        const auto& group = reopened.recovered().groups.at(1);
         CPPUNIT_ASSERT_EQUAL(std::string("state at 150"), group.base.state);
         CPPUNIT_ASSERT_EQUAL(std::size_t{80}, group.entries.size());
     }
 
-    void any_bytes_are_cut_or_refused() {
-        check_property("a scan never reads past the bytes", [] {
+    void arbitrary_bytes_after_a_record_are_truncated_or_refused() {
+        check_property("a scan never reads beyond the end", [] {
             const std::string noise = *any_bytes();
             std::string bytes;
             append_record(bytes, "first");
