--- a/src/tallyfold/program_api/cli/admin_client.hpp
+++ b/src/tallyfold/program_api/cli/admin_client.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The administration API as tallyfoldctl uses it: signs requests, finds the leader, repeats
-/// what got no answer under the same identity.
+/// Client of the administration API, used by tallyfoldctl. Signs requests, finds the leader, and
+/// resends requests that got no answer under the same command identity.
 
 #include <string>
 #include <tl/expected.hpp>
@@ -12,10 +12,10 @@
 namespace tallyfold::cli {
 
 enum class client_failure : std::uint8_t {
-    /// No control node answered as the leader within the time.
+    /// No control node answered as the leader within the time limit.
     unreachable,
     denied,
-    /// The request was understood and refused.
+    /// The control node rejected the request.
     refused,
 };
 
@@ -28,7 +28,7 @@
 using client_result = tl::expected<Value, client_error>;
 
 struct client_settings {
-    /// "ip:port" of the control nodes' HTTP interfaces.
+    /// Addresses ("ip:port") of the control nodes' HTTP servers.
     std::vector<std::string> control;
     std::string operator_name;
     std::string operator_key;
@@ -39,10 +39,10 @@
     explicit admin_client(client_settings settings) : settings_(std::move(settings)) {}
 
     client_result<configuration::configuration_view> configuration() const;
-    /// Submits until an answer comes; the command's identity makes that safe.
+    /// Retries until a control node answers; the command identity makes the retries idempotent.
     client_result<configuration::change_result> submit(
         const configuration::change_command& command) const;
-    /// The first answer of any control node.
+    /// Sends a GET to the control nodes in turn and returns the first answer.
     client_result<std::string> get_any(const std::string& path) const;
     client_result<std::string> request(const std::string& address, const std::string& method,
                                        const std::string& path, const std::string& body) const;
--- a/src/tallyfold/program_api/cli/cluster_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/cluster_commands_shell.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Commands that form the cluster and show its state, its leases and a program's decisions.
+/// Commands that form the cluster and show its status, its shard leases and a program's scheduling
+/// decisions.
 
 #include <algorithm>
 #include <iomanip>
@@ -32,7 +33,7 @@
             formed = node.at("members");
         }
     }
-    // A first try that reached only some nodes is finished with the membership that it set.
+    // If an earlier attempt initialised only some of the nodes, the others get the same membership.
     if (!formed.empty()) {
         members = formed;
     }
@@ -42,7 +43,7 @@
             return member.at("replica") == replica;
         });
         if (!named) {
-            continue;  // It joins by itself, as a node that lost its disk does.
+            continue;  // Joins by a join request, like a node whose disk was lost.
         }
         const auto reply = context.client.request(address, "POST", "/v1/cluster", body);
         if (!reply) {
--- a/src/tallyfold/program_api/cli/command_context.hpp
+++ b/src/tallyfold/program_api/cli/command_context.hpp
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
-/// What each command of the operators' tool works with, and the commands by family. A command
-/// writes its result to `output` and what went wrong to `errors`; its return value is the exit
-/// code.
+/// Context of a tallyfoldctl command, and the commands by family. A command writes its result to
+/// `output` and error messages to `errors`, and returns the exit code.
 
 #include <ostream>
 #include <string>
@@ -13,25 +12,25 @@
 namespace tallyfold::cli {
 
 struct command_context {
-    /// The command's words, the first one being its name.
+    /// Words of the command line; the first is the command's name.
     const std::vector<std::string>& arguments;
     const command_options& options;
     const admin_client& client;
     std::ostream& output;
     std::ostream& errors;
 
-    /// The word after the command's name; empty when there is none.
+    /// Argument after the command's name; empty when there is none.
     [[nodiscard]] std::string action() const {
         return arguments.size() > 1 ? arguments[1] : std::string{};
     }
 };
 
-/// Tells the operator what the control nodes said, or that none answered.
+/// Prints the error and returns the exit code for it.
 ctl_exit fail(const command_context& context, const client_error& error);
-/// Tells the operator how a command is written.
+/// Prints a usage message and returns ctl_exit::usage.
 ctl_exit usage(const command_context& context, const std::string& text);
 
-// Items of the configuration (item_commands_shell.cpp).
+// Configuration items (item_commands_shell.cpp).
 ctl_exit on_items(const command_context& context, configuration::item_kind kind);
 ctl_exit on_policy(const command_context& context);
 ctl_exit on_drain(const command_context& context);
--- a/src/tallyfold/program_api/cli/item_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/item_commands_shell.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// Commands on items of the configuration: tenants, classes, policies and drains of back ends. A
-/// change reads the item, edits it and submits it from the version that was read.
+/// Commands on configuration items: tenants, classes, policies and drains of back ends. A change
+/// reads the item, edits it and submits it with the version that was read (optimistic concurrency
+/// control).
 
 #include <fstream>
 #include <functional>
@@ -54,7 +55,7 @@
     return "ctl-" + std::to_string(net::random_number());
 }
 
-/// Body of an item that doesn't exist yet: the defaults.
+/// Default body of a new item.
 configuration::item_body empty_body(item_kind kind) {
     switch (kind) {
         case item_kind::tenant:
@@ -69,7 +70,7 @@
     return configuration::item_body{};
 }
 
-/// Reads the item, lets `edit` change its body, and submits the result.
+/// Reads the item, applies `edit` to its body and submits the result.
 ctl_exit change_item(const command_context& context, const configuration::item_key& key,
                      bool remove,
                      const std::function<configuration::json_result<configuration::item_body>(
@@ -188,7 +189,7 @@
 
 // --- policies ------------------------------------------------------------------------------
 
-/// @return false after telling the operator what is wrong
+/// @return false, after printing the error, when the policy doesn't compile
 bool policy_is_sound(const command_context& context, const std::string& file) {
     const std::string text = read_text(file);
     const auto compiled = scheduling::policy::compile(text);
--- a/src/tallyfold/program_api/cli/operator_commands.hpp
+++ b/src/tallyfold/program_api/cli/operator_commands.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The commands of tallyfoldctl.
+/// Entry point, options and exit codes of tallyfoldctl's commands.
 
 #include <cstdint>
 #include <iosfwd>
@@ -17,27 +17,27 @@
     success = 0,
     failure = 1,
     usage = 2,
-    /// Another change was made from the same version, and won.
+    /// The item has changed since the version that the change is based on.
     conflict = 4,
     denied = 5,
     unreachable = 6,
 };
 
 struct command_options {
-    /// JSON in place of tables.
+    /// Print JSON instead of tables.
     bool json = false;
-    /// The version that a change is made from; read first when it is not given.
+    /// Item version that the change is based on; the current version when not given.
     std::optional<std::uint64_t> expected_version;
-    /// Identity of the change; drawn anew when it is not given. A resend names the first one.
+    /// Idempotency key of the change; generated when not given. A resend passes the first one.
     std::string command_identity;
-    /// "ip:port" of a gateway, for explain.
+    /// Gateway address ("ip:port") for the explain command.
     std::string gateway;
 };
 
 /// One line per command, for --help.
 std::string command_summary();
 
-/// Runs the command that `words` spell. @return the exit code
+/// Runs the command named by the first of `words`. @return the exit code
 ctl_exit run_command(const std::vector<std::string>& words, const command_options& options,
                      const admin_client& client, std::ostream& output, std::ostream& errors);
 
