--- a/src/tallyfold/program_api/configuration/configuration_state.hpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The accepted configuration as a deterministic state machine, and the copy that nodes follow.
+/// The configuration as a deterministic state machine, and the copy of it that nodes keep.
 
 #include <deque>
 #include <map>
@@ -11,21 +11,21 @@
 
 namespace tallyfold::configuration {
 
-/// A copy of the configuration at one version. Nodes move it forward by deltas only.
+/// Copy of the configuration at one version. Nodes update it by deltas only.
 class configuration_view {
   public:
     [[nodiscard]] configuration_version version() const { return version_; }
     [[nodiscard]] const std::map<item_key, item>& items() const { return items_; }
-    /// The live item, or null.
+    /// The item, or null when it doesn't exist or was removed.
     [[nodiscard]] const item* find(const item_key& key) const;
     [[nodiscard]] const tenant_settings* tenant(const std::string& name) const;
     [[nodiscard]] const class_settings* program_class(const std::string& name) const;
     [[nodiscard]] bool drained(const std::string& backend) const;
 
-    /// Items changed after `base`.
+    /// Delta from version `base` to this version.
     [[nodiscard]] configuration_delta since(configuration_version base) const;
-    /// Moves forward. @return false, with no change, when the delta does not start at or before
-    /// this version or would go back.
+    /// Applies a delta. @return false, without a change, when the delta starts after this version
+    /// or ends before it
     bool advance(const configuration_delta& delta);
     void put(item changed);
 
@@ -41,13 +41,13 @@
 
 class configuration_state_machine {
   public:
-    /// Applies a committed change_command; a repeated identity gets its first result.
+    /// Applies a committed change_command; a repeated command identity returns the first result.
     change_result apply(std::string_view encoded_command);
     [[nodiscard]] std::string save() const;
     void restore(std::string_view state);
     [[nodiscard]] const configuration_view& view() const { return view_; }
 
-    /// Identities remembered for resends.
+    /// Number of recent command identities whose results are kept for resends.
     static constexpr std::size_t kept_results = 20'000;
 
   private:
@@ -59,7 +59,7 @@
     std::deque<std::string> result_order_;
 };
 
-/// Why a body cannot be accepted whatever the state; empty when it can.
+/// Validates a command independently of the current state. @return the error, or empty
 std::string validate(const change_command& command);
 
 }  // namespace tallyfold::configuration
--- a/src/tallyfold/program_api/configuration/json_codec.cpp
+++ b/src/tallyfold/program_api/configuration/json_codec.cpp
@@ -262,7 +262,7 @@
 
 json_result<item_body> with_field(const item_body& body, const std::string& name,
                                   const std::string& value) {
-    // A value that is no JSON number is a text.
+    // Values other than JSON numbers are strings.
     json parsed = json::parse(value, nullptr, false);
     if (!parsed.is_number()) {
         parsed = value;
--- a/src/tallyfold/program_api/configuration/json_codec.hpp
+++ b/src/tallyfold/program_api/configuration/json_codec.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The configuration in JSON, as the administration API and tallyfoldctl exchange it.
+/// JSON encoding of the configuration for the administration API and tallyfoldctl.
 
 #include <optional>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace tallyfold::configuration {
 
-/// Why a text is not what was expected, in a sentence.
+/// Reason for which a JSON text was rejected.
 struct json_error {
     std::string reason;
 };
@@ -21,7 +21,7 @@
 json_result<configuration_view> parse_view(const std::string& text);
 
 std::string render_change(const change_command& command);
-/// Unknown fields are refused, so that a misspelt limit is not silently left out.
+/// Rejects unknown fields, so that a misspelt limit is not silently ignored.
 json_result<change_command> parse_change(const std::string& text);
 
 std::string render_result(const change_result& result);
@@ -29,7 +29,7 @@
 
 std::optional<item_kind> parse_item_kind(std::string_view text);
 
-/// Replaces one field of a body, "name=value"; used by tallyfoldctl's set commands.
+/// Returns the body with one field replaced; used by tallyfoldctl's set commands.
 json_result<item_body> with_field(const item_body& body, const std::string& name,
                                   const std::string& value);
 
--- a/src/tallyfold/program_api/configuration/types.hpp
+++ b/src/tallyfold/program_api/configuration/types.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The operators' configuration: versioned items, and commands that change one item each.
+/// Types of the operators' configuration: versioned items, and commands that change one item each.
 
 #include <cstdint>
 #include <map>
@@ -11,13 +11,13 @@
 
 namespace tallyfold::configuration {
 
-/// Position in the history of accepted changes; grows by one with each.
+/// Number of accepted changes; incremented by each.
 using configuration_version = std::uint64_t;
 
 struct tenant_settings {
-    /// Share of the capacity relative to other tenants, when all are waiting.
+    /// Share of the capacity relative to other tenants while all of them have queued calls.
     double weight = 1.0;
-    /// Calls that may wait at one scheduler before more are refused.
+    /// Maximum number of queued calls at one scheduler; further calls are rejected.
     std::uint32_t queue_limit = 256;
 
     bool operator==(const tenant_settings&) const = default;
@@ -28,22 +28,22 @@
 };
 
 struct class_settings {
-    /// Higher goes first where the policy says no more.
+    /// Higher values go first where the policy doesn't decide the order.
     std::int32_t priority = 0;
-    /// Greatest budget that a program may ask for, in tokens.
+    /// Maximum budget of a program, in tokens.
     std::uint64_t budget_limit = 1'000'000;
     std::uint32_t turn_limit = 512;
     std::uint32_t queue_limit = 512;
-    /// A call that waits longer in the queue is answered with deadline_exceeded.
+    /// A call queued for longer than this is answered with deadline_exceeded.
     std::uint32_t queue_timeout_ms = 30'000;
     std::uint32_t tool_timeout_ms = 5'000;
     /// A program without a call for this long is closed as abandoned.
     std::uint32_t idle_timeout_ms = 600'000;
-    /// Retries as a share of first attempts, for the whole class at one scheduler.
+    /// Maximum ratio of retries to first attempts, per class and scheduler.
     double retry_ratio = 0.2;
-    /// Name of the policy that ranks, places and retains.
+    /// Name of the policy that orders and places calls and decides on retention.
     std::string policy;
-    /// Model that the class's calls are meant for.
+    /// Model that the class's calls use.
     std::string model;
 
     bool operator==(const class_settings&) const = default;
@@ -55,7 +55,7 @@
 };
 
 struct policy_source {
-    /// A Lua chunk that defines order, place and retain (docs/POLICIES.md).
+    /// Lua chunk that defines the functions order, place and retain.
     std::string text;
 
     bool operator==(const policy_source&) const = default;
@@ -65,7 +65,7 @@
     }
 };
 
-/// A back end that gets no new work while its drain stands.
+/// Drain of a back end: it gets no new work until the item is removed.
 struct backend_drain {
     std::string reason;
 
@@ -95,9 +95,9 @@
 
 struct item {
     item_key key;
-    /// Changes of this item so far; a change names the version that it was made from.
+    /// Number of changes of this item; a change command states the version that it is based on.
     std::uint64_t version = 0;
-    /// The configuration version at which this item changed last.
+    /// Configuration version of this item's last change.
     configuration_version changed_at = 0;
     bool removed = false;
     item_body body;
@@ -110,7 +110,7 @@
 };
 
 struct change_command {
-    /// Drawn by the operator's tool; a resend with the same identity gets the first answer.
+    /// Idempotency key from the operator's tool; a resend with the same key gets the first result.
     std::string command_identity;
     std::string operator_name;
     item_key key;
@@ -129,7 +129,7 @@
 
 struct change_result {
     change_status status = change_status::invalid;
-    /// The item's version after the command: the new one, or the one that won.
+    /// Version of the item after the command; on a conflict, its current version.
     std::uint64_t item_version = 0;
     configuration_version version = 0;
     std::string detail;
@@ -141,7 +141,7 @@
     }
 };
 
-/// Items that changed after `base`; applied to a copy at `base` they give a copy at `version`.
+/// Items changed after version `base`; they update a copy at `base` to `version`.
 struct configuration_delta {
     configuration_version base = 0;
     configuration_version version = 0;
