--- a/src/tallyfold/program_api/control/commands/admin_commands.hpp
+++ b/src/tallyfold/program_api/control/commands/admin_commands.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The operators' commands as the administration API takes them.
+/// Parsing and validation of requests to the administration API.
 
 #include <string>
 #include <tl/expected.hpp>
@@ -10,12 +10,12 @@
 
 namespace tallyfold::control {
 
-/// A change that passed every check which needs no knowledge of the current configuration;
-/// policies are compiled and run once on sample inputs.
+/// Parses a change and checks everything that doesn't depend on the current configuration; policies
+/// are compiled and run once on sample inputs.
 configuration::json_result<admin_change> parse_admin_change(const std::string& body,
                                                             const std::string& operator_name);
 
-/// The membership that forms a cluster.
+/// Parses the membership that initialises a cluster.
 configuration::json_result<consensus::membership> parse_initial_membership(const std::string& body);
 
 }  // namespace tallyfold::control
--- a/src/tallyfold/program_api/control/control_core.cpp
+++ b/src/tallyfold/program_api/control/control_core.cpp
@@ -9,15 +9,14 @@
 
 namespace {
 
-/// Time between two looks of a leader at members and leases. Chosen, not measured: the replicas'
-/// heartbeat interval, a fifteenth of the time after which a scheduler counts as lost.
+/// Interval of a leader's checks of members and leases.
 constexpr duration duty_interval = std::chrono::milliseconds(100);
-/// Time between two requests to join. Chosen, not measured: an election's time-out.
+/// Interval between join requests.
 constexpr duration join_interval = std::chrono::milliseconds(500);
-/// A gap between ticks longer than this means that the process was stopped: what it believes
-/// about others' silence is worth nothing.
+/// A longer gap between ticks means that the process was suspended, so the time since a node's last
+/// heartbeat says nothing about the node.
 constexpr duration longest_tick_gap = std::chrono::milliseconds(400);
-/// Log position and term of the snapshot that forms a cluster.
+/// Log index and term of the snapshot that initialises a cluster.
 constexpr consensus::log_index initial_index = 1;
 constexpr consensus::term_number initial_term = 1;
 
@@ -129,8 +128,8 @@
     if (found == groups_.end()) {
         return;
     }
-    // Any replica that has applied the lease has all that came before it: the state machine
-    // refuses older epochs from there on.
+    // A replica that has applied the lease has applied everything before it, and from then on the
+    // state machine rejects commands of older epochs.
     const auto& shards = found->second.journal.shards();
     const auto entry = shards.find(request.shard);
     if (entry == shards.end() || entry->second.lease.epoch != request.epoch ||
--- a/src/tallyfold/program_api/control/control_core.hpp
+++ b/src/tallyfold/program_api/control/control_core.hpp
@@ -1,13 +1,13 @@
 #pragma once
 /// @file
-/// One control node as pure logic: replicas of all groups, their state machines, the nodes'
-/// heartbeats, and the shard leases that the leaders hand out. Owns the groups' replicas and state
-/// machines; relies on consensus/ for agreement, and on the shell for durable batches: what a batch
-/// holds back goes out once persisted() has confirmed it. plane/directory is the forwarding plane's
-/// counterpart, one group, without programs.
+/// Logic of one control node without I/O: replicas of all groups, their state machines, the nodes'
+/// heartbeats, and the shard leases that group leaders grant. consensus/ provides agreement; the
+/// shell makes batches durable and reports that with persisted(), which releases the messages that
+/// depend on them. plane/directory is the forwarding plane's counterpart: one group, without
+/// programs.
 ///
-/// The functions are spread over control_core.cpp (inputs, time), replica_output.cpp (what the
-/// replicas have ready) and members_and_leases.cpp (the leaders' duties).
+/// Implemented in control_core.cpp (inputs, time), replica_output.cpp (output of the replicas) and
+/// members_and_leases.cpp (the leaders' periodic work).
 
 #include <map>
 #include <optional>
@@ -28,24 +28,24 @@
 
 struct control_settings {
     node_name node;
-    /// Journal groups, numbered from 1; the configuration is group 0.
+    /// Number of journal groups. They are numbered from 1; group 0 is the configuration.
     std::uint32_t journal_groups = 2;
     std::uint32_t shard_count = 64;
     std::vector<node_name> peers;
     duration election_timeout = std::chrono::milliseconds(500);
     duration heartbeat_interval = std::chrono::milliseconds(100);
-    /// A scheduler that is silent for this long loses its shards.
+    /// A scheduler without a heartbeat for this long loses its shards.
     duration scheduler_timeout = std::chrono::milliseconds(1500);
-    /// Entries applied since the last snapshot that cause the next one.
+    /// Number of entries applied since the last snapshot that triggers the next one.
     std::uint64_t snapshot_interval = 4096;
     std::uint64_t seed = 0;
 };
 
-/// An operator's request, as the administration API hands it in.
+/// A change of the configuration, requested through the administration API.
 struct admin_change {
     configuration::change_command command;
 };
-/// A read of the configuration, answered after leadership was confirmed.
+/// Linearizable read of the configuration: answered after a quorum confirmed the leadership.
 struct admin_read {};
 using admin_request = std::variant<admin_change, admin_read>;
 
@@ -55,7 +55,7 @@
     std::uint64_t token = 0;
     admin_status status = admin_status::not_leader;
     configuration::change_result change;
-    /// For reads: every item of the configuration.
+    /// For reads: the whole configuration.
     std::optional<configuration::configuration_view> view;
     node_name leader;
 };
@@ -85,7 +85,7 @@
     std::map<shard_id, std::size_t> program_counts;
 };
 
-/// One batch for the storage thread. Its messages go out after it is durable.
+/// Batch of writes for the storage thread; its messages are sent once it is durable.
 struct storage_batch {
     std::uint64_t number = 0;
     std::vector<consensus::group_write> writes;
@@ -106,11 +106,11 @@
     void receive(const node_name& from, const protocol::internal_message& message, instant now);
     void request(std::uint64_t token, const admin_request& request, instant now);
     void tick(instant now);
-    /// The batch with this number is durable.
+    /// Reports that the batch with this number is durable.
     void persisted(std::uint64_t batch_number);
 
-    /// Forms the first membership of an empty cluster. @return false when this node already
-    /// belongs to one, or the membership does not name it.
+    /// Initialises an empty cluster. @return false when this node already belongs to a cluster, or
+    /// isn't in `members`
     bool initialise(const consensus::membership& members);
 
     control_output take_output();
@@ -166,7 +166,7 @@
     void send_leases(const protocol::node_heartbeat& heartbeat, group_id group,
                      const group_runtime& runtime);
     void answer_read(group_id group, const pending_read& read);
-    /// Takes what one replica has ready into `batch`, and into `marks` what its sync will confirm.
+    /// Adds one replica's writes to `batch`, and what their sync will confirm to `marks`.
     void collect_work(group_id group, group_runtime& runtime, storage_batch& batch,
                       std::vector<batch_mark>& marks);
     void apply_ready(group_id group, group_runtime& runtime, consensus::ready& work);
@@ -193,7 +193,7 @@
         instant heard{};
     };
     std::map<node_name, heard_node> nodes_;
-    /// Schedulers heard of recently, as of the last tick, and a hash of their addresses.
+    /// Schedulers with a recent heartbeat as of the last check, and a hash of their addresses.
     std::map<node_name, live_scheduler> live_schedulers_;
     std::uint64_t directory_hash_ = 0;
     std::map<node_name, consensus::replica_id> joining_;
--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -31,7 +31,7 @@
 constexpr auto admin_limit = std::chrono::seconds(5);
 constexpr unsigned leader_retry_seconds = 1;
 
-/// A question that the logic thread answers from its own state at once.
+/// Query that the logic thread answers from local state, without consensus.
 enum class local_query : std::uint8_t { status_json, status_page, identity };
 
 struct admin_input {
@@ -261,7 +261,8 @@
         }
         net::http_exchange& exchange = *found->second.exchange;
         if (reply.status == admin_status::not_leader) {
-            // Whether a change was accepted is open here; a resend under its identity tells.
+            // The change may have been accepted; a resend with the same identity returns its
+            // result.
             respond_error(
                 exchange, 503, "not_leader",
                 "ask the leader" + (reply.leader.empty() ? std::string{} : ", " + reply.leader),
--- a/src/tallyfold/program_api/control/control_shell.hpp
+++ b/src/tallyfold/program_api/control/control_shell.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The control process: internal messages, operators' requests and durable batches meet on its
-/// logic thread.
+/// The control process. Internal messages, operators' requests and durable batches are handled on
+/// its logic thread.
 
 #include <atomic>
 
--- a/src/tallyfold/program_api/control/lease_assigner.cpp
+++ b/src/tallyfold/program_api/control/lease_assigner.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Shards that may be on the move from live holders at once, so that a joining scheduler does
-/// not stop a whole group.
+/// Maximum number of shards moving away from live holders at once, so that a joining scheduler does
+/// not interrupt a whole group.
 constexpr std::size_t moving_shards_limit = 4;
 constexpr duration proposal_patience = std::chrono::milliseconds(500);
 
--- a/src/tallyfold/program_api/control/lease_assigner.hpp
+++ b/src/tallyfold/program_api/control/lease_assigner.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Decides, at the leader of a journal group, which scheduler should hold which shard.
+/// Assigns the shards of a journal group to schedulers; used by the group's leader.
 
 #include <map>
 #include <set>
@@ -19,22 +19,23 @@
 
 class lease_assigner {
   public:
-    /// What to do now: leases to propose, and shards whose holder should hand them over.
+    /// Leases to propose, and shards that their holder is asked to release.
     struct plan {
         std::vector<journal::assign_shard> assignments;
         std::vector<shard_id> hand_over;
     };
 
-    /// Called when leadership is gained: silence from before is no sign of death.
+    /// Starts a grace period for holders when leadership is gained: a new leader may not have
+    /// received their heartbeats yet.
     void start_grace(instant until) { grace_until_ = until; }
 
     /// @param shards the group's shards with their committed leases
-    /// @param live schedulers heard of recently
+    /// @param live schedulers with a recent heartbeat
     plan decide(const std::map<shard_id, journal::shard_lease>& shards,
                 const std::map<node_name, live_scheduler>& live, instant now);
 
-    /// The scheduler that a shard belongs to by rendezvous hashing: when one joins or leaves,
-    /// only its own share moves.
+    /// Preferred scheduler of a shard by rendezvous hashing: when a scheduler joins or leaves, only
+    /// its own share moves.
     static node_name preferred_holder(shard_id shard,
                                       const std::map<node_name, live_scheduler>& live);
 
--- a/src/tallyfold/program_api/control/members_and_leases.cpp
+++ b/src/tallyfold/program_api/control/members_and_leases.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What leaders do for nodes: heartbeats, shard leases, and replicas that join.
+/// Work of the group leaders: heartbeats, shard leases, and replicas that join.
 
 #include <algorithm>
 
@@ -33,8 +33,8 @@
                 continue;
             }
         }
-        // The answer waits for a quorum's confirmation: a leader that was replaced without
-        // knowing it must not call an old configuration current.
+        // Answered only after a quorum confirms the leadership: a replaced leader must not report
+        // an old configuration as current.
         const std::uint64_t token = next_read_++;
         runtime.reads[token] = {heartbeat.node, heartbeat.number, heartbeat.known_configuration, 0};
         if (!runtime.replica.request_read(token, now)) {
@@ -100,15 +100,15 @@
     }
     const lease_assigner::plan plan = runtime.assigner.decide(shards, live_schedulers_, now);
     for (const journal::assign_shard& assignment : plan.assignments) {
-        // Dropped when leadership is lost; the next leader decides again.
+        // Not resent when leadership is lost: the next leader decides again.
         (void)runtime.replica.propose(protocol::encode(journal::journal_command(assignment)));
     }
 }
 
 void control_core::advance_members(group_runtime& runtime) {
-    // A node that came back under a new identity is taken in step by step: as a learner, then,
-    // once it has caught up, its old identity leaves and it becomes a voter. The old identity
-    // keeps its seat until then, so that two voters never decide alone for longer than needed.
+    // A node that rejoins under a new replica identity is added as a learner. Once the learner has
+    // caught up, the old identity is removed, then the learner becomes a voter. The old identity
+    // stays until then, to keep the time with only two voters short.
     for (const auto& [node, replica] : joining_) {
         consensus::membership next = runtime.replica.members();
         const auto self = next.members.find(replica);
--- a/src/tallyfold/program_api/control/queries/render_status.hpp
+++ b/src/tallyfold/program_api/control/queries/render_status.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What a control node knows of the cluster, for operators: JSON for tools, one page for people.
+/// Cluster status of a control node for operators: JSON for tools, and an HTML page.
 
 #include <string>
 
@@ -9,7 +9,7 @@
 namespace tallyfold::control {
 
 std::string render_status_json(const control_status& status, const node_name& node);
-/// A read-only page without scripts.
+/// Read-only page without scripts.
 std::string render_status_page(const control_status& status, const node_name& node);
 
 }  // namespace tallyfold::control
--- a/src/tallyfold/program_api/control/replica_output.cpp
+++ b/src/tallyfold/program_api/control/replica_output.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the replicas of a control node have ready: entries to apply, reads to answer, messages, and
-/// the batch for the disk, whose messages wait for its sync.
+/// Output of a control node's replicas: entries to apply, confirmed reads, messages, and the
+/// storage batch with the messages that wait for its sync.
 
 #include <algorithm>
 
@@ -194,7 +194,7 @@
     if (!message.to_node.empty()) {
         return message.to_node;
     }
-    // A replica that has no membership yet answers the node that spoke to it.
+    // A replica without a membership replies to the node that sent it a message.
     const auto found = replica_nodes_.find(message.to);
     return found == replica_nodes_.end() ? node_name{} : found->second;
 }
--- a/src/tallyfold/program_api/control/storage_thread.hpp
+++ b/src/tallyfold/program_api/control/storage_thread.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The thread whose one duty is to make batches durable. Batches that wait while one is being
-/// synced go into the next sync together.
+/// Thread that makes batches durable. Batches that arrive during a sync are combined into the next
+/// one (group commit).
 
 #include <atomic>
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace tallyfold::control {
 
-/// A batch that is durable, with the messages that waited for it.
+/// A durable batch, with the messages to send after it.
 struct durable_batch {
     std::uint64_t number = 0;
     std::vector<protocol::outbound_message> messages;
@@ -21,19 +21,19 @@
 
 class storage_thread {
   public:
-    /// @param notify wakes the logic thread when a batch is durable
+    /// @param notify called when a batch is durable, to wake the logic thread
     storage_thread(storage::log_store store, std::function<void()> notify);
     ~storage_thread() { stop(); }
     storage_thread(const storage_thread&) = delete;
     storage_thread& operator=(const storage_thread&) = delete;
 
     void start();
-    /// Finishes what was handed over.
+    /// Writes the queued batches and stops the thread.
     void stop();
-    /// Waits while the ring is full: the log must not outrun its disk.
+    /// Blocks while the ring is full (back-pressure from the disk).
     void submit(storage_batch batch) { batches_.push(std::move(batch)); }
     bounded_ring<durable_batch>& results() { return results_; }
-    /// True once a write failed; nothing is written any more, and the process must end.
+    /// True once a write has failed: nothing more is written, and the process must exit.
     [[nodiscard]] bool failed() const { return failed_; }
     [[nodiscard]] std::uint64_t syncs() const { return syncs_; }
     [[nodiscard]] std::uint64_t bytes_written() const { return bytes_; }
