--- a/src/tallyfold/program_api/gateway/commands/parse_request.cpp
+++ b/src/tallyfold/program_api/gateway/commands/parse_request.cpp
@@ -22,7 +22,7 @@
 constexpr token_count max_tokens = 1'000'000;
 constexpr std::string_view programs_path = "/v1/programs";
 
-/// A field that is missing or of the wrong kind; turned into an outcome at the border.
+/// Missing or invalid field; parse_request() turns it into an outcome.
 struct field_error {
     std::string text;
 };
@@ -141,7 +141,7 @@
     return {open, false, {}};
 }
 
-/// What the request asks for, so that a repeat with other contents is told apart.
+/// Hash of the request's contents; a resend with other contents has a different one.
 std::uint64_t hash_call(const protocol::program_call& call) {
     return stable_hash(protocol::encode(call));
 }
@@ -182,7 +182,7 @@
     if (argument != body.end()) {
         call.argument = argument->is_string() ? argument->get<std::string>() : argument->dump();
     }
-    // A request whose repeat is not known to be harmless must not repeat.
+    // Requests that are not declared repeatable must not be retried.
     call.repeatable = flag_field(body, "repeatable", false);
     call.request_hash = hash_call(call);
     call.submission = submission_field(body);
--- a/src/tallyfold/program_api/gateway/commands/parse_request.hpp
+++ b/src/tallyfold/program_api/gateway/commands/parse_request.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Turns a caller's HTTP request into a typed call, or into the answer that refuses it.
+/// Parses a caller's HTTP request into a typed call, or into the answer that rejects it.
 
 #include <string>
 #include <tl/expected.hpp>
@@ -11,25 +11,25 @@
 
 struct caller_request {
     protocol::scheduler_call call;
-    /// The caller wants the answer as server-sent events.
+    /// Whether to stream the answer as server-sent events.
     bool stream = false;
-    /// Echoed in OpenAI-shaped answers.
+    /// Model name, echoed in OpenAI-compatible answers.
     std::string model;
 };
 
-/// @param idempotency_key the header of that name; a request_identity in the body goes first
+/// @param idempotency_key the header of that name; request_identity in the body takes precedence
 /// @return the call, or a final answer with ran: no
 tl::expected<caller_request, journal::outcome> parse_request(const std::string& method,
                                                              const std::string& path,
                                                              const std::string& body,
                                                              const std::string& idempotency_key);
 
-/// Identifier of the program that an open request makes; a repeat gives the same.
+/// Identifier of the program that an open request creates; the same for a resend.
 program_id identifier_of_program(const std::string& tenant, const std::string& request_identity);
-/// Identifier of a sub-agent.
+/// Identifier of a sub-agent's program; the same for a resend.
 program_id identifier_of_child(const program_id& parent, const std::string& request_identity);
 
-/// Tokens that a text is taken to have when the caller does not say.
+/// Estimated number of tokens of a text, for callers that don't state it.
 token_count estimate_tokens(const std::string& text);
 
 }  // namespace tallyfold::gateway
--- a/src/tallyfold/program_api/gateway/gateway_core.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.cpp
@@ -25,7 +25,7 @@
     return result;
 }
 
-/// What a refusal that forwards nothing may say: an earlier submission may have run.
+/// `ran` of an error for a request that is not forwarded: an earlier submission may have run.
 ran_state ran_if_refused(const protocol::scheduler_call& call) {
     const auto* request = std::get_if<protocol::program_call>(&call);
     return request != nullptr && request->unanswered ? ran_state::unknown : ran_state::no;
@@ -181,7 +181,7 @@
         const node_name owner = owner_of(request.program);
         const bool moved = !request.searching && !owner.empty() && owner != request.owner;
         if (moved) {
-            // The old owner may have run it; the new one knows from the journal.
+            // The old owner may have run the call; the new owner can tell from the journal.
             request.maybe_ran = true;
             search_again(request, now);
         }
@@ -229,7 +229,7 @@
     for (const std::string& piece : request.delivered) {
         delivered += piece;
     }
-    // Pieces can be lost with a connection; the final answer always has the whole.
+    // Pieces can be lost with a connection; the final answer contains the whole text.
     if (result.answer.size() > delivered.size() && result.answer.starts_with(delivered)) {
         output_.pieces.push_back({request.token, {result.answer.substr(delivered.size())}});
     }
--- a/src/tallyfold/program_api/gateway/gateway_core.hpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The gateway as pure logic: finds the owner of a program, forwards a caller's request, relays
-/// the answer whole, and goes on at another owner when the first one is gone.
+/// Logic of the gateway without I/O: routes a caller's request to the program's owner, relays the
+/// answer, and fails over to another owner when the first one is lost.
 
 #include <map>
 #include <string>
@@ -13,7 +13,7 @@
 
 namespace tallyfold::gateway {
 
-/// Names one caller's request inside this gateway.
+/// Identifies a caller's request within this gateway.
 using request_token = std::uint64_t;
 
 struct gateway_settings {
@@ -22,17 +22,18 @@
     std::string zone;
     std::vector<node_name> control_nodes;
     std::uint32_t shard_count = 64;
-    /// Requests under way at most; more are refused at once.
+    /// Maximum number of pending requests; further ones are rejected at once.
     std::size_t request_limit = 4096;
-    /// How long a request whose owner is gone may look for the next one.
+    /// Time limit for finding another owner after the first one was lost.
     duration failover_limit = std::chrono::milliseconds(8000);
     duration heartbeat_interval = std::chrono::milliseconds(400);
     duration configuration_lease = std::chrono::milliseconds(3000);
-    /// Drawn anew at each start: a reply to an earlier life must not match a request of this one.
+    /// Random at each start, so that a reply to a previous run's request doesn't match one of this
+    /// run.
     std::uint64_t seed = 0;
 };
 
-/// New pieces of a streamed answer, in order and without repeats.
+/// New pieces of a streamed answer, in order and without duplicates.
 struct client_pieces {
     request_token token = 0;
     std::vector<std::string> pieces;
@@ -60,15 +61,16 @@
   public:
     explicit gateway_core(gateway_settings settings);
 
-    /// Takes a caller's request; every token gets exactly one client_answer.
+    /// Accepts a caller's request; every token gets exactly one client_answer unless it is
+    /// forgotten.
     void submit(request_token token, protocol::scheduler_call call, instant now);
-    /// The caller has gone; its request goes on at the owner, and its answer is dropped here.
+    /// Drops a request whose caller disconnected. The owner still finishes it.
     void forget(request_token token);
     void receive(const node_name& from, const protocol::internal_message& message, instant now);
-    /// The connection to a node broke: what was forwarded there may be lost.
+    /// Handles a lost connection to a node: requests forwarded to it may be lost.
     void peer_lost(const node_name& node, instant now);
     void tick(instant now);
-    /// Starts a planned stop: new requests are refused, the others are finished.
+    /// Starts a graceful stop: new requests are rejected, pending ones are finished.
     void drain() { draining_ = true; }
     [[nodiscard]] bool drained() const { return draining_ && pending_.empty(); }
 
@@ -76,7 +78,7 @@
     [[nodiscard]] const gateway_counters& counters() const { return counters_; }
     [[nodiscard]] std::size_t pending() const { return pending_.size(); }
     [[nodiscard]] const membership::control_session& session() const { return session_; }
-    /// True when the gateway can serve: it has a current configuration and knows owners.
+    /// True when requests can be served: the configuration is current and schedulers are known.
     [[nodiscard]] bool ready(instant now) const;
 
   private:
@@ -86,9 +88,9 @@
         program_id program;
         node_name owner;
         protocol::correlation_id correlation = 0;
-        /// True once it was handed to any owner.
+        /// True once the request was sent to an owner.
         bool forwarded = false;
-        /// True when an owner that had it went away without saying that it did not run.
+        /// True when an owner was lost, or replaced, that may have run the request.
         bool maybe_ran = false;
         bool searching = false;
         std::vector<std::string> delivered;
--- a/src/tallyfold/program_api/gateway/gateway_shell.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_shell.cpp
@@ -23,8 +23,8 @@
 using logging::event_id;
 
 constexpr std::size_t ring_capacity = 8192;
-/// Bodies up to this many times the limit are read, so that they get an answer; for longer ones the
-/// connection is closed.
+/// Bodies up to this multiple of the limit are read, so that they get an answer; for longer ones
+/// the connection is closed.
 constexpr std::size_t drained_body_factor = 4;
 constexpr auto metrics_interval = std::chrono::seconds(1);
 
@@ -175,7 +175,7 @@
         open_exchange& open = found->second;
         const bool ok = answered.result.code == journal::answer_code::ok;
         if (open.request.stream && (ok || open.streaming)) {
-            // A repeat of an ended call has its answer in one piece.
+            // The answer to a resend of a finished call comes in one piece.
             if (!open.streaming && !answered.result.answer.empty()) {
                 start_stream(open);
                 open.exchange->write(render_piece(open.request, answered.result.answer));
--- a/src/tallyfold/program_api/gateway/gateway_shell.hpp
+++ b/src/tallyfold/program_api/gateway/gateway_shell.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The gateway process: HTTP in, internal messages out, the logic thread between them.
+/// The gateway process: HTTP server, transport, and the logic thread between them.
 
 #include <atomic>
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace tallyfold::gateway {
 
-/// Runs until `stop` is set and everything under way is finished. @return the exit code
+/// Runs until `stop` is set and all pending requests are finished. @return the exit code
 int run_gateway(settings::gateway_process settings, const std::atomic<bool>& stop);
 
 }  // namespace tallyfold::gateway
--- a/src/tallyfold/program_api/gateway/queries/render_answer.hpp
+++ b/src/tallyfold/program_api/gateway/queries/render_answer.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Turns final answers and pieces into what callers read.
+/// Renders final answers and pieces of streamed answers for callers.
 
 #include <string>
 
@@ -8,16 +8,16 @@
 
 namespace tallyfold::gateway {
 
-/// HTTP status of an answer.
+/// HTTP status code of an outcome.
 int status_of(const journal::outcome& result);
-/// Whole seconds for the header Retry-After; 0 when there is none.
+/// Value of the header Retry-After in whole seconds, rounded up; 0 for none.
 unsigned retry_after_seconds(const journal::outcome& result);
 
-/// The JSON body of an answer that is not streamed.
+/// JSON body of an answer that is not streamed.
 std::string render_answer(const caller_request& request, const journal::outcome& result);
 /// One server-sent event with a piece of a completion.
 std::string render_piece(const caller_request& request, const std::string& piece);
-/// The closing events of a stream: usage or error, then [DONE].
+/// Last events of a stream: usage or error, then [DONE].
 std::string render_stream_end(const caller_request& request, const journal::outcome& result);
 
 }  // namespace tallyfold::gateway
