--- a/src/tallyfold/program_api/http/blocking_http.hpp
+++ b/src/tallyfold/program_api/http/blocking_http.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One HTTP request at a time, for command-line tools.
+/// Blocking HTTP client for command-line tools: one request at a time.
 
 #include <chrono>
 #include <string>
@@ -18,10 +18,10 @@
 };
 
 struct blocking_reply {
-    /// 0 when no answer came.
+    /// HTTP status code; 0 when no response was received.
     int status = 0;
     std::string body;
-    /// Why no answer came.
+    /// Error text when no response was received.
     std::string failure;
 };
 
--- a/src/tallyfold/program_api/http/http_client.cpp
+++ b/src/tallyfold/program_api/http/http_client.cpp
@@ -140,7 +140,7 @@
                          static_cast<long>(running->call.timeout.count()));
         if (running->call.method == "POST") {
             running->headers = curl_slist_append(nullptr, "Content-Type: application/json");
-            // Without this libcurl waits for "100 Continue" before large bodies.
+            // Without this, libcurl waits for "100 Continue" before it sends a large body.
             running->headers = curl_slist_append(running->headers, "Expect:");
             curl_easy_setopt(easy, CURLOPT_HTTPHEADER, running->headers);
             curl_easy_setopt(easy, CURLOPT_POST, 1L);
--- a/src/tallyfold/program_api/http/http_client.hpp
+++ b/src/tallyfold/program_api/http/http_client.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// HTTP towards back ends: many requests at once on one thread, by libcurl.
+/// HTTP client for back ends: concurrent requests on one thread, based on libcurl.
 
 #include <chrono>
 #include <cstdint>
@@ -17,20 +17,20 @@
     std::string method = "GET";
     std::string url;
     std::string body;
-    /// Whole request; 0 for a stream that may last.
+    /// Time limit of the whole request; 0 for no limit (streams).
     std::chrono::milliseconds timeout{0};
-    /// Deliver the body as it comes, not at the end.
+    /// Deliver the body in pieces as it arrives, not at the end.
     bool streamed = false;
-    /// Never sent a second time by the library on a stale connection.
+    /// Use a new connection: on a stale one libcurl may send the request twice.
     bool fresh_connection = false;
 };
 
 enum class http_event_kind : std::uint8_t {
     data,
     finished,
-    /// No connection could be made: the request was not handed over.
+    /// No connection was established: the request was not sent.
     unreachable,
-    /// The connection broke, or the time ran out, after the request was handed over.
+    /// The connection failed, or the time limit passed, after the request may have been sent.
     broken,
 };
 
@@ -43,7 +43,7 @@
 
 class http_client {
   public:
-    /// @param on_event runs on the client's thread
+    /// @param on_event called on the client's thread
     explicit http_client(std::function<void(http_event)> on_event);
     ~http_client();
     http_client(const http_client&) = delete;
@@ -51,11 +51,11 @@
 
     void start();
     void stop();
-    /// From one thread only. @return false when too many requests are waiting to be sent; the
-    /// request was not sent then
+    /// Starts a request. From one thread only. @return false when the queue is full; the request is
+    /// not sent then
     [[nodiscard]] bool submit(http_call call);
-    /// Gives a request up. From the submitting thread. @return false when too much is waiting;
-    /// try again later
+    /// Cancels a request. From the submitting thread. @return false when the queue is full; try
+    /// again later
     [[nodiscard]] bool cancel(http_call_id id);
 
   private:
--- a/src/tallyfold/program_api/http/http_server.cpp
+++ b/src/tallyfold/program_api/http/http_server.cpp
@@ -97,7 +97,7 @@
                 try {
                     action();
                 } catch (const std::exception&) {
-                    // The connection is gone; nobody is left to answer.
+                    // The connection is closed; the response is dropped.
                 }
             });
     }
@@ -130,7 +130,8 @@
                 options.address(host)
                     .port(port)
                     .request_handler(handler)
-                    // Without this a streamed piece waits for the acknowledgement of the last one.
+                    // Disables Nagle's algorithm: a streamed piece would wait for the previous
+                    // one's acknowledgement.
                     .socket_options_setter([](auto& socket) {
                         socket.set_option(restinio::asio_ns::ip::tcp::no_delay(true));
                     })
--- a/src/tallyfold/program_api/http/http_server.hpp
+++ b/src/tallyfold/program_api/http/http_server.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// HTTP towards callers, operators and, in the stand-ins, schedulers. Owns the server's thread; who
-/// handles an exchange answers it later, from any thread. Built on RESTinio, which only
-/// http_server.cpp sees. The forwarding plane's server, plane/http/endpoint_server, runs in its
-/// program's one loop thread instead, on http_parser (docs/design/platform.md says why).
+/// HTTP server for callers, operators and, in the stand-ins, schedulers. Owns its thread; a handler
+/// may answer an exchange later, from any thread. Based on RESTinio, which only http_server.cpp
+/// includes. The forwarding plane has a server of its own, plane/http/endpoint_server, which runs
+/// on its program's event loop.
 
 #include <functional>
 #include <memory>
@@ -11,7 +11,7 @@
 
 namespace tallyfold::net {
 
-/// One request and the way to answer it. Answers may come from any thread, once.
+/// One request and its response. The response may be sent from any thread, once.
 class http_exchange {
   public:
     virtual ~http_exchange() = default;
@@ -22,10 +22,10 @@
     [[nodiscard]] virtual std::string header(const std::string& name) const = 0;
     [[nodiscard]] virtual const std::string& body() const = 0;
 
-    /// The whole answer. `retry_after_seconds` 0 leaves the header out.
+    /// Sends a whole response. `retry_after_seconds` 0 omits the header.
     virtual void respond(int status, const std::string& content_type, std::string body,
                          unsigned retry_after_seconds = 0) = 0;
-    /// Starts a streamed answer (chunked, text/event-stream).
+    /// Starts a streamed response (chunked, text/event-stream).
     virtual void start_stream() = 0;
     virtual void write(std::string bytes) = 0;
     virtual void finish() = 0;
@@ -41,15 +41,15 @@
 
 class http_server {
   public:
-    /// @param on_request runs on the server's thread
+    /// @param on_request called on the server's thread
     http_server(http_server_settings settings, std::function<void(exchange_pointer)> on_request);
     ~http_server();
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
 
-    /// @return an error text, or empty.
+    /// @return an error message, or empty
     std::string start();
-    /// Stops after answers that are being written have left.
+    /// Stops after a short pause for responses that are being written.
     void stop();
 
   private:
