--- a/src/tallyfold/program_api/membership/control_session.cpp
+++ b/src/tallyfold/program_api/membership/control_session.cpp
@@ -34,7 +34,8 @@
     if (!configuration_.advance(update.delta)) {
         return false;
     }
-    // The copy was current at some moment after the heartbeat left: the lease counts from there.
+    // The copy was current at some time after the heartbeat was sent: the lease starts at that
+    // time.
     if (const auto sent = sent_at(update.heartbeat_number)) {
         configuration_confirmed_ = std::max(configuration_confirmed_, *sent);
         configuration_known_ = true;
