--- a/src/tallyfold/program_api/process/logic_thread.hpp
+++ b/src/tallyfold/program_api/process/logic_thread.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The thread that owns a program's pure logic: it drains the rings that lead to it, ticks the
-/// logic, and passes on what comes out.
+/// Thread that runs a program's logic: drains the input rings, ticks the logic and emits its
+/// outputs.
 
 #include <atomic>
 #include <chrono>
@@ -14,7 +14,7 @@
 
 namespace tallyfold::net {
 
-/// The process's monotonic clock as an instant.
+/// Current time of the monotonic clock.
 inline instant monotonic_now() {
     return instant(
         std::chrono::duration_cast<duration>(std::chrono::steady_clock::now().time_since_epoch()));
@@ -24,8 +24,8 @@
   public:
     static constexpr std::chrono::microseconds default_tick_interval{10'000};
 
-    /// @param turn drains inputs, ticks, and emits outputs; called on every wake and at least
-    /// every tick interval
+    /// @param turn drains inputs, ticks, and emits outputs; called on every wake-up and at least
+    /// once per tick interval
     explicit logic_thread(std::function<void(instant now)> turn,
                           std::chrono::microseconds tick_interval = default_tick_interval)
         : turn_(std::move(turn)), tick_interval_(tick_interval) {}
@@ -63,10 +63,10 @@
     std::thread thread_;
 };
 
-/// Inputs taken from one ring in one turn at most, so that no ring starves the others.
+/// Maximum number of inputs taken from one ring per turn, so that no ring starves the others.
 constexpr std::size_t inputs_per_turn = 1024;
 
-/// Hands up to inputs_per_turn elements of a ring to `use`.
+/// Passes up to inputs_per_turn elements of a ring to `use`.
 template <class Element, class Use>
 void drain_ring(bounded_ring<Element>& ring, Use&& use) {
     Element element;
--- a/src/tallyfold/program_api/process/metrics.hpp
+++ b/src/tallyfold/program_api/process/metrics.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Metrics in the Prometheus text format, from snapshots that the logic threads publish: their
-/// values are read by another thread, the HTTP server's. The forwarding plane's programs have one
-/// thread, and count into a registry directly: plane/process/instruments.
+/// Metrics in the Prometheus text format. The logic thread publishes snapshots, and the HTTP
+/// server's thread reads them. The forwarding plane's programs have one thread and update a
+/// registry directly: plane/process/instruments.
 
 #include <mutex>
 #include <string>
@@ -14,15 +14,15 @@
     std::string name;
     std::string help;
     double value = 0;
-    /// A counter only grows; otherwise the sample is a gauge.
+    /// True for a counter, which only grows; false for a gauge.
     bool counter = false;
 };
 
-/// Thread-safe.
+/// The latest snapshot of all metrics. Thread-safe.
 class metrics_board {
   public:
     void publish(std::vector<metric_sample> samples);
-    /// The text that GET /metrics answers with.
+    /// Body of the response to GET /metrics.
     [[nodiscard]] std::string render() const;
 
   private:
--- a/src/tallyfold/program_api/process/process_runtime.hpp
+++ b/src/tallyfold/program_api/process/process_runtime.hpp
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
-/// What the shells of the program API's long-running processes share: health paths, start, and
-/// waiting. Several threads a process; the forwarding plane's counterpart with one is
-/// plane/process/node_process.
+/// Parts shared by the program API's processes, which have several threads each: health endpoints,
+/// startup and waiting. The forwarding plane's counterpart is plane/process/node_process.
 
 #include <atomic>
 #include <chrono>
@@ -29,7 +28,7 @@
     return true;
 }
 
-/// Opens both listeners. @return false, with an event, when an address cannot be listened on
+/// Starts both listeners. @return false, after logging an event, when listening on an address fails
 inline bool start_listening(transport& peers, http_server& http) {
     for (const std::string& failure : {peers.start(), http.start()}) {
         if (!failure.empty()) {
@@ -40,7 +39,7 @@
     return true;
 }
 
-/// Sleeps until `done` gives true.
+/// Polls until `done` returns true.
 template <class Condition>
 void wait_until(Condition&& done) {
     constexpr auto poll = std::chrono::milliseconds(20);
--- a/src/tallyfold/program_api/process/process_settings.hpp
+++ b/src/tallyfold/program_api/process/process_settings.hpp
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
-/// The settings of each program of the program API, read and checked. docs/CONFIGURATION.md lists
-/// every key. The forwarding plane's programs have settings of their own,
-/// plane/process/node_settings; both read files with base/settings.
+/// Settings of each program of the program API, read from a file and validated. The forwarding
+/// plane's counterpart is plane/process/node_settings; both read files with base/settings.
 
 #include <string>
 #include <tl/expected.hpp>
@@ -30,12 +29,12 @@
 
 struct scheduler_process {
     scheduler::scheduler_settings core;
-    /// Where internal messages are accepted; core.address is what gateways are told.
+    /// Listening address for internal messages; core.address is the one that gateways connect to.
     std::string listen;
     std::string http_listen;
     std::string key_file;
     node_addresses control;
-    /// URL of the platform's membership list.
+    /// Address of the platform's membership list, "ip:port".
     std::string members_address;
 };
 
@@ -44,7 +43,7 @@
     std::string listen;
     std::string http_listen;
     std::string key_file;
-    /// Role and key of each operator, one pair a line.
+    /// File with one operator per line: name, role and key.
     std::string operator_file;
     std::string data_folder;
     node_addresses control;
@@ -54,7 +53,7 @@
 settings_result<scheduler_process> read_scheduler(const std::string& file);
 settings_result<control_process> read_control(const std::string& file);
 
-/// Every key of the three programs, for the documentation test.
+/// All setting keys of a program: "gateway", "scheduler" or "control".
 std::vector<std::string> all_keys(const std::string& program);
 
 }  // namespace tallyfold::settings
--- a/src/tallyfold/program_api/process/program_main.hpp
+++ b/src/tallyfold/program_api/process/program_main.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The main function of a process of the program API, and of the stand-ins.
+/// Main function of the program API's processes and of the stand-ins.
 
 #include <string>
 
@@ -9,8 +9,8 @@
 
 namespace tallyfold::settings {
 
-/// The main function of a long-running program.
-/// @param run runs the process until a stop is requested, and gives its exit code
+/// Reads the settings, opens the log and runs the process.
+/// @param run runs the process until a stop is requested, and returns its exit code
 template <class Read, class Run>
 int program_main(int argument_count, char** arguments, const std::string& description, Read read,
                  Run run) {
