--- a/src/tallyfold/program_api/transport/cluster_keys.cpp
+++ b/src/tallyfold/program_api/transport/cluster_keys.cpp
@@ -33,7 +33,7 @@
 std::string random_bytes(std::size_t count) {
     std::string bytes(count, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char*>(bytes.data()), static_cast<int>(count)) != 1) {
-        std::abort();  // Without randomness no identity is safe.
+        std::abort();  // Predictable nonces and identities would be unsafe.
     }
     return bytes;
 }
--- a/src/tallyfold/program_api/transport/cluster_keys.hpp
+++ b/src/tallyfold/program_api/transport/cluster_keys.hpp
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// Keys that the system's own processes and operators prove themselves with.
+/// Keys that authenticate the system's processes to each other.
 ///
-/// A key file holds one key a line; the first is used to prove, all are accepted. It is read
-/// anew when it changes, so that keys are rotated without a restart: add the new key at the end
-/// everywhere, move it to the front everywhere, then remove the old one.
+/// A key file holds one key per line; the first is used to authenticate, all are accepted. The file
+/// is reloaded when it changes, so that keys are rotated without a restart: append the new key on
+/// all nodes, move it to the front on all nodes, then remove the old one.
 
 #include <filesystem>
 #include <mutex>
@@ -21,9 +21,9 @@
 
 /// HMAC-SHA-256 of `text`.
 std::string keyed_hash(std::string_view key, std::string_view text);
-/// Compares in a time that does not depend on where the values differ.
+/// Compares in a time that does not depend on the position of a difference.
 bool equal_in_constant_time(std::string_view left, std::string_view right);
-/// Random bytes from the operating system, for nonces and identities.
+/// Cryptographically secure random bytes, for nonces and identities.
 std::string random_bytes(std::size_t count);
 std::uint64_t random_number();
 
@@ -31,11 +31,11 @@
 class cluster_keys {
   public:
     explicit cluster_keys(std::string path) : path_(std::move(path)) {}
-    /// The keys as the file has them now, newest first.
+    /// The keys of the file, in its order; reloads the file when it changed.
     tl::expected<std::vector<std::string>, key_error> current();
-    /// Proof of `text` with the first key.
+    /// HMAC of `text` with the first key.
     tl::expected<std::string, key_error> prove(std::string_view text);
-    /// True when any key gives this proof.
+    /// True when `proof` is the HMAC of `text` with any of the keys.
     bool verify(std::string_view text, std::string_view proof);
 
   private:
--- a/src/tallyfold/program_api/transport/messages.hpp
+++ b/src/tallyfold/program_api/transport/messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Every message between the system's own processes, and the frame that carries one.
+/// Messages between the system's processes, with their serialization.
 
 #include <map>
 #include <string>
@@ -14,16 +14,16 @@
 
 namespace tallyfold::protocol {
 
-/// Ties a reply to its request within one pair of nodes.
+/// Matches a reply to its request, within one pair of nodes.
 using correlation_id = std::uint64_t;
 
 enum class node_role : std::uint8_t { gateway, scheduler, control };
 
 // --- nodes and control ---------------------------------------------------------------------
 
-/// What a node already has of one journal group's lease table.
+/// Version of a node's copy of one journal group's lease table.
 struct known_leases {
-    /// Log index of the newest lease change that the node has seen.
+    /// Log index of the newest lease change in the copy.
     consensus::log_index version = 0;
     std::uint64_t schedulers_hash = 0;
     template <class Archive>
@@ -32,15 +32,15 @@
     }
 };
 
-/// Sent by gateways and schedulers to every control node; leaders answer for their groups.
+/// Sent by gateways and schedulers to every control node; the group leaders reply.
 struct node_heartbeat {
     node_name node;
     node_role role = node_role::gateway;
-    /// Where the node listens for internal messages, "ip:port".
+    /// Address for internal messages, "ip:port".
     std::string address;
     std::string zone;
     bool draining = false;
-    /// Comes back in the configuration update, which was confirmed after this was sent.
+    /// Returned in the configuration update, which was confirmed after this heartbeat was sent.
     std::uint64_t number = 0;
     configuration::configuration_version known_configuration = 0;
     std::map<group_id, known_leases> leases;
@@ -50,8 +50,8 @@
     }
 };
 
-/// From the leader of the configuration group, after it confirmed its leadership: the node that
-/// applies it is at the committed version.
+/// From the leader of the configuration group, after it confirmed its leadership. Applying it
+/// brings the node to the committed version.
 struct configuration_update {
     std::uint64_t heartbeat_number = 0;
     configuration::configuration_delta delta;
@@ -72,13 +72,13 @@
     }
 };
 
-/// From the leader of a journal group, when the node's copy is not current.
+/// From the leader of a journal group, when the node's copy of the lease table is outdated.
 struct lease_update {
     group_id group = 0;
     known_leases version;
     std::map<shard_id, journal::shard_lease> leases;
     std::vector<scheduler_address> schedulers;
-    /// Shards that their holder should finish and release, so that they can move.
+    /// Shards that their holder should finish and release, so that they can be moved.
     std::vector<shard_id> hand_over;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -86,11 +86,11 @@
     }
 };
 
-/// The group whose lease updates also list the schedulers; once is enough for each node.
+/// The only group whose lease updates include the schedulers.
 constexpr group_id directory_group = 1;
 
-/// From the leader of a journal group, after it confirmed its leadership: it had heard the
-/// scheduler's heartbeat, so it takes none of its shards away before scheduler_timeout.
+/// From the leader of a journal group, after it confirmed its leadership. It received the
+/// scheduler's heartbeat, so it does not reassign the scheduler's shards before scheduler_timeout.
 struct lease_confirmation {
     group_id group = 0;
     std::uint64_t heartbeat_number = 0;
@@ -104,7 +104,7 @@
 struct journal_append {
     group_id group = 0;
     correlation_id correlation = 0;
-    /// An encoded journal::journal_command.
+    /// Encoded journal::journal_command.
     std::string command;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -115,7 +115,8 @@
 struct journal_append_reply {
     group_id group = 0;
     correlation_id correlation = 0;
-    /// False: this replica does not lead, or stopped leading; the outcome is open, ask again.
+    /// False when this replica is not, or no longer, the leader: the outcome is unknown and the
+    /// request has to be sent again.
     bool committed = false;
     journal::journal_error result = journal::journal_error::none;
     node_name leader;
@@ -139,7 +140,7 @@
     group_id group = 0;
     shard_id shard = 0;
     lease_epoch epoch = 0;
-    /// An encoded journal::shard_state.
+    /// Encoded journal::shard_state.
     std::string state;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -147,7 +148,7 @@
     }
 };
 
-/// A control node that is no member yet (new, or its disk was lost) asks to be taken in.
+/// Sent by a control node that is not a member yet (new, or its disk was lost), to join.
 struct join_request {
     node_name node;
     consensus::replica_id replica = consensus::no_replica;
@@ -174,18 +175,18 @@
     std::uint64_t request_hash = 0;
     journal::call_kind kind = journal::call_kind::model;
     bool repeatable = true;
-    /// Counts the caller's submissions of this request, from 1. Not part of the request's hash.
-    /// A refusal of one submission says nothing of an earlier one that may still be under way.
+    /// Number of this submission of the request, from 1; not part of the request's hash. A
+    /// rejection of one submission says nothing about an earlier one that may still be running.
     std::uint32_t submission = 1;
-    /// True when an earlier submission of this request got no answer, or "unknown".
+    /// True when an earlier submission of this request got no answer, or ran "unknown".
     bool unanswered = false;
-    /// Model calls: what the caller adds to the history.
+    /// Model calls: messages to append to the history.
     std::vector<journal::message> messages;
     token_count max_tokens = 0;
     /// App and tool calls: the service's operation and its argument.
     std::string operation;
     std::string argument;
-    /// Pieces of the answer that the gateway has already passed on (after a change of owner).
+    /// Pieces of the answer that the gateway has already relayed (after a change of owner).
     std::vector<std::string> delivered;
     template <class Archive>
     void serialize(Archive& archive) {
@@ -202,7 +203,7 @@
     }
 };
 
-/// Reads a program's state and the journey of its calls.
+/// Reads a program's state and the history of its calls.
 struct inspect_call {
     program_id program;
     template <class Archive>
@@ -222,7 +223,7 @@
     }
 };
 
-/// Pieces of a streamed answer; `offset` counts pieces from the answer's start.
+/// Pieces of a streamed answer; `offset` is the index of the first of them in the answer.
 struct answer_pieces {
     correlation_id correlation = 0;
     std::uint64_t offset = 0;
@@ -247,7 +248,7 @@
                  journal_append, journal_append_reply, shard_read, shard_contents, join_request,
                  scheduler_request, answer_pieces, scheduler_reply, lease_confirmation>;
 
-/// A message and the node that it goes to.
+/// A message and its destination.
 struct outbound_message {
     node_name to;
     internal_message message;
--- a/src/tallyfold/program_api/transport/operator_keys.hpp
+++ b/src/tallyfold/program_api/transport/operator_keys.hpp
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// Operators' keys and roles: who may use the administration API, and for what.
+/// Authentication and roles of operators of the administration API.
 ///
-/// A request proves its operator with three headers: the operator's name, the time, and the
-/// HMAC of time, method, path and body under the operator's key. A replay within the time window
-/// does no harm: reads change nothing, and changes carry an identity of their own.
+/// A request is signed with three headers: the operator's name, the time, and the HMAC of time,
+/// method, path and body under the operator's key. A replay within the time window does no harm:
+/// reads change nothing, and changes carry an idempotency key.
 
 #include <cstdint>
 #include <optional>
@@ -20,14 +20,14 @@
 constexpr const char* time_header = "X-Tallyfold-Time";
 constexpr const char* proof_header = "X-Tallyfold-Proof";
 
-/// Each role may do what the ones before it may.
+/// Each role includes the permissions of the ones before it.
 enum class operator_role : std::uint8_t { viewer, editor, administrator };
 
 std::string_view to_string(operator_role role);
 
 struct signed_request {
     std::string operator_name;
-    /// Seconds since 1970 as decimal digits.
+    /// Unix time in seconds, in decimal digits.
     std::string time;
     std::string proof;
     std::string method;
@@ -35,19 +35,19 @@
     std::string body;
 };
 
-/// Hex HMAC that proves a request.
+/// Hexadecimal HMAC of a request.
 std::string prove_request(const std::string& key, const signed_request& request);
 
-/// Reads the file anew for each request: a key that was taken out is refused at once.
+/// Reads the file for each request, so that a removed key is rejected at once.
 class operator_keys {
   public:
-    /// How far the operator's clock may differ, in seconds.
+    /// Maximum difference from the operator's clock, in seconds.
     static constexpr std::int64_t time_window_seconds = 300;
 
-    /// @param path lines of "name role key"
+    /// @param path file with lines of "name role key"
     explicit operator_keys(std::string path) : path_(std::move(path)) {}
-    /// @param now_seconds seconds since 1970
-    /// @return the operator's role, or why the request is refused
+    /// @param now_seconds Unix time in seconds
+    /// @return the operator's role, or the reason for the rejection
     [[nodiscard]] tl::expected<operator_role, key_error> check(const signed_request& request,
                                                                std::int64_t now_seconds) const;
 
--- a/src/tallyfold/program_api/transport/peer_connection_shell.cpp
+++ b/src/tallyfold/program_api/transport/peer_connection_shell.cpp
@@ -11,21 +11,20 @@
 using asio::ip::tcp;
 using logging::event_id;
 
-// Chosen, not measured, all of these.
-/// Bytes of one message at most: the contents of a shard are the largest.
+/// Maximum size of a message in bytes; the largest ones are the contents of a shard.
 constexpr std::uint32_t largest_frame = 64U << 20U;
-/// Before the handshake is done a peer may not make us read more than this.
+/// Maximum frame size before the peer has authenticated itself.
 constexpr std::uint32_t largest_handshake_frame = 4096;
-/// Bytes that wait for a peer at most: one message of the largest size.
+/// Maximum number of bytes queued for a peer: one message of the largest size.
 constexpr std::size_t largest_backlog_bytes = 64U << 20U;
-/// An idle connection sends an empty frame this often.
+/// Interval of empty frames on an idle connection.
 constexpr auto ping_interval = std::chrono::milliseconds(200);
-/// A connection on which nothing came for this long, six pings, is closed.
+/// A connection without incoming data for this long, six ping intervals, is closed.
 constexpr auto silence_limit = std::chrono::milliseconds(1200);
-/// Pause before a message that found a full ring is handed over again.
+/// Delay before a message is delivered again after the input ring was full.
 constexpr auto delivery_retry = std::chrono::milliseconds(2);
 
-/// Length of the payload in the machine's byte order, then the payload.
+/// Length of the payload in native byte order, then the payload.
 std::string frame(std::string_view payload) {
     const auto length = static_cast<std::uint32_t>(payload.size());
     std::string bytes(sizeof(length), '\0');
@@ -57,7 +56,8 @@
 void peer_connection::write(std::string_view payload) {
     backlog_bytes_ += sizeof(std::uint32_t) + payload.size();
     if (backlog_bytes_ > largest_backlog_bytes) {
-        // The peer does not keep up. Closing tells both sides, dropping would tell nobody.
+        // The peer is too slow. Closing reports the loss to both sides; dropping the message would
+        // not.
         close("backlog");
         return;
     }
--- a/src/tallyfold/program_api/transport/peer_connection_shell.hpp
+++ b/src/tallyfold/program_api/transport/peer_connection_shell.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// One connection between two processes of the program API: the handshake, then framed messages
-/// both ways, pings while idle, and a deadline for silence. Belongs to the transport's thread.
-/// Private to transport.cpp.
+/// One connection between two processes of the program API: the handshake, then framed messages in
+/// both directions, pings while idle, and a timeout for silent peers. Runs on the transport's
+/// thread; used only by transport.cpp.
 
 #include <array>
 #include <asio.hpp>
@@ -20,13 +20,13 @@
 
 class peer_connection;
 
-/// What a connection tells the transport that owns it.
+/// Callbacks of a connection to the transport that owns it.
 class peer_connection_owner {
   public:
-    /// The handshake is done: messages may be sent.
+    /// The handshake is complete: messages may be sent.
     virtual void opened(const std::shared_ptr<peer_connection>& link) = 0;
     virtual void closed(const std::shared_ptr<peer_connection>& link) = 0;
-    /// @return false to have the message handed over again a little later
+    /// @return false to have the message delivered again later
     virtual bool deliver(const node_name& from, protocol::internal_message& message) = 0;
     virtual void event(logging::event_id id, std::string fields) = 0;
 
@@ -39,17 +39,17 @@
     peer_connection(peer_connection_owner& owner, asio::ip::tcp::socket socket,
                     peer_handshake handshake);
 
-    /// Starts the handshake and reads on until the connection ends.
+    /// Starts the handshake, and reads until the connection is closed.
     void begin();
-    /// Sends one frame. A peer that doesn't keep up has its connection closed.
+    /// Sends one frame. Closes the connection when too many bytes are queued.
     void write(std::string_view payload);
-    /// Closes a silent connection, and sends a ping on an idle one.
+    /// Closes the connection after its silence limit, and sends a ping when it is idle.
     void check(std::chrono::steady_clock::time_point now);
     void close(std::string_view reason);
 
-    /// The peer; empty until it has named itself.
+    /// Name of the peer; empty until the peer has sent it.
     [[nodiscard]] const node_name& node() const { return handshake_.peer(); }
-    /// Why the connection was closed.
+    /// Reason for which the connection was closed.
     [[nodiscard]] const std::string& reason() const { return reason_; }
 
   private:
--- a/src/tallyfold/program_api/transport/peer_handshake.cpp
+++ b/src/tallyfold/program_api/transport/peer_handshake.cpp
@@ -20,7 +20,7 @@
     }
 };
 
-/// Answer of the accepting side, with its proof of the cluster key.
+/// Reply of the accepting side, with its proof of the cluster key.
 struct challenge {
     node_name node;
     std::string nonce;
--- a/src/tallyfold/program_api/transport/peer_handshake.hpp
+++ b/src/tallyfold/program_api/transport/peer_handshake.hpp
@@ -1,10 +1,11 @@
 #pragma once
 /// @file
-/// The handshake of two nodes: each proves that it holds a cluster key, over a nonce of the
-/// other's, before any message passes. No sockets: payloads of frames in, payloads out.
+/// Mutual authentication of two nodes: each proves with an HMAC over the other's nonce that it
+/// holds a cluster key, before any message is exchanged. No I/O: takes and returns payloads of
+/// frames.
 ///
-/// The dialling side sends a hello with its nonce, the accepting side answers with its own nonce
-/// and its proof, the dialling side ends with its proof. Both proofs name both nodes and both
+/// The dialling side sends a hello with its nonce, the accepting side replies with its own nonce
+/// and its proof, the dialling side ends with its proof. Both proofs cover both node names and both
 /// nonces.
 
 #include <optional>
@@ -18,24 +19,25 @@
 class peer_handshake {
   public:
     struct progress {
-        /// Payload of a frame that goes to the peer.
+        /// Payload of the next frame to the peer.
         std::optional<std::string> send;
-        /// Both sides have proved themselves; what is to be sent goes out first.
+        /// Both sides are authenticated; `send` has to be sent before any message.
         bool ready = false;
-        /// Why the peer is refused; empty when it isn't.
+        /// Reason for which the peer is rejected; empty when it isn't.
         std::string refusal;
     };
 
-    /// @param self this node's name. @param expected the peer's, when this side dials; empty for
-    /// the accepting side, which learns it
+    /// @param self this node's name
+    /// @param expected the peer's name when this side dials; empty for the accepting side, which
+    /// receives it in the hello
     peer_handshake(cluster_keys& keys, node_name self, node_name expected);
 
-    /// The first payload that goes out; nothing for the accepting side.
+    /// First payload to send; empty for the accepting side.
     std::optional<std::string> begin();
-    /// Takes the payload of the peer's next frame.
+    /// Processes the payload of the peer's next frame.
     progress receive(const std::string& payload);
 
-    /// The peer; empty until it has named itself.
+    /// Name of the peer; empty until the peer has sent it.
     [[nodiscard]] const node_name& peer() const { return peer_; }
 
   private:
--- a/src/tallyfold/program_api/transport/peer_inputs.hpp
+++ b/src/tallyfold/program_api/transport/peer_inputs.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The ring between the transport's thread and a logic thread.
+/// Ring that passes messages from the transport's thread to a logic thread.
 
 #include <functional>
 #include <optional>
@@ -22,7 +22,7 @@
   public:
     explicit peer_input_ring(std::function<void()> notify) : ring_(capacity, std::move(notify)) {}
 
-    /// Handlers that feed this ring; a full ring is back-pressure to the peer.
+    /// Transport handlers that feed this ring; a full ring causes back-pressure to the peer.
     transport_handlers handlers() {
         transport_handlers handlers;
         handlers.on_message = [this](const node_name& from, protocol::internal_message& message) {
--- a/src/tallyfold/program_api/transport/transport.cpp
+++ b/src/tallyfold/program_api/transport/transport.cpp
@@ -14,12 +14,9 @@
 using asio::ip::tcp;
 using logging::event_id;
 
-/// Time between two looks at the connections, and between two attempts to dial. Chosen, not
-/// measured: a restarted node is dialled again well within the time after which it counts as
-/// silent.
+/// Interval of the connection checks, and minimum delay between two connection attempts.
 constexpr auto redial_interval = std::chrono::milliseconds(100);
-/// How long a stopping process leaves its last replies to leave; the peers see the close either
-/// way.
+/// Time for sending the last messages when the process stops; peers detect the close in any case.
 constexpr auto last_replies = std::chrono::milliseconds(200);
 constexpr std::size_t send_ring_capacity = 16384;
 
@@ -51,7 +48,7 @@
     void schedule_drain();
     void drain_outgoing();
     void accept_next();
-    /// @param expected the peer that was dialled; empty for one that was accepted
+    /// @param expected name of the dialled peer; empty for an accepted connection
     std::shared_ptr<peer_connection> open_link(tcp::socket socket, node_name expected);
     void on_timer();
     void redial(const node_name& node, dialled_peer& peer);
@@ -75,9 +72,9 @@
     asio::steady_timer timer_;
     std::map<node_name, dialled_peer> peers_;
     std::set<std::shared_ptr<peer_connection>> links_;
-    /// Open connections by node; a node may have two when both sides dial.
+    /// Authenticated connections by node; a node may have two when both sides dial.
     std::multimap<node_name, std::shared_ptr<peer_connection>> open_;
-    /// Losses that the handler could not take yet.
+    /// Lost nodes that the handler has not accepted yet.
     std::set<node_name> untold_lost_;
     std::thread thread_;
 };
@@ -145,7 +142,8 @@
     while (outgoing_.try_pop(outbound)) {
         const auto link = open_.find(outbound.to);
         if (link == open_.end()) {
-            // Nobody got it: whoever waits for an answer must hear so.
+            // Reports the loss, so that requests that wait for a reply from the node are not left
+            // pending.
             tell_lost(outbound.to);
             continue;
         }
--- a/src/tallyfold/program_api/transport/transport.hpp
+++ b/src/tallyfold/program_api/transport/transport.hpp
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
 /// Connections between the program API's processes: TCP, an HMAC handshake, framed messages, and
-/// heartbeats with deadlines both ways. Owns its thread and all sockets; a node that is lost is
-/// told to the handler, never waited for. The forwarding plane's nodes have no keys and one thread
-/// each: plane/messaging/peer_link is their counterpart.
+/// pings with a silence limit in both directions. Owns its thread and all sockets; the loss of a
+/// node is reported to the handler, and nothing blocks on a peer. The forwarding plane's
+/// counterpart, without keys and on one thread, is plane/messaging/peer_link.
 
 #include <functional>
 #include <map>
@@ -21,17 +21,18 @@
 
 struct transport_settings {
     node_name node;
-    /// "ip:port" to accept on; empty when this process only dials.
+    /// Listening address "ip:port"; empty when this process only dials.
     std::string listen;
     std::string key_file;
 };
 
 /// All handlers run on the transport's thread.
 struct transport_handlers {
-    /// @return false to have the message handed over again a little later; the connection is
-    /// not read meanwhile (back-pressure to the peer).
+    /// @return false to have the message delivered again later; the connection is not read until
+    /// then (back-pressure to the peer).
     std::function<bool(const node_name& from, protocol::internal_message& message)> on_message;
-    /// A connection was lost, or a message found none. @return false to be told again later.
+    /// A connection was lost, or a message had no connection. @return false to be called again
+    /// later.
     std::function<bool(const node_name& node)> on_lost;
     std::function<void(const logging::event_record& record)> on_event;
 };
@@ -43,13 +44,14 @@
     transport(const transport&) = delete;
     transport& operator=(const transport&) = delete;
 
-    /// Opens the listening socket and starts the thread. @return an error text, or empty.
+    /// Opens the listening socket and starts the thread. @return an error message, or empty.
     std::string start();
     void stop();
 
     /// Keeps a connection to `node` open, redialling after failures. Thread-safe.
     void dial(const node_name& node, const std::string& address);
-    /// Sends a message; a node without a connection gets nothing. From one thread only.
+    /// Sends a message. Without a connection to the node the message is dropped and the loss
+    /// reported. From one thread only.
     void send(protocol::outbound_message message);
 
   private:
