--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -132,7 +132,7 @@
     }
 
     void first_members_are_read() {
-        // They once came from a temporary that had ended, and the list was empty.
+        // The parsed JSON must outlive the loop over its members, or the list is empty.
         const auto members = control::parse_initial_membership(
             R"({"members":[{"node":"a","replica":"18446744073709551615"}]})");
         CPPUNIT_ASSERT(members.has_value());
--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -56,7 +56,7 @@
                  {"/v1/programs", "/v1/chat/completions", "/v1/programs/p/tools"}) {
                 const auto parsed = parse_request("POST", path, *any_bytes(), "key");
                 if (!parsed) {
-                    // The refusal itself must be well-formed, whatever the body held.
+                    // The rejection must be valid JSON for any body.
                     const std::string text = render_answer({}, parsed.error());
                     RC_ASSERT(nlohmann::json::parse(text).contains("error"));
                 }
@@ -80,7 +80,7 @@
         return gateway_core(settings);
     }
 
-    /// Gives the gateway a fresh configuration, and one scheduler as owner of everything.
+    /// Gives the gateway a current configuration and one scheduler that owns every shard.
     static void connect(gateway_core& core, instant now, const node_name& owner = "scheduler-1",
                         lease_epoch epoch = 1) {
         core.tick(now);
@@ -148,8 +148,8 @@
     }
 
     void a_reply_to_an_earlier_life_is_dropped() {
-        // Seeds 392, 513, 667: correlations counted from 1 in each life, so a late reply to the
-        // first life became the answer to another request of the second.
+        // Without random correlations, a late reply to a request before a restart would answer
+        // another request after it.
         const instant now(std::chrono::seconds(1));
         gateway_core first = made(1);
         connect(first, now);
--- a/tests/program_api/transport/keys_test.cpp
+++ b/tests/program_api/transport/keys_test.cpp
@@ -32,7 +32,7 @@
 
     void write(const std::string& text, int age_seconds) {
         std::ofstream(path_) << text;
-        // File times may be coarse; the reader goes by them.
+        // cluster_keys reloads by modification time, whose resolution may be coarse.
         std::filesystem::last_write_time(path_, std::filesystem::file_time_type::clock::now() -
                                                     std::chrono::seconds(age_seconds));
     }
--- a/tests/program_api/transport/peer_handshake_test.cpp
+++ b/tests/program_api/transport/peer_handshake_test.cpp
@@ -55,7 +55,7 @@
         peer_handshake accepting(keys_, "b", {});
         const std::string greeting = *dialling.begin();
         const auto proof = dialling.receive(*accepting.receive(greeting).send).send;
-        // The same greeting and proof once more, on another connection.
+        // Replays the hello and the proof on another connection.
         peer_handshake again(keys_, "b", {});
         again.receive(greeting);
         CPPUNIT_ASSERT_EQUAL(std::string("wrong key"), again.receive(*proof).refusal);
--- a/tests/program_api/transport/transport_test.cpp
+++ b/tests/program_api/transport/transport_test.cpp
@@ -14,7 +14,7 @@
 
 using namespace net;
 
-/// One end, and what it saw.
+/// One end of a connection, which counts its messages, losses and events.
 class transport_end {
   public:
     transport_end(const node_name& node, const std::string& listen, const std::string& keys)
@@ -26,7 +26,7 @@
     transport_end& operator=(const transport_end&) = delete;
 
     transport& link() { return transport_; }
-    /// Waits for a count of what was seen; false after a generous limit.
+    /// Waits until `what` was counted `count` times; false after a time limit.
     bool wait_for(const std::string& what, std::size_t count) {
         std::unique_lock lock(mutex_);
         return changed_.wait_for(lock, std::chrono::seconds(20),
@@ -105,7 +105,7 @@
         transport_end left("left", address, key("right"));
         transport_end right("right", "", key("wrong"));
         right.link().dial("left", address);
-        // One of the ends refuses the other's proof, and says so.
+        // One of the ends rejects the other's proof and logs an event.
         CPPUNIT_ASSERT(right.wait_for("event 1103", 1) || left.wait_for("event 1103", 1));
         right.link().send(message_to("left"));
         CPPUNIT_ASSERT(right.wait_for("lost left", 1));
