--- a/src/tallyfold/program_api/cli/admin_client.hpp
+++ b/src/tallyfold/program_api/cli/admin_client.hpp
@@ -49,8 +49,9 @@
     [[nodiscard]] const std::vector<std::string>& control() const { return settings_.control; }
 
   private:
-    client_result<std::string> ask_leader(const std::string& method, const std::string& path,
-                                          const std::string& body) const;
+    client_result<std::string> request_from_leader(const std::string& method,
+                                                   const std::string& path,
+                                                   const std::string& body) const;
 
     client_settings settings_;
 };
--- a/src/tallyfold/program_api/cli/admin_client_shell.cpp
+++ b/src/tallyfold/program_api/cli/admin_client_shell.cpp
@@ -74,9 +74,9 @@
     return last;
 }
 
-client_result<std::string> admin_client::ask_leader(const std::string& method,
-                                                    const std::string& path,
-                                                    const std::string& body) const {
+client_result<std::string> admin_client::request_from_leader(const std::string& method,
+                                                             const std::string& path,
+                                                             const std::string& body) const {
     client_result<std::string> last =
         tl::unexpected(client_error{client_failure::unreachable, "no control node is given"});
     for (int round = 0; round < rounds; ++round) {
@@ -92,7 +92,7 @@
 }
 
 client_result<configuration::configuration_view> admin_client::configuration() const {
-    const auto body = ask_leader("GET", "/v1/configuration", {});
+    const auto body = request_from_leader("GET", "/v1/configuration", {});
     if (!body) {
         return tl::unexpected(body.error());
     }
@@ -105,7 +105,8 @@
 
 client_result<configuration::change_result> admin_client::submit(
     const configuration::change_command& command) const {
-    const auto body = ask_leader("POST", "/v1/changes", configuration::render_change(command));
+    const auto body =
+        request_from_leader("POST", "/v1/changes", configuration::render_change(command));
     if (!body) {
         return tl::unexpected(body.error());
     }
