--- a/src/tallyfold/program_api/cli/admin_client_shell.cpp
+++ b/src/tallyfold/program_api/cli/admin_client_shell.cpp
@@ -19,7 +19,7 @@
 constexpr int status_forbidden = 403;
 constexpr int status_conflict = 409;
 
-std::string message_of(const std::string& body) {
+std::string error_message(const std::string& body) {
     const auto parsed = nlohmann::json::parse(body, nullptr, false);
     if (parsed.is_object() && parsed.contains("error")) {
         return parsed.at("error").value("message", body);
@@ -51,15 +51,16 @@
             client_error{client_failure::unreachable, address + ": " + reply.failure});
     }
     if (reply.status == status_unauthorized || reply.status == status_forbidden) {
-        return tl::unexpected(client_error{client_failure::denied, message_of(reply.body)});
+        return tl::unexpected(client_error{client_failure::denied, error_message(reply.body)});
     }
     const bool result_of_change = path == "/v1/changes" && reply.body.starts_with("{\"detail\"");
     const bool refused = reply.status == status_bad || reply.status == status_conflict;
     if (reply.status == status_ok || (refused && result_of_change)) {
         return reply.body;
     }
-    return tl::unexpected(client_error{
-        refused ? client_failure::refused : client_failure::unreachable, message_of(reply.body)});
+    return tl::unexpected(
+        client_error{refused ? client_failure::refused : client_failure::unreachable,
+                     error_message(reply.body)});
 }
 
 client_result<std::string> admin_client::get_any(const std::string& path) const {
