--- a/src/tallyfold/program_api/cli/admin_client_shell.cpp
+++ b/src/tallyfold/program_api/cli/admin_client_shell.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int rounds = 20;
+constexpr int max_rounds = 20;
 constexpr auto round_pause = std::chrono::milliseconds(250);
 constexpr int status_ok = 200;
 constexpr int status_bad = 400;
@@ -80,7 +80,7 @@
                                                              const std::string& body) const {
     client_result<std::string> last =
         tl::unexpected(client_error{client_failure::unreachable, "no control node is given"});
-    for (int round = 0; round < rounds; ++round) {
+    for (int round = 0; round < max_rounds; ++round) {
         for (const std::string& address : settings_.control) {
             last = request(address, method, path, body);
             if (last || last.error().failure != client_failure::unreachable) {
