--- a/src/tallyfold/program_api/cli/item_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/item_commands_shell.cpp
@@ -190,7 +190,7 @@
 // --- policies ------------------------------------------------------------------------------
 
 /// @return false, after printing the error, when the policy doesn't compile
-bool policy_is_sound(const command_context& context, const std::string& file) {
+bool policy_compiles(const command_context& context, const std::string& file) {
     const std::string text = read_text(file);
     const auto compiled = scheduling::policy::compile(text);
     if (!compiled) {
@@ -205,7 +205,7 @@
         return usage(context, "usage: policy submit NAME FILE");
     }
     const std::string& file = context.arguments[3];
-    if (!policy_is_sound(context, file)) {
+    if (!policy_compiles(context, file)) {
         return ctl_exit::failure;
     }
     return change_item(
@@ -238,7 +238,7 @@
 ctl_exit on_policy(const command_context& context) {
     const std::string action = context.action();
     if (action == "check" && context.arguments.size() == 3) {
-        if (!policy_is_sound(context, context.arguments[2])) {
+        if (!policy_compiles(context, context.arguments[2])) {
             return ctl_exit::failure;
         }
         context.output << context.arguments[2] << ": ok\n";
