--- a/src/tallyfold/program_api/cli/item_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/item_commands_shell.cpp
@@ -51,7 +51,7 @@
     return ctl_exit::failure;
 }
 
-std::string new_identity() {
+std::string generate_command_identity() {
     return "ctl-" + std::to_string(net::random_number());
 }
 
@@ -84,7 +84,7 @@
     command.key = key;
     command.remove = remove;
     command.command_identity = context.options.command_identity.empty()
-                                   ? new_identity()
+                                   ? generate_command_identity()
                                    : context.options.command_identity;
     command.expected_version = context.options.expected_version.value_or(
         known == view->items().end() ? 0 : known->second.version);
