--- a/src/tallyfold/program_api/cli/command_context.hpp
+++ b/src/tallyfold/program_api/cli/command_context.hpp
@@ -31,7 +31,7 @@
 ctl_exit usage(const command_context& context, const std::string& text);
 
 // Configuration items (item_commands_shell.cpp).
-ctl_exit on_items(const command_context& context, configuration::item_kind kind);
+ctl_exit run_item_command(const command_context& context, configuration::item_kind kind);
 ctl_exit on_policy(const command_context& context);
 ctl_exit on_drain(const command_context& context);
 
--- a/src/tallyfold/program_api/cli/item_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/item_commands_shell.cpp
@@ -218,7 +218,7 @@
 
 }  // namespace
 
-ctl_exit on_items(const command_context& context, item_kind kind) {
+ctl_exit run_item_command(const command_context& context, item_kind kind) {
     const std::string action = context.action();
     if (action == "set") {
         return set_fields(context, kind);
--- a/src/tallyfold/program_api/cli/operator_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/operator_commands_shell.cpp
@@ -39,10 +39,12 @@
          show_status},
         {"leases", "leases                            who owns which shard", show_leases},
         {"tenant", "tenant set|list|show|remove       tenants and their shares",
-         [](const auto& context) { return on_items(context, configuration::item_kind::tenant); }},
+         [](const auto& context) {
+             return run_item_command(context, configuration::item_kind::tenant);
+         }},
         {"class", "class set|list|show|remove        classes, budgets, priorities, limits",
          [](const auto& context) {
-             return on_items(context, configuration::item_kind::program_class);
+             return run_item_command(context, configuration::item_kind::program_class);
          }},
         {"policy", "policy check|submit|revise|show|list|remove", on_policy},
         {"drain", "drain add|remove|list             take a back end out of service", on_drain},
