--- a/src/tallyfold/program_api/cli/item_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/item_commands_shell.cpp
@@ -235,7 +235,7 @@
     return usage(context, "usage: " + context.arguments[0] + " set|list|show|remove ...");
 }
 
-ctl_exit on_policy(const command_context& context) {
+ctl_exit run_policy_command(const command_context& context) {
     const std::string action = context.action();
     if (action == "check" && context.arguments.size() == 3) {
         if (!policy_compiles(context, context.arguments[2])) {
--- a/src/tallyfold/program_api/cli/operator_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/operator_commands_shell.cpp
@@ -46,7 +46,7 @@
          [](const auto& context) {
              return run_item_command(context, configuration::item_kind::program_class);
          }},
-        {"policy", "policy check|submit|revise|show|list|remove", on_policy},
+        {"policy", "policy check|submit|revise|show|list|remove", run_policy_command},
         {"drain", "drain add|remove|list             take a back end out of service", on_drain},
         {"explain", "explain PROGRAM                   a program's state and decisions",
          explain_program},
