--- a/src/tallyfold/program_api/cli/command_context.hpp
+++ b/src/tallyfold/program_api/cli/command_context.hpp
@@ -33,7 +33,7 @@
 // Configuration items (item_commands_shell.cpp).
 ctl_exit run_item_command(const command_context& context, configuration::item_kind kind);
 ctl_exit run_policy_command(const command_context& context);
-ctl_exit on_drain(const command_context& context);
+ctl_exit run_drain_command(const command_context& context);
 
 // The cluster and its programs (cluster_commands_shell.cpp).
 ctl_exit on_cluster(const command_context& context);
--- a/src/tallyfold/program_api/cli/item_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/item_commands_shell.cpp
@@ -261,7 +261,7 @@
                  "show NAME | list | remove NAME");
 }
 
-ctl_exit on_drain(const command_context& context) {
+ctl_exit run_drain_command(const command_context& context) {
     const std::string action = context.action();
     if (action == "add" && context.arguments.size() >= 3) {
         const std::string reason = context.arguments.size() > 3 ? context.arguments[3] : "";
--- a/src/tallyfold/program_api/cli/operator_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/operator_commands_shell.cpp
@@ -47,7 +47,8 @@
              return run_item_command(context, configuration::item_kind::program_class);
          }},
         {"policy", "policy check|submit|revise|show|list|remove", run_policy_command},
-        {"drain", "drain add|remove|list             take a back end out of service", on_drain},
+        {"drain", "drain add|remove|list             take a back end out of service",
+         run_drain_command},
         {"explain", "explain PROGRAM                   a program's state and decisions",
          explain_program},
     };
