--- a/src/tallyfold/program_api/cli/cluster_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/cluster_commands_shell.cpp
@@ -124,7 +124,7 @@
     return ctl_exit::success;
 }
 
-ctl_exit on_cluster(const command_context& context) {
+ctl_exit run_cluster_command(const command_context& context) {
     if (context.action() == "init") {
         return initialise_cluster(context);
     }
--- a/src/tallyfold/program_api/cli/command_context.hpp
+++ b/src/tallyfold/program_api/cli/command_context.hpp
@@ -36,7 +36,7 @@
 ctl_exit run_drain_command(const command_context& context);
 
 // The cluster and its programs (cluster_commands_shell.cpp).
-ctl_exit on_cluster(const command_context& context);
+ctl_exit run_cluster_command(const command_context& context);
 ctl_exit show_status(const command_context& context);
 ctl_exit show_leases(const command_context& context);
 ctl_exit explain_program(const command_context& context);
--- a/src/tallyfold/program_api/cli/operator_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/operator_commands_shell.cpp
@@ -34,7 +34,7 @@
 const std::vector<command_entry>& command_table() {
     static const std::vector<command_entry> table = {
         {"cluster", "cluster init                      form the cluster from empty control nodes",
-         on_cluster},
+         run_cluster_command},
         {"status", "status                            groups, leaders, nodes and their versions",
          show_status},
         {"leases", "leases                            who owns which shard", show_leases},
