--- a/src/tallyfold/program_api/cli/cluster_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/cluster_commands_shell.cpp
@@ -23,7 +23,7 @@
     for (const std::string& address : context.client.control()) {
         const auto body = context.client.request(address, "GET", "/v1/cluster", {});
         if (!body) {
-            return fail(context, body.error());
+            return report_error(context, body.error());
         }
         const json node = json::parse(*body);
         members.push_back({{"node", node.at("node")}, {"replica", node.at("replica")}});
@@ -47,7 +47,7 @@
         }
         const auto reply = context.client.request(address, "POST", "/v1/cluster", body);
         if (!reply) {
-            return fail(context, reply.error());
+            return report_error(context, reply.error());
         }
     }
     context.output << "the cluster has " << members.size() << " members\n";
@@ -59,7 +59,7 @@
 ctl_exit show_status(const command_context& context) {
     const auto body = context.client.get_any("/v1/status");
     if (!body) {
-        return fail(context, body.error());
+        return report_error(context, body.error());
     }
     if (context.options.json) {
         context.output << *body << '\n';
@@ -90,7 +90,7 @@
 ctl_exit show_leases(const command_context& context) {
     const auto body = context.client.get_any("/v1/status");
     if (!body) {
-        return fail(context, body.error());
+        return report_error(context, body.error());
     }
     const json leases = json::parse(*body).at("leases");
     if (context.options.json) {
@@ -113,7 +113,7 @@
     request.url = "http://" + context.options.gateway + "/v1/programs/" + context.arguments[1];
     const net::blocking_reply reply = net::fetch(request);
     if (reply.status == 0) {
-        return fail(context, {client_failure::unreachable, reply.failure});
+        return report_error(context, {client_failure::unreachable, reply.failure});
     }
     const json program = json::parse(reply.body, nullptr, false);
     if (reply.status != 200 || !program.is_object()) {
--- a/src/tallyfold/program_api/cli/command_context.hpp
+++ b/src/tallyfold/program_api/cli/command_context.hpp
@@ -26,7 +26,7 @@
 };
 
 /// Prints the error and returns the exit code for it.
-ctl_exit fail(const command_context& context, const client_error& error);
+ctl_exit report_error(const command_context& context, const client_error& error);
 /// Prints a usage message and returns ctl_exit::usage.
 ctl_exit usage(const command_context& context, const std::string& text);
 
--- a/src/tallyfold/program_api/cli/item_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/item_commands_shell.cpp
@@ -77,7 +77,7 @@
                          const configuration::item_body&)>& edit) {
     const auto view = context.client.configuration();
     if (!view) {
-        return fail(context, view.error());
+        return report_error(context, view.error());
     }
     const auto known = view->items().find(key);
     change_command command;
@@ -95,7 +95,7 @@
     }
     command.body = *edited;
     const auto result = context.client.submit(command);
-    return result ? report_result(context, *result) : fail(context, result.error());
+    return result ? report_result(context, *result) : report_error(context, result.error());
 }
 
 ctl_exit set_fields(const command_context& context, item_kind kind) {
@@ -138,7 +138,7 @@
 ctl_exit list_items(const command_context& context, item_kind kind) {
     const auto view = context.client.configuration();
     if (!view) {
-        return fail(context, view.error());
+        return report_error(context, view.error());
     }
     const json all = json::parse(configuration::render_view(*view));
     json chosen = json::array();
@@ -168,7 +168,7 @@
     }
     const auto view = context.client.configuration();
     if (!view) {
-        return fail(context, view.error());
+        return report_error(context, view.error());
     }
     const item* found = view->find({kind, context.arguments[2]});
     if (found == nullptr) {
--- a/src/tallyfold/program_api/cli/operator_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/operator_commands_shell.cpp
@@ -5,7 +5,7 @@
 
 namespace tallyfold::cli {
 
-ctl_exit fail(const command_context& context, const client_error& error) {
+ctl_exit report_error(const command_context& context, const client_error& error) {
     context.errors << error.detail << '\n';
     switch (error.failure) {
         case client_failure::unreachable:
