--- a/src/tallyfold/program_api/cli/cluster_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/cluster_commands_shell.cpp
@@ -107,7 +107,7 @@
 
 ctl_exit explain_program(const command_context& context) {
     if (context.arguments.size() != 2 || context.options.gateway.empty()) {
-        return usage(context, "usage: --gateway ip:port explain PROGRAM");
+        return report_usage(context, "usage: --gateway ip:port explain PROGRAM");
     }
     net::blocking_request request;
     request.url = "http://" + context.options.gateway + "/v1/programs/" + context.arguments[1];
@@ -128,7 +128,7 @@
     if (context.action() == "init") {
         return initialise_cluster(context);
     }
-    return usage(context, "usage: cluster init");
+    return report_usage(context, "usage: cluster init");
 }
 
 }  // namespace tallyfold::cli
--- a/src/tallyfold/program_api/cli/command_context.hpp
+++ b/src/tallyfold/program_api/cli/command_context.hpp
@@ -28,7 +28,7 @@
 /// Prints the error and returns the exit code for it.
 ctl_exit report_error(const command_context& context, const client_error& error);
 /// Prints a usage message and returns ctl_exit::usage.
-ctl_exit usage(const command_context& context, const std::string& text);
+ctl_exit report_usage(const command_context& context, const std::string& text);
 
 // Configuration items (item_commands_shell.cpp).
 ctl_exit run_item_command(const command_context& context, configuration::item_kind kind);
--- a/src/tallyfold/program_api/cli/item_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/item_commands_shell.cpp
@@ -91,7 +91,7 @@
     command.body = known == view->items().end() ? empty_body(key.kind) : known->second.body;
     const auto edited = edit(command.body);
     if (!edited) {
-        return usage(context, edited.error().reason);
+        return report_usage(context, edited.error().reason);
     }
     command.body = *edited;
     const auto result = context.client.submit(command);
@@ -100,7 +100,8 @@
 
 ctl_exit set_fields(const command_context& context, item_kind kind) {
     if (context.arguments.size() < 3) {
-        return usage(context, "usage: " + context.arguments[0] + " set NAME [FIELD=VALUE]...");
+        return report_usage(context,
+                            "usage: " + context.arguments[0] + " set NAME [FIELD=VALUE]...");
     }
     return change_item(
         context, {kind, context.arguments[2]}, false,
@@ -125,7 +126,7 @@
 
 ctl_exit remove_item(const command_context& context, item_kind kind) {
     if (context.arguments.size() != 3) {
-        return usage(context, "usage: " + context.arguments[0] + " remove NAME");
+        return report_usage(context, "usage: " + context.arguments[0] + " remove NAME");
     }
     return change_item(
         context, {kind, context.arguments[2]}, true,
@@ -164,7 +165,7 @@
 
 ctl_exit show_item(const command_context& context, item_kind kind) {
     if (context.arguments.size() != 3) {
-        return usage(context, "usage: " + context.arguments[0] + " show NAME");
+        return report_usage(context, "usage: " + context.arguments[0] + " show NAME");
     }
     const auto view = context.client.configuration();
     if (!view) {
@@ -202,7 +203,7 @@
 
 ctl_exit submit_policy(const command_context& context) {
     if (context.arguments.size() != 4) {
-        return usage(context, "usage: policy submit NAME FILE");
+        return report_usage(context, "usage: policy submit NAME FILE");
     }
     const std::string& file = context.arguments[3];
     if (!policy_compiles(context, file)) {
@@ -232,7 +233,7 @@
     if (action == "remove") {
         return remove_item(context, kind);
     }
-    return usage(context, "usage: " + context.arguments[0] + " set|list|show|remove ...");
+    return report_usage(context, "usage: " + context.arguments[0] + " set|list|show|remove ...");
 }
 
 ctl_exit run_policy_command(const command_context& context) {
@@ -256,9 +257,9 @@
     if (action == "remove") {
         return remove_item(context, item_kind::policy);
     }
-    return usage(context,
-                 "usage: policy check FILE | submit NAME FILE | revise NAME FILE | "
-                 "show NAME | list | remove NAME");
+    return report_usage(context,
+                        "usage: policy check FILE | submit NAME FILE | revise NAME FILE | "
+                        "show NAME | list | remove NAME");
 }
 
 ctl_exit run_drain_command(const command_context& context) {
@@ -278,7 +279,7 @@
     if (action == "list") {
         return list_items(context, item_kind::drain);
     }
-    return usage(context, "usage: drain add BACKEND [REASON] | remove BACKEND | list");
+    return report_usage(context, "usage: drain add BACKEND [REASON] | remove BACKEND | list");
 }
 
 }  // namespace tallyfold::cli
--- a/src/tallyfold/program_api/cli/operator_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/operator_commands_shell.cpp
@@ -18,7 +18,7 @@
     return ctl_exit::failure;
 }
 
-ctl_exit usage(const command_context& context, const std::string& text) {
+ctl_exit report_usage(const command_context& context, const std::string& text) {
     context.errors << text << '\n';
     return ctl_exit::usage;
 }
