--- a/src/tallyfold/program_api/cli/operator_commands.hpp
+++ b/src/tallyfold/program_api/cli/operator_commands.hpp
@@ -37,8 +37,8 @@
 /// One line per command, for --help.
 std::string command_summary();
 
-/// Runs the command named by the first of `words`. @return the exit code
-ctl_exit run_command(const std::vector<std::string>& words, const command_options& options,
+/// Runs the command named by the first of `arguments`. @return the exit code
+ctl_exit run_command(const std::vector<std::string>& arguments, const command_options& options,
                      const admin_client& client, std::ostream& output, std::ostream& errors);
 
 }  // namespace tallyfold::cli
