--- a/src/tallyfold/program_api/configuration/configuration_state.cpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t longest_name = 128;
+constexpr std::size_t max_name_length = 128;
 constexpr double greatest_weight = 1e6;
 
 struct saved_state {
@@ -100,10 +100,10 @@
 }
 
 std::string validate(const change_command& command) {
-    if (command.command_identity.empty() || command.command_identity.size() > longest_name) {
+    if (command.command_identity.empty() || command.command_identity.size() > max_name_length) {
         return "command_identity must have 1 to 128 characters";
     }
-    if (command.key.name.empty() || command.key.name.size() > longest_name) {
+    if (command.key.name.empty() || command.key.name.size() > max_name_length) {
         return "the item's name must have 1 to 128 characters";
     }
     if (static_cast<std::size_t>(command.key.kind) != command.body.index()) {
