--- a/src/tallyfold/program_api/configuration/configuration_state.cpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t max_name_length = 128;
-constexpr double greatest_weight = 1e6;
+constexpr double max_weight = 1e6;
 
 struct saved_state {
     configuration_view view;
@@ -110,7 +110,7 @@
         return "the body does not fit the item's kind";
     }
     if (const auto* tenant = std::get_if<tenant_settings>(&command.body)) {
-        if (!(tenant->weight > 0.0) || tenant->weight > greatest_weight) {
+        if (!(tenant->weight > 0.0) || tenant->weight > max_weight) {
             return "weight must be above 0 and at most 1000000";
         }
         if (tenant->queue_limit == 0) {
