--- a/src/tallyfold/program_api/configuration/configuration_state.cpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.cpp
@@ -139,7 +139,7 @@
         return known->second;
     }
     change_result result = apply_new(*command);
-    remember(command->command_identity, result);
+    store_result(command->command_identity, result);
     return result;
 }
 
@@ -160,8 +160,8 @@
     return {change_status::accepted, current + 1, view_.version(), {}};
 }
 
-void configuration_state_machine::remember(const std::string& identity,
-                                           const change_result& result) {
+void configuration_state_machine::store_result(const std::string& identity,
+                                               const change_result& result) {
     results_[identity] = result;
     result_order_.push_back(identity);
     if (result_order_.size() > kept_results) {
--- a/src/tallyfold/program_api/configuration/configuration_state.hpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.hpp
@@ -52,7 +52,7 @@
 
   private:
     change_result apply_new(const change_command& command);
-    void remember(const std::string& identity, const change_result& result);
+    void store_result(const std::string& identity, const change_result& result);
 
     configuration_view view_;
     std::map<std::string, change_result> results_;
