--- a/src/tallyfold/program_api/configuration/configuration_state.cpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.cpp
@@ -164,7 +164,7 @@
                                                const change_result& result) {
     results_[identity] = result;
     result_order_.push_back(identity);
-    if (result_order_.size() > kept_results) {
+    if (result_order_.size() > max_stored_results) {
         results_.erase(result_order_.front());
         result_order_.pop_front();
     }
--- a/src/tallyfold/program_api/configuration/configuration_state.hpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.hpp
@@ -48,7 +48,7 @@
     [[nodiscard]] const configuration_view& view() const { return view_; }
 
     /// Number of recent command identities whose results are kept for resends.
-    static constexpr std::size_t kept_results = 20'000;
+    static constexpr std::size_t max_stored_results = 20'000;
 
   private:
     change_result apply_new(const change_command& command);
