--- a/src/tallyfold/program_api/configuration/json_codec.cpp
+++ b/src/tallyfold/program_api/configuration/json_codec.cpp
@@ -46,7 +46,7 @@
 }
 
 template <class Number>
-void take_number(const json& value, const std::string& name, Number& target) {
+void read_number(const json& value, const std::string& name, Number& target) {
     const bool fits =
         std::is_floating_point_v<Number> ? value.is_number() : value.is_number_integer();
     if (!fits) {
@@ -70,9 +70,9 @@
 
 bool assign(tenant_settings& body, const std::string& name, const json& value) {
     if (name == "weight") {
-        take_number(value, name, body.weight);
+        read_number(value, name, body.weight);
     } else if (name == "queue_limit") {
-        take_number(value, name, body.queue_limit);
+        read_number(value, name, body.queue_limit);
     } else {
         return false;
     }
@@ -81,21 +81,21 @@
 
 bool assign(class_settings& body, const std::string& name, const json& value) {
     if (name == "priority") {
-        take_number(value, name, body.priority);
+        read_number(value, name, body.priority);
     } else if (name == "budget_limit") {
-        take_number(value, name, body.budget_limit);
+        read_number(value, name, body.budget_limit);
     } else if (name == "turn_limit") {
-        take_number(value, name, body.turn_limit);
+        read_number(value, name, body.turn_limit);
     } else if (name == "queue_limit") {
-        take_number(value, name, body.queue_limit);
+        read_number(value, name, body.queue_limit);
     } else if (name == "queue_timeout_ms") {
-        take_number(value, name, body.queue_timeout_ms);
+        read_number(value, name, body.queue_timeout_ms);
     } else if (name == "tool_timeout_ms") {
-        take_number(value, name, body.tool_timeout_ms);
+        read_number(value, name, body.tool_timeout_ms);
     } else if (name == "idle_timeout_ms") {
-        take_number(value, name, body.idle_timeout_ms);
+        read_number(value, name, body.idle_timeout_ms);
     } else if (name == "retry_ratio") {
-        take_number(value, name, body.retry_ratio);
+        read_number(value, name, body.retry_ratio);
     } else if (name == "policy") {
         take_text(value, name, body.policy);
     } else if (name == "model") {
