--- a/src/tallyfold/program_api/configuration/json_codec.cpp
+++ b/src/tallyfold/program_api/configuration/json_codec.cpp
@@ -61,7 +61,7 @@
     target = value.get<Number>();
 }
 
-void take_text(const json& value, const std::string& name, std::string& target) {
+void read_string(const json& value, const std::string& name, std::string& target) {
     if (!value.is_string()) {
         throw field_error{"'" + name + "' must be a text"};
     }
@@ -97,9 +97,9 @@
     } else if (name == "retry_ratio") {
         read_number(value, name, body.retry_ratio);
     } else if (name == "policy") {
-        take_text(value, name, body.policy);
+        read_string(value, name, body.policy);
     } else if (name == "model") {
-        take_text(value, name, body.model);
+        read_string(value, name, body.model);
     } else {
         return false;
     }
@@ -110,7 +110,7 @@
     if (name != "text") {
         return false;
     }
-    take_text(value, name, body.text);
+    read_string(value, name, body.text);
     return true;
 }
 
@@ -118,7 +118,7 @@
     if (name != "reason") {
         return false;
     }
-    take_text(value, name, body.reason);
+    read_string(value, name, body.reason);
     return true;
 }
 
