--- a/src/tallyfold/program_api/control/control_core.cpp
+++ b/src/tallyfold/program_api/control/control_core.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Interval of a leader's checks of members and leases.
-constexpr duration duty_interval = std::chrono::milliseconds(100);
+constexpr duration leader_check_interval = std::chrono::milliseconds(100);
 /// Interval between join requests.
 constexpr duration join_interval = std::chrono::milliseconds(500);
 /// A longer gap between ticks means that the process was suspended, so the time since a node's last
@@ -189,7 +189,7 @@
         drop_appends_if_not_leading(group, runtime);
     }
     if (now >= next_duty_) {
-        next_duty_ = now + duty_interval;
+        next_duty_ = now + leader_check_interval;
         refresh_live_schedulers(now);
         for (auto& [group, runtime] : groups_) {
             if (runtime.replica.has_committed_in_term()) {
