--- a/src/tallyfold/program_api/control/control_core.cpp
+++ b/src/tallyfold/program_api/control/control_core.cpp
@@ -188,8 +188,8 @@
         }
         drop_appends_if_not_leading(group, runtime);
     }
-    if (now >= next_duty_) {
-        next_duty_ = now + leader_check_interval;
+    if (now >= next_leader_check_) {
+        next_leader_check_ = now + leader_check_interval;
         refresh_live_schedulers(now);
         for (auto& [group, runtime] : groups_) {
             if (runtime.replica.has_committed_in_term()) {
--- a/src/tallyfold/program_api/control/control_core.hpp
+++ b/src/tallyfold/program_api/control/control_core.hpp
@@ -199,7 +199,7 @@
     std::map<node_name, consensus::replica_id> joining_;
     std::map<consensus::replica_id, node_name> replica_nodes_;
     instant last_tick_{};
-    instant next_duty_{};
+    instant next_leader_check_{};
     instant next_join_{};
 
     control_output output_;
