--- a/src/tallyfold/program_api/control/control_core.hpp
+++ b/src/tallyfold/program_api/control/control_core.hpp
@@ -188,11 +188,11 @@
     std::map<group_id, group_runtime> groups_;
     configuration::configuration_state_machine configuration_;
 
-    struct heard_node {
+    struct heartbeat_record {
         protocol::node_heartbeat last;
         instant heard{};
     };
-    std::map<node_name, heard_node> nodes_;
+    std::map<node_name, heartbeat_record> nodes_;
     /// Schedulers with a recent heartbeat as of the last check, and a hash of their addresses.
     std::map<node_name, live_scheduler> live_schedulers_;
     std::uint64_t directory_hash_ = 0;
