--- a/src/tallyfold/program_api/control/control_core.cpp
+++ b/src/tallyfold/program_api/control/control_core.cpp
@@ -175,7 +175,7 @@
 void control_core::tick(instant now) {
     if (now - last_tick_ > longest_tick_gap) {
         for (auto& [node, heard] : nodes_) {
-            heard.heard = now;
+            heard.received_at = now;
         }
     }
     last_tick_ = now;
@@ -224,7 +224,7 @@
         }
     }
     for (const auto& [node, heard] : nodes_) {
-        result.nodes.push_back({heard.last, now - heard.heard});
+        result.nodes.push_back({heard.last, now - heard.received_at});
     }
     return result;
 }
--- a/src/tallyfold/program_api/control/control_core.hpp
+++ b/src/tallyfold/program_api/control/control_core.hpp
@@ -190,7 +190,7 @@
 
     struct heartbeat_record {
         protocol::node_heartbeat last;
-        instant heard{};
+        instant received_at{};
     };
     std::map<node_name, heartbeat_record> nodes_;
     /// Schedulers with a recent heartbeat as of the last check, and a hash of their addresses.
--- a/src/tallyfold/program_api/control/members_and_leases.cpp
+++ b/src/tallyfold/program_api/control/members_and_leases.cpp
@@ -79,7 +79,7 @@
     live_schedulers_.clear();
     directory_hash_ = 1;
     for (const auto& [node, heard] : nodes_) {
-        const bool recent = now - heard.heard < settings_.scheduler_timeout;
+        const bool recent = now - heard.received_at < settings_.scheduler_timeout;
         if (heard.last.role == protocol::node_role::scheduler && recent) {
             live_schedulers_[node] = {heard.last.address, heard.last.draining};
             directory_hash_ =
