--- a/src/tallyfold/program_api/control/control_core.cpp
+++ b/src/tallyfold/program_api/control/control_core.cpp
@@ -174,8 +174,8 @@
 
 void control_core::tick(instant now) {
     if (now - last_tick_ > longest_tick_gap) {
-        for (auto& [node, heard] : nodes_) {
-            heard.received_at = now;
+        for (auto& [node, record] : nodes_) {
+            record.received_at = now;
         }
     }
     last_tick_ = now;
@@ -223,8 +223,8 @@
             result.program_counts[shard] = entry.programs.programs().size();
         }
     }
-    for (const auto& [node, heard] : nodes_) {
-        result.nodes.push_back({heard.last, now - heard.received_at});
+    for (const auto& [node, record] : nodes_) {
+        result.nodes.push_back({record.last, now - record.received_at});
     }
     return result;
 }
--- a/src/tallyfold/program_api/control/members_and_leases.cpp
+++ b/src/tallyfold/program_api/control/members_and_leases.cpp
@@ -78,12 +78,12 @@
 void control_core::refresh_live_schedulers(instant now) {
     live_schedulers_.clear();
     directory_hash_ = 1;
-    for (const auto& [node, heard] : nodes_) {
-        const bool recent = now - heard.received_at < settings_.scheduler_timeout;
-        if (heard.last.role == protocol::node_role::scheduler && recent) {
-            live_schedulers_[node] = {heard.last.address, heard.last.draining};
+    for (const auto& [node, record] : nodes_) {
+        const bool recent = now - record.received_at < settings_.scheduler_timeout;
+        if (record.last.role == protocol::node_role::scheduler && recent) {
+            live_schedulers_[node] = {record.last.address, record.last.draining};
             directory_hash_ =
-                combine_hash(directory_hash_, stable_hash(node + "@" + heard.last.address));
+                combine_hash(directory_hash_, stable_hash(node + "@" + record.last.address));
         }
     }
 }
