--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -309,7 +309,7 @@
         std::size_t programs = 0;
         for (const group_status& group : status.groups) {
             commits += static_cast<double>(group.commit_index);
-            note_leadership(group);
+            log_leadership_change(group);
         }
         for (const auto& [shard, count] : status.program_counts) {
             programs += count;
@@ -327,7 +327,7 @@
               number(core_.configuration().version()), false}});
     }
 
-    void note_leadership(const group_status& group) {
+    void log_leadership_change(const group_status& group) {
         const std::string fields =
             "group=" + std::to_string(group.group) + " term=" + std::to_string(group.term);
         if (group.leads && led_.insert(group.group).second) {
