--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -28,7 +28,7 @@
 
 constexpr std::size_t ring_capacity = 1024;
 constexpr auto metrics_interval = std::chrono::seconds(1);
-constexpr auto admin_limit = std::chrono::seconds(5);
+constexpr auto admin_timeout = std::chrono::seconds(5);
 constexpr unsigned leader_retry_seconds = 1;
 
 /// Query that the logic thread answers from local state, without consensus.
@@ -210,7 +210,7 @@
             }
         } else {
             const std::uint64_t token = next_token_++;
-            waiting_[token] = {std::move(input.exchange), now + admin_limit};
+            waiting_[token] = {std::move(input.exchange), now + admin_timeout};
             core_.request(token, std::get<admin_request>(input.request), now);
         }
     }
