--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -337,7 +337,7 @@
         }
     }
 
-    struct waiting_admin {
+    struct pending_admin_request {
         net::exchange_pointer exchange;
         instant deadline{};
     };
@@ -352,7 +352,7 @@
     net::metrics_board metrics_;
     net::transport transport_;
     net::http_server server_;
-    std::map<std::uint64_t, waiting_admin> waiting_;
+    std::map<std::uint64_t, pending_admin_request> waiting_;
     std::set<group_id> led_;
     std::uint64_t next_token_ = 1;
     instant next_publish_{};
