--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -210,7 +210,7 @@
             }
         } else {
             const std::uint64_t token = next_token_++;
-            waiting_[token] = {std::move(input.exchange), now + admin_timeout};
+            pending_requests_[token] = {std::move(input.exchange), now + admin_timeout};
             core_.request(token, std::get<admin_request>(input.request), now);
         }
     }
@@ -255,8 +255,8 @@
     }
 
     void answer_admin(const admin_reply& reply) {
-        const auto found = waiting_.find(reply.token);
-        if (found == waiting_.end()) {
+        const auto found = pending_requests_.find(reply.token);
+        if (found == pending_requests_.end()) {
             return;
         }
         net::http_exchange& exchange = *found->second.exchange;
@@ -283,11 +283,11 @@
                                     : 400,
                          configuration::render_result(reply.change));
         }
-        waiting_.erase(found);
+        pending_requests_.erase(found);
     }
 
     void expire_admin(instant now) {
-        std::erase_if(waiting_, [&](auto& entry) {
+        std::erase_if(pending_requests_, [&](auto& entry) {
             if (now < entry.second.deadline) {
                 return false;
             }
@@ -352,7 +352,7 @@
     net::metrics_board metrics_;
     net::transport transport_;
     net::http_server server_;
-    std::map<std::uint64_t, pending_admin_request> waiting_;
+    std::map<std::uint64_t, pending_admin_request> pending_requests_;
     std::set<group_id> led_;
     std::uint64_t next_token_ = 1;
     instant next_publish_{};
