--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -192,7 +192,7 @@
         net::drain_ring(admin_inputs_, [&](admin_input& input) { on_admin(input, now); });
         core_.tick(now);
         emit(core_.take_output());
-        expire_admin(now);
+        expire_admin_requests(now);
         publish(now);
     }
 
@@ -286,7 +286,7 @@
         pending_requests_.erase(found);
     }
 
-    void expire_admin(instant now) {
+    void expire_admin_requests(instant now) {
         std::erase_if(pending_requests_, [&](auto& entry) {
             if (now < entry.second.deadline) {
                 return false;
