--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -226,12 +226,12 @@
                                  render_status_page(status, settings_.core.node));
                 break;
             case local_query::identity:
-                respond_json(exchange, 200, identity_text(status));
+                respond_json(exchange, 200, render_identity(status));
                 break;
         }
     }
 
-    std::string identity_text(const control_status& status) const {
+    std::string render_identity(const control_status& status) const {
         nlohmann::json members = nlohmann::json::array();
         for (const auto& [replica, member] : status.groups.front().members.members) {
             members.push_back({{"replica", std::to_string(replica)}, {"node", member.node}});
