--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -198,7 +198,7 @@
 
     void on_admin(admin_input& input, instant now) {
         if (const auto* query = std::get_if<local_query>(&input.request)) {
-            answer_locally(*input.exchange, *query, now);
+            answer_query(*input.exchange, *query, now);
         } else if (const auto* members = std::get_if<consensus::membership>(&input.request)) {
             const bool formed = core_.initialise(*members);
             if (formed) {
@@ -215,7 +215,7 @@
         }
     }
 
-    void answer_locally(net::http_exchange& exchange, local_query query, instant now) {
+    void answer_query(net::http_exchange& exchange, local_query query, instant now) {
         const control_status status = core_.status(now);
         switch (query) {
             case local_query::status_json:
