--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -317,7 +317,8 @@
         const auto number = [](auto value) { return static_cast<double>(value); };
         metrics_.publish(
             {{"control_commit_index_total", "Committed entries, all groups.", commits, true},
-             {"control_groups_led", "Groups that this replica leads.", number(led_.size()), false},
+             {"control_groups_led", "Groups that this replica leads.", number(led_groups_.size()),
+              false},
              {"control_programs", "Programs in the journals.", number(programs), false},
              {"control_nodes", "Nodes heard from.", number(status.nodes.size()), false},
              {"control_storage_syncs_total", "Syncs of the log.", number(storage_.syncs()), true},
@@ -330,9 +331,9 @@
     void log_leadership_change(const group_status& group) {
         const std::string fields =
             "group=" + std::to_string(group.group) + " term=" + std::to_string(group.term);
-        if (group.leads && led_.insert(group.group).second) {
+        if (group.leads && led_groups_.insert(group.group).second) {
             logging::write_event(event_id::leadership_gained, fields);
-        } else if (!group.leads && led_.erase(group.group) > 0) {
+        } else if (!group.leads && led_groups_.erase(group.group) > 0) {
             logging::write_event(event_id::leadership_lost, fields);
         }
     }
@@ -353,7 +354,7 @@
     net::transport transport_;
     net::http_server server_;
     std::map<std::uint64_t, pending_admin_request> pending_requests_;
-    std::set<group_id> led_;
+    std::set<group_id> led_groups_;
     std::uint64_t next_token_ = 1;
     instant next_publish_{};
     std::atomic<bool> ready_{false};
