--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -100,15 +100,15 @@
         if (reads && path == "/") {
             pass_on(std::move(exchange), local_query::status_page);
         } else if (reads && path == "/v1/status") {
-            if (allowed(*exchange, operator_role::viewer)) {
+            if (authorize(*exchange, operator_role::viewer)) {
                 pass_on(std::move(exchange), local_query::status_json);
             }
         } else if (reads && path == "/v1/cluster") {
-            if (allowed(*exchange, operator_role::viewer)) {
+            if (authorize(*exchange, operator_role::viewer)) {
                 pass_on(std::move(exchange), local_query::identity);
             }
         } else if (reads && path == "/v1/configuration") {
-            if (allowed(*exchange, operator_role::viewer)) {
+            if (authorize(*exchange, operator_role::viewer)) {
                 pass_on(std::move(exchange), admin_request(admin_read{}));
             }
         } else if (!reads && path == "/v1/changes") {
@@ -120,7 +120,7 @@
         }
     }
 
-    bool allowed(net::http_exchange& exchange, operator_role least) {
+    bool authorize(net::http_exchange& exchange, operator_role least) {
         net::signed_request request;
         request.operator_name = exchange.header(net::operator_header);
         request.time = exchange.header(net::time_header);
@@ -143,7 +143,7 @@
     }
 
     void on_change(net::exchange_pointer exchange) {
-        if (!allowed(*exchange, operator_role::editor)) {
+        if (!authorize(*exchange, operator_role::editor)) {
             return;
         }
         auto change = parse_admin_change(exchange->body(), exchange->header(net::operator_header));
@@ -155,7 +155,7 @@
     }
 
     void on_initialise(net::exchange_pointer exchange) {
-        if (!allowed(*exchange, operator_role::administrator)) {
+        if (!authorize(*exchange, operator_role::administrator)) {
             return;
         }
         auto members = parse_initial_membership(exchange->body());
