--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -120,7 +120,7 @@
         }
     }
 
-    bool authorize(net::http_exchange& exchange, operator_role least) {
+    bool authorize(net::http_exchange& exchange, operator_role required_role) {
         net::signed_request request;
         request.operator_name = exchange.header(net::operator_header);
         request.time = exchange.header(net::time_header);
@@ -131,9 +131,10 @@
         const auto role = operators_.check(request, std::time(nullptr));
         const std::string fields = "operator=\"" + request.operator_name +
                                    "\" method=" + request.method + " path=" + request.path;
-        if (!role || *role < least) {
+        if (!role || *role < required_role) {
             const std::string reason =
-                role ? "needs the role " + std::string(to_string(least)) : role.error().detail;
+                role ? "needs the role " + std::string(to_string(required_role))
+                     : role.error().detail;
             logging::write_event(event_id::admin_denied, fields + " reason=\"" + reason + "\"");
             respond_error(exchange, role ? 403 : 401, "denied", reason);
             return false;
