--- a/src/tallyfold/program_api/control/lease_assigner.cpp
+++ b/src/tallyfold/program_api/control/lease_assigner.cpp
@@ -9,7 +9,7 @@
 /// Maximum number of shards moving away from live holders at once, so that a joining scheduler does
 /// not interrupt a whole group.
 constexpr std::size_t moving_shards_limit = 4;
-constexpr duration proposal_patience = std::chrono::milliseconds(500);
+constexpr duration proposal_timeout = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -51,7 +51,7 @@
         }
         proposal& last = proposed_[shard];
         const bool under_way = last.made != instant{} && last.from_epoch == lease.epoch &&
-                               now - last.made < proposal_patience;
+                               now - last.made < proposal_timeout;
         if (under_way) {
             continue;
         }
