--- a/src/tallyfold/program_api/control/lease_assigner.cpp
+++ b/src/tallyfold/program_api/control/lease_assigner.cpp
@@ -8,7 +8,7 @@
 
 /// Maximum number of shards moving away from live holders at once, so that a joining scheduler does
 /// not interrupt a whole group.
-constexpr std::size_t moving_shards_limit = 4;
+constexpr std::size_t max_moving_shards = 4;
 constexpr duration proposal_timeout = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -41,7 +41,7 @@
         }
         const bool holder_live = !lease.holder.empty() && live.contains(lease.holder);
         if (holder_live) {
-            if (lease.holder != preferred && result.hand_over.size() < moving_shards_limit) {
+            if (lease.holder != preferred && result.hand_over.size() < max_moving_shards) {
                 result.hand_over.push_back(shard);
             }
             continue;
