--- a/src/tallyfold/program_api/control/lease_assigner.cpp
+++ b/src/tallyfold/program_api/control/lease_assigner.cpp
@@ -50,9 +50,9 @@
             continue;
         }
         proposal& last = proposed_[shard];
-        const bool under_way = last.made != instant{} && last.from_epoch == lease.epoch &&
-                               now - last.made < proposal_timeout;
-        if (under_way) {
+        const bool proposal_pending = last.made != instant{} && last.from_epoch == lease.epoch &&
+                                      now - last.made < proposal_timeout;
+        if (proposal_pending) {
             continue;
         }
         last = {lease.epoch, now};
