--- a/src/tallyfold/program_api/control/lease_assigner.cpp
+++ b/src/tallyfold/program_api/control/lease_assigner.cpp
@@ -50,8 +50,9 @@
             continue;
         }
         proposal& last = proposed_[shard];
-        const bool proposal_pending = last.made != instant{} && last.from_epoch == lease.epoch &&
-                                      now - last.made < proposal_timeout;
+        const bool proposal_pending = last.proposed_at != instant{} &&
+                                      last.from_epoch == lease.epoch &&
+                                      now - last.proposed_at < proposal_timeout;
         if (proposal_pending) {
             continue;
         }
--- a/src/tallyfold/program_api/control/lease_assigner.hpp
+++ b/src/tallyfold/program_api/control/lease_assigner.hpp
@@ -44,7 +44,7 @@
   private:
     struct proposal {
         lease_epoch from_epoch = 0;
-        instant made{};
+        instant proposed_at{};
     };
     instant grace_until_{};
     std::map<shard_id, proposal> proposed_;
