--- a/src/tallyfold/program_api/control/replica_output.cpp
+++ b/src/tallyfold/program_api/control/replica_output.cpp
@@ -173,12 +173,14 @@
         write.base.has_value()) {
         return;
     }
-    const bool under_way = std::any_of(batches_.begin(), batches_.end(), [&](const auto& batch) {
-        return std::any_of(batch.second.begin(), batch.second.end(), [&](const batch_mark& other) {
-            return other.group == group && other.own_snapshot.has_value();
+    const bool snapshot_pending =
+        std::any_of(batches_.begin(), batches_.end(), [&](const auto& batch) {
+            return std::any_of(batch.second.begin(), batch.second.end(),
+                               [&](const batch_mark& other) {
+                                   return other.group == group && other.own_snapshot.has_value();
+                               });
         });
-    });
-    if (under_way) {
+    if (snapshot_pending) {
         return;
     }
     consensus::snapshot own;
