--- a/src/tallyfold/program_api/control/control_core.hpp
+++ b/src/tallyfold/program_api/control/control_core.hpp
@@ -174,8 +174,8 @@
     void finish_append(group_id group, const pending_append& append, bool committed,
                        journal::journal_error result, const configuration::change_result& change);
     void drop_appends_if_not_leading(group_id group, group_runtime& runtime);
-    void maybe_snapshot(group_id group, group_runtime& runtime, consensus::group_write& write,
-                        batch_mark& mark);
+    void snapshot_if_due(group_id group, group_runtime& runtime, consensus::group_write& write,
+                         batch_mark& mark);
     void restore(group_id group, group_runtime& runtime, const consensus::snapshot& base);
     [[nodiscard]] std::string save(group_id group, const group_runtime& runtime) const;
     void refresh_live_schedulers(instant now);
--- a/src/tallyfold/program_api/control/replica_output.cpp
+++ b/src/tallyfold/program_api/control/replica_output.cpp
@@ -52,7 +52,7 @@
         mark.index = write.entries.back().index;
         mark.term = write.entries.back().term;
     }
-    maybe_snapshot(group, runtime, write, mark);
+    snapshot_if_due(group, runtime, write, mark);
     if (write.state || write.base || !write.entries.empty()) {
         batch.writes.push_back(std::move(write));
         marks.push_back(std::move(mark));
@@ -166,8 +166,8 @@
     }
 }
 
-void control_core::maybe_snapshot(group_id group, group_runtime& runtime,
-                                  consensus::group_write& write, batch_mark& mark) {
+void control_core::snapshot_if_due(group_id group, group_runtime& runtime,
+                                   consensus::group_write& write, batch_mark& mark) {
     const consensus::replicated_log& log = runtime.replica.log();
     if (runtime.applied < log.snapshot_index() + settings_.snapshot_interval ||
         write.base.has_value()) {
