--- a/src/tallyfold/program_api/control/storage_thread.hpp
+++ b/src/tallyfold/program_api/control/storage_thread.hpp
@@ -40,7 +40,7 @@
 
   private:
     void run();
-    bool write_waiting();
+    bool write_queued_batches();
 
     storage::log_store store_;
     wake_signal signal_;
--- a/src/tallyfold/program_api/control/storage_thread_shell.cpp
+++ b/src/tallyfold/program_api/control/storage_thread_shell.cpp
@@ -30,7 +30,7 @@
 
 void storage_thread::run() {
     while (!failed_) {
-        if (!write_waiting()) {
+        if (!write_queued_batches()) {
             if (stopping_) {
                 return;
             }
@@ -39,7 +39,7 @@
     }
 }
 
-bool storage_thread::write_waiting() {
+bool storage_thread::write_queued_batches() {
     std::vector<consensus::group_write> writes;
     std::vector<durable_batch> done;
     storage_batch batch;
