--- a/src/tallyfold/program_api/control/queries/render_status.cpp
+++ b/src/tallyfold/program_api/control/queries/render_status.cpp
@@ -39,8 +39,8 @@
 
 std::string escape(std::string_view text) {
     std::string safe;
-    for (const char letter : text) {
-        switch (letter) {
+    for (const char character : text) {
+        switch (character) {
             case '<':
                 safe += "&lt;";
                 break;
@@ -51,7 +51,7 @@
                 safe += "&amp;";
                 break;
             default:
-                safe += letter;
+                safe += character;
         }
     }
     return safe;
