--- a/src/tallyfold/program_api/gateway/gateway_core.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.cpp
@@ -141,7 +141,7 @@
         {owner, protocol::scheduler_request{request.correlation, request.call}});
 }
 
-void gateway_core::search_again(pending_request& request, instant now) {
+void gateway_core::start_owner_search(pending_request& request, instant now) {
     ++counters_.failovers;
     if (request.search_started == instant{}) {
         request.search_started = now;
@@ -183,7 +183,7 @@
         if (moved) {
             // The old owner may have run the call; the new owner can tell from the journal.
             request.maybe_ran = true;
-            search_again(request, now);
+            start_owner_search(request, now);
         }
     }
 }
@@ -213,7 +213,7 @@
     }
     if (reply.result.code == answer_code::owner_changed) {
         request->maybe_ran = request->maybe_ran || reply.result.ran != ran_state::no;
-        search_again(*request, now);
+        start_owner_search(*request, now);
         return;
     }
     flush_rest(*request, reply.result);
@@ -239,7 +239,7 @@
     for (auto& [token, request] : pending_) {
         if (request.owner == node && !request.searching) {
             request.maybe_ran = true;
-            search_again(request, now);
+            start_owner_search(request, now);
         }
     }
 }
--- a/src/tallyfold/program_api/gateway/gateway_core.hpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.hpp
@@ -99,7 +99,7 @@
     };
 
     void forward(pending_request& request, instant now);
-    void search_again(pending_request& request, instant now);
+    void start_owner_search(pending_request& request, instant now);
     void give_up(pending_request& request);
     void on_pieces(const protocol::answer_pieces& pieces);
     void on_reply(const protocol::scheduler_reply& reply, instant now);
