--- a/src/tallyfold/program_api/gateway/gateway_core.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.cpp
@@ -151,7 +151,7 @@
     request.next_try = now + search_interval;
 }
 
-void gateway_core::give_up(pending_request& request) {
+void gateway_core::fail_without_owner(pending_request& request) {
     const ran_state ran = request.maybe_ran ? ran_state::unknown : ran_if_refused(request.call);
     answer(request.token, refusal(answer_code::no_owner, ran,
                                   "the program's owner is gone and no other has taken over; "
@@ -260,7 +260,7 @@
         }
     }
     for (const request_token token : expired) {
-        give_up(pending_.at(token));
+        fail_without_owner(pending_.at(token));
     }
 }
 
--- a/src/tallyfold/program_api/gateway/gateway_core.hpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.hpp
@@ -100,7 +100,7 @@
 
     void forward(pending_request& request, instant now);
     void start_owner_search(pending_request& request, instant now);
-    void give_up(pending_request& request);
+    void fail_without_owner(pending_request& request);
     void on_pieces(const protocol::answer_pieces& pieces);
     void on_reply(const protocol::scheduler_reply& reply, instant now);
     void flush_rest(pending_request& request, const journal::outcome& result);
