--- a/src/tallyfold/program_api/gateway/gateway_core.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.cpp
@@ -216,12 +216,12 @@
         start_owner_search(*request, now);
         return;
     }
-    flush_rest(*request, reply.result);
+    send_missing_text(*request, reply.result);
     answer(request->token, reply.result);
     forget(request->token);
 }
 
-void gateway_core::flush_rest(pending_request& request, const outcome& result) {
+void gateway_core::send_missing_text(pending_request& request, const outcome& result) {
     if (request.delivered.empty() || result.code != answer_code::ok) {
         return;
     }
--- a/src/tallyfold/program_api/gateway/gateway_core.hpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.hpp
@@ -103,7 +103,7 @@
     void fail_without_owner(pending_request& request);
     void on_pieces(const protocol::answer_pieces& pieces);
     void on_reply(const protocol::scheduler_reply& reply, instant now);
-    void flush_rest(pending_request& request, const journal::outcome& result);
+    void send_missing_text(pending_request& request, const journal::outcome& result);
     void on_leases_changed(instant now);
     void answer(request_token token, journal::outcome result);
     [[nodiscard]] node_name owner_of(const program_id& program) const;
