--- a/src/tallyfold/program_api/gateway/gateway_core.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.cpp
@@ -11,7 +11,7 @@
 using journal::outcome;
 using journal::ran_state;
 
-constexpr duration search_interval = std::chrono::milliseconds(50);
+constexpr duration owner_search_interval = std::chrono::milliseconds(50);
 constexpr std::uint32_t no_owner_retry_after_ms = 500;
 constexpr std::uint32_t overloaded_retry_after_ms = 1000;
 constexpr std::uint32_t stopping_retry_after_ms = 100;
@@ -125,7 +125,7 @@
 void gateway_core::forward(pending_request& request, instant now) {
     const node_name owner = owner_of(request.program);
     if (owner.empty()) {
-        request.next_try = now + search_interval;
+        request.next_try = now + owner_search_interval;
         return;
     }
     by_correlation_.erase(request.correlation);
@@ -148,7 +148,7 @@
     }
     by_correlation_.erase(request.correlation);
     request.searching = true;
-    request.next_try = now + search_interval;
+    request.next_try = now + owner_search_interval;
 }
 
 void gateway_core::fail_without_owner(pending_request& request) {
