--- a/src/tallyfold/program_api/gateway/gateway_shell.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_shell.cpp
@@ -114,8 +114,8 @@
             open_[token] = {std::move(input.exchange), std::move(input.request), false};
             core_.submit(token, std::move(call), now);
         });
-        if (draining_ && !drain_told_) {
-            drain_told_ = true;
+        if (draining_ && !drain_started_) {
+            drain_started_ = true;
             core_.drain();
         }
         core_.tick(now);
@@ -221,7 +221,7 @@
     std::map<node_name, std::string> dialled_;
     request_token next_token_ = 1;
     instant next_publish_{};
-    bool drain_told_ = false;
+    bool drain_started_ = false;
     std::atomic<bool> ready_{false};
     std::atomic<bool> draining_{false};
     std::atomic<bool> drained_{false};
