--- a/src/tallyfold/program_api/gateway/gateway_shell.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_shell.cpp
@@ -25,7 +25,7 @@
 constexpr std::size_t ring_capacity = 8192;
 /// Bodies up to this multiple of the limit are read, so that they get an answer; for longer ones
 /// the connection is closed.
-constexpr std::size_t drained_body_factor = 4;
+constexpr std::size_t readable_body_factor = 4;
 constexpr auto metrics_interval = std::chrono::seconds(1);
 
 struct http_input {
@@ -42,7 +42,7 @@
           http_inputs_(ring_capacity, logic_.notifier()),
           peers_(logic_.notifier()),
           transport_({settings.core.node, {}, settings.key_file}, peers_.handlers()),
-          server_({settings.http_listen, settings.largest_body * drained_body_factor},
+          server_({settings.http_listen, settings.largest_body * readable_body_factor},
                   [this](net::exchange_pointer exchange) { on_http(std::move(exchange)); }) {}
 
     int run(const std::atomic<bool>& stop) {
