--- a/src/tallyfold/program_api/gateway/commands/parse_request.cpp
+++ b/src/tallyfold/program_api/gateway/commands/parse_request.cpp
@@ -107,7 +107,7 @@
     return {digits.data(), digits.size()};
 }
 
-journal::message message_of(const json& entry) {
+journal::message parse_message(const json& entry) {
     if (!entry.is_object()) {
         throw field_error{"each of 'messages' must be an object"};
     }
@@ -158,7 +158,7 @@
         throw field_error{"field 'messages' must be a list of at least one message"};
     }
     for (const json& entry : *messages) {
-        call.messages.push_back(message_of(entry));
+        call.messages.push_back(parse_message(entry));
     }
     call.max_tokens = number_field(body, "max_tokens", max_tokens);
     call.request_hash = hash_call(call);
