--- a/src/tallyfold/program_api/gateway/commands/parse_request.cpp
+++ b/src/tallyfold/program_api/gateway/commands/parse_request.cpp
@@ -16,7 +16,7 @@
 using journal::outcome;
 using nlohmann::json;
 
-constexpr std::size_t longest_identity = 128;
+constexpr std::size_t max_identity_length = 128;
 constexpr std::size_t longest_name = 128;
 constexpr std::size_t characters_per_token = 4;
 constexpr token_count max_tokens = 1'000'000;
@@ -69,9 +69,9 @@
 
 std::string identity_field(const json& body, const std::string& header) {
     if (body.contains("request_identity")) {
-        return text_field(body, "request_identity", longest_identity);
+        return text_field(body, "request_identity", max_identity_length);
     }
-    if (header.empty() || header.size() > longest_identity) {
+    if (header.empty() || header.size() > max_identity_length) {
         throw field_error{
             "give 'request_identity' or the header Idempotency-Key, 1 to 128 characters"};
     }
