--- a/src/tallyfold/program_api/gateway/commands/parse_request.cpp
+++ b/src/tallyfold/program_api/gateway/commands/parse_request.cpp
@@ -17,7 +17,7 @@
 using nlohmann::json;
 
 constexpr std::size_t max_identity_length = 128;
-constexpr std::size_t longest_name = 128;
+constexpr std::size_t max_name_length = 128;
 constexpr std::size_t characters_per_token = 4;
 constexpr token_count max_tokens = 1'000'000;
 constexpr std::string_view programs_path = "/v1/programs";
@@ -112,7 +112,7 @@
         throw field_error{"each of 'messages' must be an object"};
     }
     journal::message message;
-    message.role = text_field(entry, "role", longest_name);
+    message.role = text_field(entry, "role", max_name_length);
     const auto content = entry.find("content");
     if (content == entry.end() || !content->is_string()) {
         throw field_error{"each of 'messages' must have a text 'content'"};
@@ -126,11 +126,11 @@
 caller_request parse_open(const json& body, const std::string& key) {
     const std::string identity = identity_field(body, key);
     protocol::open_call open;
-    open.program.tenant = text_field(body, "tenant", longest_name);
-    open.program.program_class = text_field(body, "class", longest_name);
+    open.program.tenant = text_field(body, "tenant", max_name_length);
+    open.program.program_class = text_field(body, "class", max_name_length);
     open.program.request_identity = identity;
     if (body.contains("parent")) {
-        const program_id parent = text_field(body, "parent", longest_name);
+        const program_id parent = text_field(body, "parent", max_name_length);
         open.program.root = journal::root_of_identifier(parent);
         open.program.id = identifier_of_child(parent, identity);
     } else {
@@ -149,7 +149,7 @@
 caller_request parse_completion(const json& body, const std::string& key) {
     caller_request request;
     protocol::program_call call;
-    call.program = text_field(body, "program", longest_name);
+    call.program = text_field(body, "program", max_name_length);
     call.sequence = sequence_field(body);
     call.request_identity = identity_field(body, key);
     call.kind = journal::call_kind::model;
@@ -177,7 +177,7 @@
     call.sequence = sequence_field(body);
     call.request_identity = identity_field(body, key);
     call.kind = kind;
-    call.operation = text_field(body, "operation", longest_name);
+    call.operation = text_field(body, "operation", max_name_length);
     const auto argument = body.find("argument");
     if (argument != body.end()) {
         call.argument = argument->is_string() ? argument->get<std::string>() : argument->dump();
@@ -197,7 +197,7 @@
     const std::size_t slash = rest.find('/');
     const program_id program = rest.substr(0, slash);
     const std::string action = slash == std::string::npos ? "" : rest.substr(slash + 1);
-    if (program.empty() || program.size() > longest_name) {
+    if (program.empty() || program.size() > max_name_length) {
         return tl::unexpected(malformed("the path names no program"));
     }
     if (method == "GET" && action.empty()) {
