--- a/src/tallyfold/program_api/gateway/commands/parse_request.cpp
+++ b/src/tallyfold/program_api/gateway/commands/parse_request.cpp
@@ -34,15 +34,15 @@
     return result;
 }
 
-std::string text_field(const json& body, const char* name, std::size_t longest) {
+std::string text_field(const json& body, const char* name, std::size_t max_length) {
     const auto found = body.find(name);
     if (found == body.end() || !found->is_string()) {
         throw field_error{std::string("field '") + name + "' must be a text"};
     }
     std::string value = found->get<std::string>();
-    if (value.empty() || value.size() > longest) {
+    if (value.empty() || value.size() > max_length) {
         throw field_error{std::string("field '") + name + "' must have 1 to " +
-                          std::to_string(longest) + " characters"};
+                          std::to_string(max_length) + " characters"};
     }
     return value;
 }
