--- a/src/tallyfold/program_api/gateway/commands/parse_request.cpp
+++ b/src/tallyfold/program_api/gateway/commands/parse_request.cpp
@@ -47,11 +47,12 @@
     return value;
 }
 
-std::uint64_t number_field(const json& body, const char* name, std::uint64_t most) {
+std::uint64_t number_field(const json& body, const char* name, std::uint64_t max_value) {
     const auto found = body.find(name);
-    if (found == body.end() || !found->is_number_unsigned() || found->get<std::uint64_t>() > most) {
+    if (found == body.end() || !found->is_number_unsigned() ||
+        found->get<std::uint64_t>() > max_value) {
         throw field_error{std::string("field '") + name + "' must be a whole number from 0 to " +
-                          std::to_string(most)};
+                          std::to_string(max_value)};
     }
     return found->get<std::uint64_t>();
 }
