--- a/src/tallyfold/program_api/gateway/queries/render_answer.cpp
+++ b/src/tallyfold/program_api/gateway/queries/render_answer.cpp
@@ -31,7 +31,7 @@
             {"cached_tokens", result.cached_tokens}};
 }
 
-json completion_frame(const caller_request& request, const char* object) {
+json completion_object(const caller_request& request, const char* object) {
     const auto& call = std::get<protocol::program_call>(request.call);
     return {{"id", call.program + "/" + std::to_string(call.sequence)},
             {"object", object},
@@ -107,7 +107,7 @@
     if (!is_completion(request)) {
         return dump({{"answer", result.answer}, {"ran", "yes"}});
     }
-    json body = completion_frame(request, "chat.completion");
+    json body = completion_object(request, "chat.completion");
     body["choices"] =
         json::array({{{"index", 0},
                       {"finish_reason", "stop"},
@@ -117,13 +117,13 @@
 }
 
 std::string render_piece(const caller_request& request, const std::string& piece) {
-    json body = completion_frame(request, "chat.completion.chunk");
+    json body = completion_object(request, "chat.completion.chunk");
     body["choices"] = json::array({{{"index", 0}, {"delta", {{"content", piece}}}}});
     return "data: " + dump(body) + "\n\n";
 }
 
 std::string render_stream_end(const caller_request& request, const journal::outcome& result) {
-    json body = completion_frame(request, "chat.completion.chunk");
+    json body = completion_object(request, "chat.completion.chunk");
     if (result.code == answer_code::ok) {
         body["choices"] =
             json::array({{{"index", 0}, {"delta", json::object()}, {"finish_reason", "stop"}}});
