--- a/src/tallyfold/program_api/http/http_client.cpp
+++ b/src/tallyfold/program_api/http/http_client.cpp
@@ -99,7 +99,7 @@
 
     void run() {
         while (!stopping_) {
-            take_commands();
+            process_commands();
             int active = 0;
             curl_multi_perform(multi_, &active);
             take_results();
@@ -107,7 +107,7 @@
         }
     }
 
-    void take_commands() {
+    void process_commands() {
         client_command command;
         while (commands_.try_pop(command)) {
             if (auto* call = std::get_if<http_call>(&command)) {
