--- a/src/tallyfold/program_api/http/http_client.cpp
+++ b/src/tallyfold/program_api/http/http_client.cpp
@@ -102,7 +102,7 @@
             process_commands();
             int active = 0;
             curl_multi_perform(multi_, &active);
-            take_results();
+            process_completions();
             curl_multi_poll(multi_, nullptr, 0, poll_timeout_ms, nullptr);
         }
     }
@@ -155,7 +155,7 @@
         running_[running->call.id] = std::move(running);
     }
 
-    void take_results() {
+    void process_completions() {
         int left = 0;
         while (CURLMsg* message = curl_multi_info_read(multi_, &left)) {
             if (message->msg != CURLMSG_DONE) {
