--- a/src/tallyfold/program_api/http/http_client.cpp
+++ b/src/tallyfold/program_api/http/http_client.cpp
@@ -111,7 +111,7 @@
         client_command command;
         while (commands_.try_pop(command)) {
             if (auto* call = std::get_if<http_call>(&command)) {
-                begin(std::move(*call));
+                start_request(std::move(*call));
                 continue;
             }
             const auto found = running_.find(std::get<cancel_call>(command).id);
@@ -122,7 +122,7 @@
         }
     }
 
-    void begin(http_call call) {
+    void start_request(http_call call) {
         auto running = std::make_unique<running_call>();
         running->owner = this;
         running->call = std::move(call);
