--- a/src/tallyfold/program_api/http/http_client.cpp
+++ b/src/tallyfold/program_api/http/http_client.cpp
@@ -67,24 +67,24 @@
     }
 
   private:
-    struct running_call {
+    struct active_request {
         engine* owner = nullptr;
         http_call call;
         CURL* easy = nullptr;
         curl_slist* headers = nullptr;
         std::string received;
 
-        running_call() = default;
-        running_call(const running_call&) = delete;
-        running_call& operator=(const running_call&) = delete;
-        ~running_call() {
+        active_request() = default;
+        active_request(const active_request&) = delete;
+        active_request& operator=(const active_request&) = delete;
+        ~active_request() {
             curl_easy_cleanup(easy);
             curl_slist_free_all(headers);
         }
     };
 
     static std::size_t on_bytes(char* bytes, std::size_t size, std::size_t count, void* context) {
-        auto* running = static_cast<running_call*>(context);
+        auto* running = static_cast<active_request*>(context);
         long status = 0;
         curl_easy_getinfo(running->easy, CURLINFO_RESPONSE_CODE, &status);
         constexpr long first_error_status = 300;
@@ -123,7 +123,7 @@
     }
 
     void start_request(http_call call) {
-        auto running = std::make_unique<running_call>();
+        auto running = std::make_unique<active_request>();
         running->owner = this;
         running->call = std::move(call);
         running->easy = curl_easy_init();
@@ -161,7 +161,7 @@
             if (message->msg != CURLMSG_DONE) {
                 continue;
             }
-            running_call* running = nullptr;
+            active_request* running = nullptr;
             curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &running);
             const CURLcode result = message->data.result;
             long status = 0;
@@ -183,7 +183,7 @@
     std::function<void(http_event)> on_event_;
     bounded_ring<client_command> commands_;
     CURLM* multi_;
-    std::map<http_call_id, std::unique_ptr<running_call>> running_;
+    std::map<http_call_id, std::unique_ptr<active_request>> running_;
     std::atomic<bool> stopping_{false};
     std::thread thread_;
 };
