--- a/src/tallyfold/program_api/http/http_client.cpp
+++ b/src/tallyfold/program_api/http/http_client.cpp
@@ -83,7 +83,8 @@
         }
     };
 
-    static std::size_t on_bytes(char* bytes, std::size_t size, std::size_t count, void* context) {
+    static std::size_t on_body_data(char* bytes, std::size_t size, std::size_t count,
+                                    void* context) {
         auto* running = static_cast<active_request*>(context);
         long status = 0;
         curl_easy_getinfo(running->easy, CURLINFO_RESPONSE_CODE, &status);
@@ -130,7 +131,7 @@
         CURL* easy = running->easy;
         curl_easy_setopt(easy, CURLOPT_URL, running->call.url.c_str());
         curl_easy_setopt(easy, CURLOPT_PRIVATE, running.get());
-        curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &engine::on_bytes);
+        curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &engine::on_body_data);
         curl_easy_setopt(easy, CURLOPT_WRITEDATA, running.get());
         curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
         curl_easy_setopt(easy, CURLOPT_NOPROXY, "*");
