--- a/src/tallyfold/program_api/process/process_settings.cpp
+++ b/src/tallyfold/program_api/process/process_settings.cpp
@@ -24,7 +24,7 @@
 }
 
 template <class Settings>
-settings_result<Settings> finished(settings_reader& reader, Settings settings) {
+settings_result<Settings> settings_or_problems(settings_reader& reader, Settings settings) {
     reader.finish();
     if (!reader.problems().empty()) {
         return tl::unexpected(reader.problems());
@@ -128,19 +128,19 @@
 settings_result<gateway_process> read_gateway(const std::string& file) {
     settings_reader reader(file);
     gateway_process settings = fill_gateway(reader);
-    return finished(reader, std::move(settings));
+    return settings_or_problems(reader, std::move(settings));
 }
 
 settings_result<scheduler_process> read_scheduler(const std::string& file) {
     settings_reader reader(file);
     scheduler_process settings = fill_scheduler(reader);
-    return finished(reader, std::move(settings));
+    return settings_or_problems(reader, std::move(settings));
 }
 
 settings_result<control_process> read_control(const std::string& file) {
     settings_reader reader(file);
     control_process settings = fill_control(reader);
-    return finished(reader, std::move(settings));
+    return settings_or_problems(reader, std::move(settings));
 }
 
 std::vector<std::string> all_keys(const std::string& program) {
