--- a/src/tallyfold/program_api/process/process_settings.cpp
+++ b/src/tallyfold/program_api/process/process_settings.cpp
@@ -10,7 +10,7 @@
 constexpr std::int64_t max_shards = 65'536;
 constexpr std::int64_t max_groups = 1024;
 
-std::vector<node_name> names_of(const node_addresses& addresses) {
+std::vector<node_name> node_names(const node_addresses& addresses) {
     std::vector<node_name> names;
     for (const auto& [name, address] : addresses) {
         names.push_back(name);
@@ -39,7 +39,7 @@
     settings.http_listen = reader.address("http_listen");
     settings.key_file = reader.text("key_file");
     settings.control = reader.address_table("control");
-    settings.core.control_nodes = names_of(settings.control);
+    settings.core.control_nodes = node_names(settings.control);
     settings.core.shard_count =
         static_cast<std::uint32_t>(reader.integer_or("shard_count", 64, 1, max_shards));
     settings.core.request_limit =
@@ -64,7 +64,7 @@
     settings.http_listen = reader.address("http_listen");
     settings.key_file = reader.text("key_file");
     settings.control = reader.address_table("control");
-    settings.core.control_nodes = names_of(settings.control);
+    settings.core.control_nodes = node_names(settings.control);
     settings.members_address = reader.address("members_address");
     settings.core.shard_count =
         static_cast<std::uint32_t>(reader.integer_or("shard_count", 64, 1, max_shards));
@@ -101,7 +101,7 @@
     settings.operator_file = reader.text("operator_file");
     settings.data_folder = reader.text("data_folder");
     settings.control = reader.address_table("control");
-    settings.core.peers = names_of(settings.control);
+    settings.core.peers = node_names(settings.control);
     settings.core.shard_count =
         static_cast<std::uint32_t>(reader.integer_or("shard_count", 64, 1, max_shards));
     settings.core.journal_groups =
