--- a/src/tallyfold/program_api/process/process_settings.cpp
+++ b/src/tallyfold/program_api/process/process_settings.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::int64_t longest_interval_ms = 600'000;
+constexpr std::int64_t max_interval_ms = 600'000;
 constexpr std::int64_t max_shards = 65'536;
 constexpr std::int64_t max_groups = 1024;
 
@@ -20,7 +20,7 @@
 
 duration milliseconds_or(settings_reader& reader, const std::string& key, duration fallback) {
     return std::chrono::milliseconds(
-        reader.integer_or(key, to_milliseconds(fallback), 1, longest_interval_ms));
+        reader.integer_or(key, to_milliseconds(fallback), 1, max_interval_ms));
 }
 
 template <class Settings>
