--- a/src/tallyfold/program_api/transport/cluster_keys.cpp
+++ b/src/tallyfold/program_api/transport/cluster_keys.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t shortest_key = 16;
+constexpr std::size_t min_key_length = 16;
 
 }  // namespace
 
@@ -62,7 +62,7 @@
         if (line.empty() || line.front() == '#') {
             continue;
         }
-        if (line.size() < shortest_key) {
+        if (line.size() < min_key_length) {
             return tl::unexpected(key_error{path_ + ": a key must have at least 16 characters"});
         }
         keys.push_back(line);
