--- a/src/tallyfold/program_api/transport/cluster_keys.cpp
+++ b/src/tallyfold/program_api/transport/cluster_keys.cpp
@@ -52,7 +52,7 @@
     if (failure) {
         return tl::unexpected(key_error{path_ + ": " + failure.message()});
     }
-    if (!keys_.empty() && changed == read_at_) {
+    if (!keys_.empty() && changed == loaded_file_time_) {
         return keys_;
     }
     std::ifstream file(path_);
@@ -71,7 +71,7 @@
         return tl::unexpected(key_error{path_ + ": holds no key"});
     }
     keys_ = std::move(keys);
-    read_at_ = changed;
+    loaded_file_time_ = changed;
     return keys_;
 }
 
--- a/src/tallyfold/program_api/transport/cluster_keys.hpp
+++ b/src/tallyfold/program_api/transport/cluster_keys.hpp
@@ -41,7 +41,7 @@
   private:
     std::string path_;
     std::mutex mutex_;
-    std::filesystem::file_time_type read_at_{};
+    std::filesystem::file_time_type loaded_file_time_{};
     std::vector<std::string> keys_;
 };
 
