--- a/src/tallyfold/program_api/transport/peer_connection_shell.cpp
+++ b/src/tallyfold/program_api/transport/peer_connection_shell.cpp
@@ -14,7 +14,7 @@
 /// Maximum size of a message in bytes; the largest ones are the contents of a shard.
 constexpr std::uint32_t max_frame_bytes = 64U << 20U;
 /// Maximum frame size before the peer has authenticated itself.
-constexpr std::uint32_t largest_handshake_frame = 4096;
+constexpr std::uint32_t max_handshake_frame_bytes = 4096;
 /// Maximum number of bytes queued for a peer: one message of the largest size.
 constexpr std::size_t largest_backlog_bytes = 64U << 20U;
 /// Interval of empty frames on an idle connection.
@@ -117,7 +117,7 @@
             heard_ = std::chrono::steady_clock::now();
             std::uint32_t length = 0;
             std::memcpy(&length, length_bytes_.data(), sizeof(length));
-            const std::uint32_t limit = ready_ ? max_frame_bytes : largest_handshake_frame;
+            const std::uint32_t limit = ready_ ? max_frame_bytes : max_handshake_frame_bytes;
             if (length > limit) {
                 refuse_frame("frame too long");
                 return;
