--- a/src/tallyfold/program_api/transport/peer_connection_shell.cpp
+++ b/src/tallyfold/program_api/transport/peer_connection_shell.cpp
@@ -16,7 +16,7 @@
 /// Maximum frame size before the peer has authenticated itself.
 constexpr std::uint32_t max_handshake_frame_bytes = 4096;
 /// Maximum number of bytes queued for a peer: one message of the largest size.
-constexpr std::size_t largest_backlog_bytes = 64U << 20U;
+constexpr std::size_t max_backlog_bytes = 64U << 20U;
 /// Interval of empty frames on an idle connection.
 constexpr auto ping_interval = std::chrono::milliseconds(200);
 /// A connection without incoming data for this long, six ping intervals, is closed.
@@ -55,7 +55,7 @@
 
 void peer_connection::write(std::string_view payload) {
     backlog_bytes_ += sizeof(std::uint32_t) + payload.size();
-    if (backlog_bytes_ > largest_backlog_bytes) {
+    if (backlog_bytes_ > max_backlog_bytes) {
         // The peer is too slow. Closing reports the loss to both sides; dropping the message would
         // not.
         close("backlog");
