--- a/src/tallyfold/program_api/transport/peer_connection_shell.cpp
+++ b/src/tallyfold/program_api/transport/peer_connection_shell.cpp
@@ -22,7 +22,7 @@
 /// A connection without incoming data for this long, six ping intervals, is closed.
 constexpr auto silence_limit = std::chrono::milliseconds(1200);
 /// Delay before a message is delivered again after the input ring was full.
-constexpr auto delivery_retry = std::chrono::milliseconds(2);
+constexpr auto delivery_retry_delay = std::chrono::milliseconds(2);
 
 /// Length of the payload in native byte order, then the payload.
 std::string frame(std::string_view payload) {
@@ -196,7 +196,7 @@
         return;
     }
     auto self = shared_from_this();
-    retry_timer_.expires_after(delivery_retry);
+    retry_timer_.expires_after(delivery_retry_delay);
     retry_timer_.async_wait([this, self](std::error_code failure) {
         if (!failure && !closed_) {
             heard_ = std::chrono::steady_clock::now();
