--- a/src/tallyfold/program_api/transport/peer_connection_shell.cpp
+++ b/src/tallyfold/program_api/transport/peer_connection_shell.cpp
@@ -41,7 +41,7 @@
       socket_(std::move(socket)),
       handshake_(std::move(handshake)),
       retry_timer_(socket_.get_executor()) {
-    heard_ = sent_ = std::chrono::steady_clock::now();
+    last_received_ = sent_ = std::chrono::steady_clock::now();
 }
 
 void peer_connection::begin() {
@@ -68,7 +68,7 @@
 }
 
 void peer_connection::check(std::chrono::steady_clock::time_point now) {
-    if (now - heard_ > silence_limit) {
+    if (now - last_received_ > silence_limit) {
         close("silence");
         return;
     }
@@ -114,7 +114,7 @@
                 close("read failed");
                 return;
             }
-            heard_ = std::chrono::steady_clock::now();
+            last_received_ = std::chrono::steady_clock::now();
             std::uint32_t length = 0;
             std::memcpy(&length, length_bytes_.data(), sizeof(length));
             const std::uint32_t limit = ready_ ? max_frame_bytes : max_handshake_frame_bytes;
@@ -139,7 +139,7 @@
                              close("read failed");
                              return;
                          }
-                         heard_ = std::chrono::steady_clock::now();
+                         last_received_ = std::chrono::steady_clock::now();
                          if (ready_) {
                              on_frame();
                          } else {
@@ -199,7 +199,7 @@
     retry_timer_.expires_after(delivery_retry_delay);
     retry_timer_.async_wait([this, self](std::error_code failure) {
         if (!failure && !closed_) {
-            heard_ = std::chrono::steady_clock::now();
+            last_received_ = std::chrono::steady_clock::now();
             deliver();
         }
     });
