--- a/src/tallyfold/program_api/transport/peer_connection_shell.cpp
+++ b/src/tallyfold/program_api/transport/peer_connection_shell.cpp
@@ -41,7 +41,7 @@
       socket_(std::move(socket)),
       handshake_(std::move(handshake)),
       retry_timer_(socket_.get_executor()) {
-    last_received_ = sent_ = std::chrono::steady_clock::now();
+    last_received_ = last_sent_ = std::chrono::steady_clock::now();
 }
 
 void peer_connection::begin() {
@@ -72,7 +72,7 @@
         close("silence");
         return;
     }
-    if (ready_ && now - sent_ > ping_interval && backlog_.empty()) {
+    if (ready_ && now - last_sent_ > ping_interval && backlog_.empty()) {
         write({});
     }
 }
@@ -97,7 +97,7 @@
                               close("write failed");
                               return;
                           }
-                          sent_ = std::chrono::steady_clock::now();
+                          last_sent_ = std::chrono::steady_clock::now();
                           backlog_bytes_ -= backlog_.front().size();
                           backlog_.pop_front();
                           if (!backlog_.empty()) {
--- a/src/tallyfold/program_api/transport/peer_connection_shell.hpp
+++ b/src/tallyfold/program_api/transport/peer_connection_shell.hpp
@@ -76,7 +76,7 @@
     std::deque<std::string> backlog_;
     std::size_t backlog_bytes_ = 0;
     std::chrono::steady_clock::time_point last_received_;
-    std::chrono::steady_clock::time_point sent_;
+    std::chrono::steady_clock::time_point last_sent_;
 };
 
 }  // namespace tallyfold::net
