--- a/src/tallyfold/program_api/transport/peer_handshake.cpp
+++ b/src/tallyfold/program_api/transport/peer_handshake.cpp
@@ -86,8 +86,8 @@
     if (!answer || answer->nonce.size() != nonce_bytes || answer->node != peer_) {
         return refuse("malformed challenge, or another node at this address");
     }
-    const std::string theirs = proof_text("acceptor", self_, peer_, nonce_, answer->nonce);
-    if (!keys_.verify(theirs, answer->proof)) {
+    const std::string acceptor_text = proof_text("acceptor", self_, peer_, nonce_, answer->nonce);
+    if (!keys_.verify(acceptor_text, answer->proof)) {
         return refuse("wrong key");
     }
     const auto proof = keys_.prove(proof_text("dialler", self_, peer_, nonce_, answer->nonce));
