--- a/src/tallyfold/program_api/transport/peer_handshake.cpp
+++ b/src/tallyfold/program_api/transport/peer_handshake.cpp
@@ -66,13 +66,13 @@
 }
 
 peer_handshake::progress peer_handshake::on_hello(const std::string& payload) {
-    const auto greeting = protocol::decode<hello>(payload);
-    if (!greeting || greeting->version != protocol_version ||
-        greeting->nonce.size() != nonce_bytes) {
+    const auto hello_message = protocol::decode<hello>(payload);
+    if (!hello_message || hello_message->version != protocol_version ||
+        hello_message->nonce.size() != nonce_bytes) {
         return refuse("malformed hello");
     }
-    peer_ = greeting->node;
-    peer_nonce_ = greeting->nonce;
+    peer_ = hello_message->node;
+    peer_nonce_ = hello_message->nonce;
     nonce_ = random_bytes(nonce_bytes);
     const auto proof = keys_.prove(proof_text("acceptor", peer_, self_, peer_nonce_, nonce_));
     if (!proof) {
--- a/tests/program_api/transport/peer_handshake_test.cpp
+++ b/tests/program_api/transport/peer_handshake_test.cpp
@@ -53,11 +53,11 @@
     void a_proof_of_an_earlier_connection_is_refused() {
         peer_handshake dialling(keys_, "a", "b");
         peer_handshake accepting(keys_, "b", {});
-        const std::string greeting = *dialling.begin();
-        const auto proof = dialling.receive(*accepting.receive(greeting).send).send;
+        const std::string hello_message = *dialling.begin();
+        const auto proof = dialling.receive(*accepting.receive(hello_message).send).send;
         // Replays the hello and the proof on another connection.
         peer_handshake again(keys_, "b", {});
-        again.receive(greeting);
+        again.receive(hello_message);
         CPPUNIT_ASSERT_EQUAL(std::string("wrong key"), again.receive(*proof).refusal);
     }
 
