--- a/src/tallyfold/program_api/transport/transport.cpp
+++ b/src/tallyfold/program_api/transport/transport.cpp
@@ -17,7 +17,7 @@
 /// Interval of the connection checks, and minimum delay between two connection attempts.
 constexpr auto redial_interval = std::chrono::milliseconds(100);
 /// Time for sending the last messages when the process stops; peers detect the close in any case.
-constexpr auto last_replies = std::chrono::milliseconds(200);
+constexpr auto stop_grace = std::chrono::milliseconds(200);
 constexpr std::size_t send_ring_capacity = 16384;
 
 }  // namespace
@@ -109,7 +109,7 @@
         return;
     }
     asio::post(context_, [this] { drain_outgoing(); });
-    std::this_thread::sleep_for(last_replies);
+    std::this_thread::sleep_for(stop_grace);
     context_.stop();
     thread_.join();
 }
