--- a/src/tallyfold/program_api/transport/transport.cpp
+++ b/src/tallyfold/program_api/transport/transport.cpp
@@ -75,7 +75,7 @@
     /// Authenticated connections by node; a node may have two when both sides dial.
     std::multimap<node_name, std::shared_ptr<peer_connection>> open_;
     /// Lost nodes that the handler has not accepted yet.
-    std::set<node_name> untold_lost_;
+    std::set<node_name> unreported_losses_;
     std::thread thread_;
 };
 
@@ -154,7 +154,7 @@
 
 void transport::engine::tell_lost(const node_name& node) {
     if (!handlers_.on_lost(node)) {
-        untold_lost_.insert(node);
+        unreported_losses_.insert(node);
     }
 }
 
@@ -204,7 +204,7 @@
             redial(node, peer);
         }
     }
-    std::erase_if(untold_lost_, handlers_.on_lost);
+    std::erase_if(unreported_losses_, handlers_.on_lost);
     const std::vector<std::shared_ptr<peer_connection>> links(links_.begin(), links_.end());
     for (const std::shared_ptr<peer_connection>& link : links) {
         link->check(now);
