--- a/src/tallyfold/program_api/transport/transport.cpp
+++ b/src/tallyfold/program_api/transport/transport.cpp
@@ -49,7 +49,7 @@
     void drain_outgoing();
     void accept_next();
     /// @param expected name of the dialled peer; empty for an accepted connection
-    std::shared_ptr<peer_connection> open_link(tcp::socket socket, node_name expected);
+    std::shared_ptr<peer_connection> start_connection(tcp::socket socket, node_name expected);
     void on_timer();
     void redial(const node_name& node, dialled_peer& peer);
     void opened(const std::shared_ptr<peer_connection>& link) override;
@@ -161,14 +161,14 @@
 void transport::engine::accept_next() {
     acceptor_.async_accept([this](std::error_code failure, tcp::socket socket) {
         if (!failure) {
-            (void)open_link(std::move(socket), {});
+            (void)start_connection(std::move(socket), {});
         }
         accept_next();
     });
 }
 
-std::shared_ptr<peer_connection> transport::engine::open_link(tcp::socket socket,
-                                                              node_name expected) {
+std::shared_ptr<peer_connection> transport::engine::start_connection(tcp::socket socket,
+                                                                     node_name expected) {
     auto link = std::make_shared<peer_connection>(
         *this, std::move(socket), peer_handshake(keys_, settings_.node, std::move(expected)));
     links_.insert(link);
@@ -192,7 +192,7 @@
         if (refused) {
             return;
         }
-        dialled.current = open_link(std::move(*socket), node);
+        dialled.current = start_connection(std::move(*socket), node);
     };
     socket->async_connect(tcp::endpoint(address, port), on_connected);
 }
