--- a/src/tallyfold/program_api/transport/transport.cpp
+++ b/src/tallyfold/program_api/transport/transport.cpp
@@ -71,7 +71,7 @@
     tcp::acceptor acceptor_;
     asio::steady_timer timer_;
     std::map<node_name, dialled_peer> peers_;
-    std::set<std::shared_ptr<peer_connection>> links_;
+    std::set<std::shared_ptr<peer_connection>> connections_;
     /// Authenticated connections by node; a node may have two when both sides dial.
     std::multimap<node_name, std::shared_ptr<peer_connection>> open_;
     /// Lost nodes that the handler has not accepted yet.
@@ -171,7 +171,7 @@
                                                                      node_name expected) {
     auto link = std::make_shared<peer_connection>(
         *this, std::move(socket), peer_handshake(keys_, settings_.node, std::move(expected)));
-    links_.insert(link);
+    connections_.insert(link);
     link->begin();
     return link;
 }
@@ -205,7 +205,8 @@
         }
     }
     std::erase_if(unreported_losses_, handlers_.on_lost);
-    const std::vector<std::shared_ptr<peer_connection>> links(links_.begin(), links_.end());
+    const std::vector<std::shared_ptr<peer_connection>> links(connections_.begin(),
+                                                              connections_.end());
     for (const std::shared_ptr<peer_connection>& link : links) {
         link->check(now);
     }
@@ -223,7 +224,7 @@
 }
 
 void transport::engine::closed(const std::shared_ptr<peer_connection>& link) {
-    links_.erase(link);
+    connections_.erase(link);
     const auto [begin, end] = open_.equal_range(link->node());
     for (auto candidate = begin; candidate != end; ++candidate) {
         if (candidate->second == link) {
