--- a/src/tallyfold/program_api/transport/transport.cpp
+++ b/src/tallyfold/program_api/transport/transport.cpp
@@ -205,9 +205,9 @@
         }
     }
     std::erase_if(unreported_losses_, handlers_.on_lost);
-    const std::vector<std::shared_ptr<peer_connection>> links(connections_.begin(),
-                                                              connections_.end());
-    for (const std::shared_ptr<peer_connection>& link : links) {
+    const std::vector<std::shared_ptr<peer_connection>> connections(connections_.begin(),
+                                                                    connections_.end());
+    for (const std::shared_ptr<peer_connection>& link : connections) {
         link->check(now);
     }
     timer_.expires_after(redial_interval);
