--- a/src/tallyfold/program_api/transport/peer_connection_shell.hpp
+++ b/src/tallyfold/program_api/transport/peer_connection_shell.hpp
@@ -24,8 +24,8 @@
 class peer_connection_owner {
   public:
     /// The handshake is complete: messages may be sent.
-    virtual void opened(const std::shared_ptr<peer_connection>& link) = 0;
-    virtual void closed(const std::shared_ptr<peer_connection>& link) = 0;
+    virtual void opened(const std::shared_ptr<peer_connection>& connection) = 0;
+    virtual void closed(const std::shared_ptr<peer_connection>& connection) = 0;
     /// @return false to have the message delivered again later
     virtual bool deliver(const node_name& from, protocol::internal_message& message) = 0;
     virtual void event(logging::event_id id, std::string fields) = 0;
--- a/src/tallyfold/program_api/transport/transport.cpp
+++ b/src/tallyfold/program_api/transport/transport.cpp
@@ -52,8 +52,8 @@
     std::shared_ptr<peer_connection> start_connection(tcp::socket socket, node_name expected);
     void on_timer();
     void redial(const node_name& node, dialled_peer& peer);
-    void opened(const std::shared_ptr<peer_connection>& link) override;
-    void closed(const std::shared_ptr<peer_connection>& link) override;
+    void opened(const std::shared_ptr<peer_connection>& connection) override;
+    void closed(const std::shared_ptr<peer_connection>& connection) override;
     bool deliver(const node_name& from, protocol::internal_message& message) override {
         return handlers_.on_message(from, message);
     }
@@ -122,8 +122,8 @@
         }
         peer.address = address;
         peer.next_try = {};
-        if (auto link = peer.current.lock()) {
-            link->close("address changed");
+        if (auto connection = peer.current.lock()) {
+            connection->close("address changed");
         }
     });
 }
@@ -140,14 +140,14 @@
 void transport::engine::drain_outgoing() {
     protocol::outbound_message outbound;
     while (outgoing_.try_pop(outbound)) {
-        const auto link = open_.find(outbound.to);
-        if (link == open_.end()) {
+        const auto connection = open_.find(outbound.to);
+        if (connection == open_.end()) {
             // Reports the loss, so that requests that wait for a reply from the node are not left
             // pending.
             tell_lost(outbound.to);
             continue;
         }
-        const std::shared_ptr<peer_connection> target = link->second;
+        const std::shared_ptr<peer_connection> target = connection->second;
         target->write(protocol::encode(outbound.message));
     }
 }
@@ -169,11 +169,11 @@
 
 std::shared_ptr<peer_connection> transport::engine::start_connection(tcp::socket socket,
                                                                      node_name expected) {
-    auto link = std::make_shared<peer_connection>(
+    auto connection = std::make_shared<peer_connection>(
         *this, std::move(socket), peer_handshake(keys_, settings_.node, std::move(expected)));
-    connections_.insert(link);
-    link->begin();
-    return link;
+    connections_.insert(connection);
+    connection->begin();
+    return connection;
 }
 
 void transport::engine::redial(const node_name& node, dialled_peer& peer) {
@@ -207,8 +207,8 @@
     std::erase_if(unreported_losses_, handlers_.on_lost);
     const std::vector<std::shared_ptr<peer_connection>> connections(connections_.begin(),
                                                                     connections_.end());
-    for (const std::shared_ptr<peer_connection>& link : connections) {
-        link->check(now);
+    for (const std::shared_ptr<peer_connection>& connection : connections) {
+        connection->check(now);
     }
     timer_.expires_after(redial_interval);
     timer_.async_wait([this](std::error_code failure) {
@@ -218,20 +218,20 @@
     });
 }
 
-void transport::engine::opened(const std::shared_ptr<peer_connection>& link) {
-    open_.emplace(link->node(), link);
-    event(event_id::peer_connected, "peer=" + link->node());
+void transport::engine::opened(const std::shared_ptr<peer_connection>& connection) {
+    open_.emplace(connection->node(), connection);
+    event(event_id::peer_connected, "peer=" + connection->node());
 }
 
-void transport::engine::closed(const std::shared_ptr<peer_connection>& link) {
-    connections_.erase(link);
-    const auto [begin, end] = open_.equal_range(link->node());
+void transport::engine::closed(const std::shared_ptr<peer_connection>& connection) {
+    connections_.erase(connection);
+    const auto [begin, end] = open_.equal_range(connection->node());
     for (auto candidate = begin; candidate != end; ++candidate) {
-        if (candidate->second == link) {
+        if (candidate->second == connection) {
             open_.erase(candidate);
             event(event_id::peer_lost,
-                  "peer=" + link->node() + " reason=\"" + link->reason() + "\"");
-            tell_lost(link->node());
+                  "peer=" + connection->node() + " reason=\"" + connection->reason() + "\"");
+            tell_lost(connection->node());
             return;
         }
     }
