--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -10,7 +10,7 @@
 
 class configuration_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_test);
-    CPPUNIT_TEST(one_of_two_equal_versions_wins);
+    CPPUNIT_TEST(concurrent_change_gets_a_version_conflict);
     CPPUNIT_TEST(a_resend_gets_the_first_answer_after_a_snapshot);
     CPPUNIT_TEST(deltas_bring_any_copy_to_the_same_state);
     CPPUNIT_TEST(a_copy_never_goes_back);
@@ -35,7 +35,7 @@
         return machine.apply(protocol::encode(change));
     }
 
-    void one_of_two_equal_versions_wins() {
+    void concurrent_change_gets_a_version_conflict() {
         configuration_state_machine machine;
         CPPUNIT_ASSERT(apply(machine, weight("a", 0, 2)).status == change_status::accepted);
         const change_result loser = apply(machine, weight("b", 0, 3));
