--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -11,7 +11,7 @@
 class configuration_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_test);
     CPPUNIT_TEST(concurrent_change_gets_a_version_conflict);
-    CPPUNIT_TEST(a_resend_gets_the_first_answer_after_a_snapshot);
+    CPPUNIT_TEST(resend_after_restore_gets_the_first_result);
     CPPUNIT_TEST(deltas_bring_any_copy_to_the_same_state);
     CPPUNIT_TEST(a_copy_never_goes_back);
     CPPUNIT_TEST(json_keeps_every_field);
@@ -44,7 +44,7 @@
         CPPUNIT_ASSERT_EQUAL(2.0, machine.view().tenant("t")->weight);
     }
 
-    void a_resend_gets_the_first_answer_after_a_snapshot() {
+    void resend_after_restore_gets_the_first_result() {
         configuration_state_machine machine;
         const change_result first = apply(machine, weight("a", 0, 2));
         CPPUNIT_ASSERT(apply(machine, weight("b", 1, 3)).status == change_status::accepted);
