--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST_SUITE(configuration_test);
     CPPUNIT_TEST(concurrent_change_gets_a_version_conflict);
     CPPUNIT_TEST(resend_after_restore_gets_the_first_result);
-    CPPUNIT_TEST(deltas_bring_any_copy_to_the_same_state);
+    CPPUNIT_TEST(delta_updates_a_copy_of_any_version);
     CPPUNIT_TEST(a_copy_never_goes_back);
     CPPUNIT_TEST(json_keeps_every_field);
     CPPUNIT_TEST(a_misspelt_field_is_refused);
@@ -54,7 +54,7 @@
         CPPUNIT_ASSERT_EQUAL(3.0, restored.view().tenant("t")->weight);
     }
 
-    void deltas_bring_any_copy_to_the_same_state() {
+    void delta_updates_a_copy_of_any_version() {
         check_property("since() from any version catches a copy up", [] {
             configuration_state_machine machine;
             std::vector<configuration_view> copies{machine.view()};
