--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(concurrent_change_gets_a_version_conflict);
     CPPUNIT_TEST(resend_after_restore_gets_the_first_result);
     CPPUNIT_TEST(delta_updates_a_copy_of_any_version);
-    CPPUNIT_TEST(a_copy_never_goes_back);
+    CPPUNIT_TEST(stale_delta_does_not_revert_a_copy);
     CPPUNIT_TEST(json_keeps_every_field);
     CPPUNIT_TEST(a_misspelt_field_is_refused);
     CPPUNIT_TEST(any_text_is_parsed_or_refused);
@@ -77,7 +77,7 @@
         });
     }
 
-    void a_copy_never_goes_back() {
+    void stale_delta_does_not_revert_a_copy() {
         configuration_state_machine machine;
         (void)apply(machine, weight("a", 0, 2));
         const configuration_delta old = machine.view().since(0);
