--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST(resend_after_restore_gets_the_first_result);
     CPPUNIT_TEST(delta_updates_a_copy_of_any_version);
     CPPUNIT_TEST(stale_delta_does_not_revert_a_copy);
-    CPPUNIT_TEST(json_keeps_every_field);
+    CPPUNIT_TEST(json_round_trip_keeps_every_field);
     CPPUNIT_TEST(a_misspelt_field_is_refused);
     CPPUNIT_TEST(any_text_is_parsed_or_refused);
     CPPUNIT_TEST(a_policy_with_an_error_names_its_line);
@@ -87,7 +87,7 @@
         CPPUNIT_ASSERT_EQUAL(3.0, copy.tenant("t")->weight);
     }
 
-    void json_keeps_every_field() {
+    void json_round_trip_keeps_every_field() {
         change_command command;
         command.command_identity = "i";
         command.key = {item_kind::program_class, "licensing"};
