--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST(delta_updates_a_copy_of_any_version);
     CPPUNIT_TEST(stale_delta_does_not_revert_a_copy);
     CPPUNIT_TEST(json_round_trip_keeps_every_field);
-    CPPUNIT_TEST(a_misspelt_field_is_refused);
+    CPPUNIT_TEST(unknown_field_is_rejected);
     CPPUNIT_TEST(any_text_is_parsed_or_refused);
     CPPUNIT_TEST(a_policy_with_an_error_names_its_line);
     CPPUNIT_TEST(first_members_are_read);
@@ -104,7 +104,7 @@
         CPPUNIT_ASSERT(view->items() == machine.view().items());
     }
 
-    void a_misspelt_field_is_refused() {
+    void unknown_field_is_rejected() {
         const auto parsed = parse_change(
             R"({"command_identity":"i","kind":"tenant","name":"t","expected_version":0,)"
             R"("settings":{"wieght":2}})");
