--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(stale_delta_does_not_revert_a_copy);
     CPPUNIT_TEST(json_round_trip_keeps_every_field);
     CPPUNIT_TEST(unknown_field_is_rejected);
-    CPPUNIT_TEST(any_text_is_parsed_or_refused);
+    CPPUNIT_TEST(arbitrary_text_is_parsed_or_rejected);
     CPPUNIT_TEST(a_policy_with_an_error_names_its_line);
     CPPUNIT_TEST(first_members_are_read);
     CPPUNIT_TEST_SUITE_END();
@@ -113,7 +113,7 @@
         CPPUNIT_ASSERT(!with_field(tenant_settings{}, "queue_limit", "-3").has_value());
     }
 
-    void any_text_is_parsed_or_refused() {
+    void arbitrary_text_is_parsed_or_rejected() {
         check_property("parse_change answers any bytes", [] {
             (void)parse_change(*any_bytes());
             (void)parse_view(*any_bytes());
