--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(json_round_trip_keeps_every_field);
     CPPUNIT_TEST(unknown_field_is_rejected);
     CPPUNIT_TEST(arbitrary_text_is_parsed_or_rejected);
-    CPPUNIT_TEST(a_policy_with_an_error_names_its_line);
+    CPPUNIT_TEST(policy_error_reports_its_line);
     CPPUNIT_TEST(first_members_are_read);
     CPPUNIT_TEST_SUITE_END();
 
@@ -121,7 +121,7 @@
         });
     }
 
-    void a_policy_with_an_error_names_its_line() {
+    void policy_error_reports_its_line() {
         change_command command;
         command.command_identity = "i";
         command.key = {item_kind::policy, "p"};
