--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(unknown_field_is_rejected);
     CPPUNIT_TEST(arbitrary_text_is_parsed_or_rejected);
     CPPUNIT_TEST(policy_error_reports_its_line);
-    CPPUNIT_TEST(first_members_are_read);
+    CPPUNIT_TEST(initial_membership_is_parsed);
     CPPUNIT_TEST_SUITE_END();
 
     static change_command weight(const std::string& identity, std::uint64_t expected,
@@ -131,7 +131,7 @@
         CPPUNIT_ASSERT(parsed.error().reason.find("line 2") != std::string::npos);
     }
 
-    void first_members_are_read() {
+    void initial_membership_is_parsed() {
         // The parsed JSON must outlive the loop over its members, or the list is empty.
         const auto members = control::parse_initial_membership(
             R"({"members":[{"node":"a","replica":"18446744073709551615"}]})");
