--- a/tests/program_api/control/lease_assigner_test.cpp
+++ b/tests/program_api/control/lease_assigner_test.cpp
@@ -8,7 +8,7 @@
 
 class lease_assigner_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(lease_assigner_test);
-    CPPUNIT_TEST(a_joining_scheduler_takes_only_its_share);
+    CPPUNIT_TEST(joining_scheduler_moves_only_its_share);
     CPPUNIT_TEST(a_dead_holder_is_replaced_after_the_grace);
     CPPUNIT_TEST(a_draining_holder_is_asked_to_hand_over);
     CPPUNIT_TEST_SUITE_END();
@@ -21,7 +21,7 @@
         return made;
     }
 
-    void a_joining_scheduler_takes_only_its_share() {
+    void joining_scheduler_moves_only_its_share() {
         std::size_t moved = 0;
         constexpr shard_id shards = 1000;
         for (shard_id shard = 0; shard < shards; ++shard) {
