--- a/tests/program_api/control/lease_assigner_test.cpp
+++ b/tests/program_api/control/lease_assigner_test.cpp
@@ -9,7 +9,7 @@
 class lease_assigner_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(lease_assigner_test);
     CPPUNIT_TEST(joining_scheduler_moves_only_its_share);
-    CPPUNIT_TEST(a_dead_holder_is_replaced_after_the_grace);
+    CPPUNIT_TEST(lost_holder_is_replaced_after_the_grace_period);
     CPPUNIT_TEST(a_draining_holder_is_asked_to_hand_over);
     CPPUNIT_TEST_SUITE_END();
 
@@ -36,7 +36,7 @@
         CPPUNIT_ASSERT(moved < shards / 3);
     }
 
-    void a_dead_holder_is_replaced_after_the_grace() {
+    void lost_holder_is_replaced_after_the_grace_period() {
         lease_assigner assigner;
         const instant now(std::chrono::seconds(10));
         assigner.start_grace(now);
