--- a/tests/program_api/control/lease_assigner_test.cpp
+++ b/tests/program_api/control/lease_assigner_test.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST_SUITE(lease_assigner_test);
     CPPUNIT_TEST(joining_scheduler_moves_only_its_share);
     CPPUNIT_TEST(lost_holder_is_replaced_after_the_grace_period);
-    CPPUNIT_TEST(a_draining_holder_is_asked_to_hand_over);
+    CPPUNIT_TEST(draining_holder_is_asked_to_hand_over);
     CPPUNIT_TEST_SUITE_END();
 
     static std::map<node_name, live_scheduler> live(std::size_t count) {
@@ -48,7 +48,7 @@
         CPPUNIT_ASSERT_EQUAL(lease_epoch{3}, plan.assignments[0].expected_epoch);
     }
 
-    void a_draining_holder_is_asked_to_hand_over() {
+    void draining_holder_is_asked_to_hand_over() {
         lease_assigner assigner;
         auto schedulers = live(2);
         schedulers["scheduler-1"].draining = true;
