--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -14,7 +14,7 @@
 
 class gateway_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(gateway_test);
-    CPPUNIT_TEST(bad_input_gets_a_stable_code);
+    CPPUNIT_TEST(malformed_request_gets_code_malformed);
     CPPUNIT_TEST(any_body_is_parsed_or_refused);
     CPPUNIT_TEST(identity_decides_the_program);
     CPPUNIT_TEST(without_an_owner_the_answer_is_final_at_once);
@@ -32,7 +32,7 @@
         return parsed.error();
     }
 
-    void bad_input_gets_a_stable_code() {
+    void malformed_request_gets_code_malformed() {
         for (const auto& [path, body] : std::vector<std::pair<std::string, std::string>>{
                  {"/v1/programs", "{"},
                  {"/v1/programs", "[]"},
