--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -15,7 +15,7 @@
 class gateway_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(gateway_test);
     CPPUNIT_TEST(malformed_request_gets_code_malformed);
-    CPPUNIT_TEST(any_body_is_parsed_or_refused);
+    CPPUNIT_TEST(arbitrary_body_is_parsed_or_rejected);
     CPPUNIT_TEST(identity_decides_the_program);
     CPPUNIT_TEST(without_an_owner_the_answer_is_final_at_once);
     CPPUNIT_TEST(a_lost_owner_leaves_the_outcome_unknown);
@@ -50,7 +50,7 @@
         }
     }
 
-    void any_body_is_parsed_or_refused() {
+    void arbitrary_body_is_parsed_or_rejected() {
         check_property("parse_request answers any body", [] {
             for (const std::string path :
                  {"/v1/programs", "/v1/chat/completions", "/v1/programs/p/tools"}) {
