--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST_SUITE(gateway_test);
     CPPUNIT_TEST(malformed_request_gets_code_malformed);
     CPPUNIT_TEST(arbitrary_body_is_parsed_or_rejected);
-    CPPUNIT_TEST(identity_decides_the_program);
+    CPPUNIT_TEST(program_identifier_depends_on_tenant_and_identity);
     CPPUNIT_TEST(without_an_owner_the_answer_is_final_at_once);
     CPPUNIT_TEST(a_lost_owner_leaves_the_outcome_unknown);
     CPPUNIT_TEST(a_reply_to_an_earlier_life_is_dropped);
@@ -64,7 +64,7 @@
         });
     }
 
-    void identity_decides_the_program() {
+    void program_identifier_depends_on_tenant_and_identity() {
         CPPUNIT_ASSERT_EQUAL(identifier_of_program("t", "i"), identifier_of_program("t", "i"));
         CPPUNIT_ASSERT(identifier_of_program("t", "i") != identifier_of_program("u", "i"));
         const program_id root = identifier_of_program("t", "i");
