--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(malformed_request_gets_code_malformed);
     CPPUNIT_TEST(arbitrary_body_is_parsed_or_rejected);
     CPPUNIT_TEST(program_identifier_depends_on_tenant_and_identity);
-    CPPUNIT_TEST(without_an_owner_the_answer_is_final_at_once);
+    CPPUNIT_TEST(request_without_an_owner_is_rejected_at_once);
     CPPUNIT_TEST(a_lost_owner_leaves_the_outcome_unknown);
     CPPUNIT_TEST(a_reply_to_an_earlier_life_is_dropped);
     CPPUNIT_TEST(pieces_are_passed_on_once);
@@ -120,7 +120,7 @@
         return 0;
     }
 
-    void without_an_owner_the_answer_is_final_at_once() {
+    void request_without_an_owner_is_rejected_at_once() {
         gateway_core core = made();
         core.submit(1, call(), instant(std::chrono::seconds(1)));
         const auto answers = core.take_output().answers;
