--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -18,7 +18,7 @@
     CPPUNIT_TEST(arbitrary_body_is_parsed_or_rejected);
     CPPUNIT_TEST(program_identifier_depends_on_tenant_and_identity);
     CPPUNIT_TEST(request_without_an_owner_is_rejected_at_once);
-    CPPUNIT_TEST(a_lost_owner_leaves_the_outcome_unknown);
+    CPPUNIT_TEST(lost_owner_leaves_the_outcome_unknown);
     CPPUNIT_TEST(a_reply_to_an_earlier_life_is_dropped);
     CPPUNIT_TEST(pieces_are_passed_on_once);
     CPPUNIT_TEST(a_stopping_gateway_refuses_and_finishes);
@@ -129,7 +129,7 @@
         CPPUNIT_ASSERT(answers[0].result.retry_after_ms > 0);
     }
 
-    void a_lost_owner_leaves_the_outcome_unknown() {
+    void lost_owner_leaves_the_outcome_unknown() {
         const instant now(std::chrono::seconds(1));
         gateway_core core = made();
         connect(core, now);
