--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -19,7 +19,7 @@
     CPPUNIT_TEST(program_identifier_depends_on_tenant_and_identity);
     CPPUNIT_TEST(request_without_an_owner_is_rejected_at_once);
     CPPUNIT_TEST(lost_owner_leaves_the_outcome_unknown);
-    CPPUNIT_TEST(a_reply_to_an_earlier_life_is_dropped);
+    CPPUNIT_TEST(reply_to_a_previous_run_is_dropped);
     CPPUNIT_TEST(pieces_are_passed_on_once);
     CPPUNIT_TEST(a_stopping_gateway_refuses_and_finishes);
     CPPUNIT_TEST_SUITE_END();
@@ -147,7 +147,7 @@
         CPPUNIT_ASSERT(output.answers[0].result.ran == ran_state::unknown);
     }
 
-    void a_reply_to_an_earlier_life_is_dropped() {
+    void reply_to_a_previous_run_is_dropped() {
         // Without random correlations, a late reply to a request before a restart would answer
         // another request after it.
         const instant now(std::chrono::seconds(1));
