--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST(request_without_an_owner_is_rejected_at_once);
     CPPUNIT_TEST(lost_owner_leaves_the_outcome_unknown);
     CPPUNIT_TEST(reply_to_a_previous_run_is_dropped);
-    CPPUNIT_TEST(pieces_are_passed_on_once);
+    CPPUNIT_TEST(pieces_are_relayed_once);
     CPPUNIT_TEST(a_stopping_gateway_refuses_and_finishes);
     CPPUNIT_TEST_SUITE_END();
 
@@ -163,7 +163,7 @@
         CPPUNIT_ASSERT(second.take_output().answers.empty());
     }
 
-    void pieces_are_passed_on_once() {
+    void pieces_are_relayed_once() {
         const instant now(std::chrono::seconds(1));
         gateway_core core = made();
         connect(core, now);
