--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -21,7 +21,7 @@
     CPPUNIT_TEST(lost_owner_leaves_the_outcome_unknown);
     CPPUNIT_TEST(reply_to_a_previous_run_is_dropped);
     CPPUNIT_TEST(pieces_are_relayed_once);
-    CPPUNIT_TEST(a_stopping_gateway_refuses_and_finishes);
+    CPPUNIT_TEST(draining_gateway_rejects_new_and_finishes_pending_requests);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::uint32_t shard_count = 4;
@@ -186,7 +186,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, output.answers.size());
     }
 
-    void a_stopping_gateway_refuses_and_finishes() {
+    void draining_gateway_rejects_new_and_finishes_pending_requests() {
         const instant now(std::chrono::seconds(1));
         gateway_core core = made();
         connect(core, now);
