--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -71,7 +71,7 @@
         CPPUNIT_ASSERT_EQUAL(root, journal::root_of_identifier(identifier_of_child(root, "c")));
     }
 
-    static gateway_core made(std::uint64_t seed = 1) {
+    static gateway_core make_gateway(std::uint64_t seed = 1) {
         gateway_settings settings;
         settings.node = "gateway-1";
         settings.control_nodes = {"control-1"};
@@ -121,7 +121,7 @@
     }
 
     void request_without_an_owner_is_rejected_at_once() {
-        gateway_core core = made();
+        gateway_core core = make_gateway();
         core.submit(1, call(), instant(std::chrono::seconds(1)));
         const auto answers = core.take_output().answers;
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, answers.size());
@@ -131,7 +131,7 @@
 
     void lost_owner_leaves_the_outcome_unknown() {
         const instant now(std::chrono::seconds(1));
-        gateway_core core = made();
+        gateway_core core = make_gateway();
         connect(core, now);
         core.submit(1, call(), now);
         (void)forwarded(core);
@@ -151,11 +151,11 @@
         // Without random correlations, a late reply to a request before a restart would answer
         // another request after it.
         const instant now(std::chrono::seconds(1));
-        gateway_core first = made(1);
+        gateway_core first = make_gateway(1);
         connect(first, now);
         first.submit(1, call(), now);
         const protocol::correlation_id old = forwarded(first);
-        gateway_core second = made(2);
+        gateway_core second = make_gateway(2);
         connect(second, now);
         second.submit(1, call(), now);
         (void)forwarded(second);
@@ -165,7 +165,7 @@
 
     void pieces_are_relayed_once() {
         const instant now(std::chrono::seconds(1));
-        gateway_core core = made();
+        gateway_core core = make_gateway();
         connect(core, now);
         core.submit(1, call(), now);
         const protocol::correlation_id correlation = forwarded(core);
@@ -188,7 +188,7 @@
 
     void draining_gateway_rejects_new_and_finishes_pending_requests() {
         const instant now(std::chrono::seconds(1));
-        gateway_core core = made();
+        gateway_core core = make_gateway();
         connect(core, now);
         core.submit(1, call(), now);
         const protocol::correlation_id correlation = forwarded(core);
