--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -110,7 +110,7 @@
         return made;
     }
 
-    static protocol::correlation_id forwarded(gateway_core& core) {
+    static protocol::correlation_id forwarded_correlation(gateway_core& core) {
         for (const auto& message : core.take_output().messages) {
             if (const auto* sent = std::get_if<protocol::scheduler_request>(&message.message)) {
                 return sent->correlation;
@@ -134,7 +134,7 @@
         gateway_core core = make_gateway();
         connect(core, now);
         core.submit(1, call(), now);
-        (void)forwarded(core);
+        (void)forwarded_correlation(core);
         core.peer_lost("scheduler-1", now);
         gateway_output output;
         for (int second = 1; second < 30 && output.answers.empty(); ++second) {
@@ -154,11 +154,11 @@
         gateway_core first = make_gateway(1);
         connect(first, now);
         first.submit(1, call(), now);
-        const protocol::correlation_id old = forwarded(first);
+        const protocol::correlation_id old = forwarded_correlation(first);
         gateway_core second = make_gateway(2);
         connect(second, now);
         second.submit(1, call(), now);
-        (void)forwarded(second);
+        (void)forwarded_correlation(second);
         second.receive("scheduler-1", protocol::scheduler_reply{old, {}}, now);
         CPPUNIT_ASSERT(second.take_output().answers.empty());
     }
@@ -168,7 +168,7 @@
         gateway_core core = make_gateway();
         connect(core, now);
         core.submit(1, call(), now);
-        const protocol::correlation_id correlation = forwarded(core);
+        const protocol::correlation_id correlation = forwarded_correlation(core);
         core.receive("s", protocol::answer_pieces{correlation, 0, {"a", "b"}}, now);
         core.receive("s", protocol::answer_pieces{correlation, 1, {"b", "c"}}, now);
         core.receive("s", protocol::answer_pieces{correlation, 0, {"a"}}, now);
@@ -191,7 +191,7 @@
         gateway_core core = make_gateway();
         connect(core, now);
         core.submit(1, call(), now);
-        const protocol::correlation_id correlation = forwarded(core);
+        const protocol::correlation_id correlation = forwarded_correlation(core);
         core.drain();
         CPPUNIT_ASSERT(!core.drained());
         core.submit(2, call(), now);
