--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -21,8 +21,8 @@
     CPPUNIT_TEST(initial_membership_is_parsed);
     CPPUNIT_TEST_SUITE_END();
 
-    static change_command weight(const std::string& identity, std::uint64_t expected,
-                                 double value) {
+    static change_command weight_change(const std::string& identity, std::uint64_t expected,
+                                        double value) {
         change_command command;
         command.command_identity = identity;
         command.key = {item_kind::tenant, "t"};
@@ -37,8 +37,8 @@
 
     void concurrent_change_gets_a_version_conflict() {
         configuration_state_machine machine;
-        CPPUNIT_ASSERT(apply(machine, weight("a", 0, 2)).status == change_status::accepted);
-        const change_result loser = apply(machine, weight("b", 0, 3));
+        CPPUNIT_ASSERT(apply(machine, weight_change("a", 0, 2)).status == change_status::accepted);
+        const change_result loser = apply(machine, weight_change("b", 0, 3));
         CPPUNIT_ASSERT(loser.status == change_status::version_conflict);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, loser.item_version);
         CPPUNIT_ASSERT_EQUAL(2.0, machine.view().tenant("t")->weight);
@@ -46,11 +46,11 @@
 
     void resend_after_restore_gets_the_first_result() {
         configuration_state_machine machine;
-        const change_result first = apply(machine, weight("a", 0, 2));
-        CPPUNIT_ASSERT(apply(machine, weight("b", 1, 3)).status == change_status::accepted);
+        const change_result first = apply(machine, weight_change("a", 0, 2));
+        CPPUNIT_ASSERT(apply(machine, weight_change("b", 1, 3)).status == change_status::accepted);
         configuration_state_machine restored;
         restored.restore(machine.save());
-        CPPUNIT_ASSERT(apply(restored, weight("a", 0, 2)) == first);
+        CPPUNIT_ASSERT(apply(restored, weight_change("a", 0, 2)) == first);
         CPPUNIT_ASSERT_EQUAL(3.0, restored.view().tenant("t")->weight);
     }
 
@@ -60,7 +60,7 @@
             std::vector<configuration_view> copies{machine.view()};
             const int changes = *rc::gen::inRange(1, 20);
             for (int index = 0; index < changes; ++index) {
-                change_command change = weight("c" + std::to_string(index), 0, index + 1.0);
+                change_command change = weight_change("c" + std::to_string(index), 0, index + 1.0);
                 change.key.name = *rc::gen::element<std::string>("x", "y", "z");
                 const auto known = machine.view().items().find(change.key);
                 change.expected_version =
@@ -79,9 +79,9 @@
 
     void stale_delta_does_not_revert_a_copy() {
         configuration_state_machine machine;
-        (void)apply(machine, weight("a", 0, 2));
+        (void)apply(machine, weight_change("a", 0, 2));
         const configuration_delta old = machine.view().since(0);
-        (void)apply(machine, weight("b", 1, 3));
+        (void)apply(machine, weight_change("b", 1, 3));
         configuration_view copy = machine.view();
         CPPUNIT_ASSERT(!copy.advance(old) || copy.version() == machine.view().version());
         CPPUNIT_ASSERT_EQUAL(3.0, copy.tenant("t")->weight);
@@ -98,7 +98,7 @@
         CPPUNIT_ASSERT(again->body == command.body);
         CPPUNIT_ASSERT(again->key == command.key);
         configuration_state_machine machine;
-        (void)apply(machine, weight("a", 0, 2));
+        (void)apply(machine, weight_change("a", 0, 2));
         const auto view = parse_view(render_view(machine.view()));
         CPPUNIT_ASSERT(view.has_value());
         CPPUNIT_ASSERT(view->items() == machine.view().items());
