--- a/tests/program_api/control/lease_assigner_test.cpp
+++ b/tests/program_api/control/lease_assigner_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(draining_holder_is_asked_to_hand_over);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::map<node_name, live_scheduler> live(std::size_t count) {
+    static std::map<node_name, live_scheduler> live_schedulers(std::size_t count) {
         std::map<node_name, live_scheduler> made;
         for (std::size_t number = 1; number <= count; ++number) {
             made["scheduler-" + std::to_string(number)] = {"ip", false};
@@ -25,8 +25,8 @@
         std::size_t moved = 0;
         constexpr shard_id shards = 1000;
         for (shard_id shard = 0; shard < shards; ++shard) {
-            const node_name before = lease_assigner::preferred_holder(shard, live(4));
-            const node_name after = lease_assigner::preferred_holder(shard, live(5));
+            const node_name before = lease_assigner::preferred_holder(shard, live_schedulers(4));
+            const node_name after = lease_assigner::preferred_holder(shard, live_schedulers(5));
             if (before != after) {
                 CPPUNIT_ASSERT_EQUAL(node_name("scheduler-5"), after);
                 ++moved;
@@ -41,16 +41,16 @@
         const instant now(std::chrono::seconds(10));
         assigner.start_grace(now);
         const std::map<shard_id, journal::shard_lease> shards{{0, {3, "gone"}}};
-        CPPUNIT_ASSERT(
-            assigner.decide(shards, live(2), now - std::chrono::seconds(1)).assignments.empty());
-        const auto plan = assigner.decide(shards, live(2), now);
+        CPPUNIT_ASSERT(assigner.decide(shards, live_schedulers(2), now - std::chrono::seconds(1))
+                           .assignments.empty());
+        const auto plan = assigner.decide(shards, live_schedulers(2), now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, plan.assignments.size());
         CPPUNIT_ASSERT_EQUAL(lease_epoch{3}, plan.assignments[0].expected_epoch);
     }
 
     void draining_holder_is_asked_to_hand_over() {
         lease_assigner assigner;
-        auto schedulers = live(2);
+        auto schedulers = live_schedulers(2);
         schedulers["scheduler-1"].draining = true;
         const std::map<shard_id, journal::shard_lease> shards{{0, {3, "scheduler-1"}}};
         const auto plan = assigner.decide(shards, schedulers, instant(std::chrono::seconds(10)));
