--- a/tests/program_api/process/settings_test.cpp
+++ b/tests/program_api/process/settings_test.cpp
@@ -12,7 +12,7 @@
 
 class settings_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(settings_test);
-    CPPUNIT_TEST(a_whole_file_is_read);
+    CPPUNIT_TEST(complete_file_is_read);
     CPPUNIT_TEST(every_problem_is_named_with_file_and_key);
     CPPUNIT_TEST(any_bytes_are_read_or_refused);
     CPPUNIT_TEST(every_key_is_documented);
@@ -22,7 +22,7 @@
         "node = \"gateway-1\"\nhttp_listen = \"127.0.0.1:8080\"\nkey_file = \"k\"\n"
         "[control]\ncontrol-1 = \"127.0.0.1:7100\"\n";
 
-    void a_whole_file_is_read() {
+    void complete_file_is_read() {
         const auto read = read_gateway(file_.write(whole));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("gateway-1"), read->core.node);
