--- a/tests/program_api/process/settings_test.cpp
+++ b/tests/program_api/process/settings_test.cpp
@@ -13,7 +13,7 @@
 class settings_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(settings_test);
     CPPUNIT_TEST(complete_file_is_read);
-    CPPUNIT_TEST(every_problem_is_named_with_file_and_key);
+    CPPUNIT_TEST(problems_of_a_process_file_are_reported_with_file_and_key);
     CPPUNIT_TEST(any_bytes_are_read_or_refused);
     CPPUNIT_TEST(every_key_is_documented);
     CPPUNIT_TEST_SUITE_END();
@@ -29,7 +29,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->control.size());
     }
 
-    void every_problem_is_named_with_file_and_key() {
+    void problems_of_a_process_file_are_reported_with_file_and_key() {
         const auto read = read_gateway(file_.write(
             "node = 7\nhttp_listen = \"localhost:80\"\nrequest_limit = 0\nspeed = 1\n"));
         CPPUNIT_ASSERT(!read.has_value());
