--- a/tests/program_api/process/settings_test.cpp
+++ b/tests/program_api/process/settings_test.cpp
@@ -14,7 +14,7 @@
     CPPUNIT_TEST_SUITE(settings_test);
     CPPUNIT_TEST(complete_file_is_read);
     CPPUNIT_TEST(problems_of_a_process_file_are_reported_with_file_and_key);
-    CPPUNIT_TEST(any_bytes_are_read_or_refused);
+    CPPUNIT_TEST(arbitrary_process_file_is_read_or_rejected);
     CPPUNIT_TEST(every_key_is_documented);
     CPPUNIT_TEST_SUITE_END();
 
@@ -45,7 +45,7 @@
         }
     }
 
-    void any_bytes_are_read_or_refused() {
+    void arbitrary_process_file_is_read_or_rejected() {
         check_property("no file crashes a reader", [this] {
             const std::string text = *any_bytes() + "\nnode = \"x\"\n" + *any_bytes();
             const auto read = read_scheduler(file_.write(text));
