--- a/tests/program_api/process/settings_test.cpp
+++ b/tests/program_api/process/settings_test.cpp
@@ -18,12 +18,12 @@
     CPPUNIT_TEST(every_key_is_documented);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr const char* whole =
+    static constexpr const char* complete_settings =
         "node = \"gateway-1\"\nhttp_listen = \"127.0.0.1:8080\"\nkey_file = \"k\"\n"
         "[control]\ncontrol-1 = \"127.0.0.1:7100\"\n";
 
     void complete_file_is_read() {
-        const auto read = read_gateway(file_.write(whole));
+        const auto read = read_gateway(file_.write(complete_settings));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("gateway-1"), read->core.node);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->control.size());
