--- a/tests/program_api/transport/keys_test.cpp
+++ b/tests/program_api/transport/keys_test.cpp
@@ -13,7 +13,7 @@
 
 class keys_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(keys_test);
-    CPPUNIT_TEST(every_key_of_the_file_is_accepted);
+    CPPUNIT_TEST(every_key_in_the_file_is_accepted);
     CPPUNIT_TEST(a_removed_key_is_refused);
     CPPUNIT_TEST(a_request_proves_its_operator);
     CPPUNIT_TEST(a_changed_or_old_request_is_refused);
@@ -37,7 +37,7 @@
                                                     std::chrono::seconds(age_seconds));
     }
 
-    void every_key_of_the_file_is_accepted() {
+    void every_key_in_the_file_is_accepted() {
         write(std::string(new_key) + "\n" + old_key + "\n", 5);
         cluster_keys keys(path_.string());
         CPPUNIT_ASSERT(keys.verify("text", keyed_hash(old_key, "text")));
