--- a/tests/program_api/transport/keys_test.cpp
+++ b/tests/program_api/transport/keys_test.cpp
@@ -14,7 +14,7 @@
 class keys_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(keys_test);
     CPPUNIT_TEST(every_key_in_the_file_is_accepted);
-    CPPUNIT_TEST(a_removed_key_is_refused);
+    CPPUNIT_TEST(removed_key_is_rejected);
     CPPUNIT_TEST(a_request_proves_its_operator);
     CPPUNIT_TEST(a_changed_or_old_request_is_refused);
     CPPUNIT_TEST_SUITE_END();
@@ -46,7 +46,7 @@
         CPPUNIT_ASSERT(keys.prove("text").value() == keyed_hash(new_key, "text"));
     }
 
-    void a_removed_key_is_refused() {
+    void removed_key_is_rejected() {
         write(std::string(new_key) + "\n" + old_key + "\n", 5);
         cluster_keys keys(path_.string());
         CPPUNIT_ASSERT(keys.verify("text", keyed_hash(old_key, "text")));
