--- a/tests/program_api/transport/keys_test.cpp
+++ b/tests/program_api/transport/keys_test.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST_SUITE(keys_test);
     CPPUNIT_TEST(every_key_in_the_file_is_accepted);
     CPPUNIT_TEST(removed_key_is_rejected);
-    CPPUNIT_TEST(a_request_proves_its_operator);
+    CPPUNIT_TEST(signed_request_authenticates_its_operator);
     CPPUNIT_TEST(a_changed_or_old_request_is_refused);
     CPPUNIT_TEST_SUITE_END();
 
@@ -60,7 +60,7 @@
         return made;
     }
 
-    void a_request_proves_its_operator() {
+    void signed_request_authenticates_its_operator() {
         write(std::string("ops editor ") + new_key + "\nwatch viewer " + old_key + "\n", 1);
         const operator_keys keys(path_.string());
         CPPUNIT_ASSERT(keys.check(request(new_key), 1010).value() == operator_role::editor);
