--- a/tests/program_api/transport/keys_test.cpp
+++ b/tests/program_api/transport/keys_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(every_key_in_the_file_is_accepted);
     CPPUNIT_TEST(removed_key_is_rejected);
     CPPUNIT_TEST(signed_request_authenticates_its_operator);
-    CPPUNIT_TEST(a_changed_or_old_request_is_refused);
+    CPPUNIT_TEST(modified_or_expired_request_is_rejected);
     CPPUNIT_TEST_SUITE_END();
 
   public:
@@ -68,7 +68,7 @@
         CPPUNIT_ASSERT(!keys.check(request(""), 1010).has_value());
     }
 
-    void a_changed_or_old_request_is_refused() {
+    void modified_or_expired_request_is_rejected() {
         write(std::string("ops editor ") + new_key + "\n", 1);
         const operator_keys keys(path_.string());
         signed_request changed = request(new_key);
