--- a/tests/program_api/transport/peer_handshake_test.cpp
+++ b/tests/program_api/transport/peer_handshake_test.cpp
@@ -10,7 +10,7 @@
 class peer_handshake_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(peer_handshake_test);
     CPPUNIT_TEST(both_sides_become_ready);
-    CPPUNIT_TEST(another_key_is_refused_by_the_dialling_side);
+    CPPUNIT_TEST(wrong_key_is_rejected_by_the_dialling_side);
     CPPUNIT_TEST(another_node_at_the_address_is_refused);
     CPPUNIT_TEST(a_proof_of_an_earlier_connection_is_refused);
     CPPUNIT_TEST(any_bytes_are_refused);
@@ -34,7 +34,7 @@
         CPPUNIT_ASSERT(ended.ready && !ended.send.has_value());
     }
 
-    void another_key_is_refused_by_the_dialling_side() {
+    void wrong_key_is_rejected_by_the_dialling_side() {
         peer_handshake dialling(keys_, "a", "b");
         peer_handshake accepting(other_keys_, "b", {});
         const auto answered = accepting.receive(*dialling.begin());
