--- a/tests/program_api/transport/peer_handshake_test.cpp
+++ b/tests/program_api/transport/peer_handshake_test.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST_SUITE(peer_handshake_test);
     CPPUNIT_TEST(both_sides_become_ready);
     CPPUNIT_TEST(wrong_key_is_rejected_by_the_dialling_side);
-    CPPUNIT_TEST(another_node_at_the_address_is_refused);
+    CPPUNIT_TEST(unexpected_node_is_rejected);
     CPPUNIT_TEST(a_proof_of_an_earlier_connection_is_refused);
     CPPUNIT_TEST(any_bytes_are_refused);
     CPPUNIT_TEST_SUITE_END();
@@ -43,7 +43,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("wrong key"), refused.refusal);
     }
 
-    void another_node_at_the_address_is_refused() {
+    void unexpected_node_is_rejected() {
         peer_handshake dialling(keys_, "a", "b");
         peer_handshake accepting(keys_, "c", {});
         const auto answered = accepting.receive(*dialling.begin());
