--- a/tests/program_api/transport/peer_handshake_test.cpp
+++ b/tests/program_api/transport/peer_handshake_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(both_sides_become_ready);
     CPPUNIT_TEST(wrong_key_is_rejected_by_the_dialling_side);
     CPPUNIT_TEST(unexpected_node_is_rejected);
-    CPPUNIT_TEST(a_proof_of_an_earlier_connection_is_refused);
+    CPPUNIT_TEST(replayed_proof_is_rejected);
     CPPUNIT_TEST(any_bytes_are_refused);
     CPPUNIT_TEST_SUITE_END();
 
@@ -50,7 +50,7 @@
         CPPUNIT_ASSERT(!dialling.receive(*answered.send).refusal.empty());
     }
 
-    void a_proof_of_an_earlier_connection_is_refused() {
+    void replayed_proof_is_rejected() {
         peer_handshake dialling(keys_, "a", "b");
         peer_handshake accepting(keys_, "b", {});
         const std::string hello_message = *dialling.begin();
