--- a/tests/program_api/transport/transport_test.cpp
+++ b/tests/program_api/transport/transport_test.cpp
@@ -67,7 +67,7 @@
 
 class transport_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(transport_test);
-    CPPUNIT_TEST(messages_arrive_both_ways);
+    CPPUNIT_TEST(messages_are_delivered_in_both_directions);
     CPPUNIT_TEST(a_wrong_key_gets_nothing);
     CPPUNIT_TEST(a_message_without_a_connection_is_told_as_lost);
     CPPUNIT_TEST_SUITE_END();
@@ -89,7 +89,7 @@
     }
     std::string key(const char* name) const { return (folder_ / name).string(); }
 
-    void messages_arrive_both_ways() {
+    void messages_are_delivered_in_both_directions() {
         transport_end left("left", address, key("right"));
         transport_end right("right", "", key("right"));
         right.link().dial("left", address);
