--- a/tests/program_api/transport/transport_test.cpp
+++ b/tests/program_api/transport/transport_test.cpp
@@ -68,7 +68,7 @@
 class transport_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(transport_test);
     CPPUNIT_TEST(messages_are_delivered_in_both_directions);
-    CPPUNIT_TEST(a_wrong_key_gets_nothing);
+    CPPUNIT_TEST(peer_with_a_wrong_key_is_rejected);
     CPPUNIT_TEST(a_message_without_a_connection_is_told_as_lost);
     CPPUNIT_TEST_SUITE_END();
 
@@ -101,7 +101,7 @@
         CPPUNIT_ASSERT(right.wait_for("message from left", 1));
     }
 
-    void a_wrong_key_gets_nothing() {
+    void peer_with_a_wrong_key_is_rejected() {
         transport_end left("left", address, key("right"));
         transport_end right("right", "", key("wrong"));
         right.link().dial("left", address);
