--- a/tests/program_api/transport/transport_test.cpp
+++ b/tests/program_api/transport/transport_test.cpp
@@ -69,7 +69,7 @@
     CPPUNIT_TEST_SUITE(transport_test);
     CPPUNIT_TEST(messages_are_delivered_in_both_directions);
     CPPUNIT_TEST(peer_with_a_wrong_key_is_rejected);
-    CPPUNIT_TEST(a_message_without_a_connection_is_told_as_lost);
+    CPPUNIT_TEST(message_without_a_connection_is_reported_as_lost);
     CPPUNIT_TEST_SUITE_END();
 
   public:
@@ -113,7 +113,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, left.count("event 1101"));
     }
 
-    void a_message_without_a_connection_is_told_as_lost() {
+    void message_without_a_connection_is_reported_as_lost() {
         transport_end right("right", "", key("right"));
         right.link().send(message_to("nobody"));
         CPPUNIT_ASSERT(right.wait_for("lost nobody", 1));
