--- a/tests/program_api/transport/transport_test.cpp
+++ b/tests/program_api/transport/transport_test.cpp
@@ -41,19 +41,19 @@
     transport_handlers handlers() {
         transport_handlers made;
         made.on_message = [this](const node_name& from, protocol::internal_message&) {
-            note("message from " + from);
+            count_event("message from " + from);
             return true;
         };
         made.on_lost = [this](const node_name& node) {
-            note("lost " + node);
+            count_event("lost " + node);
             return true;
         };
         made.on_event = [this](const logging::event_record& record) {
-            note("event " + std::to_string(static_cast<int>(record.id)));
+            count_event("event " + std::to_string(static_cast<int>(record.id)));
         };
         return made;
     }
-    void note(const std::string& what) {
+    void count_event(const std::string& what) {
         const std::lock_guard lock(mutex_);
         ++seen_[what];
         changed_.notify_all();
