--- a/tests/program_api/transport/transport_test.cpp
+++ b/tests/program_api/transport/transport_test.cpp
@@ -30,11 +30,11 @@
     bool wait_for(const std::string& what, std::size_t count) {
         std::unique_lock lock(mutex_);
         return changed_.wait_for(lock, std::chrono::seconds(20),
-                                 [&] { return seen_[what] >= count; });
+                                 [&] { return counts_[what] >= count; });
     }
     std::size_t count(const std::string& what) {
         const std::lock_guard lock(mutex_);
-        return seen_[what];
+        return counts_[what];
     }
 
   private:
@@ -55,13 +55,13 @@
     }
     void count_event(const std::string& what) {
         const std::lock_guard lock(mutex_);
-        ++seen_[what];
+        ++counts_[what];
         changed_.notify_all();
     }
 
     std::mutex mutex_;
     std::condition_variable changed_;
-    std::map<std::string, std::size_t> seen_;
+    std::map<std::string, std::size_t> counts_;
     transport transport_;
 };
 
