--- a/src/tallyfold/program_api/configuration/json_codec.cpp
+++ b/src/tallyfold/program_api/configuration/json_codec.cpp
@@ -161,7 +161,7 @@
 }
 
 template <class Read>
-auto guarded(const std::string& text, Read read) -> json_result<decltype(read(json{}))> {
+auto parse_json(const std::string& text, Read read) -> json_result<decltype(read(json{}))> {
     try {
         return read(json::parse(text));
     } catch (const json::exception& failure) {
@@ -197,7 +197,7 @@
 }
 
 json_result<configuration_view> parse_view(const std::string& text) {
-    return guarded(text, [](const json& parsed) {
+    return parse_json(text, [](const json& parsed) {
         configuration_delta all;
         all.version = parsed.at("version").get<configuration_version>();
         for (const json& entry : parsed.at("items")) {
@@ -225,7 +225,7 @@
 }
 
 json_result<change_command> parse_change(const std::string& text) {
-    return guarded(text, [](const json& parsed) {
+    return parse_json(text, [](const json& parsed) {
         change_command command;
         command.command_identity = parsed.at("command_identity").get<std::string>();
         command.key = {kind_field(parsed), parsed.at("name").get<std::string>()};
@@ -244,7 +244,7 @@
 }
 
 json_result<change_result> parse_result(const std::string& text) {
-    return guarded(text, [](const json& parsed) {
+    return parse_json(text, [](const json& parsed) {
         change_result result;
         const auto status = parsed.at("status").get<std::string>();
         for (const change_status each :
