--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -98,18 +98,18 @@
             return;
         }
         if (reads && path == "/") {
-            pass_on(std::move(exchange), local_query::status_page);
+            enqueue(std::move(exchange), local_query::status_page);
         } else if (reads && path == "/v1/status") {
             if (authorize(*exchange, operator_role::viewer)) {
-                pass_on(std::move(exchange), local_query::status_json);
+                enqueue(std::move(exchange), local_query::status_json);
             }
         } else if (reads && path == "/v1/cluster") {
             if (authorize(*exchange, operator_role::viewer)) {
-                pass_on(std::move(exchange), local_query::identity);
+                enqueue(std::move(exchange), local_query::identity);
             }
         } else if (reads && path == "/v1/configuration") {
             if (authorize(*exchange, operator_role::viewer)) {
-                pass_on(std::move(exchange), admin_request(admin_read{}));
+                enqueue(std::move(exchange), admin_request(admin_read{}));
             }
         } else if (!reads && path == "/v1/changes") {
             on_change(std::move(exchange));
@@ -152,7 +152,7 @@
             respond_error(*exchange, 400, "invalid", change.error().reason);
             return;
         }
-        pass_on(std::move(exchange), admin_request(std::move(*change)));
+        enqueue(std::move(exchange), admin_request(std::move(*change)));
     }
 
     void on_initialise(net::exchange_pointer exchange) {
@@ -164,11 +164,11 @@
             respond_error(*exchange, 400, "invalid", members.error().reason);
             return;
         }
-        pass_on(std::move(exchange), std::move(*members));
+        enqueue(std::move(exchange), std::move(*members));
     }
 
     template <class Request>
-    void pass_on(net::exchange_pointer exchange, Request request) {
+    void enqueue(net::exchange_pointer exchange, Request request) {
         admin_input input{std::move(exchange), std::move(request)};
         if (!admin_inputs_.try_push(input)) {
             respond_error(*input.exchange, 429, "overloaded", "too many requests are waiting",
