--- a/src/tallyfold/program_api/transport/transport.cpp
+++ b/src/tallyfold/program_api/transport/transport.cpp
@@ -60,7 +60,7 @@
     void event(event_id id, std::string fields) override {
         handlers_.on_event({id, std::move(fields)});
     }
-    void tell_lost(const node_name& node);
+    void report_lost(const node_name& node);
 
     transport_settings settings_;
     transport_handlers handlers_;
@@ -144,7 +144,7 @@
         if (connection == open_.end()) {
             // Reports the loss, so that requests that wait for a reply from the node are not left
             // pending.
-            tell_lost(outbound.to);
+            report_lost(outbound.to);
             continue;
         }
         const std::shared_ptr<peer_connection> target = connection->second;
@@ -152,7 +152,7 @@
     }
 }
 
-void transport::engine::tell_lost(const node_name& node) {
+void transport::engine::report_lost(const node_name& node) {
     if (!handlers_.on_lost(node)) {
         unreported_losses_.insert(node);
     }
@@ -231,7 +231,7 @@
             open_.erase(candidate);
             event(event_id::peer_lost,
                   "peer=" + connection->node() + " reason=\"" + connection->reason() + "\"");
-            tell_lost(connection->node());
+            report_lost(connection->node());
             return;
         }
     }
