--- a/tests/program_api/transport/peer_handshake_test.cpp
+++ b/tests/program_api/transport/peer_handshake_test.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST(wrong_key_is_rejected_by_the_dialling_side);
     CPPUNIT_TEST(unexpected_node_is_rejected);
     CPPUNIT_TEST(replayed_proof_is_rejected);
-    CPPUNIT_TEST(any_bytes_are_refused);
+    CPPUNIT_TEST(arbitrary_bytes_are_rejected);
     CPPUNIT_TEST_SUITE_END();
 
     const temporary_path file_{"handshake-keys"};
@@ -61,7 +61,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("wrong key"), again.receive(*proof).refusal);
     }
 
-    void any_bytes_are_refused() {
+    void arbitrary_bytes_are_rejected() {
         check_property("no bytes make either side ready", [this] {
             peer_handshake accepting(keys_, "b", {});
             const auto first = accepting.receive(*any_bytes());
