--- a/src/tallyfold/program_api/gateway/gateway_core.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.cpp
@@ -113,7 +113,7 @@
     forward(request, now);
 }
 
-void gateway_core::forget(request_token token) {
+void gateway_core::drop_request(request_token token) {
     const auto found = pending_.find(token);
     if (found == pending_.end()) {
         return;
@@ -157,7 +157,7 @@
                                   "the program's owner is gone and no other has taken over; "
                                   "repeat the request with the same identity",
                                   no_owner_retry_after_ms));
-    forget(request.token);
+    drop_request(request.token);
 }
 
 void gateway_core::receive(const node_name& from, const protocol::internal_message& message,
@@ -218,7 +218,7 @@
     }
     send_missing_text(*request, reply.result);
     answer(request->token, reply.result);
-    forget(request->token);
+    drop_request(request->token);
 }
 
 void gateway_core::send_missing_text(pending_request& request, const outcome& result) {
--- a/src/tallyfold/program_api/gateway/gateway_core.hpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.hpp
@@ -65,7 +65,7 @@
     /// forgotten.
     void submit(request_token token, protocol::scheduler_call call, instant now);
     /// Drops a request whose caller disconnected. The owner still finishes it.
-    void forget(request_token token);
+    void drop_request(request_token token);
     void receive(const node_name& from, const protocol::internal_message& message, instant now);
     /// Handles a lost connection to a node: requests forwarded to it may be lost.
     void peer_lost(const node_name& node, instant now);
