--- a/src/tallyfold/program_api/gateway/gateway_core.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.cpp
@@ -133,7 +133,7 @@
     by_correlation_[request.correlation] = request.token;
     request.owner = owner;
     request.forwarded = true;
-    request.searching = false;
+    request.searching_owner = false;
     if (auto* call = std::get_if<protocol::program_call>(&request.call)) {
         call->delivered = request.delivered;
     }
@@ -147,7 +147,7 @@
         request.search_started = now;
     }
     by_correlation_.erase(request.correlation);
-    request.searching = true;
+    request.searching_owner = true;
     request.next_try = now + owner_search_interval;
 }
 
@@ -179,7 +179,7 @@
 void gateway_core::on_leases_changed(instant now) {
     for (auto& [token, request] : pending_) {
         const node_name owner = owner_of(request.program);
-        const bool moved = !request.searching && !owner.empty() && owner != request.owner;
+        const bool moved = !request.searching_owner && !owner.empty() && owner != request.owner;
         if (moved) {
             // The old owner may have run the call; the new owner can tell from the journal.
             request.maybe_ran = true;
@@ -237,7 +237,7 @@
 
 void gateway_core::peer_lost(const node_name& node, instant now) {
     for (auto& [token, request] : pending_) {
-        if (request.owner == node && !request.searching) {
+        if (request.owner == node && !request.searching_owner) {
             request.maybe_ran = true;
             start_owner_search(request, now);
         }
@@ -250,7 +250,7 @@
     }
     std::vector<request_token> expired;
     for (auto& [token, request] : pending_) {
-        if (!request.searching) {
+        if (!request.searching_owner) {
             continue;
         }
         if (now - request.search_started > settings_.failover_limit) {
--- a/src/tallyfold/program_api/gateway/gateway_core.hpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.hpp
@@ -92,7 +92,7 @@
         bool forwarded = false;
         /// True when an owner was lost, or replaced, that may have run the request.
         bool maybe_ran = false;
-        bool searching = false;
+        bool searching_owner = false;
         std::vector<std::string> delivered;
         instant search_started{};
         instant next_try{};
