--- a/src/tallyfold/program_api/gateway/gateway_shell.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_shell.cpp
@@ -111,7 +111,7 @@
         net::drain_ring(http_inputs_, [&](http_input& input) {
             const request_token token = next_token_++;
             protocol::scheduler_call call = input.request.call;
-            open_[token] = {std::move(input.exchange), std::move(input.request), false};
+            open_exchanges_[token] = {std::move(input.exchange), std::move(input.request), false};
             core_.submit(token, std::move(call), now);
         });
         if (draining_ && !drain_started_) {
@@ -122,7 +122,7 @@
         dial_schedulers();
         emit(core_.take_output());
         ready_ = core_.ready(now);
-        drained_ = core_.drained() && open_.empty();
+        drained_ = core_.drained() && open_exchanges_.empty();
         publish(now);
     }
 
@@ -140,8 +140,8 @@
             transport_.send(std::move(message));
         }
         for (const client_pieces& added : output.pieces) {
-            const auto found = open_.find(added.token);
-            if (found == open_.end() || !found->second.request.stream) {
+            const auto found = open_exchanges_.find(added.token);
+            if (found == open_exchanges_.end() || !found->second.request.stream) {
                 continue;
             }
             start_stream(found->second);
@@ -168,8 +168,8 @@
     }
 
     void finish(const client_answer& answered) {
-        const auto found = open_.find(answered.token);
-        if (found == open_.end()) {
+        const auto found = open_exchanges_.find(answered.token);
+        if (found == open_exchanges_.end()) {
             return;
         }
         open_exchange& open = found->second;
@@ -186,7 +186,7 @@
         } else {
             respond(*open.exchange, open.request, answered.result);
         }
-        open_.erase(found);
+        open_exchanges_.erase(found);
     }
 
     void publish(instant now) {
@@ -217,7 +217,7 @@
     net::metrics_board metrics_;
     net::transport transport_;
     net::http_server server_;
-    std::map<request_token, open_exchange> open_;
+    std::map<request_token, open_exchange> open_exchanges_;
     std::map<node_name, std::string> dialled_;
     request_token next_token_ = 1;
     instant next_publish_{};
