--- a/src/tallyfold/program_api/gateway/gateway_shell.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_shell.cpp
@@ -128,8 +128,8 @@
 
     void dial_schedulers() {
         for (const auto& [node, address] : core_.session().schedulers()) {
-            if (dialled_[node] != address) {
-                dialled_[node] = address;
+            if (dialled_addresses_[node] != address) {
+                dialled_addresses_[node] = address;
                 transport_.dial(node, address);
             }
         }
@@ -218,7 +218,7 @@
     net::transport transport_;
     net::http_server server_;
     std::map<request_token, open_exchange> open_exchanges_;
-    std::map<node_name, std::string> dialled_;
+    std::map<node_name, std::string> dialled_addresses_;
     request_token next_token_ = 1;
     instant next_publish_{};
     bool drain_started_ = false;
