--- a/src/tallyfold/program_api/transport/transport.cpp
+++ b/src/tallyfold/program_api/transport/transport.cpp
@@ -73,7 +73,7 @@
     std::map<node_name, dialled_peer> peers_;
     std::set<std::shared_ptr<peer_connection>> connections_;
     /// Authenticated connections by node; a node may have two when both sides dial.
-    std::multimap<node_name, std::shared_ptr<peer_connection>> open_;
+    std::multimap<node_name, std::shared_ptr<peer_connection>> authenticated_;
     /// Lost nodes that the handler has not accepted yet.
     std::set<node_name> unreported_losses_;
     std::thread thread_;
@@ -140,8 +140,8 @@
 void transport::engine::drain_outgoing() {
     protocol::outbound_message outbound;
     while (outgoing_.try_pop(outbound)) {
-        const auto connection = open_.find(outbound.to);
-        if (connection == open_.end()) {
+        const auto connection = authenticated_.find(outbound.to);
+        if (connection == authenticated_.end()) {
             // Reports the loss, so that requests that wait for a reply from the node are not left
             // pending.
             report_lost(outbound.to);
@@ -219,16 +219,16 @@
 }
 
 void transport::engine::opened(const std::shared_ptr<peer_connection>& connection) {
-    open_.emplace(connection->node(), connection);
+    authenticated_.emplace(connection->node(), connection);
     event(event_id::peer_connected, "peer=" + connection->node());
 }
 
 void transport::engine::closed(const std::shared_ptr<peer_connection>& connection) {
     connections_.erase(connection);
-    const auto [begin, end] = open_.equal_range(connection->node());
+    const auto [begin, end] = authenticated_.equal_range(connection->node());
     for (auto candidate = begin; candidate != end; ++candidate) {
         if (candidate->second == connection) {
-            open_.erase(candidate);
+            authenticated_.erase(candidate);
             event(event_id::peer_lost,
                   "peer=" + connection->node() + " reason=\"" + connection->reason() + "\"");
             report_lost(connection->node());
