--- a/src/tallyfold/program_api/control/control_core.cpp
+++ b/src/tallyfold/program_api/control/control_core.cpp
@@ -180,10 +180,10 @@
     }
     last_tick_ = now;
     for (auto& [group, runtime] : groups_) {
-        const bool led = runtime.replica.role() == consensus::replica_role::leader;
+        const bool was_leader = runtime.replica.role() == consensus::replica_role::leader;
         runtime.replica.tick(now);
         const bool leads = runtime.replica.role() == consensus::replica_role::leader;
-        if (leads && !led) {
+        if (leads && !was_leader) {
             runtime.assigner.start_grace(now + settings_.scheduler_timeout);
         }
         drop_appends_if_not_leading(group, runtime);
