--- a/src/tallyfold/program_api/control/replica_output.cpp
+++ b/src/tallyfold/program_api/control/replica_output.cpp
@@ -183,13 +183,13 @@
     if (snapshot_pending) {
         return;
     }
-    consensus::snapshot own;
-    own.index = runtime.applied;
-    own.term = log.term_at(runtime.applied).value_or(0);
-    own.members = runtime.replica.members_at(runtime.applied);
-    own.state = save(group, runtime);
-    write.base = own;
-    mark.own_snapshot = std::move(own);
+    consensus::snapshot new_snapshot;
+    new_snapshot.index = runtime.applied;
+    new_snapshot.term = log.term_at(runtime.applied).value_or(0);
+    new_snapshot.members = runtime.replica.members_at(runtime.applied);
+    new_snapshot.state = save(group, runtime);
+    write.base = new_snapshot;
+    mark.own_snapshot = std::move(new_snapshot);
 }
 
 node_name control_core::node_of(const consensus::replica_message& message) const {
