--- a/src/tallyfold/program_api/cli/admin_client_shell.cpp
+++ b/src/tallyfold/program_api/cli/admin_client_shell.cpp
@@ -64,8 +64,8 @@
 }
 
 client_result<std::string> admin_client::get_any(const std::string& path) const {
-    client_result<std::string> last =
-        tl::unexpected(client_error{client_failure::unreachable, "no control node is given"});
+    client_result<std::string> last = tl::unexpected(
+        client_error{client_failure::unreachable, "no control node address was given"});
     for (const std::string& address : settings_.control) {
         last = request(address, "GET", path, {});
         if (last) {
@@ -78,8 +78,8 @@
 client_result<std::string> admin_client::request_from_leader(const std::string& method,
                                                              const std::string& path,
                                                              const std::string& body) const {
-    client_result<std::string> last =
-        tl::unexpected(client_error{client_failure::unreachable, "no control node is given"});
+    client_result<std::string> last = tl::unexpected(
+        client_error{client_failure::unreachable, "no control node address was given"});
     for (int round = 0; round < max_rounds; ++round) {
         for (const std::string& address : settings_.control) {
             last = request(address, method, path, body);
