--- a/src/tallyfold/program_api/gateway/gateway_core.hpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.hpp
@@ -61,8 +61,8 @@
   public:
     explicit gateway_core(gateway_settings settings);
 
-    /// Accepts a caller's request; every token gets exactly one client_answer unless it is
-    /// forgotten.
+    /// Accepts a caller's request. Every token gets exactly one client_answer, unless
+    /// drop_request() is called for it.
     void submit(request_token token, protocol::scheduler_call call, instant now);
     /// Drops a request whose caller disconnected. The owner still finishes it.
     void drop_request(request_token token);
