--- a/src/tallyfold/program_api/transport/cluster_keys.cpp
+++ b/src/tallyfold/program_api/transport/cluster_keys.cpp
@@ -68,7 +68,7 @@
         keys.push_back(line);
     }
     if (keys.empty()) {
-        return tl::unexpected(key_error{path_ + ": holds no key"});
+        return tl::unexpected(key_error{path_ + ": contains no key"});
     }
     keys_ = std::move(keys);
     loaded_file_time_ = changed;
--- a/src/tallyfold/program_api/transport/peer_connection_shell.cpp
+++ b/src/tallyfold/program_api/transport/peer_connection_shell.cpp
@@ -58,7 +58,7 @@
     if (backlog_bytes_ > max_backlog_bytes) {
         // The peer is too slow. Closing reports the loss to both sides; dropping the message would
         // not.
-        close("backlog");
+        close("send backlog too large");
         return;
     }
     backlog_.push_back(frame(payload));
@@ -69,7 +69,7 @@
 
 void peer_connection::check(std::chrono::steady_clock::time_point now) {
     if (now - last_received_ > silence_limit) {
-        close("silence");
+        close("silence limit exceeded");
         return;
     }
     if (ready_ && now - last_sent_ > ping_interval && backlog_.empty()) {
--- a/src/tallyfold/program_api/transport/peer_handshake.cpp
+++ b/src/tallyfold/program_api/transport/peer_handshake.cpp
@@ -84,7 +84,7 @@
 peer_handshake::progress peer_handshake::on_challenge(const std::string& payload) {
     const auto answer = protocol::decode<challenge>(payload);
     if (!answer || answer->nonce.size() != nonce_bytes || answer->node != peer_) {
-        return refuse("malformed challenge, or another node at this address");
+        return refuse("malformed challenge or unexpected node");
     }
     const std::string acceptor_text = proof_text("acceptor", self_, peer_, nonce_, answer->nonce);
     if (!keys_.verify(acceptor_text, answer->proof)) {
