--- a/src/tallyfold/program_api/cli/admin_client_shell.cpp
+++ b/src/tallyfold/program_api/cli/admin_client_shell.cpp
@@ -32,19 +32,20 @@
 client_result<std::string> admin_client::request(const std::string& address,
                                                  const std::string& method, const std::string& path,
                                                  const std::string& body) const {
-    net::signed_request proof;
-    proof.operator_name = settings_.operator_name;
-    proof.time = std::to_string(std::time(nullptr));
-    proof.method = method;
-    proof.path = path;
-    proof.body = body;
+    net::signed_request signed_fields;
+    signed_fields.operator_name = settings_.operator_name;
+    signed_fields.time = std::to_string(std::time(nullptr));
+    signed_fields.method = method;
+    signed_fields.path = path;
+    signed_fields.body = body;
     net::blocking_request request;
     request.method = method;
     request.url = "http://" + address + path;
     request.body = body;
-    request.headers = {{net::operator_header, proof.operator_name},
-                       {net::time_header, proof.time},
-                       {net::proof_header, net::prove_request(settings_.operator_key, proof)}};
+    request.headers = {
+        {net::operator_header, signed_fields.operator_name},
+        {net::time_header, signed_fields.time},
+        {net::proof_header, net::prove_request(settings_.operator_key, signed_fields)}};
     const net::blocking_reply reply = net::fetch(request);
     if (reply.status == 0) {
         return tl::unexpected(
