--- a/tests/program_api/transport/transport_test.cpp
+++ b/tests/program_api/transport/transport_test.cpp
@@ -15,15 +15,15 @@
 using namespace net;
 
 /// One end of a connection, which counts its messages, losses and events.
-class transport_end {
+class test_endpoint {
   public:
-    transport_end(const node_name& node, const std::string& listen, const std::string& keys)
+    test_endpoint(const node_name& node, const std::string& listen, const std::string& keys)
         : transport_({node, listen, keys}, handlers()) {
         CPPUNIT_ASSERT_EQUAL(std::string(), transport_.start());
     }
-    ~transport_end() { transport_.stop(); }
-    transport_end(const transport_end&) = delete;
-    transport_end& operator=(const transport_end&) = delete;
+    ~test_endpoint() { transport_.stop(); }
+    test_endpoint(const test_endpoint&) = delete;
+    test_endpoint& operator=(const test_endpoint&) = delete;
 
     transport& link() { return transport_; }
     /// Waits until `what` was counted `count` times; false after a time limit.
@@ -90,8 +90,8 @@
     std::string key(const char* name) const { return (folder_ / name).string(); }
 
     void messages_are_delivered_in_both_directions() {
-        transport_end left("left", address, key("right"));
-        transport_end right("right", "", key("right"));
+        test_endpoint left("left", address, key("right"));
+        test_endpoint right("right", "", key("right"));
         right.link().dial("left", address);
         CPPUNIT_ASSERT(right.wait_for("event 1101", 1));
         CPPUNIT_ASSERT(left.wait_for("event 1101", 1));
@@ -102,8 +102,8 @@
     }
 
     void peer_with_a_wrong_key_is_rejected() {
-        transport_end left("left", address, key("right"));
-        transport_end right("right", "", key("wrong"));
+        test_endpoint left("left", address, key("right"));
+        test_endpoint right("right", "", key("wrong"));
         right.link().dial("left", address);
         // One of the ends rejects the other's proof and logs an event.
         CPPUNIT_ASSERT(right.wait_for("event 1103", 1) || left.wait_for("event 1103", 1));
@@ -114,7 +114,7 @@
     }
 
     void message_without_a_connection_is_reported_as_lost() {
-        transport_end right("right", "", key("right"));
+        test_endpoint right("right", "", key("right"));
         right.link().send(message_to("nobody"));
         CPPUNIT_ASSERT(right.wait_for("lost nobody", 1));
     }
