--- a/tests/program_api/transport/transport_test.cpp
+++ b/tests/program_api/transport/transport_test.cpp
@@ -25,7 +25,7 @@
     test_endpoint(const test_endpoint&) = delete;
     test_endpoint& operator=(const test_endpoint&) = delete;
 
-    transport& link() { return transport_; }
+    transport& get_transport() { return transport_; }
     /// Waits until `what` was counted `count` times; false after a time limit.
     bool wait_for(const std::string& what, std::size_t count) {
         std::unique_lock lock(mutex_);
@@ -92,22 +92,22 @@
     void messages_are_delivered_in_both_directions() {
         test_endpoint left("left", address, key("right"));
         test_endpoint right("right", "", key("right"));
-        right.link().dial("left", address);
+        right.get_transport().dial("left", address);
         CPPUNIT_ASSERT(right.wait_for("event 1101", 1));
         CPPUNIT_ASSERT(left.wait_for("event 1101", 1));
-        right.link().send(message_to("left"));
+        right.get_transport().send(message_to("left"));
         CPPUNIT_ASSERT(left.wait_for("message from right", 1));
-        left.link().send(message_to("right"));
+        left.get_transport().send(message_to("right"));
         CPPUNIT_ASSERT(right.wait_for("message from left", 1));
     }
 
     void peer_with_a_wrong_key_is_rejected() {
         test_endpoint left("left", address, key("right"));
         test_endpoint right("right", "", key("wrong"));
-        right.link().dial("left", address);
+        right.get_transport().dial("left", address);
         // One of the ends rejects the other's proof and logs an event.
         CPPUNIT_ASSERT(right.wait_for("event 1103", 1) || left.wait_for("event 1103", 1));
-        right.link().send(message_to("left"));
+        right.get_transport().send(message_to("left"));
         CPPUNIT_ASSERT(right.wait_for("lost left", 1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, left.count("message from right"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, left.count("event 1101"));
@@ -115,7 +115,7 @@
 
     void message_without_a_connection_is_reported_as_lost() {
         test_endpoint right("right", "", key("right"));
-        right.link().send(message_to("nobody"));
+        right.get_transport().send(message_to("nobody"));
         CPPUNIT_ASSERT(right.wait_for("lost nobody", 1));
     }
 
