--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -38,9 +38,9 @@
     void concurrent_change_gets_a_version_conflict() {
         configuration_state_machine machine;
         CPPUNIT_ASSERT(apply(machine, weight_change("a", 0, 2)).status == change_status::accepted);
-        const change_result loser = apply(machine, weight_change("b", 0, 3));
-        CPPUNIT_ASSERT(loser.status == change_status::version_conflict);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, loser.item_version);
+        const change_result conflict = apply(machine, weight_change("b", 0, 3));
+        CPPUNIT_ASSERT(conflict.status == change_status::version_conflict);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, conflict.item_version);
         CPPUNIT_ASSERT_EQUAL(2.0, machine.view().tenant("t")->weight);
     }
 
