--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -93,10 +93,10 @@
         command.key = {item_kind::program_class, "licensing"};
         command.expected_version = 4;
         command.body = class_settings{10, 11, 12, 13, 14, 15, 16, 0.5, "p", "m"};
-        const auto again = parse_change(render_change(command));
-        CPPUNIT_ASSERT(again.has_value());
-        CPPUNIT_ASSERT(again->body == command.body);
-        CPPUNIT_ASSERT(again->key == command.key);
+        const auto round_trip = parse_change(render_change(command));
+        CPPUNIT_ASSERT(round_trip.has_value());
+        CPPUNIT_ASSERT(round_trip->body == command.body);
+        CPPUNIT_ASSERT(round_trip->key == command.key);
         configuration_state_machine machine;
         (void)apply(machine, weight_change("a", 0, 2));
         const auto view = parse_view(render_view(machine.view()));
