--- a/tests/program_api/transport/peer_handshake_test.cpp
+++ b/tests/program_api/transport/peer_handshake_test.cpp
@@ -56,9 +56,9 @@
         const std::string hello_message = *dialling.begin();
         const auto proof = dialling.receive(*accepting.receive(hello_message).send).send;
         // Replays the hello and the proof on another connection.
-        peer_handshake again(keys_, "b", {});
-        again.receive(hello_message);
-        CPPUNIT_ASSERT_EQUAL(std::string("wrong key"), again.receive(*proof).refusal);
+        peer_handshake second_accepting(keys_, "b", {});
+        second_accepting.receive(hello_message);
+        CPPUNIT_ASSERT_EQUAL(std::string("wrong key"), second_accepting.receive(*proof).refusal);
     }
 
     void arbitrary_bytes_are_rejected() {
