--- a/src/tallyfold/program_api/cli/admin_client_shell.cpp
+++ b/src/tallyfold/program_api/cli/admin_client_shell.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int rounds = 20;
+constexpr int max_rounds = 20;
 constexpr auto round_pause = std::chrono::milliseconds(250);
 constexpr int status_ok = 200;
 constexpr int status_bad = 400;
@@ -19,7 +19,7 @@
 constexpr int status_forbidden = 403;
 constexpr int status_conflict = 409;
 
-std::string message_of(const std::string& body) {
+std::string error_message(const std::string& body) {
     const auto parsed = nlohmann::json::parse(body, nullptr, false);
     if (parsed.is_object() && parsed.contains("error")) {
         return parsed.at("error").value("message", body);
@@ -32,39 +32,41 @@
 client_result<std::string> admin_client::request(const std::string& address,
                                                  const std::string& method, const std::string& path,
                                                  const std::string& body) const {
-    net::signed_request proof;
-    proof.operator_name = settings_.operator_name;
-    proof.time = std::to_string(std::time(nullptr));
-    proof.method = method;
-    proof.path = path;
-    proof.body = body;
+    net::signed_request signed_fields;
+    signed_fields.operator_name = settings_.operator_name;
+    signed_fields.time = std::to_string(std::time(nullptr));
+    signed_fields.method = method;
+    signed_fields.path = path;
+    signed_fields.body = body;
     net::blocking_request request;
     request.method = method;
     request.url = "http://" + address + path;
     request.body = body;
-    request.headers = {{net::operator_header, proof.operator_name},
-                       {net::time_header, proof.time},
-                       {net::proof_header, net::prove_request(settings_.operator_key, proof)}};
+    request.headers = {
+        {net::operator_header, signed_fields.operator_name},
+        {net::time_header, signed_fields.time},
+        {net::proof_header, net::prove_request(settings_.operator_key, signed_fields)}};
     const net::blocking_reply reply = net::fetch(request);
     if (reply.status == 0) {
         return tl::unexpected(
             client_error{client_failure::unreachable, address + ": " + reply.failure});
     }
     if (reply.status == status_unauthorized || reply.status == status_forbidden) {
-        return tl::unexpected(client_error{client_failure::denied, message_of(reply.body)});
+        return tl::unexpected(client_error{client_failure::denied, error_message(reply.body)});
     }
     const bool result_of_change = path == "/v1/changes" && reply.body.starts_with("{\"detail\"");
     const bool refused = reply.status == status_bad || reply.status == status_conflict;
     if (reply.status == status_ok || (refused && result_of_change)) {
         return reply.body;
     }
-    return tl::unexpected(client_error{
-        refused ? client_failure::refused : client_failure::unreachable, message_of(reply.body)});
+    return tl::unexpected(
+        client_error{refused ? client_failure::refused : client_failure::unreachable,
+                     error_message(reply.body)});
 }
 
 client_result<std::string> admin_client::get_any(const std::string& path) const {
-    client_result<std::string> last =
-        tl::unexpected(client_error{client_failure::unreachable, "no control node is given"});
+    client_result<std::string> last = tl::unexpected(
+        client_error{client_failure::unreachable, "no control node address was given"});
     for (const std::string& address : settings_.control) {
         last = request(address, "GET", path, {});
         if (last) {
@@ -74,12 +76,12 @@
     return last;
 }
 
-client_result<std::string> admin_client::ask_leader(const std::string& method,
-                                                    const std::string& path,
-                                                    const std::string& body) const {
-    client_result<std::string> last =
-        tl::unexpected(client_error{client_failure::unreachable, "no control node is given"});
-    for (int round = 0; round < rounds; ++round) {
+client_result<std::string> admin_client::request_from_leader(const std::string& method,
+                                                             const std::string& path,
+                                                             const std::string& body) const {
+    client_result<std::string> last = tl::unexpected(
+        client_error{client_failure::unreachable, "no control node address was given"});
+    for (int round = 0; round < max_rounds; ++round) {
         for (const std::string& address : settings_.control) {
             last = request(address, method, path, body);
             if (last || last.error().failure != client_failure::unreachable) {
@@ -92,7 +94,7 @@
 }
 
 client_result<configuration::configuration_view> admin_client::configuration() const {
-    const auto body = ask_leader("GET", "/v1/configuration", {});
+    const auto body = request_from_leader("GET", "/v1/configuration", {});
     if (!body) {
         return tl::unexpected(body.error());
     }
@@ -105,7 +107,8 @@
 
 client_result<configuration::change_result> admin_client::submit(
     const configuration::change_command& command) const {
-    const auto body = ask_leader("POST", "/v1/changes", configuration::render_change(command));
+    const auto body =
+        request_from_leader("POST", "/v1/changes", configuration::render_change(command));
     if (!body) {
         return tl::unexpected(body.error());
     }
--- a/src/tallyfold/program_api/cli/item_commands_shell.cpp
+++ b/src/tallyfold/program_api/cli/item_commands_shell.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// Commands on items of the configuration: tenants, classes, policies and drains of back ends. A
-/// change reads the item, edits it and submits it from the version that was read.
+/// Commands on configuration items: tenants, classes, policies and drains of back ends. A change
+/// reads the item, edits it and submits it with the version that was read (optimistic concurrency
+/// control).
 
 #include <fstream>
 #include <functional>
@@ -50,11 +51,11 @@
     return ctl_exit::failure;
 }
 
-std::string new_identity() {
+std::string generate_command_identity() {
     return "ctl-" + std::to_string(net::random_number());
 }
 
-/// Body of an item that doesn't exist yet: the defaults.
+/// Default body of a new item.
 configuration::item_body empty_body(item_kind kind) {
     switch (kind) {
         case item_kind::tenant:
@@ -69,37 +70,38 @@
     return configuration::item_body{};
 }
 
-/// Reads the item, lets `edit` change its body, and submits the result.
+/// Reads the item, applies `edit` to its body and submits the result.
 ctl_exit change_item(const command_context& context, const configuration::item_key& key,
                      bool remove,
                      const std::function<configuration::json_result<configuration::item_body>(
                          const configuration::item_body&)>& edit) {
     const auto view = context.client.configuration();
     if (!view) {
-        return fail(context, view.error());
+        return report_error(context, view.error());
     }
     const auto known = view->items().find(key);
     change_command command;
     command.key = key;
     command.remove = remove;
     command.command_identity = context.options.command_identity.empty()
-                                   ? new_identity()
+                                   ? generate_command_identity()
                                    : context.options.command_identity;
     command.expected_version = context.options.expected_version.value_or(
         known == view->items().end() ? 0 : known->second.version);
     command.body = known == view->items().end() ? empty_body(key.kind) : known->second.body;
     const auto edited = edit(command.body);
     if (!edited) {
-        return usage(context, edited.error().reason);
+        return report_usage(context, edited.error().reason);
     }
     command.body = *edited;
     const auto result = context.client.submit(command);
-    return result ? report_result(context, *result) : fail(context, result.error());
+    return result ? report_result(context, *result) : report_error(context, result.error());
 }
 
 ctl_exit set_fields(const command_context& context, item_kind kind) {
     if (context.arguments.size() < 3) {
-        return usage(context, "usage: " + context.arguments[0] + " set NAME [FIELD=VALUE]...");
+        return report_usage(context,
+                            "usage: " + context.arguments[0] + " set NAME [FIELD=VALUE]...");
     }
     return change_item(
         context, {kind, context.arguments[2]}, false,
@@ -124,7 +126,7 @@
 
 ctl_exit remove_item(const command_context& context, item_kind kind) {
     if (context.arguments.size() != 3) {
-        return usage(context, "usage: " + context.arguments[0] + " remove NAME");
+        return report_usage(context, "usage: " + context.arguments[0] + " remove NAME");
     }
     return change_item(
         context, {kind, context.arguments[2]}, true,
@@ -137,7 +139,7 @@
 ctl_exit list_items(const command_context& context, item_kind kind) {
     const auto view = context.client.configuration();
     if (!view) {
-        return fail(context, view.error());
+        return report_error(context, view.error());
     }
     const json all = json::parse(configuration::render_view(*view));
     json chosen = json::array();
@@ -163,11 +165,11 @@
 
 ctl_exit show_item(const command_context& context, item_kind kind) {
     if (context.arguments.size() != 3) {
-        return usage(context, "usage: " + context.arguments[0] + " show NAME");
+        return report_usage(context, "usage: " + context.arguments[0] + " show NAME");
     }
     const auto view = context.client.configuration();
     if (!view) {
-        return fail(context, view.error());
+        return report_error(context, view.error());
     }
     const item* found = view->find({kind, context.arguments[2]});
     if (found == nullptr) {
@@ -188,8 +190,8 @@
 
 // --- policies ------------------------------------------------------------------------------
 
-/// @return false after telling the operator what is wrong
-bool policy_is_sound(const command_context& context, const std::string& file) {
+/// @return false, after printing the error, when the policy doesn't compile
+bool policy_compiles(const command_context& context, const std::string& file) {
     const std::string text = read_text(file);
     const auto compiled = scheduling::policy::compile(text);
     if (!compiled) {
@@ -201,10 +203,10 @@
 
 ctl_exit submit_policy(const command_context& context) {
     if (context.arguments.size() != 4) {
-        return usage(context, "usage: policy submit NAME FILE");
+        return report_usage(context, "usage: policy submit NAME FILE");
     }
     const std::string& file = context.arguments[3];
-    if (!policy_is_sound(context, file)) {
+    if (!policy_compiles(context, file)) {
         return ctl_exit::failure;
     }
     return change_item(
@@ -217,7 +219,7 @@
 
 }  // namespace
 
-ctl_exit on_items(const command_context& context, item_kind kind) {
+ctl_exit run_item_command(const command_context& context, item_kind kind) {
     const std::string action = context.action();
     if (action == "set") {
         return set_fields(context, kind);
@@ -231,13 +233,13 @@
     if (action == "remove") {
         return remove_item(context, kind);
     }
-    return usage(context, "usage: " + context.arguments[0] + " set|list|show|remove ...");
+    return report_usage(context, "usage: " + context.arguments[0] + " set|list|show|remove ...");
 }
 
-ctl_exit on_policy(const command_context& context) {
+ctl_exit run_policy_command(const command_context& context) {
     const std::string action = context.action();
     if (action == "check" && context.arguments.size() == 3) {
-        if (!policy_is_sound(context, context.arguments[2])) {
+        if (!policy_compiles(context, context.arguments[2])) {
             return ctl_exit::failure;
         }
         context.output << context.arguments[2] << ": ok\n";
@@ -255,12 +257,12 @@
     if (action == "remove") {
         return remove_item(context, item_kind::policy);
     }
-    return usage(context,
-                 "usage: policy check FILE | submit NAME FILE | revise NAME FILE | "
-                 "show NAME | list | remove NAME");
+    return report_usage(context,
+                        "usage: policy check FILE | submit NAME FILE | revise NAME FILE | "
+                        "show NAME | list | remove NAME");
 }
 
-ctl_exit on_drain(const command_context& context) {
+ctl_exit run_drain_command(const command_context& context) {
     const std::string action = context.action();
     if (action == "add" && context.arguments.size() >= 3) {
         const std::string reason = context.arguments.size() > 3 ? context.arguments[3] : "";
@@ -277,7 +279,7 @@
     if (action == "list") {
         return list_items(context, item_kind::drain);
     }
-    return usage(context, "usage: drain add BACKEND [REASON] | remove BACKEND | list");
+    return report_usage(context, "usage: drain add BACKEND [REASON] | remove BACKEND | list");
 }
 
 }  // namespace tallyfold::cli
--- a/src/tallyfold/program_api/configuration/json_codec.cpp
+++ b/src/tallyfold/program_api/configuration/json_codec.cpp
@@ -46,7 +46,7 @@
 }
 
 template <class Number>
-void take_number(const json& value, const std::string& name, Number& target) {
+void read_number(const json& value, const std::string& name, Number& target) {
     const bool fits =
         std::is_floating_point_v<Number> ? value.is_number() : value.is_number_integer();
     if (!fits) {
@@ -61,7 +61,7 @@
     target = value.get<Number>();
 }
 
-void take_text(const json& value, const std::string& name, std::string& target) {
+void read_string(const json& value, const std::string& name, std::string& target) {
     if (!value.is_string()) {
         throw field_error{"'" + name + "' must be a text"};
     }
@@ -70,9 +70,9 @@
 
 bool assign(tenant_settings& body, const std::string& name, const json& value) {
     if (name == "weight") {
-        take_number(value, name, body.weight);
+        read_number(value, name, body.weight);
     } else if (name == "queue_limit") {
-        take_number(value, name, body.queue_limit);
+        read_number(value, name, body.queue_limit);
     } else {
         return false;
     }
@@ -81,25 +81,25 @@
 
 bool assign(class_settings& body, const std::string& name, const json& value) {
     if (name == "priority") {
-        take_number(value, name, body.priority);
+        read_number(value, name, body.priority);
     } else if (name == "budget_limit") {
-        take_number(value, name, body.budget_limit);
+        read_number(value, name, body.budget_limit);
     } else if (name == "turn_limit") {
-        take_number(value, name, body.turn_limit);
+        read_number(value, name, body.turn_limit);
     } else if (name == "queue_limit") {
-        take_number(value, name, body.queue_limit);
+        read_number(value, name, body.queue_limit);
     } else if (name == "queue_timeout_ms") {
-        take_number(value, name, body.queue_timeout_ms);
+        read_number(value, name, body.queue_timeout_ms);
     } else if (name == "tool_timeout_ms") {
-        take_number(value, name, body.tool_timeout_ms);
+        read_number(value, name, body.tool_timeout_ms);
     } else if (name == "idle_timeout_ms") {
-        take_number(value, name, body.idle_timeout_ms);
+        read_number(value, name, body.idle_timeout_ms);
     } else if (name == "retry_ratio") {
-        take_number(value, name, body.retry_ratio);
+        read_number(value, name, body.retry_ratio);
     } else if (name == "policy") {
-        take_text(value, name, body.policy);
+        read_string(value, name, body.policy);
     } else if (name == "model") {
-        take_text(value, name, body.model);
+        read_string(value, name, body.model);
     } else {
         return false;
     }
@@ -110,7 +110,7 @@
     if (name != "text") {
         return false;
     }
-    take_text(value, name, body.text);
+    read_string(value, name, body.text);
     return true;
 }
 
@@ -118,7 +118,7 @@
     if (name != "reason") {
         return false;
     }
-    take_text(value, name, body.reason);
+    read_string(value, name, body.reason);
     return true;
 }
 
@@ -161,7 +161,7 @@
 }
 
 template <class Read>
-auto guarded(const std::string& text, Read read) -> json_result<decltype(read(json{}))> {
+auto parse_json(const std::string& text, Read read) -> json_result<decltype(read(json{}))> {
     try {
         return read(json::parse(text));
     } catch (const json::exception& failure) {
@@ -197,7 +197,7 @@
 }
 
 json_result<configuration_view> parse_view(const std::string& text) {
-    return guarded(text, [](const json& parsed) {
+    return parse_json(text, [](const json& parsed) {
         configuration_delta all;
         all.version = parsed.at("version").get<configuration_version>();
         for (const json& entry : parsed.at("items")) {
@@ -225,7 +225,7 @@
 }
 
 json_result<change_command> parse_change(const std::string& text) {
-    return guarded(text, [](const json& parsed) {
+    return parse_json(text, [](const json& parsed) {
         change_command command;
         command.command_identity = parsed.at("command_identity").get<std::string>();
         command.key = {kind_field(parsed), parsed.at("name").get<std::string>()};
@@ -244,7 +244,7 @@
 }
 
 json_result<change_result> parse_result(const std::string& text) {
-    return guarded(text, [](const json& parsed) {
+    return parse_json(text, [](const json& parsed) {
         change_result result;
         const auto status = parsed.at("status").get<std::string>();
         for (const change_status each :
@@ -262,7 +262,7 @@
 
 json_result<item_body> with_field(const item_body& body, const std::string& name,
                                   const std::string& value) {
-    // A value that is no JSON number is a text.
+    // Values other than JSON numbers are strings.
     json parsed = json::parse(value, nullptr, false);
     if (!parsed.is_number()) {
         parsed = value;
--- a/src/tallyfold/program_api/gateway/commands/parse_request.cpp
+++ b/src/tallyfold/program_api/gateway/commands/parse_request.cpp
@@ -16,13 +16,13 @@
 using journal::outcome;
 using nlohmann::json;
 
-constexpr std::size_t longest_identity = 128;
-constexpr std::size_t longest_name = 128;
+constexpr std::size_t max_identity_length = 128;
+constexpr std::size_t max_name_length = 128;
 constexpr std::size_t characters_per_token = 4;
 constexpr token_count max_tokens = 1'000'000;
 constexpr std::string_view programs_path = "/v1/programs";
 
-/// A field that is missing or of the wrong kind; turned into an outcome at the border.
+/// Missing or invalid field; parse_request() turns it into an outcome.
 struct field_error {
     std::string text;
 };
@@ -34,24 +34,25 @@
     return result;
 }
 
-std::string text_field(const json& body, const char* name, std::size_t longest) {
+std::string text_field(const json& body, const char* name, std::size_t max_length) {
     const auto found = body.find(name);
     if (found == body.end() || !found->is_string()) {
         throw field_error{std::string("field '") + name + "' must be a text"};
     }
     std::string value = found->get<std::string>();
-    if (value.empty() || value.size() > longest) {
+    if (value.empty() || value.size() > max_length) {
         throw field_error{std::string("field '") + name + "' must have 1 to " +
-                          std::to_string(longest) + " characters"};
+                          std::to_string(max_length) + " characters"};
     }
     return value;
 }
 
-std::uint64_t number_field(const json& body, const char* name, std::uint64_t most) {
+std::uint64_t number_field(const json& body, const char* name, std::uint64_t max_value) {
     const auto found = body.find(name);
-    if (found == body.end() || !found->is_number_unsigned() || found->get<std::uint64_t>() > most) {
+    if (found == body.end() || !found->is_number_unsigned() ||
+        found->get<std::uint64_t>() > max_value) {
         throw field_error{std::string("field '") + name + "' must be a whole number from 0 to " +
-                          std::to_string(most)};
+                          std::to_string(max_value)};
     }
     return found->get<std::uint64_t>();
 }
@@ -69,9 +70,9 @@
 
 std::string identity_field(const json& body, const std::string& header) {
     if (body.contains("request_identity")) {
-        return text_field(body, "request_identity", longest_identity);
+        return text_field(body, "request_identity", max_identity_length);
     }
-    if (header.empty() || header.size() > longest_identity) {
+    if (header.empty() || header.size() > max_identity_length) {
         throw field_error{
             "give 'request_identity' or the header Idempotency-Key, 1 to 128 characters"};
     }
@@ -107,12 +108,12 @@
     return {digits.data(), digits.size()};
 }
 
-journal::message message_of(const json& entry) {
+journal::message parse_message(const json& entry) {
     if (!entry.is_object()) {
         throw field_error{"each of 'messages' must be an object"};
     }
     journal::message message;
-    message.role = text_field(entry, "role", longest_name);
+    message.role = text_field(entry, "role", max_name_length);
     const auto content = entry.find("content");
     if (content == entry.end() || !content->is_string()) {
         throw field_error{"each of 'messages' must have a text 'content'"};
@@ -126,11 +127,11 @@
 caller_request parse_open(const json& body, const std::string& key) {
     const std::string identity = identity_field(body, key);
     protocol::open_call open;
-    open.program.tenant = text_field(body, "tenant", longest_name);
-    open.program.program_class = text_field(body, "class", longest_name);
+    open.program.tenant = text_field(body, "tenant", max_name_length);
+    open.program.program_class = text_field(body, "class", max_name_length);
     open.program.request_identity = identity;
     if (body.contains("parent")) {
-        const program_id parent = text_field(body, "parent", longest_name);
+        const program_id parent = text_field(body, "parent", max_name_length);
         open.program.root = journal::root_of_identifier(parent);
         open.program.id = identifier_of_child(parent, identity);
     } else {
@@ -141,7 +142,7 @@
     return {open, false, {}};
 }
 
-/// What the request asks for, so that a repeat with other contents is told apart.
+/// Hash of the request's contents; a resend with other contents has a different one.
 std::uint64_t hash_call(const protocol::program_call& call) {
     return stable_hash(protocol::encode(call));
 }
@@ -149,7 +150,7 @@
 caller_request parse_completion(const json& body, const std::string& key) {
     caller_request request;
     protocol::program_call call;
-    call.program = text_field(body, "program", longest_name);
+    call.program = text_field(body, "program", max_name_length);
     call.sequence = sequence_field(body);
     call.request_identity = identity_field(body, key);
     call.kind = journal::call_kind::model;
@@ -158,7 +159,7 @@
         throw field_error{"field 'messages' must be a list of at least one message"};
     }
     for (const json& entry : *messages) {
-        call.messages.push_back(message_of(entry));
+        call.messages.push_back(parse_message(entry));
     }
     call.max_tokens = number_field(body, "max_tokens", max_tokens);
     call.request_hash = hash_call(call);
@@ -177,12 +178,12 @@
     call.sequence = sequence_field(body);
     call.request_identity = identity_field(body, key);
     call.kind = kind;
-    call.operation = text_field(body, "operation", longest_name);
+    call.operation = text_field(body, "operation", max_name_length);
     const auto argument = body.find("argument");
     if (argument != body.end()) {
         call.argument = argument->is_string() ? argument->get<std::string>() : argument->dump();
     }
-    // A request whose repeat is not known to be harmless must not repeat.
+    // Requests that are not declared repeatable must not be retried.
     call.repeatable = flag_field(body, "repeatable", false);
     call.request_hash = hash_call(call);
     call.submission = submission_field(body);
@@ -197,7 +198,7 @@
     const std::size_t slash = rest.find('/');
     const program_id program = rest.substr(0, slash);
     const std::string action = slash == std::string::npos ? "" : rest.substr(slash + 1);
-    if (program.empty() || program.size() > longest_name) {
+    if (program.empty() || program.size() > max_name_length) {
         return tl::unexpected(malformed("the path names no program"));
     }
     if (method == "GET" && action.empty()) {
--- a/src/tallyfold/program_api/gateway/gateway_core.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_core.cpp
@@ -11,7 +11,7 @@
 using journal::outcome;
 using journal::ran_state;
 
-constexpr duration search_interval = std::chrono::milliseconds(50);
+constexpr duration owner_search_interval = std::chrono::milliseconds(50);
 constexpr std::uint32_t no_owner_retry_after_ms = 500;
 constexpr std::uint32_t overloaded_retry_after_ms = 1000;
 constexpr std::uint32_t stopping_retry_after_ms = 100;
@@ -25,7 +25,7 @@
     return result;
 }
 
-/// What a refusal that forwards nothing may say: an earlier submission may have run.
+/// `ran` of an error for a request that is not forwarded: an earlier submission may have run.
 ran_state ran_if_refused(const protocol::scheduler_call& call) {
     const auto* request = std::get_if<protocol::program_call>(&call);
     return request != nullptr && request->unanswered ? ran_state::unknown : ran_state::no;
@@ -113,7 +113,7 @@
     forward(request, now);
 }
 
-void gateway_core::forget(request_token token) {
+void gateway_core::drop_request(request_token token) {
     const auto found = pending_.find(token);
     if (found == pending_.end()) {
         return;
@@ -125,7 +125,7 @@
 void gateway_core::forward(pending_request& request, instant now) {
     const node_name owner = owner_of(request.program);
     if (owner.empty()) {
-        request.next_try = now + search_interval;
+        request.next_try = now + owner_search_interval;
         return;
     }
     by_correlation_.erase(request.correlation);
@@ -133,7 +133,7 @@
     by_correlation_[request.correlation] = request.token;
     request.owner = owner;
     request.forwarded = true;
-    request.searching = false;
+    request.searching_owner = false;
     if (auto* call = std::get_if<protocol::program_call>(&request.call)) {
         call->delivered = request.delivered;
     }
@@ -141,23 +141,23 @@
         {owner, protocol::scheduler_request{request.correlation, request.call}});
 }
 
-void gateway_core::search_again(pending_request& request, instant now) {
+void gateway_core::start_owner_search(pending_request& request, instant now) {
     ++counters_.failovers;
     if (request.search_started == instant{}) {
         request.search_started = now;
     }
     by_correlation_.erase(request.correlation);
-    request.searching = true;
-    request.next_try = now + search_interval;
+    request.searching_owner = true;
+    request.next_try = now + owner_search_interval;
 }
 
-void gateway_core::give_up(pending_request& request) {
+void gateway_core::fail_without_owner(pending_request& request) {
     const ran_state ran = request.maybe_ran ? ran_state::unknown : ran_if_refused(request.call);
     answer(request.token, refusal(answer_code::no_owner, ran,
                                   "the program's owner is gone and no other has taken over; "
                                   "repeat the request with the same identity",
                                   no_owner_retry_after_ms));
-    forget(request.token);
+    drop_request(request.token);
 }
 
 void gateway_core::receive(const node_name& from, const protocol::internal_message& message,
@@ -179,11 +179,11 @@
 void gateway_core::on_leases_changed(instant now) {
     for (auto& [token, request] : pending_) {
         const node_name owner = owner_of(request.program);
-        const bool moved = !request.searching && !owner.empty() && owner != request.owner;
+        const bool moved = !request.searching_owner && !owner.empty() && owner != request.owner;
         if (moved) {
-            // The old owner may have run it; the new one knows from the journal.
+            // The old owner may have run the call; the new owner can tell from the journal.
             request.maybe_ran = true;
-            search_again(request, now);
+            start_owner_search(request, now);
         }
     }
 }
@@ -213,15 +213,15 @@
     }
     if (reply.result.code == answer_code::owner_changed) {
         request->maybe_ran = request->maybe_ran || reply.result.ran != ran_state::no;
-        search_again(*request, now);
+        start_owner_search(*request, now);
         return;
     }
-    flush_rest(*request, reply.result);
+    send_missing_text(*request, reply.result);
     answer(request->token, reply.result);
-    forget(request->token);
+    drop_request(request->token);
 }
 
-void gateway_core::flush_rest(pending_request& request, const outcome& result) {
+void gateway_core::send_missing_text(pending_request& request, const outcome& result) {
     if (request.delivered.empty() || result.code != answer_code::ok) {
         return;
     }
@@ -229,7 +229,7 @@
     for (const std::string& piece : request.delivered) {
         delivered += piece;
     }
-    // Pieces can be lost with a connection; the final answer always has the whole.
+    // Pieces can be lost with a connection; the final answer contains the whole text.
     if (result.answer.size() > delivered.size() && result.answer.starts_with(delivered)) {
         output_.pieces.push_back({request.token, {result.answer.substr(delivered.size())}});
     }
@@ -237,9 +237,9 @@
 
 void gateway_core::peer_lost(const node_name& node, instant now) {
     for (auto& [token, request] : pending_) {
-        if (request.owner == node && !request.searching) {
+        if (request.owner == node && !request.searching_owner) {
             request.maybe_ran = true;
-            search_again(request, now);
+            start_owner_search(request, now);
         }
     }
 }
@@ -250,7 +250,7 @@
     }
     std::vector<request_token> expired;
     for (auto& [token, request] : pending_) {
-        if (!request.searching) {
+        if (!request.searching_owner) {
             continue;
         }
         if (now - request.search_started > settings_.failover_limit) {
@@ -260,7 +260,7 @@
         }
     }
     for (const request_token token : expired) {
-        give_up(pending_.at(token));
+        fail_without_owner(pending_.at(token));
     }
 }
 
--- a/src/tallyfold/program_api/http/http_client.cpp
+++ b/src/tallyfold/program_api/http/http_client.cpp
@@ -67,24 +67,25 @@
     }
 
   private:
-    struct running_call {
+    struct active_request {
         engine* owner = nullptr;
         http_call call;
         CURL* easy = nullptr;
         curl_slist* headers = nullptr;
         std::string received;
 
-        running_call() = default;
-        running_call(const running_call&) = delete;
-        running_call& operator=(const running_call&) = delete;
-        ~running_call() {
+        active_request() = default;
+        active_request(const active_request&) = delete;
+        active_request& operator=(const active_request&) = delete;
+        ~active_request() {
             curl_easy_cleanup(easy);
             curl_slist_free_all(headers);
         }
     };
 
-    static std::size_t on_bytes(char* bytes, std::size_t size, std::size_t count, void* context) {
-        auto* running = static_cast<running_call*>(context);
+    static std::size_t on_body_data(char* bytes, std::size_t size, std::size_t count,
+                                    void* context) {
+        auto* running = static_cast<active_request*>(context);
         long status = 0;
         curl_easy_getinfo(running->easy, CURLINFO_RESPONSE_CODE, &status);
         constexpr long first_error_status = 300;
@@ -99,19 +100,19 @@
 
     void run() {
         while (!stopping_) {
-            take_commands();
+            process_commands();
             int active = 0;
             curl_multi_perform(multi_, &active);
-            take_results();
+            process_completions();
             curl_multi_poll(multi_, nullptr, 0, poll_timeout_ms, nullptr);
         }
     }
 
-    void take_commands() {
+    void process_commands() {
         client_command command;
         while (commands_.try_pop(command)) {
             if (auto* call = std::get_if<http_call>(&command)) {
-                begin(std::move(*call));
+                start_request(std::move(*call));
                 continue;
             }
             const auto found = running_.find(std::get<cancel_call>(command).id);
@@ -122,15 +123,15 @@
         }
     }
 
-    void begin(http_call call) {
-        auto running = std::make_unique<running_call>();
+    void start_request(http_call call) {
+        auto running = std::make_unique<active_request>();
         running->owner = this;
         running->call = std::move(call);
         running->easy = curl_easy_init();
         CURL* easy = running->easy;
         curl_easy_setopt(easy, CURLOPT_URL, running->call.url.c_str());
         curl_easy_setopt(easy, CURLOPT_PRIVATE, running.get());
-        curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &engine::on_bytes);
+        curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &engine::on_body_data);
         curl_easy_setopt(easy, CURLOPT_WRITEDATA, running.get());
         curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
         curl_easy_setopt(easy, CURLOPT_NOPROXY, "*");
@@ -140,7 +141,7 @@
                          static_cast<long>(running->call.timeout.count()));
         if (running->call.method == "POST") {
             running->headers = curl_slist_append(nullptr, "Content-Type: application/json");
-            // Without this libcurl waits for "100 Continue" before large bodies.
+            // Without this, libcurl waits for "100 Continue" before it sends a large body.
             running->headers = curl_slist_append(running->headers, "Expect:");
             curl_easy_setopt(easy, CURLOPT_HTTPHEADER, running->headers);
             curl_easy_setopt(easy, CURLOPT_POST, 1L);
@@ -155,13 +156,13 @@
         running_[running->call.id] = std::move(running);
     }
 
-    void take_results() {
+    void process_completions() {
         int left = 0;
         while (CURLMsg* message = curl_multi_info_read(multi_, &left)) {
             if (message->msg != CURLMSG_DONE) {
                 continue;
             }
-            running_call* running = nullptr;
+            active_request* running = nullptr;
             curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &running);
             const CURLcode result = message->data.result;
             long status = 0;
@@ -183,7 +184,7 @@
     std::function<void(http_event)> on_event_;
     bounded_ring<client_command> commands_;
     CURLM* multi_;
-    std::map<http_call_id, std::unique_ptr<running_call>> running_;
+    std::map<http_call_id, std::unique_ptr<active_request>> running_;
     std::atomic<bool> stopping_{false};
     std::thread thread_;
 };
--- a/src/tallyfold/program_api/transport/cluster_keys.cpp
+++ b/src/tallyfold/program_api/transport/cluster_keys.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t shortest_key = 16;
+constexpr std::size_t min_key_length = 16;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
 std::string random_bytes(std::size_t count) {
     std::string bytes(count, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char*>(bytes.data()), static_cast<int>(count)) != 1) {
-        std::abort();  // Without randomness no identity is safe.
+        std::abort();  // Predictable nonces and identities would be unsafe.
     }
     return bytes;
 }
@@ -52,7 +52,7 @@
     if (failure) {
         return tl::unexpected(key_error{path_ + ": " + failure.message()});
     }
-    if (!keys_.empty() && changed == read_at_) {
+    if (!keys_.empty() && changed == loaded_file_time_) {
         return keys_;
     }
     std::ifstream file(path_);
@@ -62,16 +62,16 @@
         if (line.empty() || line.front() == '#') {
             continue;
         }
-        if (line.size() < shortest_key) {
+        if (line.size() < min_key_length) {
             return tl::unexpected(key_error{path_ + ": a key must have at least 16 characters"});
         }
         keys.push_back(line);
     }
     if (keys.empty()) {
-        return tl::unexpected(key_error{path_ + ": holds no key"});
+        return tl::unexpected(key_error{path_ + ": contains no key"});
     }
     keys_ = std::move(keys);
-    read_at_ = changed;
+    loaded_file_time_ = changed;
     return keys_;
 }
 
--- a/src/tallyfold/program_api/transport/peer_connection_shell.cpp
+++ b/src/tallyfold/program_api/transport/peer_connection_shell.cpp
@@ -11,21 +11,20 @@
 using asio::ip::tcp;
 using logging::event_id;
 
-// Chosen, not measured, all of these.
-/// Bytes of one message at most: the contents of a shard are the largest.
-constexpr std::uint32_t largest_frame = 64U << 20U;
-/// Before the handshake is done a peer may not make us read more than this.
-constexpr std::uint32_t largest_handshake_frame = 4096;
-/// Bytes that wait for a peer at most: one message of the largest size.
-constexpr std::size_t largest_backlog_bytes = 64U << 20U;
-/// An idle connection sends an empty frame this often.
+/// Maximum size of a message in bytes; the largest ones are the contents of a shard.
+constexpr std::uint32_t max_frame_bytes = 64U << 20U;
+/// Maximum frame size before the peer has authenticated itself.
+constexpr std::uint32_t max_handshake_frame_bytes = 4096;
+/// Maximum number of bytes queued for a peer: one message of the largest size.
+constexpr std::size_t max_backlog_bytes = 64U << 20U;
+/// Interval of empty frames on an idle connection.
 constexpr auto ping_interval = std::chrono::milliseconds(200);
-/// A connection on which nothing came for this long, six pings, is closed.
+/// A connection without incoming data for this long, six ping intervals, is closed.
 constexpr auto silence_limit = std::chrono::milliseconds(1200);
-/// Pause before a message that found a full ring is handed over again.
-constexpr auto delivery_retry = std::chrono::milliseconds(2);
+/// Delay before a message is delivered again after the input ring was full.
+constexpr auto delivery_retry_delay = std::chrono::milliseconds(2);
 
-/// Length of the payload in the machine's byte order, then the payload.
+/// Length of the payload in native byte order, then the payload.
 std::string frame(std::string_view payload) {
     const auto length = static_cast<std::uint32_t>(payload.size());
     std::string bytes(sizeof(length), '\0');
@@ -42,7 +41,7 @@
       socket_(std::move(socket)),
       handshake_(std::move(handshake)),
       retry_timer_(socket_.get_executor()) {
-    heard_ = sent_ = std::chrono::steady_clock::now();
+    last_received_ = last_sent_ = std::chrono::steady_clock::now();
 }
 
 void peer_connection::begin() {
@@ -56,9 +55,10 @@
 
 void peer_connection::write(std::string_view payload) {
     backlog_bytes_ += sizeof(std::uint32_t) + payload.size();
-    if (backlog_bytes_ > largest_backlog_bytes) {
-        // The peer does not keep up. Closing tells both sides, dropping would tell nobody.
-        close("backlog");
+    if (backlog_bytes_ > max_backlog_bytes) {
+        // The peer is too slow. Closing reports the loss to both sides; dropping the message would
+        // not.
+        close("send backlog too large");
         return;
     }
     backlog_.push_back(frame(payload));
@@ -68,11 +68,11 @@
 }
 
 void peer_connection::check(std::chrono::steady_clock::time_point now) {
-    if (now - heard_ > silence_limit) {
-        close("silence");
+    if (now - last_received_ > silence_limit) {
+        close("silence limit exceeded");
         return;
     }
-    if (ready_ && now - sent_ > ping_interval && backlog_.empty()) {
+    if (ready_ && now - last_sent_ > ping_interval && backlog_.empty()) {
         write({});
     }
 }
@@ -97,7 +97,7 @@
                               close("write failed");
                               return;
                           }
-                          sent_ = std::chrono::steady_clock::now();
+                          last_sent_ = std::chrono::steady_clock::now();
                           backlog_bytes_ -= backlog_.front().size();
                           backlog_.pop_front();
                           if (!backlog_.empty()) {
@@ -114,10 +114,10 @@
                 close("read failed");
                 return;
             }
-            heard_ = std::chrono::steady_clock::now();
+            last_received_ = std::chrono::steady_clock::now();
             std::uint32_t length = 0;
             std::memcpy(&length, length_bytes_.data(), sizeof(length));
-            const std::uint32_t limit = ready_ ? largest_frame : largest_handshake_frame;
+            const std::uint32_t limit = ready_ ? max_frame_bytes : max_handshake_frame_bytes;
             if (length > limit) {
                 refuse_frame("frame too long");
                 return;
@@ -139,7 +139,7 @@
                              close("read failed");
                              return;
                          }
-                         heard_ = std::chrono::steady_clock::now();
+                         last_received_ = std::chrono::steady_clock::now();
                          if (ready_) {
                              on_frame();
                          } else {
@@ -196,10 +196,10 @@
         return;
     }
     auto self = shared_from_this();
-    retry_timer_.expires_after(delivery_retry);
+    retry_timer_.expires_after(delivery_retry_delay);
     retry_timer_.async_wait([this, self](std::error_code failure) {
         if (!failure && !closed_) {
-            heard_ = std::chrono::steady_clock::now();
+            last_received_ = std::chrono::steady_clock::now();
             deliver();
         }
     });
--- a/tests/program_api/configuration/configuration_test.cpp
+++ b/tests/program_api/configuration/configuration_test.cpp
@@ -10,19 +10,19 @@
 
 class configuration_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_test);
-    CPPUNIT_TEST(one_of_two_equal_versions_wins);
-    CPPUNIT_TEST(a_resend_gets_the_first_answer_after_a_snapshot);
-    CPPUNIT_TEST(deltas_bring_any_copy_to_the_same_state);
-    CPPUNIT_TEST(a_copy_never_goes_back);
-    CPPUNIT_TEST(json_keeps_every_field);
-    CPPUNIT_TEST(a_misspelt_field_is_refused);
-    CPPUNIT_TEST(any_text_is_parsed_or_refused);
-    CPPUNIT_TEST(a_policy_with_an_error_names_its_line);
-    CPPUNIT_TEST(first_members_are_read);
+    CPPUNIT_TEST(concurrent_change_gets_a_version_conflict);
+    CPPUNIT_TEST(resend_after_restore_gets_the_first_result);
+    CPPUNIT_TEST(delta_updates_a_copy_of_any_version);
+    CPPUNIT_TEST(stale_delta_does_not_revert_a_copy);
+    CPPUNIT_TEST(json_round_trip_keeps_every_field);
+    CPPUNIT_TEST(unknown_field_is_rejected);
+    CPPUNIT_TEST(arbitrary_text_is_parsed_or_rejected);
+    CPPUNIT_TEST(policy_error_reports_its_line);
+    CPPUNIT_TEST(initial_membership_is_parsed);
     CPPUNIT_TEST_SUITE_END();
 
-    static change_command weight(const std::string& identity, std::uint64_t expected,
-                                 double value) {
+    static change_command weight_change(const std::string& identity, std::uint64_t expected,
+                                        double value) {
         change_command command;
         command.command_identity = identity;
         command.key = {item_kind::tenant, "t"};
@@ -35,32 +35,32 @@
         return machine.apply(protocol::encode(change));
     }
 
-    void one_of_two_equal_versions_wins() {
+    void concurrent_change_gets_a_version_conflict() {
         configuration_state_machine machine;
-        CPPUNIT_ASSERT(apply(machine, weight("a", 0, 2)).status == change_status::accepted);
-        const change_result loser = apply(machine, weight("b", 0, 3));
-        CPPUNIT_ASSERT(loser.status == change_status::version_conflict);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, loser.item_version);
+        CPPUNIT_ASSERT(apply(machine, weight_change("a", 0, 2)).status == change_status::accepted);
+        const change_result conflict = apply(machine, weight_change("b", 0, 3));
+        CPPUNIT_ASSERT(conflict.status == change_status::version_conflict);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, conflict.item_version);
         CPPUNIT_ASSERT_EQUAL(2.0, machine.view().tenant("t")->weight);
     }
 
-    void a_resend_gets_the_first_answer_after_a_snapshot() {
+    void resend_after_restore_gets_the_first_result() {
         configuration_state_machine machine;
-        const change_result first = apply(machine, weight("a", 0, 2));
-        CPPUNIT_ASSERT(apply(machine, weight("b", 1, 3)).status == change_status::accepted);
+        const change_result first = apply(machine, weight_change("a", 0, 2));
+        CPPUNIT_ASSERT(apply(machine, weight_change("b", 1, 3)).status == change_status::accepted);
         configuration_state_machine restored;
         restored.restore(machine.save());
-        CPPUNIT_ASSERT(apply(restored, weight("a", 0, 2)) == first);
+        CPPUNIT_ASSERT(apply(restored, weight_change("a", 0, 2)) == first);
         CPPUNIT_ASSERT_EQUAL(3.0, restored.view().tenant("t")->weight);
     }
 
-    void deltas_bring_any_copy_to_the_same_state() {
+    void delta_updates_a_copy_of_any_version() {
         check_property("since() from any version catches a copy up", [] {
             configuration_state_machine machine;
             std::vector<configuration_view> copies{machine.view()};
             const int changes = *rc::gen::inRange(1, 20);
             for (int index = 0; index < changes; ++index) {
-                change_command change = weight("c" + std::to_string(index), 0, index + 1.0);
+                change_command change = weight_change("c" + std::to_string(index), 0, index + 1.0);
                 change.key.name = *rc::gen::element<std::string>("x", "y", "z");
                 const auto known = machine.view().items().find(change.key);
                 change.expected_version =
@@ -77,34 +77,34 @@
         });
     }
 
-    void a_copy_never_goes_back() {
+    void stale_delta_does_not_revert_a_copy() {
         configuration_state_machine machine;
-        (void)apply(machine, weight("a", 0, 2));
+        (void)apply(machine, weight_change("a", 0, 2));
         const configuration_delta old = machine.view().since(0);
-        (void)apply(machine, weight("b", 1, 3));
+        (void)apply(machine, weight_change("b", 1, 3));
         configuration_view copy = machine.view();
         CPPUNIT_ASSERT(!copy.advance(old) || copy.version() == machine.view().version());
         CPPUNIT_ASSERT_EQUAL(3.0, copy.tenant("t")->weight);
     }
 
-    void json_keeps_every_field() {
+    void json_round_trip_keeps_every_field() {
         change_command command;
         command.command_identity = "i";
         command.key = {item_kind::program_class, "licensing"};
         command.expected_version = 4;
         command.body = class_settings{10, 11, 12, 13, 14, 15, 16, 0.5, "p", "m"};
-        const auto again = parse_change(render_change(command));
-        CPPUNIT_ASSERT(again.has_value());
-        CPPUNIT_ASSERT(again->body == command.body);
-        CPPUNIT_ASSERT(again->key == command.key);
+        const auto round_trip = parse_change(render_change(command));
+        CPPUNIT_ASSERT(round_trip.has_value());
+        CPPUNIT_ASSERT(round_trip->body == command.body);
+        CPPUNIT_ASSERT(round_trip->key == command.key);
         configuration_state_machine machine;
-        (void)apply(machine, weight("a", 0, 2));
+        (void)apply(machine, weight_change("a", 0, 2));
         const auto view = parse_view(render_view(machine.view()));
         CPPUNIT_ASSERT(view.has_value());
         CPPUNIT_ASSERT(view->items() == machine.view().items());
     }
 
-    void a_misspelt_field_is_refused() {
+    void unknown_field_is_rejected() {
         const auto parsed = parse_change(
             R"({"command_identity":"i","kind":"tenant","name":"t","expected_version":0,)"
             R"("settings":{"wieght":2}})");
@@ -113,7 +113,7 @@
         CPPUNIT_ASSERT(!with_field(tenant_settings{}, "queue_limit", "-3").has_value());
     }
 
-    void any_text_is_parsed_or_refused() {
+    void arbitrary_text_is_parsed_or_rejected() {
         check_property("parse_change answers any bytes", [] {
             (void)parse_change(*any_bytes());
             (void)parse_view(*any_bytes());
@@ -121,7 +121,7 @@
         });
     }
 
-    void a_policy_with_an_error_names_its_line() {
+    void policy_error_reports_its_line() {
         change_command command;
         command.command_identity = "i";
         command.key = {item_kind::policy, "p"};
@@ -131,8 +131,8 @@
         CPPUNIT_ASSERT(parsed.error().reason.find("line 2") != std::string::npos);
     }
 
-    void first_members_are_read() {
-        // They once came from a temporary that had ended, and the list was empty.
+    void initial_membership_is_parsed() {
+        // The parsed JSON must outlive the loop over its members, or the list is empty.
         const auto members = control::parse_initial_membership(
             R"({"members":[{"node":"a","replica":"18446744073709551615"}]})");
         CPPUNIT_ASSERT(members.has_value());
--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -14,14 +14,14 @@
 
 class gateway_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(gateway_test);
-    CPPUNIT_TEST(bad_input_gets_a_stable_code);
-    CPPUNIT_TEST(any_body_is_parsed_or_refused);
-    CPPUNIT_TEST(identity_decides_the_program);
-    CPPUNIT_TEST(without_an_owner_the_answer_is_final_at_once);
-    CPPUNIT_TEST(a_lost_owner_leaves_the_outcome_unknown);
-    CPPUNIT_TEST(a_reply_to_an_earlier_life_is_dropped);
-    CPPUNIT_TEST(pieces_are_passed_on_once);
-    CPPUNIT_TEST(a_stopping_gateway_refuses_and_finishes);
+    CPPUNIT_TEST(malformed_request_gets_code_malformed);
+    CPPUNIT_TEST(arbitrary_body_is_parsed_or_rejected);
+    CPPUNIT_TEST(program_identifier_depends_on_tenant_and_identity);
+    CPPUNIT_TEST(request_without_an_owner_is_rejected_at_once);
+    CPPUNIT_TEST(lost_owner_leaves_the_outcome_unknown);
+    CPPUNIT_TEST(reply_to_a_previous_run_is_dropped);
+    CPPUNIT_TEST(pieces_are_relayed_once);
+    CPPUNIT_TEST(draining_gateway_rejects_new_and_finishes_pending_requests);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::uint32_t shard_count = 4;
@@ -32,7 +32,7 @@
         return parsed.error();
     }
 
-    void bad_input_gets_a_stable_code() {
+    void malformed_request_gets_code_malformed() {
         for (const auto& [path, body] : std::vector<std::pair<std::string, std::string>>{
                  {"/v1/programs", "{"},
                  {"/v1/programs", "[]"},
@@ -50,13 +50,13 @@
         }
     }
 
-    void any_body_is_parsed_or_refused() {
+    void arbitrary_body_is_parsed_or_rejected() {
         check_property("parse_request answers any body", [] {
             for (const std::string path :
                  {"/v1/programs", "/v1/chat/completions", "/v1/programs/p/tools"}) {
                 const auto parsed = parse_request("POST", path, *any_bytes(), "key");
                 if (!parsed) {
-                    // The refusal itself must be well-formed, whatever the body held.
+                    // The rejection must be valid JSON for any body.
                     const std::string text = render_answer({}, parsed.error());
                     RC_ASSERT(nlohmann::json::parse(text).contains("error"));
                 }
@@ -64,14 +64,14 @@
         });
     }
 
-    void identity_decides_the_program() {
+    void program_identifier_depends_on_tenant_and_identity() {
         CPPUNIT_ASSERT_EQUAL(identifier_of_program("t", "i"), identifier_of_program("t", "i"));
         CPPUNIT_ASSERT(identifier_of_program("t", "i") != identifier_of_program("u", "i"));
         const program_id root = identifier_of_program("t", "i");
         CPPUNIT_ASSERT_EQUAL(root, journal::root_of_identifier(identifier_of_child(root, "c")));
     }
 
-    static gateway_core made(std::uint64_t seed = 1) {
+    static gateway_core make_gateway(std::uint64_t seed = 1) {
         gateway_settings settings;
         settings.node = "gateway-1";
         settings.control_nodes = {"control-1"};
@@ -80,7 +80,7 @@
         return gateway_core(settings);
     }
 
-    /// Gives the gateway a fresh configuration, and one scheduler as owner of everything.
+    /// Gives the gateway a current configuration and one scheduler that owns every shard.
     static void connect(gateway_core& core, instant now, const node_name& owner = "scheduler-1",
                         lease_epoch epoch = 1) {
         core.tick(now);
@@ -110,7 +110,7 @@
         return made;
     }
 
-    static protocol::correlation_id forwarded(gateway_core& core) {
+    static protocol::correlation_id forwarded_correlation(gateway_core& core) {
         for (const auto& message : core.take_output().messages) {
             if (const auto* sent = std::get_if<protocol::scheduler_request>(&message.message)) {
                 return sent->correlation;
@@ -120,8 +120,8 @@
         return 0;
     }
 
-    void without_an_owner_the_answer_is_final_at_once() {
-        gateway_core core = made();
+    void request_without_an_owner_is_rejected_at_once() {
+        gateway_core core = make_gateway();
         core.submit(1, call(), instant(std::chrono::seconds(1)));
         const auto answers = core.take_output().answers;
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, answers.size());
@@ -129,12 +129,12 @@
         CPPUNIT_ASSERT(answers[0].result.retry_after_ms > 0);
     }
 
-    void a_lost_owner_leaves_the_outcome_unknown() {
+    void lost_owner_leaves_the_outcome_unknown() {
         const instant now(std::chrono::seconds(1));
-        gateway_core core = made();
+        gateway_core core = make_gateway();
         connect(core, now);
         core.submit(1, call(), now);
-        (void)forwarded(core);
+        (void)forwarded_correlation(core);
         core.peer_lost("scheduler-1", now);
         gateway_output output;
         for (int second = 1; second < 30 && output.answers.empty(); ++second) {
@@ -147,28 +147,28 @@
         CPPUNIT_ASSERT(output.answers[0].result.ran == ran_state::unknown);
     }
 
-    void a_reply_to_an_earlier_life_is_dropped() {
-        // Seeds 392, 513, 667: correlations counted from 1 in each life, so a late reply to the
-        // first life became the answer to another request of the second.
+    void reply_to_a_previous_run_is_dropped() {
+        // Without random correlations, a late reply to a request before a restart would answer
+        // another request after it.
         const instant now(std::chrono::seconds(1));
-        gateway_core first = made(1);
+        gateway_core first = make_gateway(1);
         connect(first, now);
         first.submit(1, call(), now);
-        const protocol::correlation_id old = forwarded(first);
-        gateway_core second = made(2);
+        const protocol::correlation_id old = forwarded_correlation(first);
+        gateway_core second = make_gateway(2);
         connect(second, now);
         second.submit(1, call(), now);
-        (void)forwarded(second);
+        (void)forwarded_correlation(second);
         second.receive("scheduler-1", protocol::scheduler_reply{old, {}}, now);
         CPPUNIT_ASSERT(second.take_output().answers.empty());
     }
 
-    void pieces_are_passed_on_once() {
+    void pieces_are_relayed_once() {
         const instant now(std::chrono::seconds(1));
-        gateway_core core = made();
+        gateway_core core = make_gateway();
         connect(core, now);
         core.submit(1, call(), now);
-        const protocol::correlation_id correlation = forwarded(core);
+        const protocol::correlation_id correlation = forwarded_correlation(core);
         core.receive("s", protocol::answer_pieces{correlation, 0, {"a", "b"}}, now);
         core.receive("s", protocol::answer_pieces{correlation, 1, {"b", "c"}}, now);
         core.receive("s", protocol::answer_pieces{correlation, 0, {"a"}}, now);
@@ -186,12 +186,12 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, output.answers.size());
     }
 
-    void a_stopping_gateway_refuses_and_finishes() {
+    void draining_gateway_rejects_new_and_finishes_pending_requests() {
         const instant now(std::chrono::seconds(1));
-        gateway_core core = made();
+        gateway_core core = make_gateway();
         connect(core, now);
         core.submit(1, call(), now);
-        const protocol::correlation_id correlation = forwarded(core);
+        const protocol::correlation_id correlation = forwarded_correlation(core);
         core.drain();
         CPPUNIT_ASSERT(!core.drained());
         core.submit(2, call(), now);
--- a/tests/program_api/transport/transport_test.cpp
+++ b/tests/program_api/transport/transport_test.cpp
@@ -14,62 +14,62 @@
 
 using namespace net;
 
-/// One end, and what it saw.
-class transport_end {
+/// One end of a connection, which counts its messages, losses and events.
+class test_endpoint {
   public:
-    transport_end(const node_name& node, const std::string& listen, const std::string& keys)
+    test_endpoint(const node_name& node, const std::string& listen, const std::string& keys)
         : transport_({node, listen, keys}, handlers()) {
         CPPUNIT_ASSERT_EQUAL(std::string(), transport_.start());
     }
-    ~transport_end() { transport_.stop(); }
-    transport_end(const transport_end&) = delete;
-    transport_end& operator=(const transport_end&) = delete;
+    ~test_endpoint() { transport_.stop(); }
+    test_endpoint(const test_endpoint&) = delete;
+    test_endpoint& operator=(const test_endpoint&) = delete;
 
-    transport& link() { return transport_; }
-    /// Waits for a count of what was seen; false after a generous limit.
+    transport& get_transport() { return transport_; }
+    /// Waits until `what` was counted `count` times; false after a time limit.
     bool wait_for(const std::string& what, std::size_t count) {
         std::unique_lock lock(mutex_);
         return changed_.wait_for(lock, std::chrono::seconds(20),
-                                 [&] { return seen_[what] >= count; });
+                                 [&] { return counts_[what] >= count; });
     }
     std::size_t count(const std::string& what) {
         const std::lock_guard lock(mutex_);
-        return seen_[what];
+        return counts_[what];
     }
 
   private:
     transport_handlers handlers() {
         transport_handlers made;
         made.on_message = [this](const node_name& from, protocol::internal_message&) {
-            note("message from " + from);
+            count_event("message from " + from);
             return true;
         };
         made.on_lost = [this](const node_name& node) {
-            note("lost " + node);
+            count_event("lost " + node);
             return true;
         };
         made.on_event = [this](const logging::event_record& record) {
-            note("event " + std::to_string(static_cast<int>(record.id)));
+            count_event("event " + std::to_string(static_cast<int>(record.id)));
         };
         return made;
     }
-    void note(const std::string& what) {
+    void count_event(const std::string& what) {
         const std::lock_guard lock(mutex_);
-        ++seen_[what];
+        ++counts_[what];
         changed_.notify_all();
     }
 
     std::mutex mutex_;
     std::condition_variable changed_;
-    std::map<std::string, std::size_t> seen_;
+    std::map<std::string, std::size_t> counts_;
     transport transport_;
 };
 
 class transport_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(transport_test);
-    CPPUNIT_TEST(messages_arrive_both_ways);
-    CPPUNIT_TEST(a_wrong_key_gets_nothing);
-    CPPUNIT_TEST(a_message_without_a_connection_is_told_as_lost);
+    CPPUNIT_TEST(messages_are_delivered_in_both_directions);
+    CPPUNIT_TEST(peer_with_a_wrong_key_is_rejected);
+    CPPUNIT_TEST(message_without_a_connection_is_reported_as_lost);
     CPPUNIT_TEST_SUITE_END();
 
   public:
@@ -89,33 +89,33 @@
     }
     std::string key(const char* name) const { return (folder_ / name).string(); }
 
-    void messages_arrive_both_ways() {
-        transport_end left("left", address, key("right"));
-        transport_end right("right", "", key("right"));
-        right.link().dial("left", address);
+    void messages_are_delivered_in_both_directions() {
+        test_endpoint left("left", address, key("right"));
+        test_endpoint right("right", "", key("right"));
+        right.get_transport().dial("left", address);
         CPPUNIT_ASSERT(right.wait_for("event 1101", 1));
         CPPUNIT_ASSERT(left.wait_for("event 1101", 1));
-        right.link().send(message_to("left"));
+        right.get_transport().send(message_to("left"));
         CPPUNIT_ASSERT(left.wait_for("message from right", 1));
-        left.link().send(message_to("right"));
+        left.get_transport().send(message_to("right"));
         CPPUNIT_ASSERT(right.wait_for("message from left", 1));
     }
 
-    void a_wrong_key_gets_nothing() {
-        transport_end left("left", address, key("right"));
-        transport_end right("right", "", key("wrong"));
-        right.link().dial("left", address);
-        // One of the ends refuses the other's proof, and says so.
+    void peer_with_a_wrong_key_is_rejected() {
+        test_endpoint left("left", address, key("right"));
+        test_endpoint right("right", "", key("wrong"));
+        right.get_transport().dial("left", address);
+        // One of the ends rejects the other's proof and logs an event.
         CPPUNIT_ASSERT(right.wait_for("event 1103", 1) || left.wait_for("event 1103", 1));
-        right.link().send(message_to("left"));
+        right.get_transport().send(message_to("left"));
         CPPUNIT_ASSERT(right.wait_for("lost left", 1));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, left.count("message from right"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, left.count("event 1101"));
     }
 
-    void a_message_without_a_connection_is_told_as_lost() {
-        transport_end right("right", "", key("right"));
-        right.link().send(message_to("nobody"));
+    void message_without_a_connection_is_reported_as_lost() {
+        test_endpoint right("right", "", key("right"));
+        right.get_transport().send(message_to("nobody"));
         CPPUNIT_ASSERT(right.wait_for("lost nobody", 1));
     }
 
