--- a/sim/checkers.cpp
+++ b/sim/checkers.cpp
@@ -12,9 +12,9 @@
 using stand_ins::caller_report;
 using stand_ins::ledger_entry;
 
-/// A back end that is leaving may get new work for this long.
+/// Period after the start of a leave in which a back end may still receive new requests.
 constexpr duration leaving_grace = std::chrono::seconds(3);
-/// An accepted configuration is in force within this.
+/// Deadline for every serving node to apply an accepted configuration.
 constexpr duration configuration_bound = std::chrono::seconds(6);
 
 std::string describe(const ledger_entry& entry) {
@@ -110,7 +110,7 @@
     std::vector<std::string> violations;
     std::map<std::pair<program_id, sequence_number>, int> runs;
     for (const ledger_entry& entry : seen.ledger) {
-        // The callers' requests to app services that end a program must not repeat.
+        // A program's final app request is not idempotent.
         const bool once = entry.kind == journal::call_kind::app && !entry.repeatable;
         if (once && ++runs[{entry.key.program, entry.key.sequence}] > 1) {
             violations.push_back("ran again: " + describe(entry));
--- a/sim/checkers.hpp
+++ b/sim/checkers.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Judges of a finished run. Each reads what callers, operators and back ends saw.
+/// Checkers of a finished run. Each reads only what callers, operators and back ends recorded.
 
 #include <functional>
 #include <string>
@@ -10,23 +10,23 @@
 
 namespace tallyfold::sim {
 
-/// One point of what must always hold.
+/// An invariant and the checker that detects its violations.
 struct property {
-    /// Stable name, as in docs/INVARIANTS.md.
+    /// Stable name, also used on the command line and in the documentation.
     std::string name;
-    /// The point in the users' words' sense.
+    /// The invariant as one sentence.
     std::string statement;
-    /// Kinds of faults that concern it.
+    /// Kinds of faults that can violate it.
     std::vector<std::string> faults;
-    /// Suites that test its mechanism, and scenarios of scripts/fault that judge it; empty for
-    /// none.
+    /// Unit test suites of its mechanism.
     std::string tests;
+    /// Scenarios of scripts/fault that check it; empty for none.
     std::string scenarios;
-    /// Violations found, each with enough to find it again.
+    /// @return one line for each violation, with the program, attempt or change that it concerns
     std::function<std::vector<std::string>(const observations&)> check;
 };
 
-/// The ten points, in the order of the brief.
+/// All invariants, in the order in which they are reported.
 const std::vector<property>& properties();
 
 }  // namespace tallyfold::sim
--- a/sim/event_queue.hpp
+++ b/sim/event_queue.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Virtual time: actions in the order of their time, ties in the order they were added.
+/// Event queue in virtual time. Actions run by due time, ties in insertion order.
 
 #include <cstdint>
 #include <functional>
@@ -22,7 +22,7 @@
         at(now_ + delay, std::move(action));
     }
 
-    /// Runs the next action. @return false when there is none up to `limit`
+    /// Runs the next action. @return false when no action is due by `limit`
     bool step(instant limit) {
         if (queue_.empty() || queue_.top().when > limit) {
             now_ = std::max(now_, limit);
@@ -45,7 +45,7 @@
         }
     };
 
-    /// Not the origin: a default instant means "never" in many places.
+    /// Starts after the epoch, since a default-constructed instant means "never".
     instant now_{std::chrono::seconds(1000)};
     std::uint64_t next_ = 0;
     std::priority_queue<entry> queue_;
--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The faults that plans put into a simulated run, each drawn by the plan's random source, and
-/// their repair.
+/// Injection and repair of the faults of a simulated run. All choices come from the plan's random
+/// source.
 
 #include "sim/fault_plan.hpp"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Time between two looks whether a repaired node votes, or a drained one is empty.
+/// Poll interval for a repaired node to become a voter, or a draining node to become idle.
 constexpr duration repair_poll = std::chrono::milliseconds(50);
 
 duration milliseconds(std::int64_t count) {
@@ -45,7 +45,7 @@
         const std::string leader = world_.leader_of(
             static_cast<group_id>(random_.below(world_.settings().journal_groups + 1)));
         const std::string victim = draw == 0 && !leader.empty() ? leader : pick("control-");
-        // Short blackouts of all control nodes are part of it, too.
+        // Occasionally allows several control nodes to be down at once, up to all of them.
         const bool allowed = may_harm_control() || random_.chance(0.15);
         if (allowed && world_.alive(victim) && !repairing_) {
             world_.count("kill_control");
@@ -114,7 +114,7 @@
 }
 
 void fault_plan::cut_off_control() {
-    // One control node cut off from everybody, without any error.
+    // Isolates one control node; messages are dropped without an error.
     const std::string victim = pick("control-");
     if (!may_harm_control()) {
         return;
@@ -184,7 +184,7 @@
     if (world_.events().now() > end_ || !random_.chance(0.7)) {
         return;
     }
-    // A second machine fails right after the repair, some of the time with its disk.
+    // A second node fails right after the repair and may lose its disk.
     std::string second = pick("control-");
     if (second == repaired || !world_.alive(second) || !may_harm_control()) {
         return;
@@ -229,7 +229,7 @@
                                   [this, victim] { world_.thaw(victim); });
         }
     } else if (draw == 3) {
-        // Never the last ones: somebody has to serve.
+        // Always the same back end, so that others remain to serve.
         world_.count("leave_engine");
         world_.leave("engine-1");
     } else {
@@ -260,7 +260,7 @@
         world_.events().after(repair_poll, [this, victim] { await_drain(victim); });
         return;
     }
-    // The process has ended, and a new one takes its place.
+    // The drained process exits and a new one replaces it.
     world_.kill(victim);
     troubled_.erase(victim);
     restart_later(victim, 200, 1500);
@@ -276,14 +276,14 @@
         command.body = configuration::tenant_settings{weight, 100};
         return command;
     };
-    // Two operators submit from equal versions; each repeats until an answer arrives.
+    // Two operators submit a change to the same version; each retries until it gets a response.
     const std::uint64_t version = next_command_ / 2;
     world_.count("operator_race");
     world_.count("operator_resend");
     world_.submit_change(make(1.0 + random_.unit(), version));
     world_.submit_change(make(3.0 + random_.unit(), version));
     if (random_.chance(0.3)) {
-        // A process sleeps through hundreds of changes.
+        // A node is down while many changes are committed.
         const std::string sleeper = pick(random_.chance(0.5) ? "scheduler-" : "gateway-");
         if (!world_.alive(sleeper)) {
             return;
--- a/sim/fault_plan.hpp
+++ b/sim/fault_plan.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Seeded plans of faults for simulated runs.
+/// Seeded fault plans for simulated runs.
 
 #include <cstdint>
 #include <functional>
@@ -24,13 +24,13 @@
 
 std::string_view to_string(plan_kind kind);
 
-/// The plan that a seed draws.
+/// Kind of plan that a seed selects.
 plan_kind plan_of(std::uint64_t seed);
 
-/// World settings for a seed: sizes, workload and classes of a run that faults are put into.
+/// World settings of a fault run for a seed: sizes, workload and program classes.
 world_settings fault_world(std::uint64_t seed, const std::map<std::string, std::string>& policies);
 
-/// Puts the seed's faults into the world's future. The plan must outlive the run.
+/// Schedules the faults of a seed in a world. Must outlive the run.
 class fault_plan {
   public:
     fault_plan(world& target, std::uint64_t seed);
@@ -57,7 +57,7 @@
     void restart_later(const std::string& node, std::int64_t low_ms, std::int64_t high_ms);
     [[nodiscard]] std::string pick(const std::string& prefix);
     [[nodiscard]] bool may_harm_control() const;
-    /// Numbers of control nodes that are down or cut off.
+    /// Number of control nodes that are down, frozen or isolated.
     [[nodiscard]] std::size_t controls_in_trouble() const;
 
     world& world_;
--- a/sim/network.cpp
+++ b/sim/network.cpp
@@ -4,7 +4,7 @@
 
 duration network::delay(const std::string& from, const std::string& to) {
     const duration base = zones_[from] == zones_[to] ? same_zone_ : between_zones_;
-    // A tenth of jitter.
+    // Up to 10 % jitter.
     duration total = base + duration(random_.between(0, base.count() / 10 + 1));
     for (const std::string& end : {from, to}) {
         const auto found = slow_.find(end);
--- a/sim/network.hpp
+++ b/sim/network.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// The simulated network: delays, one-way and silent cuts, slow links, reordering, duplication.
+/// Simulated network: delays, one-way and two-way partitions without errors, slow links,
+/// reordering, duplication.
 
 #include <map>
 #include <set>
@@ -21,7 +22,7 @@
         same_zone_ = same_zone;
         between_zones_ = between_zones;
     }
-    /// Messages from `from` to `to` vanish without an error.
+    /// Drops messages from `from` to `to` without an error.
     void cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
     void heal(const std::string& from, const std::string& to) { cuts_.erase({from, to}); }
     void heal_all() {
@@ -30,7 +31,7 @@
         chaotic_ = false;
     }
     void slow(const std::string& node, duration extra) { slow_[node] = extra; }
-    /// Replica messages are also duplicated and reordered while this is set.
+    /// While set, messages between replicas are also duplicated and reordered.
     void set_chaotic(bool chaotic) { chaotic_ = chaotic; }
     [[nodiscard]] bool chaotic() const { return chaotic_; }
 
--- a/sim/policy_files.hpp
+++ b/sim/policy_files.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The policies that are shipped, read from their folder.
+/// Reads the shipped policies from their folder.
 
 #include <fstream>
 #include <iterator>
@@ -9,7 +9,7 @@
 
 namespace tallyfold::sim {
 
-/// Texts by name, "huayin" and "hobart".
+/// Policy sources by name: "huayin" and "hobart".
 inline std::map<std::string, std::string> read_policies(const std::string& folder) {
     std::map<std::string, std::string> policies;
     for (const std::string name : {"huayin", "hobart"}) {
--- a/sim/run.hpp
+++ b/sim/run.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One simulated run from a seed, and what came of it.
+/// One simulated fault run of a seed and its result.
 
 #include <functional>
 #include <map>
@@ -18,13 +18,13 @@
     bool booted = false;
     bool finished = false;
     std::map<std::string, std::uint64_t> faults;
-    /// Violations by property.
+    /// Violations by property name.
     std::map<std::string, std::vector<std::string>> violations;
     std::vector<duration> leader_gaps;
 };
 
 /// Runs the seed's plan and checks every property.
-/// @param trace gets a line for each message, order and fault; empty for none
+/// @param trace receives a line for each message, order and fault; empty for no trace
 run_result run_with_faults(std::uint64_t seed, const std::map<std::string, std::string>& policies,
                            const std::function<void(const std::string& line)>& trace = {});
 
--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -87,7 +87,7 @@
     return nodes_.at(node)->frozen;
 }
 
-// --- life of nodes -------------------------------------------------------------------------
+// --- node lifecycle ------------------------------------------------------------------------
 
 void world::start_node(const std::string& name) {
     node_base& base = *nodes_.at(name);
--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A whole deployment in one process under virtual time: the real logic of every node, the
-/// stand-ins for back ends and callers, and faults.
+/// A whole deployment in one process and one thread under virtual time: the production logic of
+/// every node, stand-ins for back ends and callers, and fault injection.
 
 #include <functional>
 #include <map>
@@ -34,28 +34,28 @@
     std::uint32_t journal_groups = 2;
     stand_ins::engine_settings engine;
     double tool_hang_share = 0;
-    /// Lines of the configuration that the operator submits at the start.
+    /// Configuration that the operator submits at the start.
     std::map<std::string, std::string> policies;
     std::map<std::string, configuration::class_settings> classes;
     configuration::tenant_settings tenant;
     std::uint64_t snapshot_interval = 400;
     std::uint64_t seed = 1;
-    /// The run ends at the latest this long after its start.
+    /// Maximum duration of a run.
     duration limit = std::chrono::minutes(10);
-    /// How long engines may hold what closed programs left.
+    /// Time for engines to release the cached tokens of closed programs.
     duration settle = std::chrono::seconds(15);
-    /// When set, gets a line for each message and order about a program.
+    /// When set, receives a line for each message, order and fault.
     std::function<void(const std::string& line)> trace;
 };
 
-/// A configuration change as an operator saw it.
+/// A configuration change and its result as an operator received it.
 struct operator_record {
     configuration::change_command command;
     std::optional<configuration::change_result> result;
     instant accepted_at{};
 };
 
-/// A sample of what one node serves with.
+/// Configuration version in use on one node at one time.
 struct configuration_sample {
     std::string node;
     instant at{};
@@ -63,18 +63,18 @@
     bool serving = false;
 };
 
-/// Everything that checkers read; nothing in it comes from the system's own counters.
+/// Input of the checkers. Nothing in it comes from the system's own counters.
 struct observations {
     std::vector<stand_ins::caller_report> callers;
     std::vector<stand_ins::ledger_entry> ledger;
     std::vector<operator_record> operators;
     std::vector<configuration_sample> configuration;
     configuration::configuration_view final_configuration;
-    /// When a back end began to leave.
+    /// Time at which each back end began to leave.
     std::map<backend_name, instant> leaving;
-    /// Tokens that engines hold for programs that were closed or abandoned, at the end.
+    /// Tokens that engines still hold at the end for closed or abandoned programs.
     std::map<program_id, token_count> held_after_end;
-    /// Histories as the journal has them at the end, by program.
+    /// Final histories in the journal, by program.
     std::map<program_id, std::vector<journal::message>> histories;
     std::map<std::string, std::uint64_t> faults;
     bool only_planned_stops = false;
@@ -92,14 +92,14 @@
     world& operator=(const world&) = delete;
 
     /// Forms the cluster, submits the configuration, and waits until the gateways are ready.
-    /// @return false when that does not come about
+    /// @return false when a step does not complete in time
     bool boot();
-    /// Runs until every caller is done, or the limit.
+    /// Runs until every caller is done or the time limit is reached.
     void run();
-    /// Heals everything, restarts the dead, and gathers what the checkers read.
+    /// Heals all links, restarts dead nodes, and collects the checkers' input.
     observations finish();
 
-    // Faults; names are as in nodes().
+    // Faults; node names are those that names() returns.
     void kill(const std::string& node);
     void restart(const std::string& node);
     void lose_disk(const std::string& node);
@@ -113,10 +113,10 @@
     void drain(const std::string& node);
     void leave(const std::string& backend);
     void submit_change(configuration::change_command command);
-    /// Counts a fault under its kind.
+    /// Counts an injected fault of the kind.
     void count(const std::string& kind) { ++seen_.faults[kind]; }
 
-    // What fault plans look at.
+    // Queries for fault plans.
     [[nodiscard]] event_queue& events() { return events_; }
     [[nodiscard]] const world_settings& settings() const { return settings_; }
     [[nodiscard]] bool alive(const std::string& node) const;
@@ -125,7 +125,7 @@
     [[nodiscard]] bool is_voter_everywhere(const std::string& node) const;
     [[nodiscard]] bool callers_done() const;
     [[nodiscard]] std::vector<std::string> names(const std::string& prefix) const;
-    /// True while every group has a leader that has committed in its term.
+    /// True if every group has a leader that has committed an entry in its term.
     [[nodiscard]] bool control_serves() const;
     [[nodiscard]] bool drained(const std::string& node) const;
 
@@ -146,7 +146,7 @@
     void start_engine(engine_node& node, std::uint64_t seed);
     void start_service(service_node& node, std::uint64_t seed);
     bool form_cluster();
-    /// @return the number of changes, and so the version that gateways are to have
+    /// @return the number of changes, which is the version that gateways must reach
     std::uint64_t submit_configuration();
     [[nodiscard]] bool gateways_ready(configuration::configuration_version version);
     void start_callers();
@@ -159,7 +159,7 @@
     void run_on(const std::string& node, std::function<void()> action);
     void pump_control(control_node& node);
     void answer_operator(control_node& node, const control::admin_reply& reply);
-    /// The batch is on the node's disk, and its messages go out, once a sync's time has passed.
+    /// Writes the batch to the node's disk and sends its messages after the sync latency.
     void sync_later(const control_node& node, control::storage_batch written);
     void pump_scheduler(scheduler_node& node);
     void pump_gateway(gateway_node& node);
@@ -194,7 +194,7 @@
     void operator_loop(std::size_t record);
     void sample_configuration();
     void gather_ledger();
-    /// The configuration and the histories as their groups' leaders have them.
+    /// Collects the configuration and the histories from the leaders of their groups.
     void gather_histories();
     void gather_held_tokens();
     [[nodiscard]] instant local_now(const node_base& node) const;
@@ -208,9 +208,9 @@
     random_source random_;
     std::map<std::string, std::unique_ptr<node_base>> nodes_;
     std::shared_ptr<stand_ins::prefill_ledger> prefill_;
-    /// Earliest time at which the next message of a link may arrive: links keep order.
+    /// Earliest arrival time of a link's next message; keeps messages of a link in order.
     std::map<std::pair<std::string, std::string>, instant> link_order_;
-    /// Since when a link passes nothing, for the connection deadlines.
+    /// Time since which a link drops all messages; used for connection timeouts.
     std::map<std::pair<std::string, std::string>, instant> silent_since_;
     std::set<std::pair<std::string, std::string>> lost_told_;
 
--- a/sim/world_backends.cpp
+++ b/sim/world_backends.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The simulated world's back ends: orders from schedulers, reports to them, leaving.
+/// Back ends of the simulated world: orders from schedulers, reports to schedulers, leaving.
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr duration refused_delay = std::chrono::milliseconds(1);
-/// How far the membership list lags.
+/// Delay until a leaving back end shows in the membership list.
 constexpr duration list_lag = std::chrono::milliseconds(1500);
 constexpr const char* list_name = "members";
 
@@ -96,7 +96,7 @@
 
 void world::give_up_later(const std::string& name, std::uint64_t generation,
                           const scheduler::run_request& request) {
-    // The shell gives the request up after its timeout, whatever became of it.
+    // As the scheduler's process shell does, reports a failure at the timeout in any case.
     const scheduler::attempt_key key = request.key;
     events_.after(request.timeout, [this, name, generation, key] {
         if (nodes_.at(name)->generation != generation) {
--- a/sim/world_callers.cpp
+++ b/sim/world_callers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The simulated world's callers: their requests to gateways, and what comes back.
+/// Callers of the simulated world: requests to gateways and their responses.
 
 #include <algorithm>
 
--- a/sim/world_links.cpp
+++ b/sim/world_links.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The simulated world's links: messages between its nodes, connections that break, cuts, delays,
-/// clocks.
+/// Links of the simulated world: messages between nodes, connection failures, partitions, delays,
+/// clock jumps.
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr duration sync_time = std::chrono::microseconds(900);
-/// A connection that passes nothing for this long is given up by both ends.
+/// Idle time after which both ends close a connection.
 constexpr duration silence_limit = std::chrono::milliseconds(1200);
 constexpr duration reset_delay = std::chrono::milliseconds(2);
 
@@ -41,9 +41,9 @@
     for (const std::string& name : names("gateway-")) {
         tell_lost(name, dead);
     }
-    // Callers see their connection break when a gateway dies.
+    // Callers of a dead gateway lose their connection.
     for (auto& [token, request] : requests_) {
-        // A request that is still on its way will find no listener instead.
+        // A request still in transit (generation 0) is refused on arrival instead.
         if (request.gateway == dead && request.generation != 0) {
             const stand_ins::caller_token lost = token;
             const std::size_t caller = request.caller;
@@ -53,7 +53,7 @@
             });
         }
     }
-    // Engines see their readers go.
+    // Engines detach the streams that the dead node was reading.
     for (const auto& [name, node] : nodes_) {
         if (auto* engine = dynamic_cast<engine_node*>(node.get()); engine && engine->core) {
             for (const auto& [key, reader] : engine->readers) {
@@ -95,7 +95,7 @@
     }
     trace_message(from, to, message);
     if (!alive(to) && network_.passes(to, from)) {
-        // The connection is refused, and the sender's transport says so.
+        // The connection is refused; the sender's transport reports it.
         tell_lost(from, to);
     }
     const bool replica = std::holds_alternative<consensus::replica_message>(message);
@@ -164,7 +164,7 @@
     if (reply.status != control::admin_status::done) {
         return;
     }
-    // The answer travels to the operator; it may get lost on the way.
+    // The response to the operator can be lost in transit.
     events_.after(network_.delay(node.name, node.name), [this, record, reply] {
         operator_record& known = seen_.operators[record];
         if (!known.result.has_value() && !random_.chance(0.1)) {
@@ -180,7 +180,7 @@
     events_.after(sync_time, [this, name, generation, batch = std::move(written)]() mutable {
         auto& woken = node_as<control_node>(name);
         if (!woken.alive || woken.generation != generation) {
-            return;  // It died before the sync: nothing of the batch is on the disk.
+            return;  // The node died before the sync; nothing of the batch is durable.
         }
         for (const consensus::group_write& write : batch.writes) {
             woken.disk[write.group].apply(write);
--- a/sim/world_nodes.hpp
+++ b/sim/world_nodes.hpp
@@ -1,15 +1,15 @@
 #pragma once
 /// @file
-/// The nodes of a simulated world. Private to sim/world*.cpp.
+/// Nodes of a simulated world. Private to sim/world*.cpp.
 
 #include "sim/world.hpp"
 
 namespace tallyfold::sim {
 
 constexpr duration tick_interval = std::chrono::milliseconds(10);
-/// Time between two looks at the links for silence.
+/// Interval between checks of links for idle timeouts.
 constexpr duration silence_check = std::chrono::milliseconds(100);
-/// Time between two samples of what nodes serve with.
+/// Interval between samples of the configuration versions in use.
 constexpr duration sample_interval = std::chrono::milliseconds(250);
 
 struct world::node_base {
@@ -17,22 +17,22 @@
     std::string name;
     bool alive = false;
     bool frozen = false;
-    /// Grows with each start; what was meant for an earlier life is dropped.
+    /// Incremented at each start; events addressed to an earlier generation are dropped.
     std::uint64_t generation = 0;
-    /// How far the node's clock has jumped ahead.
+    /// Offset of the node's clock ahead of virtual time.
     duration clock_ahead{};
-    /// Work that reached a frozen node; done when it wakes.
+    /// Actions that arrive while the node is frozen; run when it is thawed.
     std::vector<std::function<void()>> backlog;
-    /// Ends the node's life: what is in memory is gone.
+    /// Discards the node's in-memory state.
     virtual void forget() = 0;
 };
 
 struct world::control_node : node_base {
     std::unique_ptr<control::control_core> core;
-    // The disk.
+    // Durable state.
     consensus::replica_id identity = consensus::no_replica;
     std::map<group_id, consensus::durable_group> disk;
-    /// Admin requests that wait, by token: index of the operator's record, or none for reads.
+    /// Index of the operator's record by the token of the pending admin request.
     std::map<std::uint64_t, std::size_t> admin;
     void forget() override { core.reset(); }
 };
@@ -49,7 +49,7 @@
 
 struct world::engine_node : node_base {
     std::unique_ptr<stand_ins::engine_core> core;
-    /// Who reads each stream: scheduler and its generation.
+    /// Reader of each stream: scheduler name and generation.
     std::map<scheduler::attempt_key, std::pair<std::string, std::uint64_t>> readers;
     instant wake_at{};
     bool leaving = false;
--- a/sim/world_run.cpp
+++ b/sim/world_run.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// A simulated run from its boot to what the checkers read; operators; views for fault plans.
+/// A simulated run from boot to the checkers' input; operators; queries for fault plans.
 
 #include <algorithm>
 
@@ -197,7 +197,7 @@
     if (seen_.operators[record].result.has_value()) {
         return;
     }
-    // Asks a random control node; repeats with the same identity until an answer arrives.
+    // Sends to a random control node; retries with the same identity until a response arrives.
     const std::vector<std::string> controls = names("control-");
     const std::string& name = controls[random_.below(controls.size())];
     run_on(name, [this, name, record] {
@@ -241,7 +241,7 @@
     }
 }
 
-// --- views for fault plans -----------------------------------------------------------------
+// --- queries for fault plans ---------------------------------------------------------------
 
 std::string world::leader_of(group_id group) const {
     std::string leader;
--- a/sim/world_trace.cpp
+++ b/sim/world_trace.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The simulated world's trace: one line for each message, order and fault, for a reader who
-/// looks for the cause of a violation.
+/// Trace of the simulated world: one line for each message, order and fault, for debugging
+/// violations.
 
 #include "sim/world.hpp"
 #include "sim/world_nodes.hpp"
--- a/tests/sim/checkers_test.cpp
+++ b/tests/sim/checkers_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace sim;
 
-/// Each checker must flag a history made by hand that breaks its point, and pass a good one.
+/// Each checker must flag a hand-made run that violates its property and accept a valid run.
 class checkers_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(checkers_test);
     CPPUNIT_TEST(a_good_history_passes);
--- a/tests/sim/found_failures_test.cpp
+++ b/tests/sim/found_failures_test.cpp
@@ -5,8 +5,8 @@
 
 namespace tallyfold::tests {
 
-/// Seeds that once broke a point. A seed's schedule moves when the code does, so the causes have
-/// tests of their own beside these.
+/// Regression test for seeds that violated a property. A seed's schedule changes with the code,
+/// so each cause also has a test of its own.
 class found_failures_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(found_failures_test);
     CPPUNIT_TEST(seeds_that_failed_pass);
