--- a/stand_ins/answer_content.hpp
+++ b/stand_ins/answer_content.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What the stand-ins answer: a function of the program, the call and the whole history, so that
-/// a caller can tell its own whole answer from a lost, mixed or shortened one.
+/// Deterministic answers of the stand-in back ends. An answer depends on the program, the call
+/// and the whole history, so that callers detect truncated answers and answers of other calls.
 
 #include <cstdint>
 #include <string>
@@ -11,15 +11,15 @@
 
 namespace tallyfold::stand_ins {
 
-/// Piece number `position` of a completion.
+/// Piece of a completion at index `position`.
 std::string completion_piece(const program_id& program, sequence_number sequence,
                              scheduling::prefix_hash history, std::uint64_t position);
 
-/// The whole completion of `length` pieces.
+/// Full text of a completion of `length` pieces.
 std::string completion_text(const program_id& program, sequence_number sequence,
                             scheduling::prefix_hash history, std::uint64_t length);
 
-/// Answer of an app or tool service.
+/// Answer of an app or tool service to a call.
 std::string service_answer(const program_id& program, sequence_number sequence,
                            const std::string& operation, const std::string& argument);
 
--- a/stand_ins/backend_ledger.hpp
+++ b/stand_ins/backend_ledger.hpp
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// What back ends saw, kept apart from the system under test: the checkers judge by it.
+/// Attempts recorded by the stand-in back ends, independent of the system under test. Input of
+/// the checkers.
 
 #include <cstdint>
 #include <string>
@@ -11,17 +12,17 @@
 
 namespace tallyfold::stand_ins {
 
-/// One attempt as a back end saw it.
+/// One attempt as recorded by a back end.
 struct ledger_entry {
     scheduler::attempt_key key;
     journal::call_kind kind = journal::call_kind::model;
     backend_name backend;
     bool repeatable = true;
     instant started{};
-    /// Unset while the attempt runs.
+    /// Unset while the attempt is running.
     instant finished{};
     bool completed = false;
-    /// Prompt and generated tokens that the attempt used.
+    /// Sum of prompt tokens and generated tokens.
     token_count tokens = 0;
 };
 
--- a/stand_ins/backend_process.hpp
+++ b/stand_ins/backend_process.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The stand-in back ends as processes: their HTTP interface before the pure emulators.
+/// Processes of the stand-in back ends: an HTTP interface in front of the emulators' logic.
 
 #include <atomic>
 #include <string>
@@ -15,7 +15,7 @@
     /// "ip:port".
     std::string listen;
     std::string ledger_path;
-    /// "ip:port" of the weight store; empty when models need not be fetched.
+    /// "ip:port" of the weight store; empty if models need not be fetched.
     std::string weight_store;
 };
 
@@ -23,11 +23,12 @@
     service_settings core;
     std::string listen;
     std::string ledger_path;
-    /// File of what must survive a kill.
+    /// File of the state that must survive a kill.
     std::string record_path;
 };
 
-/// Each runs until `stop` is set; then it refuses new work, finishes, and returns the exit code.
+/// Runs until `stop` is set, then refuses new work and finishes the work in progress.
+/// @return the exit code of the process
 int run_engine(const engine_process& settings, const std::atomic<bool>& stop);
 int run_service(const service_process& settings, const std::atomic<bool>& stop);
 
--- a/stand_ins/backend_protocol.hpp
+++ b/stand_ins/backend_protocol.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// A back end's half of the HTTP interface in docs/BACKENDS.md, as the emulated ones speak it:
-/// requests to orders, and what they answer as text. Owns nothing. The schedulers' half is
-/// program_api/scheduler/backend_http_codec.
+/// Back-end side of the HTTP interface between schedulers and back ends, as the stand-ins
+/// implement it: parses requests into orders and renders responses. Stateless. The scheduler side
+/// is program_api/scheduler/backend_http_codec.
 
 #include <optional>
 #include <string>
@@ -13,22 +13,22 @@
 
 namespace tallyfold::stand_ins {
 
-/// @param after the query parameter of the same name
+/// @param after value of the query parameter `after`
 scheduler::codec_result<scheduler::backend_order> parse_order(const std::string& method,
                                                               const std::string& path,
                                                               const std::string& after,
                                                               const std::string& body);
 
-/// Events of a stream, framed as text/event-stream.
+/// Renders stream events in text/event-stream format.
 std::string render_stream_event(const scheduler::stream_pieces& pieces);
 std::string render_stream_event(const scheduler::stream_finished& finished);
-/// The last event of a stream that was taken, waited, and was not started in time.
+/// Last event of a stream that was accepted and queued but did not start by its start limit.
 std::string render_stream_refused();
 
 std::string render_status(const scheduler::status_answered& status);
 std::string render_members(const scheduler::members_answered& members);
 
-/// Reads "program/sequence/attempt" back.
+/// Parses "program/sequence/attempt".
 std::optional<scheduler::attempt_key> parse_attempt_key(std::string_view text);
 
 }  // namespace tallyfold::stand_ins
--- a/stand_ins/backend_runtime.hpp
+++ b/stand_ins/backend_runtime.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// What the emulated back ends' processes share: an HTTP server, a thread for the emulator's logic,
-/// the ring between them, and leaving: new work is refused, what is under way is finished. Private
-/// to stand_ins/*_process_shell.cpp.
+/// Common runtime of the stand-in back end processes: an HTTP server, a thread for the emulator's
+/// logic, the ring between them, and leaving (refuses new work, finishes work in progress).
+/// Private to stand_ins/*_process_shell.cpp.
 
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -37,7 +37,7 @@
     respond(exchange, status, nlohmann::json{{"error", reason}}.dump());
 }
 
-/// What both kinds of back end share: the server, the ring to the logic thread, leaving.
+/// Base class of the back end processes. Calls its virtual functions on the logic thread only.
 class backend_runtime {
   public:
     explicit backend_runtime(const std::string& listen)
@@ -70,10 +70,10 @@
   protected:
     virtual void on_order(net::exchange_pointer exchange, const backend_order& order,
                           instant now) = 0;
-    /// A request that is no order; @return false when there is no such path.
+    /// Handles requests other than scheduler orders. @return false if the path is not handled
     virtual bool on_other(net::exchange_pointer exchange, instant now) = 0;
     virtual void on_leave() = 0;
-    /// Ticks the emulator, passes its reports on. @return true when nothing is under way
+    /// Ticks the emulator and forwards its reports. @return true if no work is in progress
     virtual bool step(instant now) = 0;
 
     net::logic_thread& logic() { return logic_; }
--- a/stand_ins/caller_core.cpp
+++ b/stand_ins/caller_core.cpp
@@ -18,7 +18,7 @@
 
 constexpr duration reconnect_pause = std::chrono::milliseconds(100);
 
-/// Tokens only have to differ within one process.
+/// Tokens need to be unique only within the process.
 caller_token next_token() {
     static std::atomic<caller_token> next{1};
     return next++;
@@ -203,10 +203,10 @@
 
 void caller_core::on_call_failed(const outcome& result, instant now) {
     if (result.ran == ran_state::no) {
-        // The claim stands for ever: this call is not asked for again.
+        // The claim never expires, since the call is not retried.
         report_.claims.push_back({program_, sequence_, now, instant::max()});
         claimed_not_run_ = false;
-        // A call that did not run has not used its sequence number.
+        // A call that did not run does not consume its sequence number.
         --sequence_;
     }
     ++report_.failed_calls;
--- a/stand_ins/caller_core.hpp
+++ b/stand_ins/caller_core.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// One caller that runs one program, as pure logic: makes the calls in order, repeats them with
-/// the same identity when told to or when the connection is lost, and checks every answer.
+/// Logic of one caller that runs one program: makes the calls in order, retries them with the same
+/// identity on retryable errors and lost connections, and checks every answer. Performs no I/O.
 
 #include <map>
 #include <memory>
@@ -16,15 +16,16 @@
 
 using caller_token = std::uint64_t;
 
-/// A request to send to some gateway.
+/// A request to send to any gateway.
 struct caller_action {
     caller_token token = 0;
     protocol::scheduler_call call;
-    /// Set for sub-agents' open requests.
+    /// Parent program; set only in open requests of sub-agents.
     program_id parent;
 };
 
-/// The system said that a request was not run; the caller then asked again at `asked_again`.
+/// Claim by the system, received at `told`, that a request had not run. It covers the time until
+/// the caller's retry at `asked_again`.
 struct not_run_claim {
     program_id program;
     sequence_number sequence = 0;
@@ -32,7 +33,7 @@
     instant asked_again{};
 };
 
-/// What the caller saw, for the checkers.
+/// Results recorded by a caller; input of the checkers.
 struct caller_report {
     std::string program_class;
     program_id program;
@@ -40,20 +41,20 @@
     bool completed = false;
     bool abandoned = false;
     std::uint64_t calls = 0;
-    /// Calls that the system gave up on for good.
+    /// Calls that the system failed without allowing a retry.
     std::uint64_t failed_calls = 0;
-    /// Answers that were not whole or not this call's own.
+    /// Answers that were truncated or belonged to another call.
     std::uint64_t wrong_answers = 0;
-    /// Calls whose answer never came.
+    /// Calls that never received an answer.
     std::uint64_t lost = 0;
-    /// Answers with an open outcome, and connections that broke.
+    /// Responses with an unknown outcome, and lost connections.
     std::uint64_t disturbances = 0;
     std::uint64_t refusals = 0;
     instant started{};
     instant ended{};
     std::vector<duration> first_pieces;
     std::vector<not_run_claim> claims;
-    /// Programs of this tree, with the time at which each was closed or left.
+    /// Programs of this tree with the time at which each was closed or abandoned.
     std::map<program_id, instant> members;
     std::vector<std::string> notes;
 };
@@ -61,12 +62,12 @@
 class caller_core {
   public:
     struct settings {
-        /// Makes the identities of this run's requests unique.
+        /// Prefix that makes request identities unique to this run.
         std::string run;
-        /// A request without any sign of life for this long is sent again. Below the classes' idle
-        /// timeout: a caller that is silent for longer has its programs closed as abandoned.
+        /// Time without a response after which a request is resent. Must be below the classes' idle
+        /// timeout, after which the system closes the caller's program as abandoned.
         duration stall_timeout = std::chrono::seconds(8);
-        /// The caller calls a request lost after this long.
+        /// Time after which a request counts as lost.
         duration lost_after = std::chrono::seconds(180);
     };
 
@@ -76,15 +77,15 @@
     void start(instant now);
     void on_pieces(caller_token token, const std::vector<std::string>& pieces, instant now);
     void on_answer(caller_token token, const journal::outcome& result, instant now);
-    /// The gateway was not reached: it did not get the request.
+    /// The connection was refused; the gateway did not receive the request.
     void on_refused(caller_token token, instant now);
-    /// The connection to the gateway broke after the request was sent.
+    /// The connection was lost after the request was sent.
     void on_disconnected(caller_token token, instant now);
     void tick(instant now);
     std::vector<caller_action> take_actions();
 
     [[nodiscard]] bool done() const { return phase_ == phase::done; }
-    /// Reports of this program; sub-agents' findings are added in.
+    /// Report of this program, including its sub-agents.
     [[nodiscard]] const caller_report& report() const { return report_; }
 
   private:
@@ -98,7 +99,7 @@
     void finish(instant now);
     void on_ok(const journal::outcome& result, instant now);
     void on_error(const journal::outcome& result, instant now);
-    /// The call has failed for good: the program goes on with its next step, or ends.
+    /// Handles a failure that is not retried: the program continues with its next step or ends.
     void on_call_failed(const journal::outcome& result, instant now);
     void retry_at(instant when) { retry_at_ = when; }
     protocol::scheduler_call current_call() const;
--- a/stand_ins/caller_http.cpp
+++ b/stand_ins/caller_http.cpp
@@ -112,7 +112,7 @@
 std::optional<caller_stream_event> parse_stream_event(std::string_view text) {
     const json parsed = json::parse(text, nullptr, false);
     if (!parsed.is_object()) {
-        return std::nullopt;  // "[DONE]" and what is not understood.
+        return std::nullopt;  // "[DONE]" or an unknown event.
     }
     try {
         caller_stream_event event;
--- a/stand_ins/caller_http.hpp
+++ b/stand_ins/caller_http.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The caller stand-in's requests as HTTP, and the gateways' answers read back.
+/// HTTP codec of the stand-in callers: renders requests and parses the gateways' responses.
 
 #include <optional>
 #include <string>
@@ -19,13 +19,14 @@
 
 caller_http_request render_request(const caller_action& action);
 
-/// The outcome that an answer without a stream amounts to; nothing when it is not understood.
+/// Parses a response that is not a stream. @return nothing if the response is malformed
 std::optional<journal::outcome> parse_answer(const caller_action& action, const std::string& body);
 
-/// One event of a streamed completion: a piece of the answer, or its end.
+/// One event of a streamed completion: a piece of the answer or its end.
 struct caller_stream_event {
     std::string piece;
-    /// Set by the last event; the answer itself is what the pieces add up to.
+    /// Set in the last event. Its answer text is empty; the answer is the concatenation of the
+    /// pieces.
     std::optional<journal::outcome> end;
 };
 std::optional<caller_stream_event> parse_stream_event(std::string_view text);
--- a/stand_ins/caller_process.hpp
+++ b/stand_ins/caller_process.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Many callers in one process, over HTTP, against real gateways.
+/// Runs many callers in one process against gateways over HTTP.
 
 #include <atomic>
 #include <string>
@@ -13,21 +13,21 @@
 
 struct caller_process {
     workload_settings workload;
-    /// "ip:port" each.
+    /// Each as "ip:port".
     std::vector<std::string> gateways;
-    /// Makes the identities of this run's requests unique.
+    /// Prefix that makes request identities unique to this run.
     std::string run;
-    /// The run is given up after this long.
+    /// Maximum duration of the run.
     duration limit = std::chrono::minutes(5);
 };
 
 struct caller_results {
     std::vector<caller_report> reports;
-    /// False when the limit was reached first.
+    /// False if the run ended at the limit.
     bool finished = false;
 };
 
-/// Runs the workload's programs to their end.
+/// Runs the workload's programs until all have ended, the limit is reached or `stop` is set.
 caller_results run_callers(const caller_process& settings, const std::atomic<bool>& stop);
 
 }  // namespace tallyfold::stand_ins
--- a/stand_ins/deployment_defaults.hpp
+++ b/stand_ins/deployment_defaults.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Classes of the two first users' deployments, as their operators would submit them.
+/// Default program classes of the two supported deployment profiles.
 
 #include <map>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace tallyfold::stand_ins {
 
-/// Classes by name; their policy is the deployment's shipped one ("huayin" or "hobart").
+/// Classes by name. Each uses the shipped policy of the deployment ("huayin" or "hobart").
 std::map<std::string, configuration::class_settings> default_classes(deployment profile);
 
 }  // namespace tallyfold::stand_ins
--- a/stand_ins/engine_cache.cpp
+++ b/stand_ins/engine_cache.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The emulated engine's prefix cache: nodes by message, evicted leaf by leaf, least valuable and
-/// then least recently used first.
+/// Prefix cache of the emulated engine: a tree with one node per message. Evicts leaves in order
+/// of retention value, then of last use.
 
 #include <algorithm>
 
@@ -37,7 +37,7 @@
     }
     const auto above = cache_.find(parent);
     if (above == cache_.end() && parent != 0) {
-        return;  // Without its beginning a prefix is of no use.
+        return;  // A node is unusable without its parent.
     }
     cache_node node;
     node.parent = parent;
@@ -91,7 +91,7 @@
 }
 
 void engine_core::release(const program_id& program, instant now) {
-    // Leaves first; a node that others built on stays until they go.
+    // Removes leaves first; a node stays while it has children.
     bool removed = true;
     while (removed) {
         removed = false;
@@ -141,7 +141,7 @@
         const cache_node& node = cache_.at(hash);
         exported.nodes.push_back({node.parent, node.point, node.tokens});
     }
-    // Beginnings come before what follows them.
+    // Parents precede their children.
     std::sort(
         exported.nodes.begin(), exported.nodes.end(),
         [](const auto& left, const auto& right) { return left.point.tokens < right.point.tokens; });
--- a/stand_ins/engine_core.cpp
+++ b/stand_ins/engine_core.cpp
@@ -15,7 +15,7 @@
 constexpr duration expiry_interval = std::chrono::seconds(1);
 constexpr std::size_t kept_loads = 64;
 constexpr duration longest_backlog = std::chrono::milliseconds(100);
-/// A seal is kept for longer than any start limit reaches.
+/// Retention of seals; must exceed the longest start limit.
 constexpr duration seal_keep = std::chrono::seconds(60);
 
 bool is_late(scheduler::backend_clock not_after, instant now) {
@@ -55,7 +55,7 @@
         return tl::unexpected(engine_refusal::wrong_model);
     }
     if (streams_.contains(request.key)) {
-        // The same attempt again is the same stream.
+        // A repeated start of an attempt resumes its stream.
         return resume({request.backend, request.key, request.prefix.size()}, now);
     }
     stream added;
@@ -142,14 +142,14 @@
         expire(now);
     }
     if (now - step_due_ > longest_backlog) {
-        // The process was stopped; the steps that it missed are not made up for.
+        // The process was suspended; skips the missed steps.
         step_due_ = now;
     }
     while (step_due_ <= now && !idle()) {
         const instant at = step_due_;
         admit(at);
         if (running_.empty()) {
-            // Nothing fits in memory yet; look again after an ordinary step's time.
+            // No waiting sequence fits in memory; retries after the base step time.
             step_due_ = at + settings_.step_base;
             continue;
         }
@@ -163,7 +163,7 @@
 }
 
 bool engine_core::fits(const stream& target) const {
-    // Worst case: the whole prompt and the whole answer, beside what others hold.
+    // Reserves the whole prompt and the maximum answer of every running sequence.
     token_count held = 0;
     for (const scheduler::attempt_key& key : running_) {
         const stream& other = streams_.at(key);
@@ -197,13 +197,13 @@
         running_.push_back(first->second);
         waiting_.erase(first);
         hold_cached(target, now);
-        // An attempt runs from here on: one that is cancelled while it waits has not run.
+        // An attempt counts as run from admission; one that is cancelled earlier did not run.
         target.entry = entries_.size();
         target.admitted = true;
         ledger_entry entry;
         entry.key = target.request.key;
         entry.backend = settings_.name;
-        // A step that is made up for later does not start what had not arrived then.
+        // The time of a delayed step can precede the arrival of the request.
         entry.started = std::max(now, target.changed);
         entry.tokens = target.prompt_tokens;
         entries_.push_back(std::move(entry));
@@ -374,6 +374,6 @@
     return {};
 }
 
-// --- what is published ---------------------------------------------------------------------
+// --- published state -----------------------------------------------------------------------
 
 }  // namespace tallyfold::stand_ins
--- a/stand_ins/engine_core.hpp
+++ b/stand_ins/engine_core.hpp
@@ -1,9 +1,8 @@
 #pragma once
 /// @file
-/// Emulator of a model engine as pure logic: continuous batching, a prefix cache in limited
-/// memory, priorities, resumable streams, late cache events with gaps, lagging load reports,
-/// export and import of cached prefixes, and fenced orders. Its cost model is in
-/// docs/EMULATOR.md.
+/// Logic of an emulated model engine: continuous batching, a prefix cache of limited size,
+/// priorities, resumable streams, delayed and lossy cache events, delayed load reports, export and
+/// import of cached prefixes, and fenced orders. Single-threaded; performs no I/O.
 
 #include <deque>
 #include <map>
@@ -25,32 +24,32 @@
     backend_name name;
     std::string model = "default";
     std::string zone;
-    /// Sequences that one step serves at most.
+    /// Maximum number of sequences in a step.
     std::uint32_t batch_limit = 8;
-    /// Tokens that the cache holds.
+    /// Capacity of the cache in tokens.
     token_count cache_tokens = 200'000;
-    /// Time of one step, whatever it does.
+    /// Fixed time of a step.
     duration step_base = std::chrono::microseconds(12'000);
-    /// Added per sequence that decodes in the step.
+    /// Additional time per decoding sequence in the step.
     duration step_per_sequence = std::chrono::microseconds(600);
-    /// Added per prompt token that is computed in the step.
+    /// Additional time per prompt token computed in the step.
     duration prefill_per_token = std::chrono::microseconds(50);
-    /// Prompt tokens computed in one step at most (chunked prefill).
+    /// Maximum number of prompt tokens computed in a step (chunked prefill).
     token_count prefill_chunk = 1024;
-    /// How old a load report is when it is read.
+    /// Age of the published load report.
     duration load_lag = std::chrono::milliseconds(200);
-    /// How late cache events come out.
+    /// Delay until a cache event is published.
     duration event_lag = std::chrono::milliseconds(100);
-    /// Share of cache events that get lost.
+    /// Fraction of cache events that are dropped.
     double event_loss = 0.001;
-    /// A stream that nobody reads is stopped after this long.
+    /// Time after which a stream without a reader is stopped.
     duration orphan_limit = std::chrono::seconds(5);
-    /// A finished stream can be read again for this long.
+    /// Time for which a finished stream can be resumed.
     duration finished_keep = std::chrono::seconds(10);
     std::uint64_t seed = 0;
 };
 
-/// Counts computed prompt tokens, and among them those that had been computed before.
+/// Counts computed prompt tokens and how many of them had been computed before.
 class prefill_ledger {
   public:
     void record(scheduling::prefix_hash hash, token_count tokens);
@@ -69,11 +68,11 @@
     leaving,
     wrong_model,
     unknown,
-    /// The attempt was held up beyond its start limit, or was sealed.
+    /// The attempt is past its start limit or sealed.
     too_late,
 };
 
-/// An order to the engine itself; one with a lower fence than the last is refused.
+/// An order to the engine itself. An order with a fence lower than the last one is refused.
 struct engine_order {
     std::uint64_t fence = 0;
     std::string model;
@@ -82,7 +81,7 @@
     std::string role;
 };
 
-/// A cached prefix in a form that another engine can import.
+/// A cached prefix for import by another engine.
 struct exported_prefix {
     struct node {
         scheduling::prefix_hash parent = 0;
@@ -98,10 +97,10 @@
     engine_core(engine_settings settings, std::shared_ptr<prefill_ledger> ledger, instant now);
 
     tl::expected<void, engine_refusal> start(const scheduler::start_stream& request, instant now);
-    /// Sends the stream's pieces from `offset` on, and the rest as it comes.
+    /// Resends the stream's pieces from `offset` on and continues with new pieces.
     tl::expected<void, engine_refusal> resume(const scheduler::resume_stream& request, instant now);
     void cancel(const scheduler::attempt_key& key, instant now);
-    /// The reader of a stream has gone.
+    /// Marks the stream as having no reader.
     void detach(const scheduler::attempt_key& key, instant now);
     void retain(const scheduler::retain_cache& hint, instant now);
     void release(const program_id& program, instant now);
@@ -111,7 +110,7 @@
     void leave() { leaving_ = true; }
 
     [[nodiscard]] scheduler::status_answered status(std::uint64_t after_event, instant now);
-    /// Runs the steps that are due. @return when the next one is
+    /// Runs the due steps. @return the time of the next step
     instant tick(instant now);
     std::vector<scheduler::backend_report> take_reports();
 
@@ -119,7 +118,7 @@
     [[nodiscard]] const std::vector<ledger_entry>& entries() const { return entries_; }
     [[nodiscard]] token_count cached_tokens() const { return cached_tokens_; }
     [[nodiscard]] token_count cached_tokens_of(const program_id& program) const;
-    /// Programs of which something is cached, with their tokens.
+    /// Programs with cached tokens, and the number of these tokens.
     [[nodiscard]] std::map<program_id, token_count> held_programs() const;
     [[nodiscard]] const engine_settings& settings() const { return settings_; }
 
@@ -139,7 +138,7 @@
         scheduler::start_stream request;
         std::vector<scheduling::prefix_point> points;
         std::size_t cached_points = 0;
-        /// Points up to which the sequence holds its cache nodes.
+        /// Number of leading points whose cache nodes the sequence holds a reference to.
         std::size_t held_points = 0;
         token_count prompt_tokens = 0;
         token_count cached_tokens = 0;
@@ -184,7 +183,8 @@
     std::map<shard_id, lease_epoch> epochs_;
 
     std::map<scheduler::attempt_key, stream> streams_;
-    /// Attempts that were asked about before they arrived, and must not start; with the time.
+    /// Attempts that were resumed before they arrived and must not start, with the time of the
+    /// seal.
     std::map<scheduler::attempt_key, instant> sealed_;
     std::map<wait_key, scheduler::attempt_key> waiting_;
     std::vector<scheduler::attempt_key> running_;
@@ -193,7 +193,7 @@
     instant next_expiry_{};
 
     std::unordered_map<scheduling::prefix_hash, cache_node> cache_;
-    /// Leaves that nobody uses, least valuable and least recently used first.
+    /// Unreferenced leaves by value, then by last use.
     std::set<std::tuple<double, instant, scheduling::prefix_hash>> evictable_;
     std::map<program_id, std::set<scheduling::prefix_hash>> nodes_of_program_;
     token_count cached_tokens_ = 0;
--- a/stand_ins/engine_process_shell.cpp
+++ b/stand_ins/engine_process_shell.cpp
@@ -1,6 +1,5 @@
 /// @file
-/// The emulated engine as a process: streams, cache and status over HTTP, and orders to load a
-/// model.
+/// Process of the emulated engine: streams, cache and status over HTTP, and model load orders.
 
 #include <map>
 
--- a/stand_ins/engine_status.cpp
+++ b/stand_ins/engine_status.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the emulated engine tells about itself: its load with a lag, its cache events late and with
-/// gaps, and the reports of its streams.
+/// Published state of the emulated engine: delayed load reports, delayed and lossy cache events,
+/// and stream reports.
 
 #include <algorithm>
 
@@ -50,7 +50,7 @@
         answer.load = current_load();
     }
     answer.load.leaving = leaving_;
-    // An engine that restarted counts from one again.
+    // Event numbers start at one again after an engine restart.
     const std::uint64_t from = after_event >= next_event_ ? 0 : after_event;
     for (const dated_event& dated : events_) {
         if (dated.visible <= now && dated.event.number > from &&
--- a/stand_ins/ledger_file.hpp
+++ b/stand_ins/ledger_file.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A back end's ledger as a file of JSON lines. It outlives a killed process, and the checkers
-/// read it after a run. A later line about an attempt replaces the earlier one.
+/// A back end's ledger in a file of JSON lines, which survives a kill of the process. The checkers
+/// read it after a run. A later line of an attempt replaces the earlier one.
 
 #include <fstream>
 #include <set>
@@ -14,9 +14,9 @@
 
 class ledger_file {
   public:
-    /// Opens for appending; an empty path writes nothing.
+    /// Opens the file for appending. With an empty path, nothing is written.
     explicit ledger_file(const std::string& path);
-    /// Writes what is new: entries that started, and entries that finished since.
+    /// Appends the entries that started or finished since the last call.
     void update(const std::vector<ledger_entry>& entries);
 
   private:
@@ -25,7 +25,7 @@
     std::set<std::size_t> open_;
 };
 
-/// Entries of every *.ledger file in a folder, in the order of their start.
+/// Entries of all *.ledger files in a folder, ordered by start time.
 std::vector<ledger_entry> read_ledgers(const std::string& folder);
 
 }  // namespace tallyfold::stand_ins
--- a/stand_ins/ledger_file_shell.cpp
+++ b/stand_ins/ledger_file_shell.cpp
@@ -94,7 +94,7 @@
         std::string line;
         while (std::getline(file, line)) {
             const json parsed = json::parse(line, nullptr, false);
-            if (parsed.is_object()) {  // The last line of a killed process may be cut off.
+            if (parsed.is_object()) {  // The last line can be truncated by a kill.
                 const ledger_entry entry = parse(parsed);
                 newest[{entry.key, entry.started}] = entry;
             }
--- a/stand_ins/platform_process.hpp
+++ b/stand_ins/platform_process.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The platform's membership list, which lags, and its weight store, which is rate-limited.
+/// Stand-in for the platform: a delayed membership list and a rate-limited weight store.
 
 #include <atomic>
 #include <string>
@@ -14,9 +14,9 @@
     /// "ip:port".
     std::string listen;
     scheduler::members_answered members;
-    /// How long a change takes to show in the list.
+    /// Delay until a change shows in the list.
     duration list_lag = std::chrono::milliseconds(1500);
-    /// Weight bytes given out per second, over all who ask.
+    /// Rate limit of the weight store over all clients.
     double bytes_per_second = 1e9;
     double bytes_per_model = 2e9;
 };
--- a/stand_ins/platform_process_shell.cpp
+++ b/stand_ins/platform_process_shell.cpp
@@ -61,7 +61,7 @@
             leaving_.try_emplace(exchange->body(), now + settings_.list_lag);
             exchange->respond(200, "application/json", "{}");
         } else if (path.starts_with(weights_path)) {
-            // Transfers share the rate: each starts when the one before has ended.
+            // Transfers run one after the other, so that they share the rate limit.
             const duration length(static_cast<std::int64_t>(1e6 * settings_.bytes_per_model /
                                                             settings_.bytes_per_second));
             store_free_ = std::max(store_free_, now) + length;
--- a/stand_ins/program_script.cpp
+++ b/stand_ins/program_script.cpp
@@ -7,27 +7,27 @@
 
 namespace {
 
-/// One class of programs of a deployment.
+/// Parameters of one program class of a deployment.
 struct class_profile {
     const char* name;
-    /// Share of the deployment's programs.
+    /// Fraction of the deployment's programs.
     double share;
     int fewest_turns;
     int max_turns;
-    /// Tokens of the conversation before the first call, which many calls reuse.
+    /// Range of the number of context tokens before the first call; later calls reuse this prefix.
     std::int64_t min_context;
     std::int64_t max_context;
     std::int64_t min_input;
     std::int64_t max_input;
     std::int64_t min_output;
     std::int64_t max_output;
-    /// Pause before a call; exponential with this mean.
+    /// Mean pause before a call; pauses are exponentially distributed.
     std::int64_t mean_pause_ms;
     double tool_chance;
     double spawn_chance;
-    /// A request that must not repeat, at the end.
+    /// Operation of the final request, which is not idempotent.
     const char* final_request;
-    /// Only plain requests, no model calls.
+    /// The program makes app requests only, no model calls.
     bool plain;
 };
 
@@ -80,7 +80,7 @@
         return classes[index];
     }
 
-    /// A program that asks the same again and again.
+    /// A program that repeats the same app request.
     program_script make_endless(std::size_t index) {
         program_script script;
         script.tenant = tenant_of(index);
@@ -100,7 +100,7 @@
         const double span = static_cast<double>(settings_.span.count());
         double position = random_.unit();
         if (settings_.profile == deployment::hobart) {
-            // Managers crowd towards lockout, the end of the span.
+            // Arrivals become denser towards the end of the span.
             position = std::sqrt(position);
         }
         return duration(static_cast<std::int64_t>(span * position));
@@ -175,7 +175,7 @@
         return tenants[index % tenants.size()];
     }
 
-    /// Tokens that the script uses when nothing is retried.
+    /// Number of tokens that the script uses without retries.
     static token_count cost_of(const program_script& script) {
         token_count history = 0;
         token_count total = 0;
--- a/stand_ins/program_script.hpp
+++ b/stand_ins/program_script.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Programs that the caller stand-in runs, drawn from the stated distributions of a profile.
+/// Generates the programs of the stand-in callers from the distributions of a deployment profile.
 
 #include <cstdint>
 #include <optional>
@@ -24,16 +24,16 @@
 
 struct script_step {
     step_kind kind = step_kind::model;
-    /// Time that the program takes before it makes the call.
+    /// Think time before the call.
     duration pause{};
-    /// Model calls: what is added to the history, and how much is generated.
+    /// Model calls: messages appended to the history, and number of tokens to generate.
     std::vector<journal::message> messages;
     token_count max_tokens = 0;
-    /// App and tool calls.
+    /// App and tool calls: operation and argument.
     std::string operation;
     std::string argument;
     bool repeatable = true;
-    /// Sub-agents, run side by side; the program goes on when all have ended.
+    /// Sub-agents, run in parallel; the program continues when all have ended.
     std::vector<program_script> children;
 };
 
@@ -41,32 +41,32 @@
     std::string tenant;
     std::string program_class;
     token_count budget = 0;
-    /// When the program starts, from the start of the run.
+    /// Start time, relative to the start of the run.
     duration start{};
     std::vector<script_step> steps;
-    /// The caller vanishes after the last step, without closing the program.
+    /// The caller disconnects after the last step without closing the program.
     bool abandoned = false;
 };
 
 struct workload_settings {
     deployment profile = deployment::huayin;
     std::size_t programs = 40;
-    /// Programs start spread over this time.
+    /// Period over which the programs' starts are distributed.
     duration span = std::chrono::seconds(10);
-    /// Multiplies every pause and, in token counts, every length (small runs of real processes).
+    /// Factors of every pause and of every token count, to scale a run down.
     double pause_scale = 1.0;
     double token_scale = 1.0;
-    /// Share of programs whose caller vanishes.
+    /// Fraction of programs that their caller abandons.
     double abandoned_share = 0.0;
-    /// Programs that loop far beyond any class's turn limit.
+    /// Number of programs that exceed every class's turn limit.
     std::size_t endless_programs = 0;
     std::uint64_t seed = 1;
 };
 
-/// Programs by the profile's distributions (docs/WORKLOADS.md), in order of their start.
+/// Programs of the workload, ordered by start time.
 std::vector<program_script> make_workload(const workload_settings& settings);
 
-/// Names of the tenants of a profile.
+/// Tenant names of a profile.
 std::vector<std::string> tenants_of(deployment profile);
 
 }  // namespace tallyfold::stand_ins
--- a/stand_ins/relay_process.hpp
+++ b/stand_ins/relay_process.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A relay for TCP links between processes: it adds a one-way delay, and it can cut a link in
-/// silence, one way or both, or let it pass again.
+/// TCP relay between processes. Adds a delay per direction, and can block and unblock a link in
+/// one or both directions without closing its connections.
 
 #include <atomic>
 #include <string>
@@ -13,15 +13,15 @@
 
 struct relay_route {
     std::string name;
-    /// "ip:port" to accept on, and to pass on to.
+    /// "ip:port" to listen on, and "ip:port" to forward to.
     std::string listen;
     std::string target;
-    /// One way.
+    /// Delay per direction.
     duration delay{};
 };
 
 struct relay_process {
-    /// POST /v1/cut and /v1/heal with the body "name [in|out]"; GET /healthz.
+    /// Address for POST /v1/cut and /v1/heal with the body "name [in|out]", and GET /healthz.
     std::string http_listen;
     std::vector<relay_route> routes;
 };
--- a/stand_ins/relay_process_shell.cpp
+++ b/stand_ins/relay_process_shell.cpp
@@ -18,19 +18,19 @@
 using asio::ip::tcp;
 
 constexpr std::size_t buffer_size = 64U << 10U;
-/// Bytes on their way in one direction; more are not read until some have left.
+/// Maximum number of buffered bytes per direction; reading pauses above it.
 constexpr std::size_t largest_in_flight = 4U << 20U;
 constexpr auto cut_poll = std::chrono::milliseconds(50);
 constexpr auto stop_poll = std::chrono::milliseconds(20);
 
-/// State of one route, read by its connections.
+/// State of one route, shared with its connections.
 struct route_state {
     relay_route route;
     bool cut_in = false;
     bool cut_out = false;
 };
 
-/// One direction of a connection: bytes leave `delay` after they came.
+/// One direction of a connection. Forwards bytes `delay` after their arrival.
 class pipe : public std::enable_shared_from_this<pipe> {
   public:
     pipe(std::shared_ptr<tcp::socket> from, std::shared_ptr<tcp::socket> to, duration delay,
@@ -92,7 +92,7 @@
                 return;
             }
             if (self->cut_) {
-                // Held back, not dropped: to both ends the link is silent, not closed.
+                // Holds the bytes back, so that both ends see an idle connection, not a closed one.
                 self->wait_until(std::chrono::steady_clock::now() + cut_poll);
                 return;
             }
@@ -202,7 +202,7 @@
                                                                   &state](std::error_code failure) {
             std::error_code ignored;
             if (failure) {
-                // The far side sees a reset, as it would from a host without a listener.
+                // Resets the connection, as a host without a listener does.
                 inbound->set_option(asio::socket_base::linger(true, 0), ignored);
                 inbound->close(ignored);
                 return;
--- a/stand_ins/service_core.hpp
+++ b/stand_ins/service_core.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Emulator of an app-service or tool-service replica as pure logic. It remembers what it ran,
-/// across restarts too, so that it can prove whether an attempt ran.
+/// Logic of an emulated app or tool service replica. Keeps a durable record of the attempts that
+/// ran, so that it can state after a restart whether an attempt ran. Performs no I/O.
 
 #include <map>
 #include <set>
@@ -20,12 +20,12 @@
     std::string zone;
     duration shortest_answer = std::chrono::milliseconds(2);
     duration longest_answer = std::chrono::milliseconds(10);
-    /// Share of requests that never get an answer.
+    /// Fraction of requests that are never answered.
     double hang_share = 0;
     std::uint64_t seed = 0;
 };
 
-/// What survives a restart of the replica.
+/// Durable state of the replica.
 struct service_record {
     std::map<std::string, std::string> answers;
     std::set<std::string> sealed;
@@ -41,7 +41,7 @@
 
     tl::expected<void, service_refusal> run(const scheduler::run_request& request, instant now);
     scheduler::seal_answered seal(const scheduler::attempt_key& key);
-    /// Answers that are due. @return when the next one is
+    /// Completes the due answers. @return the time of the next one
     instant tick(instant now);
     std::vector<scheduler::backend_report> take_reports();
     void leave() { leaving_ = true; }
--- a/stand_ins/service_process_shell.cpp
+++ b/stand_ins/service_process_shell.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The emulated app or tool service as a process: what ran is on disk before it is answered.
+/// Process of the emulated app or tool service. Syncs the record of a run before responding.
 
 #include <map>
 
@@ -65,7 +65,7 @@
                    leaving ? "leaving" : "refused");
             return;
         }
-        // The answer must not leave before it is certain that the run will be remembered.
+        // The run must be durable before the response is sent.
         store_.add_run(request, core_.record().answers.at(request.key.text()));
         require_synced();
         readers_[request.key] = std::move(exchange);
--- a/stand_ins/service_store.hpp
+++ b/stand_ins/service_store.hpp
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What a service replica must remember over a kill: one synced record per request and seal.
+/// Durable state of a service replica: one synced record per request and seal.
 
 #include <string>
 #include <vector>
@@ -14,11 +14,11 @@
   public:
     static tl::expected<service_store, storage::storage_error> open(const std::string& path);
 
-    /// What the file held when it was opened.
+    /// State read from the file when it was opened.
     [[nodiscard]] const service_record& recovered() const { return recovered_; }
     void add_run(const scheduler::run_request& request, const std::string& answer);
     void add_seal(const scheduler::attempt_key& key);
-    /// Returns once everything added is synced.
+    /// Blocks until all added records are synced to disk.
     tl::expected<void, storage::storage_error> sync();
 
   private:
--- a/tests/stand_ins/engine_core_test.cpp
+++ b/tests/stand_ins/engine_core_test.cpp
@@ -45,7 +45,7 @@
 
     engine_core engine_ = engine_core(settings(), std::make_shared<prefill_ledger>(), at(0));
 
-    /// Runs until the attempt has ended. @return microseconds from the start
+    /// Runs until the attempt has ended. @return its end time in microseconds after at(0), or -1
     std::int64_t finish(const attempt_key& key, std::int64_t from) {
         instant now = at(from);
         for (int step = 0; step < 10'000; ++step) {
@@ -62,9 +62,9 @@
     }
 
     void one_call_takes_the_time_worked_out_by_hand() {
-        // 1000 prompt tokens at 50 us in one step of 12 ms, whose end gives the first token; then
-        // nine steps of 12 ms + 0.6 ms for one sequence. The last token is out when its step
-        // begins in the emulator's count, so nine steps have passed by then.
+        // One prefill step of 12 ms plus 1000 prompt tokens of 50 us each gives the first token.
+        // Nine decode steps of 12.6 ms each follow. The emulator reports a token at the start of
+        // its step.
         CPPUNIT_ASSERT(engine_.start(request("p", 1, 1000, 10), at(0)).has_value());
         const std::int64_t prefill = 12'000 + 1000 * 50;
         const std::int64_t decode = 12'600;
@@ -97,7 +97,7 @@
         start_stream late = request("p", 1, 10, 5);
         late.not_after = at(100).time_since_epoch().count();
         CPPUNIT_ASSERT(engine_.start(late, at(101)).error() == engine_refusal::too_late);
-        // Asked for before it arrives: it is unknown now, and must stay so.
+        // A resume before the start seals the attempt; it must not start later.
         CPPUNIT_ASSERT(engine_.resume({"e", {"q", 1, 1}, 0}, at(0)).error() ==
                        engine_refusal::unknown);
         CPPUNIT_ASSERT(engine_.start(request("q", 1, 10, 5), at(1)).error() ==
