--- a/apps/stand_in_callers.cpp
+++ b/apps/stand_in_callers.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Runs a workload's programs against gateways, judges the answers and the back ends' ledgers,
-/// and prints one JSON object as its last line.
+/// Runs a workload's programs against gateways, checks the answers and the back ends' ledgers, and
+/// prints the results as one JSON object on the last line.
 
 #include <tclap/CmdLine.h>
 
@@ -42,14 +42,14 @@
     return 0;
 }
 
-/// Tokens that an engine still holds for programs of this run which have ended.
+/// Number of tokens that an engine still caches for ended programs of this run.
 token_count held_at(const std::string& engine,
                     const std::vector<stand_ins::caller_report>& reports) {
     net::blocking_request request;
     request.url = "http://" + engine + "/v1/cache";
     const auto answer = nlohmann::json::parse(net::fetch(request).body, nullptr, false);
     if (!answer.is_object()) {
-        return 0;  // An engine that is gone holds nothing.
+        return 0;  // An unreachable engine counts as empty.
     }
     token_count held = 0;
     for (const stand_ins::caller_report& report : reports) {
@@ -60,7 +60,8 @@
     return held;
 }
 
-/// Waits until engines have given back what ended programs held. @return what they kept
+/// Waits until the engines have released the tokens of ended programs.
+/// @return the number of tokens that they still hold at the deadline
 token_count wait_for_releases(const std::vector<std::string>& engines,
                               const std::vector<stand_ins::caller_report>& reports) {
     constexpr int rounds = 60;
--- a/apps/stand_in_engine.cpp
+++ b/apps/stand_in_engine.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Emulated model engine as a process; docs/EMULATOR.md states its cost model.
+/// Process of the emulated model engine.
 
 #include <tclap/CmdLine.h>
 
--- a/apps/stand_in_platform.cpp
+++ b/apps/stand_in_platform.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's membership list and weight store as a process.
+/// Process of the stand-in for the platform's membership list and weight store.
 
 #include <tclap/CmdLine.h>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Reads "kind,name,address,zone,model,slots".
+/// Parses "kind,name,address,zone,model,slots".
 std::optional<tallyfold::scheduling::backend_member> parse_member(const std::string& text) {
     std::istringstream stream(text);
     std::vector<std::string> fields;
--- a/apps/stand_in_relay.cpp
+++ b/apps/stand_in_relay.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Delays and cuts of links as a process.
+/// Process of the TCP relay that delays and blocks links.
 
 #include <tclap/CmdLine.h>
 
--- a/apps/stand_in_service.cpp
+++ b/apps/stand_in_service.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Emulated app-service or tool-service replica as a process.
+/// Process of the emulated app or tool service replica.
 
 #include <tclap/CmdLine.h>
 
--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -1,7 +1,6 @@
 /// @file
-/// Measures what letting a call in costs: finding a tenant by its key, spending a permit, and the
-/// lender's work for the nodes' reports, at today's size and at the target's. Prints one line a
-/// measurement, in nanoseconds or microseconds of this machine's processor.
+/// Benchmarks admission: tenant lookup by key, acquiring and releasing a permit, and the permit
+/// lender's processing of node reports. Prints one line per measurement.
 
 #include <chrono>
 #include <cstdio>
@@ -34,7 +33,7 @@
     return tenants;
 }
 
-/// Nanoseconds that one call of `work` takes, on the mean.
+/// Mean time of one call of `work` in nanoseconds.
 template <class Work>
 double nanoseconds_each(std::size_t count, Work&& work) {
     const auto began = std::chrono::steady_clock::now();
@@ -86,7 +85,7 @@
     std::printf("permit spent and given back: %.0f ns (%zu of %zu taken)\n", each, taken, lookups);
 }
 
-/// One round of full reports by all nodes.
+/// Measures the lender's processing of one report from each node.
 void measure_keeper(std::size_t tenant_count, std::size_t node_count, std::size_t active) {
     const auto limits = make_tenants(tenant_count, 0);
     tenants::permit_lender lender{tenants::quota_rules{}};
--- a/apps/tallyfold_control.cpp
+++ b/apps/tallyfold_control.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The control program; docs/ARCHITECTURE.md says what it does.
+/// Main program of a control node.
 
 #include "tallyfold/program_api/control/control_shell.hpp"
 #include "tallyfold/program_api/process/program_main.hpp"
--- a/apps/tallyfold_directory.cpp
+++ b/apps/tallyfold_directory.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The directory program on the users' platform; docs/design/platform.md says what it does.
+/// Main program of a directory node of the platform.
 
 #include "platform/operator_calls.hpp"
 #include "platform/replica_list.hpp"
--- a/apps/tallyfold_directory_bench.cpp
+++ b/apps/tallyfold_directory_bench.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// Measures what one change of the configuration costs a directory node: reading it, putting it
-/// into the log, applying it, and telling the nodes that hold the version before. Prints one line a
-/// size, with milliseconds of this machine's processor and bytes sent.
+/// Benchmarks a configuration change on a directory node: parsing, appending to the log, applying,
+/// and sending it to the nodes that hold the previous version. Prints one line per configuration
+/// size.
 
 #include <chrono>
 #include <cstdio>
@@ -16,10 +16,10 @@
 using namespace tallyfold;
 
 constexpr std::size_t nodes = 255;
-/// Other members of the directory.
+/// Number of other directory members.
 constexpr std::size_t followers = 5;
 
-/// A configuration as operators send it, with so many routes.
+/// Text of a configuration with the given number of routes.
 std::string configuration_text(std::uint64_t version, std::size_t routes) {
     std::string text = "{\"Version\":" + std::to_string(version) + ",\"Routes\":[";
     for (std::size_t number = 0; number < routes; ++number) {
@@ -49,7 +49,7 @@
     std::chrono::steady_clock::time_point began_ = std::chrono::steady_clock::now();
 };
 
-/// A directory of one node, which elects itself.
+/// A directory with a single node, which elects itself leader.
 directory::directory_core alone(instant now) {
     directory::directory_settings settings;
     settings.address = "10.0.0.1:71";
@@ -59,7 +59,7 @@
     return {settings, directory::first_identity(settings.address), {}, now};
 }
 
-/// Does the work as the shell would, without the disk. @return bytes to be written
+/// Completes pending work without disk I/O. @return the number of bytes to be written
 std::size_t drain(directory::directory_core& core) {
     std::size_t bytes = 0;
     for (directory::directory_work work = core.take_work(); !work.empty();
@@ -82,7 +82,7 @@
     std::size_t told = 0;
 };
 
-/// Gives a node that holds the first version all parts that it asks for. @return bytes sent
+/// Serves all configuration parts to a node that holds version 1. @return the number of bytes sent
 std::size_t give_configuration(directory::directory_core& core) {
     directory::configuration_request request;
     request.held = 1;
@@ -98,7 +98,7 @@
     }
 }
 
-/// The change from `before` to `after` routes, at the leader.
+/// Measures the change from `before` to `after` routes on the leader.
 costs measure(std::size_t before, std::size_t after) {
     instant now{std::chrono::seconds(1)};
     directory::directory_core core = alone(now);
--- a/apps/tallyfold_forwarder.cpp
+++ b/apps/tallyfold_forwarder.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The forwarder program on the users' platform; docs/design/platform.md says what it does.
+/// Main program of a forwarder node of the platform.
 
 #include "platform/replica_calls.hpp"
 #include "platform/replica_list.hpp"
--- a/apps/tallyfold_gateway.cpp
+++ b/apps/tallyfold_gateway.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The gateway program; docs/ARCHITECTURE.md says what it does.
+/// Main program of a gateway node.
 
 #include "tallyfold/program_api/gateway/gateway_shell.hpp"
 #include "tallyfold/program_api/process/program_main.hpp"
--- a/apps/tallyfold_prove.cpp
+++ b/apps/tallyfold_prove.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Runs the seeded fault runs and prints a row for each point of what must always hold.
+/// Executes seeded fault runs and prints the results for each property.
 
 #include <tclap/CmdLine.h>
 
@@ -21,7 +21,7 @@
     std::map<std::string, std::uint64_t> faults;
 };
 
-/// What all runs gave together.
+/// Aggregated results of all runs.
 struct summary {
     std::map<std::string, property_row> rows;
     std::vector<std::int64_t> leader_gaps_ms;
@@ -52,7 +52,7 @@
     });
 }
 
-/// @return true when the run violated the property
+/// @return true if the run violated the property
 bool judge(const run_result& result, const tallyfold::sim::property& property, property_row& row) {
     ++row.runs;
     for (const std::string& fault : property.faults) {
@@ -71,7 +71,7 @@
     return true;
 }
 
-/// @param only the property to judge; empty for all
+/// @param only name of the property to check; empty for all
 void add_run(const run_result& result, const std::string& only, summary& all) {
     bool failed = false;
     for (const auto& property : tallyfold::sim::properties()) {
@@ -137,7 +137,8 @@
     }
 }
 
-/// Faults that no run had, though there were enough runs for every one. @return their number
+/// Prints the faults that no run injected, if there were enough runs for every fault.
+/// @return the number of such faults
 std::uint64_t print_not_injected(const summary& all, std::uint64_t seeds) {
     constexpr std::uint64_t seeds_for_every_fault = 200;
     std::uint64_t not_injected = 0;
--- a/apps/tallyfold_scheduler.cpp
+++ b/apps/tallyfold_scheduler.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The scheduler program; docs/ARCHITECTURE.md says what it does.
+/// Main program of a scheduler node.
 
 #include "tallyfold/program_api/process/program_main.hpp"
 #include "tallyfold/program_api/scheduler/scheduler_shell.hpp"
--- a/apps/tallyfold_turn_store.cpp
+++ b/apps/tallyfold_turn_store.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The program that keeps turns; docs/design/platform.md says what it does.
+/// Main program of a turn store node of the platform.
 
 #include "tallyfold/plane/process/node_main.hpp"
 #include "tallyfold/plane/turns/turn_store_shell.hpp"
--- a/apps/tallyfoldctl.cpp
+++ b/apps/tallyfoldctl.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The operators' tool; docs/OPERATIONS.md shows it at work.
+/// Command-line tool for operators.
 
 #include <tclap/CmdLine.h>
 
