--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -235,7 +235,7 @@
     node.frozen = false;
     node.backlog.clear();
     node.forget();
-    notify_lost(name);
+    close_connections_of(name);
 }
 
 void world::restart(const std::string& name) {
--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -184,7 +184,7 @@
     void caller_loop();
     void send_request(const stand_ins::caller_action& action);
     void answer_caller(stand_ins::caller_token token, const journal::outcome& result);
-    void notify_lost(const std::string& dead);
+    void close_connections_of(const std::string& dead);
     void tell_lost(const std::string& name, const std::string& dead);
     void watch_silence();
     void trace_message(const std::string& from, const std::string& to,
--- a/sim/world_links.cpp
+++ b/sim/world_links.cpp
@@ -37,7 +37,7 @@
     });
 }
 
-void world::notify_lost(const std::string& dead) {
+void world::close_connections_of(const std::string& dead) {
     for (const std::string& name : names("gateway-")) {
         tell_lost(name, dead);
     }
