--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -212,7 +212,7 @@
     std::map<std::pair<std::string, std::string>, instant> link_order_;
     /// Time since which a link drops all messages; used for connection timeouts.
     std::map<std::pair<std::string, std::string>, instant> silent_since_;
-    std::set<std::pair<std::string, std::string>> lost_told_;
+    std::set<std::pair<std::string, std::string>> reported_lost_links_;
 
     std::vector<std::unique_ptr<stand_ins::caller_core>> callers_;
     struct open_request {
--- a/sim/world_links.cpp
+++ b/sim/world_links.cpp
@@ -75,11 +75,11 @@
                                 !network_.passes(gateway, scheduler);
             if (!silent || !alive(gateway) || frozen(gateway)) {
                 silent_since_.erase(link);
-                lost_told_.erase(link);
+                reported_lost_links_.erase(link);
                 continue;
             }
             const auto since = silent_since_.try_emplace(link, now).first->second;
-            if (now - since > silence_limit && lost_told_.insert(link).second) {
+            if (now - since > silence_limit && reported_lost_links_.insert(link).second) {
                 auto& node = node_as<gateway_node>(gateway);
                 node.core->peer_lost(scheduler, local_now(node));
                 pump_gateway(node);
