--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -22,7 +22,7 @@
     return names[random_.below(names.size())];
 }
 
-std::size_t fault_plan::controls_in_trouble() const {
+std::size_t fault_plan::unavailable_controls() const {
     std::size_t count = 0;
     for (const std::string& name : world_.names("control-")) {
         count += !world_.alive(name) || world_.frozen(name) || troubled_.contains(name) ? 1 : 0;
@@ -31,7 +31,7 @@
 }
 
 bool fault_plan::may_harm_control() const {
-    return controls_in_trouble() == 0 && !repairing_;
+    return unavailable_controls() == 0 && !repairing_;
 }
 
 void fault_plan::restart_later(const std::string& node, std::int64_t low_ms, std::int64_t high_ms) {
--- a/sim/fault_plan.hpp
+++ b/sim/fault_plan.hpp
@@ -58,7 +58,7 @@
     [[nodiscard]] std::string pick(const std::string& prefix);
     [[nodiscard]] bool may_harm_control() const;
     /// Number of control nodes that are down, frozen or isolated.
-    [[nodiscard]] std::size_t controls_in_trouble() const;
+    [[nodiscard]] std::size_t unavailable_controls() const;
 
     world& world_;
     plan_kind kind_;
