--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -25,7 +25,8 @@
 std::size_t fault_plan::unavailable_controls() const {
     std::size_t count = 0;
     for (const std::string& name : world_.names("control-")) {
-        count += !world_.alive(name) || world_.frozen(name) || troubled_.contains(name) ? 1 : 0;
+        count +=
+            !world_.alive(name) || world_.frozen(name) || disrupted_nodes_.contains(name) ? 1 : 0;
     }
     return count;
 }
@@ -120,14 +121,14 @@
         return;
     }
     world_.count("cut_silent");
-    troubled_.insert(victim);
+    disrupted_nodes_.insert(victim);
     for (const char* prefix : {"control-", "scheduler-", "gateway-"}) {
         for (const std::string& other : world_.names(prefix)) {
             world_.cut(victim, other, true);
         }
     }
     world_.events().after(milliseconds(random_.between(2000, 8000)), [this, victim] {
-        troubled_.erase(victim);
+        disrupted_nodes_.erase(victim);
         world_.heal_links();
     });
 }
@@ -246,10 +247,10 @@
         world_.leave("engine-1");
         return;
     }
-    if (!world_.alive(victim) || troubled_.contains(victim)) {
+    if (!world_.alive(victim) || disrupted_nodes_.contains(victim)) {
         return;
     }
-    troubled_.insert(victim);
+    disrupted_nodes_.insert(victim);
     world_.count(scheduler ? "drain_scheduler" : "drain_gateway");
     world_.drain(victim);
     await_drain(victim);
@@ -262,7 +263,7 @@
     }
     // The drained process exits and a new one replaces it.
     world_.kill(victim);
-    troubled_.erase(victim);
+    disrupted_nodes_.erase(victim);
     restart_later(victim, 200, 1500);
 }
 
--- a/sim/fault_plan.hpp
+++ b/sim/fault_plan.hpp
@@ -64,7 +64,7 @@
     plan_kind kind_;
     random_source random_;
     instant end_{};
-    std::set<std::string> troubled_;
+    std::set<std::string> disrupted_nodes_;
     bool repairing_ = false;
     std::uint64_t next_command_ = 1;
 };
