--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -31,7 +31,7 @@
     return count;
 }
 
-bool fault_plan::may_harm_control() const {
+bool fault_plan::may_disrupt_control() const {
     return unavailable_controls() == 0 && !repairing_;
 }
 
@@ -47,7 +47,7 @@
             static_cast<group_id>(random_.below(world_.settings().journal_groups + 1)));
         const std::string victim = draw == 0 && !leader.empty() ? leader : pick("control-");
         // Occasionally allows several control nodes to be down at once, up to all of them.
-        const bool allowed = may_harm_control() || random_.chance(0.15);
+        const bool allowed = may_disrupt_control() || random_.chance(0.15);
         if (allowed && world_.alive(victim) && !repairing_) {
             world_.count("kill_control");
             world_.kill(victim);
@@ -106,7 +106,7 @@
 void fault_plan::freeze_leader() {
     const std::string leader = world_.leader_of(
         static_cast<group_id>(random_.below(world_.settings().journal_groups + 1)));
-    if (!leader.empty() && may_harm_control()) {
+    if (!leader.empty() && may_disrupt_control()) {
         world_.count("freeze_control");
         world_.freeze(leader);
         world_.events().after(milliseconds(random_.between(1500, 9000)),
@@ -117,7 +117,7 @@
 void fault_plan::cut_off_control() {
     // Isolates one control node; messages are dropped without an error.
     const std::string victim = pick("control-");
-    if (!may_harm_control()) {
+    if (!may_disrupt_control()) {
         return;
     }
     world_.count("cut_silent");
@@ -163,7 +163,7 @@
 
 void fault_plan::inject_disk_loss() {
     const std::string victim = pick("control-");
-    if (!may_harm_control() || !world_.control_serves()) {
+    if (!may_disrupt_control() || !world_.control_serves()) {
         return;
     }
     world_.count("lose_disk");
@@ -187,7 +187,7 @@
     }
     // A second node fails right after the repair and may lose its disk.
     std::string second = pick("control-");
-    if (second == repaired || !world_.alive(second) || !may_harm_control()) {
+    if (second == repaired || !world_.alive(second) || !may_disrupt_control()) {
         return;
     }
     world_.count("second_failure");
--- a/sim/fault_plan.hpp
+++ b/sim/fault_plan.hpp
@@ -56,7 +56,7 @@
     void await_drain(const std::string& victim);
     void restart_later(const std::string& node, std::int64_t low_ms, std::int64_t high_ms);
     [[nodiscard]] std::string pick(const std::string& prefix);
-    [[nodiscard]] bool may_harm_control() const;
+    [[nodiscard]] bool may_disrupt_control() const;
     /// Number of control nodes that are down, frozen or isolated.
     [[nodiscard]] std::size_t unavailable_controls() const;
 
