--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -168,8 +168,8 @@
     void wake_engine(engine_node& node, instant at);
     void wake_service(service_node& node, instant at);
     void send_order(scheduler_node& from, const scheduler::backend_order& order);
-    void give_up_later(const std::string& scheduler, std::uint64_t generation,
-                       const scheduler::run_request& request);
+    void schedule_request_timeout(const std::string& scheduler, std::uint64_t generation,
+                                  const scheduler::run_request& request);
     void deliver_order(const std::string& scheduler, std::uint64_t generation,
                        const std::string& target, const scheduler::backend_order& order);
     void report_to(const std::string& scheduler, std::uint64_t generation,
--- a/sim/world_backends.cpp
+++ b/sim/world_backends.cpp
@@ -80,7 +80,7 @@
         return;
     }
     if (const auto* request = std::get_if<scheduler::run_request>(&order)) {
-        give_up_later(name, generation, *request);
+        schedule_request_timeout(name, generation, *request);
     }
     if (!network_.passes(name, target)) {
         return;
@@ -94,8 +94,8 @@
     });
 }
 
-void world::give_up_later(const std::string& name, std::uint64_t generation,
-                          const scheduler::run_request& request) {
+void world::schedule_request_timeout(const std::string& name, std::uint64_t generation,
+                                     const scheduler::run_request& request) {
     // As the scheduler's process shell does, reports a failure at the timeout in any case.
     const scheduler::attempt_key key = request.key;
     events_.after(request.timeout, [this, name, generation, key] {
