--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -186,7 +186,7 @@
     void answer_caller(stand_ins::caller_token token, const journal::outcome& result);
     void close_connections_of(const std::string& dead);
     void tell_lost(const std::string& name, const std::string& dead);
-    void watch_silence();
+    void check_idle_links();
     void trace_message(const std::string& from, const std::string& to,
                        const protocol::internal_message& message);
     void trace_line(const std::string& text);
--- a/sim/world_links.cpp
+++ b/sim/world_links.cpp
@@ -65,8 +65,8 @@
     }
 }
 
-void world::watch_silence() {
-    events_.after(silence_check, [this] { watch_silence(); });
+void world::check_idle_links() {
+    events_.after(silence_check, [this] { check_idle_links(); });
     const instant now = events_.now();
     for (const std::string& gateway : names("gateway-")) {
         for (const std::string& scheduler : names("scheduler-")) {
