--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -62,7 +62,7 @@
     for (const auto& [name, node] : nodes_) {
         start_node(name);
     }
-    events_.after(silence_check, [this] { check_idle_links(); });
+    events_.after(link_check_interval, [this] { check_idle_links(); });
     events_.after(sample_interval, [this] { sample_configuration(); });
 }
 
--- a/sim/world_links.cpp
+++ b/sim/world_links.cpp
@@ -66,7 +66,7 @@
 }
 
 void world::check_idle_links() {
-    events_.after(silence_check, [this] { check_idle_links(); });
+    events_.after(link_check_interval, [this] { check_idle_links(); });
     const instant now = events_.now();
     for (const std::string& gateway : names("gateway-")) {
         for (const std::string& scheduler : names("scheduler-")) {
--- a/sim/world_nodes.hpp
+++ b/sim/world_nodes.hpp
@@ -8,7 +8,7 @@
 
 constexpr duration tick_interval = std::chrono::milliseconds(10);
 /// Interval between checks of links for idle timeouts.
-constexpr duration silence_check = std::chrono::milliseconds(100);
+constexpr duration link_check_interval = std::chrono::milliseconds(100);
 /// Interval between samples of the configuration versions in use.
 constexpr duration sample_interval = std::chrono::milliseconds(250);
 
