--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -211,7 +211,7 @@
     /// Earliest arrival time of a link's next message; keeps messages of a link in order.
     std::map<std::pair<std::string, std::string>, instant> link_order_;
     /// Time since which a link drops all messages; used for connection timeouts.
-    std::map<std::pair<std::string, std::string>, instant> silent_since_;
+    std::map<std::pair<std::string, std::string>, instant> blocked_since_;
     std::set<std::pair<std::string, std::string>> reported_lost_links_;
 
     std::vector<std::unique_ptr<stand_ins::caller_core>> callers_;
--- a/sim/world_links.cpp
+++ b/sim/world_links.cpp
@@ -74,11 +74,11 @@
             const bool silent = frozen(scheduler) || !network_.passes(scheduler, gateway) ||
                                 !network_.passes(gateway, scheduler);
             if (!silent || !alive(gateway) || frozen(gateway)) {
-                silent_since_.erase(link);
+                blocked_since_.erase(link);
                 reported_lost_links_.erase(link);
                 continue;
             }
-            const auto since = silent_since_.try_emplace(link, now).first->second;
+            const auto since = blocked_since_.try_emplace(link, now).first->second;
             if (now - since > silence_limit && reported_lost_links_.insert(link).second) {
                 auto& node = node_as<gateway_node>(gateway);
                 node.core->peer_lost(scheduler, local_now(node));
