--- a/sim/fault_injection.cpp
+++ b/sim/fault_injection.cpp
@@ -285,13 +285,13 @@
     world_.submit_change(make(3.0 + random_.unit(), version));
     if (random_.chance(0.3)) {
         // A node is down while many changes are committed.
-        const std::string sleeper = pick(random_.chance(0.5) ? "scheduler-" : "gateway-");
-        if (!world_.alive(sleeper)) {
+        const std::string lagging_node = pick(random_.chance(0.5) ? "scheduler-" : "gateway-");
+        if (!world_.alive(lagging_node)) {
             return;
         }
         world_.count("far_behind");
-        world_.kill(sleeper);
-        restart_later(sleeper, 2000, 6000);
+        world_.kill(lagging_node);
+        restart_later(lagging_node, 2000, 6000);
         for (int change = 0; change < 150; ++change) {
             configuration::change_command command;
             command.command_identity = "bulk-" + std::to_string(next_command_++);
