--- a/sim/fault_plan.cpp
+++ b/sim/fault_plan.cpp
@@ -60,8 +60,8 @@
     }
     settings.settle = std::chrono::seconds(30);
     settings.limit = std::chrono::seconds(240);
-    const bool rough = kind == plan_kind::back_ends || kind == plan_kind::everything;
-    if (rough) {
+    const bool with_back_end_faults = kind == plan_kind::back_ends || kind == plan_kind::everything;
+    if (with_back_end_faults) {
         settings.tool_hang_share = 0.1;
         settings.workload.endless_programs = 1;
     }
