--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -219,8 +219,8 @@
             report_to(reader.first, reader.second, name,
                       scheduler::attempt_failed{key, scheduler::failure_kind::broken});
         }
-        old_entries_.insert(old_entries_.end(), engine->core->entries().begin(),
-                            engine->core->entries().end());
+        dead_node_entries_.insert(dead_node_entries_.end(), engine->core->entries().begin(),
+                                  engine->core->entries().end());
     }
     if (auto* service = dynamic_cast<service_node*>(&node)) {
         for (const auto& [key, reader] : service->readers) {
@@ -228,8 +228,8 @@
                       scheduler::attempt_failed{key, scheduler::failure_kind::broken});
         }
         service->disk = service->core->record();
-        old_entries_.insert(old_entries_.end(), service->core->entries().begin(),
-                            service->core->entries().end());
+        dead_node_entries_.insert(dead_node_entries_.end(), service->core->entries().begin(),
+                                  service->core->entries().end());
     }
     node.alive = false;
     node.frozen = false;
--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -224,7 +224,7 @@
     std::size_t next_gateway_ = 0;
 
     std::map<backend_name, instant> listed_leaving_;
-    std::vector<stand_ins::ledger_entry> old_entries_;
+    std::vector<stand_ins::ledger_entry> dead_node_entries_;
     observations seen_;
     instant leaderless_since_{};
 };
--- a/sim/world_run.cpp
+++ b/sim/world_run.cpp
@@ -168,7 +168,7 @@
 }
 
 void world::gather_ledger() {
-    seen_.ledger = old_entries_;
+    seen_.ledger = dead_node_entries_;
     for (const auto& [name, node] : nodes_) {
         const std::vector<stand_ins::ledger_entry>* entries = nullptr;
         if (auto* engine = dynamic_cast<engine_node*>(node.get()); engine && engine->core) {
