--- a/sim/world_backends.cpp
+++ b/sim/world_backends.cpp
@@ -118,10 +118,10 @@
         return;
     }
     run_on(target, [this, name, generation, target, order] {
-        node_base& woken = *nodes_.at(target);
-        if (auto* engine = dynamic_cast<engine_node*>(&woken)) {
+        node_base& target_node = *nodes_.at(target);
+        if (auto* engine = dynamic_cast<engine_node*>(&target_node)) {
             on_engine_order(*engine, order, name, generation);
-        } else if (auto* service = dynamic_cast<service_node*>(&woken)) {
+        } else if (auto* service = dynamic_cast<service_node*>(&target_node)) {
             on_service_order(*service, order, name, generation);
         }
     });
@@ -188,11 +188,12 @@
     const std::string name = node.name;
     const std::uint64_t generation = node.generation;
     events_.at(next, [this, name, generation, next] {
-        auto& woken = node_as<engine_node>(name);
-        if (woken.generation != generation || woken.frozen || woken.wake_at != next) {
+        auto& target_node = node_as<engine_node>(name);
+        if (target_node.generation != generation || target_node.frozen ||
+            target_node.wake_at != next) {
             return;
         }
-        wake_engine(woken, events_.now());
+        wake_engine(target_node, events_.now());
     });
 }
 
@@ -254,9 +255,9 @@
     const std::string name = node.name;
     const std::uint64_t generation = node.generation;
     events_.at(next, [this, name, generation] {
-        auto& woken = node_as<service_node>(name);
-        if (woken.generation == generation && woken.alive) {
-            wake_service(woken, events_.now());
+        auto& target_node = node_as<service_node>(name);
+        if (target_node.generation == generation && target_node.alive) {
+            wake_service(target_node, events_.now());
         }
     });
 }
--- a/sim/world_links.cpp
+++ b/sim/world_links.cpp
@@ -30,9 +30,9 @@
             return;
         }
         run_on(name, [this, name, dead] {
-            auto& woken = node_as<gateway_node>(name);
-            woken.core->peer_lost(dead, local_now(woken));
-            pump_gateway(woken);
+            auto& target_node = node_as<gateway_node>(name);
+            target_node.core->peer_lost(dead, local_now(target_node));
+            pump_gateway(target_node);
         });
     });
 }
@@ -178,12 +178,12 @@
     const std::uint64_t generation = node.generation;
     const std::string name = node.name;
     events_.after(sync_time, [this, name, generation, batch = std::move(written)]() mutable {
-        auto& woken = node_as<control_node>(name);
-        if (!woken.alive || woken.generation != generation) {
+        auto& target_node = node_as<control_node>(name);
+        if (!target_node.alive || target_node.generation != generation) {
             return;  // The node died before the sync; nothing of the batch is durable.
         }
         for (const consensus::group_write& write : batch.writes) {
-            woken.disk[write.group].apply(write);
+            target_node.disk[write.group].apply(write);
         }
         run_on(name, [this, name, batch = std::move(batch)]() mutable {
             auto& synced = node_as<control_node>(name);
