--- a/sim/fault_plan.cpp
+++ b/sim/fault_plan.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr duration fault_span = std::chrono::seconds(18);
+constexpr duration injection_period = std::chrono::seconds(18);
 
 }  // namespace
 
@@ -75,7 +75,7 @@
     : world_(target), kind_(plan_of(seed)), random_(combine_hash(seed, 99)) {}
 
 void fault_plan::start() {
-    end_ = world_.events().now() + fault_span;
+    end_ = world_.events().now() + injection_period;
     if (world_.settings().workload.abandoned_share > 0) {
         world_.count("abandoned_program");
     }
