--- a/sim/world.hpp
+++ b/sim/world.hpp
@@ -223,7 +223,7 @@
     std::map<stand_ins::caller_token, open_request> requests_;
     std::size_t next_gateway_ = 0;
 
-    std::map<backend_name, instant> listed_leaving_;
+    std::map<backend_name, instant> leave_listed_at_;
     std::vector<stand_ins::ledger_entry> dead_node_entries_;
     observations seen_;
     instant leaderless_since_{};
--- a/sim/world_backends.cpp
+++ b/sim/world_backends.cpp
@@ -25,8 +25,8 @@
         member.name = name;
         member.zone = "zone-a";
         member.address = name;
-        const auto leaving = listed_leaving_.find(name);
-        member.leaving = leaving != listed_leaving_.end() && leaving->second <= events_.now();
+        const auto leaving = leave_listed_at_.find(name);
+        member.leaving = leaving != leave_listed_at_.end() && leaving->second <= events_.now();
         if (dynamic_cast<const engine_node*>(node.get()) != nullptr) {
             member.kind = scheduling::backend_kind::engine;
             member.model = settings_.engine.model;
@@ -277,7 +277,7 @@
 
 void world::leave(const std::string& backend) {
     seen_.leaving[backend] = events_.now();
-    listed_leaving_[backend] = events_.now() + list_lag;
+    leave_listed_at_[backend] = events_.now() + list_lag;
     if (auto* engine = dynamic_cast<engine_node*>(nodes_.at(backend).get())) {
         engine->leaving = true;
         if (engine->core) {
