--- a/tests/sim/checkers_test.cpp
+++ b/tests/sim/checkers_test.cpp
@@ -10,7 +10,7 @@
 class checkers_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(checkers_test);
     CPPUNIT_TEST(a_good_history_passes);
-    CPPUNIT_TEST(each_bad_history_is_flagged);
+    CPPUNIT_TEST(each_violation_is_flagged);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int seconds) { return instant(std::chrono::seconds(seconds)); }
@@ -65,7 +65,7 @@
 
     void a_good_history_passes() { CPPUNIT_ASSERT(flagged(good()).empty()); }
 
-    void each_bad_history_is_flagged() {
+    void each_violation_is_flagged() {
         std::map<std::string, observations> bad;
         bad["order"] = good();
         bad["order"].ledger.push_back(entry(1, 2, 5));
