--- a/tests/sim/checkers_test.cpp
+++ b/tests/sim/checkers_test.cpp
@@ -9,7 +9,7 @@
 /// Each checker must flag a hand-made run that violates its property and accept a valid run.
 class checkers_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(checkers_test);
-    CPPUNIT_TEST(a_good_history_passes);
+    CPPUNIT_TEST(a_valid_run_passes);
     CPPUNIT_TEST(each_violation_is_flagged);
     CPPUNIT_TEST_SUITE_END();
 
@@ -63,7 +63,7 @@
         return record;
     }
 
-    void a_good_history_passes() { CPPUNIT_ASSERT(flagged(good()).empty()); }
+    void a_valid_run_passes() { CPPUNIT_ASSERT(flagged(good()).empty()); }
 
     void each_violation_is_flagged() {
         std::map<std::string, observations> bad;
