--- a/tests/sim/found_failures_test.cpp
+++ b/tests/sim/found_failures_test.cpp
@@ -9,7 +9,7 @@
 /// so each cause also has a test of its own.
 class found_failures_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(found_failures_test);
-    CPPUNIT_TEST(seeds_that_failed_pass);
+    CPPUNIT_TEST(formerly_failing_seeds_pass);
     CPPUNIT_TEST(a_seed_gives_the_same_run_twice);
     CPPUNIT_TEST_SUITE_END();
 
@@ -17,7 +17,7 @@
         return sim::read_policies(source_root() + "/policies");
     }
 
-    void seeds_that_failed_pass() {
+    void formerly_failing_seeds_pass() {
         for (const std::uint64_t seed :
              {6,   48,  62,  92,  162, 212, 282,   325,   392,   482,  513,
               524, 561, 617, 667, 673, 678, 11554, 21255, 21564, 21867}) {
