--- a/tests/sim/found_failures_test.cpp
+++ b/tests/sim/found_failures_test.cpp
@@ -10,7 +10,7 @@
 class found_failures_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(found_failures_test);
     CPPUNIT_TEST(formerly_failing_seeds_pass);
-    CPPUNIT_TEST(a_seed_gives_the_same_run_twice);
+    CPPUNIT_TEST(runs_are_deterministic_per_seed);
     CPPUNIT_TEST_SUITE_END();
 
     static std::map<std::string, std::string> policies() {
@@ -29,7 +29,7 @@
         }
     }
 
-    void a_seed_gives_the_same_run_twice() {
+    void runs_are_deterministic_per_seed() {
         std::vector<std::string> first;
         std::vector<std::string> second;
         (void)sim::run_with_faults(13, policies(),
