--- a/stand_ins/backend_runtime.hpp
+++ b/stand_ins/backend_runtime.hpp
@@ -71,7 +71,7 @@
     virtual void on_order(net::exchange_pointer exchange, const backend_order& order,
                           instant now) = 0;
     /// Handles requests other than scheduler orders. @return false if the path is not handled
-    virtual bool on_other(net::exchange_pointer exchange, instant now) = 0;
+    virtual bool on_other_request(net::exchange_pointer exchange, instant now) = 0;
     virtual void on_leave() = 0;
     /// Ticks the emulator and forwards its reports. @return true if no work is in progress
     virtual bool step(instant now) = 0;
@@ -105,7 +105,7 @@
             respond(*exchange, 200, "{}");
             return;
         }
-        if (on_other(exchange, now)) {
+        if (on_other_request(exchange, now)) {
             return;
         }
         const auto order = parse_order(exchange->method(), exchange->path(),
--- a/stand_ins/engine_process_shell.cpp
+++ b/stand_ins/engine_process_shell.cpp
@@ -54,7 +54,7 @@
         }
     }
 
-    bool on_other(net::exchange_pointer exchange, instant now) override {
+    bool on_other_request(net::exchange_pointer exchange, instant now) override {
         const std::string& path = exchange->path();
         if (path == "/v1/orders") {
             on_engine_order(std::move(exchange));
--- a/stand_ins/service_process_shell.cpp
+++ b/stand_ins/service_process_shell.cpp
@@ -38,7 +38,9 @@
         }
     }
 
-    bool on_other(net::exchange_pointer /*exchange*/, instant /*now*/) override { return false; }
+    bool on_other_request(net::exchange_pointer /*exchange*/, instant /*now*/) override {
+        return false;
+    }
     void on_leave() override { core_.leave(); }
 
     bool step(instant now) override {
