--- a/stand_ins/engine_core.cpp
+++ b/stand_ins/engine_core.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kept_loads = 64;
 constexpr duration longest_backlog = std::chrono::milliseconds(100);
 /// Retention of seals; must exceed the longest start limit.
-constexpr duration seal_keep = std::chrono::seconds(60);
+constexpr duration seal_retention = std::chrono::seconds(60);
 
 bool is_late(scheduler::backend_clock not_after, instant now) {
     return not_after != scheduler::no_start_limit && now.time_since_epoch().count() > not_after;
@@ -346,7 +346,7 @@
     for (const scheduler::attempt_key& key : gone) {
         cancel(key, now);
     }
-    std::erase_if(sealed_, [&](const auto& entry) { return now - entry.second > seal_keep; });
+    std::erase_if(sealed_, [&](const auto& entry) { return now - entry.second > seal_retention; });
     std::vector<prefix_hash> lapsed;
     for (const auto& [hash, node] : cache_) {
         if (node.value > 0 && node.value_until < now) {
