--- a/stand_ins/engine_core.cpp
+++ b/stand_ins/engine_core.cpp
@@ -338,7 +338,7 @@
     std::vector<scheduler::attempt_key> gone;
     for (auto& [key, target] : streams_) {
         const bool orphaned = !target.attached && now - target.changed > settings_.orphan_limit;
-        const bool old = target.finished && now - target.changed > settings_.finished_keep;
+        const bool old = target.finished && now - target.changed > settings_.finished_retention;
         if (old || (orphaned && !target.finished)) {
             gone.push_back(key);
         }
--- a/stand_ins/engine_core.hpp
+++ b/stand_ins/engine_core.hpp
@@ -45,7 +45,7 @@
     /// Time after which a stream without a reader is stopped.
     duration orphan_limit = std::chrono::seconds(5);
     /// Time for which a finished stream can be resumed.
-    duration finished_keep = std::chrono::seconds(10);
+    duration finished_retention = std::chrono::seconds(10);
     std::uint64_t seed = 0;
 };
 
