--- a/stand_ins/engine_core.cpp
+++ b/stand_ins/engine_core.cpp
@@ -14,7 +14,7 @@
 
 constexpr duration expiry_interval = std::chrono::seconds(1);
 constexpr std::size_t kept_loads = 64;
-constexpr duration longest_backlog = std::chrono::milliseconds(100);
+constexpr duration max_step_backlog = std::chrono::milliseconds(100);
 /// Retention of seals; must exceed the longest start limit.
 constexpr duration seal_retention = std::chrono::seconds(60);
 
@@ -141,7 +141,7 @@
         next_expiry_ = now + expiry_interval;
         expire(now);
     }
-    if (now - step_due_ > longest_backlog) {
+    if (now - step_due_ > max_step_backlog) {
         // The process was suspended; skips the missed steps.
         step_due_ = now;
     }
