--- a/stand_ins/engine_core.cpp
+++ b/stand_ins/engine_core.cpp
@@ -13,7 +13,7 @@
 using scheduling::prefix_point;
 
 constexpr duration expiry_interval = std::chrono::seconds(1);
-constexpr std::size_t kept_loads = 64;
+constexpr std::size_t max_load_reports = 64;
 constexpr duration max_step_backlog = std::chrono::milliseconds(100);
 /// Retention of seals; must exceed the longest start limit.
 constexpr duration seal_retention = std::chrono::seconds(60);
@@ -155,7 +155,7 @@
         }
         step_due_ = at + run_step(at);
         loads_.emplace_back(at, current_load());
-        if (loads_.size() > kept_loads) {
+        if (loads_.size() > max_load_reports) {
             loads_.pop_front();
         }
     }
