--- a/stand_ins/caller_core.cpp
+++ b/stand_ins/caller_core.cpp
@@ -86,8 +86,8 @@
 }
 
 void caller_core::send(instant now) {
-    if (claimed_not_run_) {
-        claimed_not_run_ = false;
+    if (has_not_run_claim_) {
+        has_not_run_claim_ = false;
         report_.claims.push_back({program_, sequence_, told_not_run_, now});
     }
     current_ = next_token();
@@ -183,7 +183,7 @@
         return;
     }
     if (phase_ == phase::calling && result.ran == ran_state::no) {
-        claimed_not_run_ = true;
+        has_not_run_claim_ = true;
         told_not_run_ = now;
     }
     if (result.retry_after_ms > 0) {
@@ -205,7 +205,7 @@
     if (result.ran == ran_state::no) {
         // The claim never expires, since the call is not retried.
         report_.claims.push_back({program_, sequence_, now, instant::max()});
-        claimed_not_run_ = false;
+        has_not_run_claim_ = false;
         // A call that did not run does not consume its sequence number.
         --sequence_;
     }
--- a/stand_ins/caller_core.hpp
+++ b/stand_ins/caller_core.hpp
@@ -123,7 +123,7 @@
     instant last_sign_{};
     instant retry_at_{};
     bool waiting_ = false;
-    bool claimed_not_run_ = false;
+    bool has_not_run_claim_ = false;
     instant told_not_run_{};
     std::vector<std::unique_ptr<caller_core>> children_;
     std::vector<caller_action> actions_;
