--- a/stand_ins/caller_core.cpp
+++ b/stand_ins/caller_core.cpp
@@ -88,7 +88,7 @@
 void caller_core::send(instant now) {
     if (has_not_run_claim_) {
         has_not_run_claim_ = false;
-        report_.claims.push_back({program_, sequence_, told_not_run_, now});
+        report_.claims.push_back({program_, sequence_, not_run_claim_at_, now});
     }
     current_ = next_token();
     ++submission_;
@@ -184,7 +184,7 @@
     }
     if (phase_ == phase::calling && result.ran == ran_state::no) {
         has_not_run_claim_ = true;
-        told_not_run_ = now;
+        not_run_claim_at_ = now;
     }
     if (result.retry_after_ms > 0) {
         retry_at(now + std::chrono::milliseconds(result.retry_after_ms));
--- a/stand_ins/caller_core.hpp
+++ b/stand_ins/caller_core.hpp
@@ -124,7 +124,7 @@
     instant retry_at_{};
     bool waiting_ = false;
     bool has_not_run_claim_ = false;
-    instant told_not_run_{};
+    instant not_run_claim_at_{};
     std::vector<std::unique_ptr<caller_core>> children_;
     std::vector<caller_action> actions_;
     caller_report report_;
