--- a/stand_ins/caller_core.cpp
+++ b/stand_ins/caller_core.cpp
@@ -93,7 +93,7 @@
     current_ = next_token();
     ++submission_;
     pieces_.clear();
-    last_sign_ = now;
+    last_response_at_ = now;
     waiting_ = true;
     retry_at_ = {};
     actions_.push_back(
@@ -111,7 +111,7 @@
     if (pieces_.empty()) {
         report_.first_pieces.push_back(now - first_sent_);
     }
-    last_sign_ = now;
+    last_response_at_ = now;
     pieces_.insert(pieces_.end(), pieces.begin(), pieces.end());
 }
 
@@ -334,7 +334,7 @@
         join_children(now);
         return;
     }
-    if (waiting_ && now - last_sign_ > settings_.stall_timeout) {
+    if (waiting_ && now - last_response_at_ > settings_.stall_timeout) {
         on_disconnected(current_, now);
     }
     if (waiting_ || retry_at_ == instant{} || now < retry_at_) {
--- a/stand_ins/caller_core.hpp
+++ b/stand_ins/caller_core.hpp
@@ -120,7 +120,7 @@
     caller_token current_ = 0;
     std::vector<std::string> pieces_;
     instant first_sent_{};
-    instant last_sign_{};
+    instant last_response_at_{};
     instant retry_at_{};
     bool waiting_ = false;
     bool has_not_run_claim_ = false;
