--- a/sim/checkers.cpp
+++ b/sim/checkers.cpp
@@ -97,7 +97,7 @@
     for (const caller_report& report : seen.callers) {
         for (const stand_ins::not_run_claim& claim : report.claims) {
             for (const ledger_entry* entry : attempts[{claim.program, claim.sequence}]) {
-                if (entry->started < claim.asked_again) {
+                if (entry->started < claim.retried_at) {
                     violations.push_back("told not run, but ran: " + describe(*entry));
                 }
             }
--- a/stand_ins/caller_core.hpp
+++ b/stand_ins/caller_core.hpp
@@ -25,12 +25,12 @@
 };
 
 /// Claim by the system, received at `told`, that a request had not run. It covers the time until
-/// the caller's retry at `asked_again`.
+/// the caller's retry at `retried_at`.
 struct not_run_claim {
     program_id program;
     sequence_number sequence = 0;
     instant told{};
-    instant asked_again{};
+    instant retried_at{};
 };
 
 /// Results recorded by a caller; input of the checkers.
