--- a/stand_ins/program_script.cpp
+++ b/stand_ins/program_script.cpp
@@ -12,7 +12,7 @@
     const char* name;
     /// Fraction of the deployment's programs.
     double share;
-    int fewest_turns;
+    int min_turns;
     int max_turns;
     /// Range of the number of context tokens before the first call; later calls reuse this prefix.
     std::int64_t min_context;
@@ -198,7 +198,7 @@
         program_script script;
         script.tenant = tenant_of(index);
         script.program_class = profile.name;
-        const std::int64_t turns = random_.between(profile.fewest_turns, profile.max_turns);
+        const std::int64_t turns = random_.between(profile.min_turns, profile.max_turns);
         for (std::int64_t turn = 0; turn < turns; ++turn) {
             if (profile.plain) {
                 script.steps.push_back(service_step(profile, step_kind::app, "lookup", true));
