--- a/stand_ins/program_script.cpp
+++ b/stand_ins/program_script.cpp
@@ -46,7 +46,7 @@
 
 constexpr token_count budget_margin = 4;
 constexpr int endless_turns = 600;
-constexpr double longest_pause_in_means = 4.0;
+constexpr double max_pause_factor = 4.0;
 
 class workload_maker {
   public:
@@ -114,7 +114,7 @@
     duration pause_of(const class_profile& profile) {
         const double mean = static_cast<double>(profile.mean_pause_ms) * settings_.pause_scale;
         const double drawn = -std::log(1.0 - random_.unit()) * mean;
-        const double bounded = std::min(drawn, mean * longest_pause_in_means);
+        const double bounded = std::min(drawn, mean * max_pause_factor);
         return std::chrono::milliseconds(static_cast<std::int64_t>(bounded));
     }
 
