--- a/stand_ins/program_script.cpp
+++ b/stand_ins/program_script.cpp
@@ -48,9 +48,9 @@
 constexpr int endless_turns = 600;
 constexpr double max_pause_factor = 4.0;
 
-class workload_maker {
+class workload_generator {
   public:
-    explicit workload_maker(const workload_settings& settings)
+    explicit workload_generator(const workload_settings& settings)
         : settings_(settings), random_(settings.seed) {}
 
     std::vector<program_script> make() {
@@ -245,7 +245,7 @@
 }
 
 std::vector<program_script> make_workload(const workload_settings& settings) {
-    return workload_maker(settings).make();
+    return workload_generator(settings).make();
 }
 
 }  // namespace tallyfold::stand_ins
