--- a/stand_ins/program_script.cpp
+++ b/stand_ins/program_script.cpp
@@ -60,7 +60,7 @@
             programs.back().start = start_time(index);
         }
         for (std::size_t index = 0; index < settings_.endless_programs; ++index) {
-            programs.push_back(make_endless(index));
+            programs.push_back(make_runaway_program(index));
         }
         std::sort(programs.begin(), programs.end(),
                   [](const auto& left, const auto& right) { return left.start < right.start; });
@@ -81,7 +81,7 @@
     }
 
     /// A program that repeats the same app request.
-    program_script make_endless(std::size_t index) {
+    program_script make_runaway_program(std::size_t index) {
         program_script script;
         script.tenant = tenant_of(index);
         script.program_class = pick_class().name;
