--- a/stand_ins/platform_process_shell.cpp
+++ b/stand_ins/platform_process_shell.cpp
@@ -64,8 +64,8 @@
             // Transfers run one after the other, so that they share the rate limit.
             const duration length(static_cast<std::int64_t>(1e6 * settings_.bytes_per_model /
                                                             settings_.bytes_per_second));
-            store_free_ = std::max(store_free_, now) + length;
-            transfers_.emplace(store_free_, exchange);
+            store_available_at_ = std::max(store_available_at_, now) + length;
+            transfers_.emplace(store_available_at_, exchange);
         } else {
             exchange->respond(404, "application/json", "{}");
         }
@@ -85,7 +85,7 @@
     bounded_ring<net::exchange_pointer> inputs_;
     net::http_server server_;
     std::map<backend_name, instant> leaving_;
-    instant store_free_{};
+    instant store_available_at_{};
     std::multimap<instant, net::exchange_pointer> transfers_;
 };
 
