--- a/stand_ins/relay_process_shell.cpp
+++ b/stand_ins/relay_process_shell.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::size_t buffer_size = 64U << 10U;
 /// Maximum number of buffered bytes per direction; reading pauses above it.
-constexpr std::size_t largest_in_flight = 4U << 20U;
+constexpr std::size_t max_bytes_in_flight = 4U << 20U;
 constexpr auto cut_poll = std::chrono::milliseconds(50);
 constexpr auto stop_poll = std::chrono::milliseconds(20);
 
@@ -50,7 +50,7 @@
     };
 
     void read() {
-        if (in_flight_ > largest_in_flight) {
+        if (in_flight_ > max_bytes_in_flight) {
             reading_ = false;
             return;
         }
