--- a/tests/stand_ins/backend_protocol_test.cpp
+++ b/tests/stand_ins/backend_protocol_test.cpp
@@ -10,7 +10,7 @@
 
 class backend_protocol_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_protocol_test);
-    CPPUNIT_TEST(orders_are_read_back);
+    CPPUNIT_TEST(orders_round_trip);
     CPPUNIT_TEST(keys_are_read_back);
     CPPUNIT_TEST(any_bytes_are_refused);
     CPPUNIT_TEST_SUITE_END();
@@ -27,7 +27,7 @@
         return *parsed;
     }
 
-    void orders_are_read_back() {
+    void orders_round_trip() {
         start_stream start;
         start.key = key();
         start.fence = {5, 6};
