--- a/tests/stand_ins/backend_protocol_test.cpp
+++ b/tests/stand_ins/backend_protocol_test.cpp
@@ -11,7 +11,7 @@
 class backend_protocol_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_protocol_test);
     CPPUNIT_TEST(orders_round_trip);
-    CPPUNIT_TEST(keys_are_read_back);
+    CPPUNIT_TEST(attempt_keys_round_trip);
     CPPUNIT_TEST(any_bytes_are_refused);
     CPPUNIT_TEST_SUITE_END();
 
@@ -57,7 +57,7 @@
         CPPUNIT_ASSERT(render_order(run).fresh_connection);
     }
 
-    void keys_are_read_back() {
+    void attempt_keys_round_trip() {
         check_property("program/sequence/attempt",
                        [](std::uint32_t sequence, std::uint32_t attempt) {
                            const attempt_key made{"p.a.b", sequence, attempt};
