--- a/tests/stand_ins/engine_core_test.cpp
+++ b/tests/stand_ins/engine_core_test.cpp
@@ -10,7 +10,7 @@
 
 class engine_core_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(engine_core_test);
-    CPPUNIT_TEST(one_call_takes_the_time_worked_out_by_hand);
+    CPPUNIT_TEST(a_call_takes_the_time_of_its_steps);
     CPPUNIT_TEST(a_cached_beginning_is_not_computed_again);
     CPPUNIT_TEST(a_stream_is_read_again_from_an_offset);
     CPPUNIT_TEST(a_late_or_sealed_attempt_does_not_start);
@@ -61,7 +61,7 @@
         return -1;
     }
 
-    void one_call_takes_the_time_worked_out_by_hand() {
+    void a_call_takes_the_time_of_its_steps() {
         // One prefill step of 12 ms plus 1000 prompt tokens of 50 us each gives the first token.
         // Nine decode steps of 12.6 ms each follow. The emulator reports a token at the start of
         // its step.
