--- a/tests/stand_ins/engine_core_test.cpp
+++ b/tests/stand_ins/engine_core_test.cpp
@@ -11,7 +11,7 @@
 class engine_core_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(engine_core_test);
     CPPUNIT_TEST(a_call_takes_the_time_of_its_steps);
-    CPPUNIT_TEST(a_cached_beginning_is_not_computed_again);
+    CPPUNIT_TEST(a_cached_prefix_is_not_computed_again);
     CPPUNIT_TEST(a_stream_is_read_again_from_an_offset);
     CPPUNIT_TEST(a_late_or_sealed_attempt_does_not_start);
     CPPUNIT_TEST(a_waiting_attempt_is_dropped_at_its_limit);
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT(taken <= prefill + 11 * decode);
     }
 
-    void a_cached_beginning_is_not_computed_again() {
+    void a_cached_prefix_is_not_computed_again() {
         CPPUNIT_ASSERT(engine_.start(request("p", 1, 1000, 5), at(0)).has_value());
         const std::int64_t first = finish({"p", 1, 1}, 0);
         start_stream second = request("p", 2, 1000, 5);
