--- a/tests/stand_ins/engine_core_test.cpp
+++ b/tests/stand_ins/engine_core_test.cpp
@@ -12,7 +12,7 @@
     CPPUNIT_TEST_SUITE(engine_core_test);
     CPPUNIT_TEST(a_call_takes_the_time_of_its_steps);
     CPPUNIT_TEST(a_cached_prefix_is_not_computed_again);
-    CPPUNIT_TEST(a_stream_is_read_again_from_an_offset);
+    CPPUNIT_TEST(a_stream_resumes_from_an_offset);
     CPPUNIT_TEST(a_late_or_sealed_attempt_does_not_start);
     CPPUNIT_TEST(a_waiting_attempt_is_dropped_at_its_limit);
     CPPUNIT_TEST(an_older_owner_is_refused);
@@ -82,7 +82,7 @@
         CPPUNIT_ASSERT(again + 45'000 < first);
     }
 
-    void a_stream_is_read_again_from_an_offset() {
+    void a_stream_resumes_from_an_offset() {
         CPPUNIT_ASSERT(engine_.start(request("p", 1, 10, 5), at(0)).has_value());
         const std::int64_t end = finish({"p", 1, 1}, 0);
         CPPUNIT_ASSERT(engine_.resume({"e", {"p", 1, 1}, 2}, at(end)).has_value());
