--- a/tests/stand_ins/engine_core_test.cpp
+++ b/tests/stand_ins/engine_core_test.cpp
@@ -16,7 +16,7 @@
     CPPUNIT_TEST(a_late_or_sealed_attempt_does_not_start);
     CPPUNIT_TEST(a_waiting_attempt_is_dropped_at_its_limit);
     CPPUNIT_TEST(an_older_owner_is_refused);
-    CPPUNIT_TEST(released_memory_returns);
+    CPPUNIT_TEST(release_frees_cache_tokens);
     CPPUNIT_TEST(an_import_saves_the_prefill);
     CPPUNIT_TEST_SUITE_END();
 
@@ -129,7 +129,7 @@
         CPPUNIT_ASSERT(engine_.start(older, at(0)).error() == engine_refusal::stale_epoch);
     }
 
-    void released_memory_returns() {
+    void release_frees_cache_tokens() {
         CPPUNIT_ASSERT(engine_.start(request("p", 1, 1000, 5), at(0)).has_value());
         const std::int64_t end = finish({"p", 1, 1}, 0);
         CPPUNIT_ASSERT(engine_.cached_tokens_of("p") > 0);
