--- a/tests/stand_ins/engine_core_test.cpp
+++ b/tests/stand_ins/engine_core_test.cpp
@@ -17,7 +17,7 @@
     CPPUNIT_TEST(a_waiting_attempt_is_dropped_at_its_limit);
     CPPUNIT_TEST(an_older_owner_is_refused);
     CPPUNIT_TEST(release_frees_cache_tokens);
-    CPPUNIT_TEST(an_import_saves_the_prefill);
+    CPPUNIT_TEST(an_imported_prefix_is_cached);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::int64_t begin_us = 1'000'000'000;
@@ -138,7 +138,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{0}, engine_.cached_tokens());
     }
 
-    void an_import_saves_the_prefill() {
+    void an_imported_prefix_is_cached() {
         CPPUNIT_ASSERT(engine_.start(request("p", 1, 1000, 5), at(0)).has_value());
         (void)finish({"p", 1, 1}, 0);
         engine_core other(settings(), std::make_shared<prefill_ledger>(), at(0));
