--- a/apps/stand_in_callers.cpp
+++ b/apps/stand_in_callers.cpp
@@ -43,8 +43,8 @@
 }
 
 /// Number of tokens that an engine still caches for ended programs of this run.
-token_count held_at(const std::string& engine,
-                    const std::vector<stand_ins::caller_report>& reports) {
+token_count fetch_held_tokens(const std::string& engine,
+                              const std::vector<stand_ins::caller_report>& reports) {
     net::blocking_request request;
     request.url = "http://" + engine + "/v1/cache";
     const auto answer = nlohmann::json::parse(net::fetch(request).body, nullptr, false);
@@ -70,7 +70,7 @@
     for (int round = 0; round < rounds; ++round) {
         held = 0;
         for (const std::string& engine : engines) {
-            held += held_at(engine, reports);
+            held += fetch_held_tokens(engine, reports);
         }
         if (held == 0) {
             break;
