--- a/apps/tallyfold_prove.cpp
+++ b/apps/tallyfold_prove.cpp
@@ -53,7 +53,8 @@
 }
 
 /// @return true if the run violated the property
-bool judge(const run_result& result, const tallyfold::sim::property& property, property_row& row) {
+bool check_run(const run_result& result, const tallyfold::sim::property& property,
+               property_row& row) {
     ++row.runs;
     for (const std::string& fault : property.faults) {
         const auto found = result.faults.find(fault);
@@ -76,7 +77,7 @@
     bool failed = false;
     for (const auto& property : tallyfold::sim::properties()) {
         if (only.empty() || property.name == only) {
-            failed = judge(result, property, all.rows[property.name]) || failed;
+            failed = check_run(result, property, all.rows[property.name]) || failed;
         }
     }
     all.failed_runs += failed ? 1 : 0;
