--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -86,7 +86,7 @@
 }
 
 /// Measures the lender's processing of one report from each node.
-void measure_keeper(std::size_t tenant_count, std::size_t node_count, std::size_t active) {
+void measure_lender(std::size_t tenant_count, std::size_t node_count, std::size_t active) {
     const auto limits = make_tenants(tenant_count, 0);
     tenants::permit_lender lender{tenants::quota_rules{}};
     lender.use(limits);
@@ -121,9 +121,9 @@
 int main() {
     measure_keys();
     measure_permits();
-    measure_keeper(84, 69, 11);
-    measure_keeper(84, 69, 84);
-    measure_keeper(2'800, 710, 25);
-    measure_keeper(2'800, 710, 200);
+    measure_lender(84, 69, 11);
+    measure_lender(84, 69, 84);
+    measure_lender(2'800, 710, 25);
+    measure_lender(2'800, 710, 200);
     return 0;
 }
