--- a/apps/tallyfold_directory_bench.cpp
+++ b/apps/tallyfold_directory_bench.cpp
@@ -83,7 +83,7 @@
 };
 
 /// Serves all configuration parts to a node that holds version 1. @return the number of bytes sent
-std::size_t give_configuration(directory::directory_core& core) {
+std::size_t serve_configuration(directory::directory_core& core) {
     directory::configuration_request request;
     request.held = 1;
     std::size_t bytes = 0;
@@ -126,7 +126,7 @@
         report.node = "node-" + std::to_string(node);
         report.configuration = 1;
         spent.told += messaging::encode_frame(core.receive(report, now)).size();
-        spent.told += give_configuration(core);
+        spent.told += serve_configuration(core);
     }
     spent.tell = telling.milliseconds();
     return spent;
