--- a/stand_ins/engine_core.hpp
+++ b/stand_ins/engine_core.hpp
@@ -183,8 +183,8 @@
     std::map<shard_id, lease_epoch> epochs_;
 
     std::map<scheduler::attempt_key, stream> streams_;
-    /// Attempts that were resumed before they arrived and must not start, with the time of the
-    /// seal.
+    /// Attempts that must not start, since they were cancelled, or resumed before their start
+    /// arrived; with the time of the seal.
     std::map<scheduler::attempt_key, instant> sealed_;
     std::map<wait_key, scheduler::attempt_key> waiting_;
     std::vector<scheduler::attempt_key> running_;
