--- a/sim/checkers.cpp
+++ b/sim/checkers.cpp
@@ -98,7 +98,7 @@
         for (const stand_ins::not_run_claim& claim : report.claims) {
             for (const ledger_entry* entry : attempts[{claim.program, claim.sequence}]) {
                 if (entry->started < claim.retried_at) {
-                    violations.push_back("told not run, but ran: " + describe(*entry));
+                    violations.push_back("reported as not run, but ran: " + describe(*entry));
                 }
             }
         }
@@ -124,7 +124,7 @@
     for (const ledger_entry& entry : seen.ledger) {
         const auto leaving = seen.leaving.find(entry.backend);
         if (leaving != seen.leaving.end() && entry.started > leaving->second + leaving_grace) {
-            violations.push_back("new work on a leaving back end: " + describe(entry));
+            violations.push_back("new request on a leaving back end: " + describe(entry));
         }
     }
     return violations;
@@ -138,12 +138,12 @@
     for (const caller_report& report : seen.callers) {
         if (report.disturbances > 0 || report.failed_calls > 0) {
             violations.push_back(report.program + ": " + std::to_string(report.disturbances) +
-                                 " requests were cut off");
+                                 " requests were interrupted");
         }
     }
     for (const ledger_entry& entry : seen.ledger) {
         if (!entry.completed) {
-            violations.push_back("cut off: " + describe(entry));
+            violations.push_back("interrupted: " + describe(entry));
         }
     }
     return violations;
--- a/sim/run.cpp
+++ b/sim/run.cpp
@@ -12,7 +12,7 @@
     world deployment(std::move(settings));
     result.booted = deployment.boot();
     if (!result.booted) {
-        result.violations["whole_answers"].push_back("the cluster did not come up");
+        result.violations["whole_answers"].push_back("the cluster did not become ready");
         return result;
     }
     fault_plan plan(deployment, seed);
