--- a/stand_ins/caller_core.cpp
+++ b/stand_ins/caller_core.cpp
@@ -177,7 +177,8 @@
     }
     if (now - first_sent_ > settings_.lost_after) {
         ++report_.lost;
-        report_.notes.push_back(program_ + "/" + std::to_string(sequence_) + ": lost, last code " +
+        report_.notes.push_back(program_ + "/" + std::to_string(sequence_) +
+                                ": no final answer before the deadline, last code " +
                                 std::string(to_string(result.code)));
         finish(now);
         return;
@@ -196,7 +197,7 @@
     }
     if (phase_ != phase::closing && result.code != answer_code::program_not_found) {
         ++report_.lost;
-        report_.notes.push_back(program_ + ": could not be opened: " + result.detail);
+        report_.notes.push_back(program_ + ": the program could not be opened: " + result.detail);
     }
     finish(now);
 }
@@ -346,7 +347,7 @@
     } else if (phase_ != phase::done && phase_ != phase::idle) {
         if (now - first_sent_ > settings_.lost_after) {
             ++report_.lost;
-            report_.notes.push_back(program_ + ": no answer came");
+            report_.notes.push_back(program_ + ": no answer before the deadline");
             finish(now);
             return;
         }
