--- a/apps/stand_in_callers.cpp
+++ b/apps/stand_in_callers.cpp
@@ -130,17 +130,18 @@
     TCLAP::ValueArg<std::string> profile("", "profile", "huayin or hobart", false, "huayin", "name",
                                          line);
     TCLAP::ValueArg<std::size_t> programs("", "programs", "Programs to run", false, 24, "N", line);
-    TCLAP::ValueArg<unsigned> span("", "span-seconds", "Programs start within", false, 8, "s",
-                                   line);
-    TCLAP::ValueArg<double> pauses("", "pause-scale", "Factor on every pause", false, 0.1, "x",
-                                   line);
-    TCLAP::ValueArg<double> tokens("", "token-scale", "Factor on every length", false, 0.25, "x",
+    TCLAP::ValueArg<unsigned> span("", "span-seconds", "Period in which programs start", false, 8,
+                                   "s", line);
+    TCLAP::ValueArg<double> pauses("", "pause-scale", "Factor of every pause", false, 0.1, "x",
                                    line);
+    TCLAP::ValueArg<double> tokens("", "token-scale", "Factor of every token count", false, 0.25,
+                                   "x", line);
     TCLAP::ValueArg<std::string> ledgers("", "ledgers", "Folder of the back ends' ledgers", false,
                                          "", "folder", line);
-    TCLAP::MultiArg<std::string> engines("", "engine", "An engine whose memory is judged", false,
+    TCLAP::MultiArg<std::string> engines("", "engine", "An engine whose cache is checked", false,
                                          "ip:port", line);
-    TCLAP::ValueArg<unsigned> limit("", "limit-seconds", "Give up after", false, 240, "s", line);
+    TCLAP::ValueArg<unsigned> limit("", "limit-seconds", "Maximum duration of the run", false, 240,
+                                    "s", line);
     TCLAP::ValueArg<std::uint64_t> seed("", "seed", "Seed", false, 1, "S", line);
     line.parse(argument_count, arguments);
     const auto deployment = stand_ins::parse_deployment(profile.getValue());
--- a/apps/stand_in_engine.cpp
+++ b/apps/stand_in_engine.cpp
@@ -16,8 +16,8 @@
     TCLAP::ValueArg<std::string> ledger("", "ledger", "Ledger file", false, "", "file", line);
     TCLAP::ValueArg<std::string> weights("", "weight-store", "Address of the weight store", false,
                                          "", "ip:port", line);
-    TCLAP::ValueArg<std::uint64_t> cache("", "cache-tokens", "Tokens that the cache holds", false,
-                                         200'000, "N", line);
+    TCLAP::ValueArg<std::uint64_t> cache("", "cache-tokens", "Capacity of the cache in tokens",
+                                         false, 200'000, "N", line);
     TCLAP::ValueArg<unsigned> batch("", "batch-limit", "Sequences per step", false, 8, "N", line);
     TCLAP::ValueArg<std::uint64_t> seed("", "seed", "Seed", false, 1, "S", line);
     line.parse(argument_count, arguments);
--- a/apps/stand_in_platform.cpp
+++ b/apps/stand_in_platform.cpp
@@ -46,8 +46,8 @@
     TCLAP::ValueArg<std::string> listen("", "listen", "HTTP address", true, "", "ip:port", line);
     TCLAP::MultiArg<std::string> members("", "member", "A back end", true,
                                          "kind,name,address,zone,model,slots", line);
-    TCLAP::ValueArg<unsigned> lag("", "list-lag-ms", "How far the list lags", false, 1500, "ms",
-                                  line);
+    TCLAP::ValueArg<unsigned> lag("", "list-lag-ms", "Delay of the membership list", false, 1500,
+                                  "ms", line);
     line.parse(argument_count, arguments);
     stand_ins::platform_process settings;
     settings.listen = listen.getValue();
--- a/apps/stand_in_relay.cpp
+++ b/apps/stand_in_relay.cpp
@@ -11,9 +11,9 @@
 
 int main(int argument_count, char** arguments) {
     using namespace tallyfold;
-    TCLAP::CmdLine line("Stand-in for the links between zones", ' ', "0.1.0");
-    TCLAP::ValueArg<std::string> http("", "http-listen", "Address for cuts", true, "", "ip:port",
-                                      line);
+    TCLAP::CmdLine line("TCP relay for the links between zones", ' ', "0.1.0");
+    TCLAP::ValueArg<std::string> http("", "http-listen", "HTTP address for blocking links", true,
+                                      "", "ip:port", line);
     TCLAP::MultiArg<std::string> routes("", "route", "A link", true,
                                         "name,listen,target,delay_microseconds", line);
     line.parse(argument_count, arguments);
--- a/apps/stand_in_service.cpp
+++ b/apps/stand_in_service.cpp
@@ -13,10 +13,10 @@
     TCLAP::ValueArg<std::string> name("", "name", "Name", true, "", "name", line);
     TCLAP::ValueArg<std::string> listen("", "listen", "HTTP address", true, "", "ip:port", line);
     TCLAP::ValueArg<std::string> ledger("", "ledger", "Ledger file", false, "", "file", line);
-    TCLAP::ValueArg<std::string> record("", "record", "File of what survives a kill", true, "",
-                                        "file", line);
-    TCLAP::ValueArg<double> hangs("", "hang-share", "Share of requests without an answer", false,
-                                  0.0, "0..1", line);
+    TCLAP::ValueArg<std::string> record("", "record", "File of the durable state", true, "", "file",
+                                        line);
+    TCLAP::ValueArg<double> hangs("", "hang-share", "Fraction of requests that are never answered",
+                                  false, 0.0, "0..1", line);
     TCLAP::ValueArg<unsigned> shortest("", "shortest-ms", "Shortest answer time", false, 2, "ms",
                                        line);
     TCLAP::ValueArg<unsigned> longest("", "longest-ms", "Longest answer time", false, 10, "ms",
--- a/apps/tallyfold_admission_bench.cpp
+++ b/apps/tallyfold_admission_bench.cpp
@@ -82,7 +82,7 @@
             holder.release(name, beginning, beginning);
         }
     });
-    std::printf("permit spent and given back: %.0f ns (%zu of %zu taken)\n", each, taken, lookups);
+    std::printf("permit acquired and released: %.0f ns (%zu of %zu taken)\n", each, taken, lookups);
 }
 
 /// Measures the lender's processing of one report from each node.
--- a/apps/tallyfold_prove.cpp
+++ b/apps/tallyfold_prove.cpp
@@ -160,13 +160,14 @@
     TCLAP::CmdLine line("Simulated fault runs of the whole system", ' ', "0.1.0");
     TCLAP::ValueArg<std::uint64_t> seeds("", "seeds", "Number of seeds", false, 20, "N", line);
     TCLAP::ValueArg<std::uint64_t> first("", "first-seed", "First seed", false, 1, "S", line);
-    TCLAP::ValueArg<std::string> only("", "property", "Judge this property only", false, "", "NAME",
+    TCLAP::ValueArg<std::string> only("", "property", "Check only this property", false, "", "NAME",
                                       line);
     TCLAP::ValueArg<std::string> folder("", "policies", "Folder of the shipped policies", false,
                                         "policies", "folder", line);
-    TCLAP::ValueArg<unsigned> threads("", "threads", "Runs at once", false,
+    TCLAP::ValueArg<unsigned> threads("", "threads", "Number of parallel runs", false,
                                       std::thread::hardware_concurrency(), "N", line);
-    TCLAP::ValueArg<std::string> trace("", "trace", "Print the first seed's lines that hold this",
+    TCLAP::ValueArg<std::string> trace("", "trace",
+                                       "Print the first seed's trace lines that contain this text",
                                        false, "", "text", line);
     TCLAP::SwitchArg list("", "list", "Print the properties and how each is proved", line);
     line.parse(argument_count, arguments);
--- a/apps/tallyfoldctl.cpp
+++ b/apps/tallyfoldctl.cpp
@@ -52,7 +52,7 @@
                                          environment_or("TALLYFOLD_GATEWAY", ""), "ip:port", line);
     TCLAP::SwitchArg as_json("", "json", "Print JSON", line);
     TCLAP::ValueArg<std::int64_t> version(
-        "", "expected-version", "Version that the change is made from", false, -1, "N", line);
+        "", "expected-version", "Version on which the change is based", false, -1, "N", line);
     TCLAP::ValueArg<std::string> identity(
         "", "command-identity", "Identity of the change, to resend it", false, "", "text", line);
     TCLAP::UnlabeledMultiArg<std::string> words("command", "Command and its arguments", true,
