--- a/sim/fault_plan.cpp
+++ b/sim/fault_plan.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr duration fault_span = std::chrono::seconds(18);
+constexpr duration injection_period = std::chrono::seconds(18);
 
 }  // namespace
 
@@ -60,8 +60,8 @@
     }
     settings.settle = std::chrono::seconds(30);
     settings.limit = std::chrono::seconds(240);
-    const bool rough = kind == plan_kind::back_ends || kind == plan_kind::everything;
-    if (rough) {
+    const bool with_back_end_faults = kind == plan_kind::back_ends || kind == plan_kind::everything;
+    if (with_back_end_faults) {
         settings.tool_hang_share = 0.1;
         settings.workload.endless_programs = 1;
     }
@@ -75,7 +75,7 @@
     : world_(target), kind_(plan_of(seed)), random_(combine_hash(seed, 99)) {}
 
 void fault_plan::start() {
-    end_ = world_.events().now() + fault_span;
+    end_ = world_.events().now() + injection_period;
     if (world_.settings().workload.abandoned_share > 0) {
         world_.count("abandoned_program");
     }
--- a/sim/world_links.cpp
+++ b/sim/world_links.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The simulated world's links: messages between its nodes, connections that break, cuts, delays,
-/// clocks.
+/// Links of the simulated world: messages between nodes, connection failures, partitions, delays,
+/// clock jumps.
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr duration sync_time = std::chrono::microseconds(900);
-/// A connection that passes nothing for this long is given up by both ends.
+/// Idle time after which both ends close a connection.
 constexpr duration silence_limit = std::chrono::milliseconds(1200);
 constexpr duration reset_delay = std::chrono::milliseconds(2);
 
@@ -30,20 +30,20 @@
             return;
         }
         run_on(name, [this, name, dead] {
-            auto& woken = node_as<gateway_node>(name);
-            woken.core->peer_lost(dead, local_now(woken));
-            pump_gateway(woken);
+            auto& target_node = node_as<gateway_node>(name);
+            target_node.core->peer_lost(dead, local_now(target_node));
+            pump_gateway(target_node);
         });
     });
 }
 
-void world::notify_lost(const std::string& dead) {
+void world::close_connections_of(const std::string& dead) {
     for (const std::string& name : names("gateway-")) {
         tell_lost(name, dead);
     }
-    // Callers see their connection break when a gateway dies.
+    // Callers of a dead gateway lose their connection.
     for (auto& [token, request] : requests_) {
-        // A request that is still on its way will find no listener instead.
+        // A request still in transit (generation 0) is refused on arrival instead.
         if (request.gateway == dead && request.generation != 0) {
             const stand_ins::caller_token lost = token;
             const std::size_t caller = request.caller;
@@ -53,7 +53,7 @@
             });
         }
     }
-    // Engines see their readers go.
+    // Engines detach the streams that the dead node was reading.
     for (const auto& [name, node] : nodes_) {
         if (auto* engine = dynamic_cast<engine_node*>(node.get()); engine && engine->core) {
             for (const auto& [key, reader] : engine->readers) {
@@ -65,8 +65,8 @@
     }
 }
 
-void world::watch_silence() {
-    events_.after(silence_check, [this] { watch_silence(); });
+void world::check_idle_links() {
+    events_.after(link_check_interval, [this] { check_idle_links(); });
     const instant now = events_.now();
     for (const std::string& gateway : names("gateway-")) {
         for (const std::string& scheduler : names("scheduler-")) {
@@ -74,12 +74,12 @@
             const bool silent = frozen(scheduler) || !network_.passes(scheduler, gateway) ||
                                 !network_.passes(gateway, scheduler);
             if (!silent || !alive(gateway) || frozen(gateway)) {
-                silent_since_.erase(link);
-                lost_told_.erase(link);
+                blocked_since_.erase(link);
+                reported_lost_links_.erase(link);
                 continue;
             }
-            const auto since = silent_since_.try_emplace(link, now).first->second;
-            if (now - since > silence_limit && lost_told_.insert(link).second) {
+            const auto since = blocked_since_.try_emplace(link, now).first->second;
+            if (now - since > silence_limit && reported_lost_links_.insert(link).second) {
                 auto& node = node_as<gateway_node>(gateway);
                 node.core->peer_lost(scheduler, local_now(node));
                 pump_gateway(node);
@@ -95,7 +95,7 @@
     }
     trace_message(from, to, message);
     if (!alive(to) && network_.passes(to, from)) {
-        // The connection is refused, and the sender's transport says so.
+        // The connection is refused; the sender's transport reports it.
         tell_lost(from, to);
     }
     const bool replica = std::holds_alternative<consensus::replica_message>(message);
@@ -164,7 +164,7 @@
     if (reply.status != control::admin_status::done) {
         return;
     }
-    // The answer travels to the operator; it may get lost on the way.
+    // The response to the operator can be lost in transit.
     events_.after(network_.delay(node.name, node.name), [this, record, reply] {
         operator_record& known = seen_.operators[record];
         if (!known.result.has_value() && !random_.chance(0.1)) {
@@ -178,12 +178,12 @@
     const std::uint64_t generation = node.generation;
     const std::string name = node.name;
     events_.after(sync_time, [this, name, generation, batch = std::move(written)]() mutable {
-        auto& woken = node_as<control_node>(name);
-        if (!woken.alive || woken.generation != generation) {
-            return;  // It died before the sync: nothing of the batch is on the disk.
+        auto& target_node = node_as<control_node>(name);
+        if (!target_node.alive || target_node.generation != generation) {
+            return;  // The node died before the sync; nothing of the batch is durable.
         }
         for (const consensus::group_write& write : batch.writes) {
-            woken.disk[write.group].apply(write);
+            target_node.disk[write.group].apply(write);
         }
         run_on(name, [this, name, batch = std::move(batch)]() mutable {
             auto& synced = node_as<control_node>(name);
--- a/tests/stand_ins/engine_core_test.cpp
+++ b/tests/stand_ins/engine_core_test.cpp
@@ -10,14 +10,14 @@
 
 class engine_core_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(engine_core_test);
-    CPPUNIT_TEST(one_call_takes_the_time_worked_out_by_hand);
-    CPPUNIT_TEST(a_cached_beginning_is_not_computed_again);
-    CPPUNIT_TEST(a_stream_is_read_again_from_an_offset);
+    CPPUNIT_TEST(a_call_takes_the_time_of_its_steps);
+    CPPUNIT_TEST(a_cached_prefix_is_not_computed_again);
+    CPPUNIT_TEST(a_stream_resumes_from_an_offset);
     CPPUNIT_TEST(a_late_or_sealed_attempt_does_not_start);
     CPPUNIT_TEST(a_waiting_attempt_is_dropped_at_its_limit);
     CPPUNIT_TEST(an_older_owner_is_refused);
-    CPPUNIT_TEST(released_memory_returns);
-    CPPUNIT_TEST(an_import_saves_the_prefill);
+    CPPUNIT_TEST(release_frees_cache_tokens);
+    CPPUNIT_TEST(an_imported_prefix_is_cached);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::int64_t begin_us = 1'000'000'000;
@@ -45,7 +45,7 @@
 
     engine_core engine_ = engine_core(settings(), std::make_shared<prefill_ledger>(), at(0));
 
-    /// Runs until the attempt has ended. @return microseconds from the start
+    /// Runs until the attempt has ended. @return its end time in microseconds after at(0), or -1
     std::int64_t finish(const attempt_key& key, std::int64_t from) {
         instant now = at(from);
         for (int step = 0; step < 10'000; ++step) {
@@ -61,10 +61,10 @@
         return -1;
     }
 
-    void one_call_takes_the_time_worked_out_by_hand() {
-        // 1000 prompt tokens at 50 us in one step of 12 ms, whose end gives the first token; then
-        // nine steps of 12 ms + 0.6 ms for one sequence. The last token is out when its step
-        // begins in the emulator's count, so nine steps have passed by then.
+    void a_call_takes_the_time_of_its_steps() {
+        // One prefill step of 12 ms plus 1000 prompt tokens of 50 us each gives the first token.
+        // Nine decode steps of 12.6 ms each follow. The emulator reports a token at the start of
+        // its step.
         CPPUNIT_ASSERT(engine_.start(request("p", 1, 1000, 10), at(0)).has_value());
         const std::int64_t prefill = 12'000 + 1000 * 50;
         const std::int64_t decode = 12'600;
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT(taken <= prefill + 11 * decode);
     }
 
-    void a_cached_beginning_is_not_computed_again() {
+    void a_cached_prefix_is_not_computed_again() {
         CPPUNIT_ASSERT(engine_.start(request("p", 1, 1000, 5), at(0)).has_value());
         const std::int64_t first = finish({"p", 1, 1}, 0);
         start_stream second = request("p", 2, 1000, 5);
@@ -82,7 +82,7 @@
         CPPUNIT_ASSERT(again + 45'000 < first);
     }
 
-    void a_stream_is_read_again_from_an_offset() {
+    void a_stream_resumes_from_an_offset() {
         CPPUNIT_ASSERT(engine_.start(request("p", 1, 10, 5), at(0)).has_value());
         const std::int64_t end = finish({"p", 1, 1}, 0);
         CPPUNIT_ASSERT(engine_.resume({"e", {"p", 1, 1}, 2}, at(end)).has_value());
@@ -97,7 +97,7 @@
         start_stream late = request("p", 1, 10, 5);
         late.not_after = at(100).time_since_epoch().count();
         CPPUNIT_ASSERT(engine_.start(late, at(101)).error() == engine_refusal::too_late);
-        // Asked for before it arrives: it is unknown now, and must stay so.
+        // A resume before the start seals the attempt; it must not start later.
         CPPUNIT_ASSERT(engine_.resume({"e", {"q", 1, 1}, 0}, at(0)).error() ==
                        engine_refusal::unknown);
         CPPUNIT_ASSERT(engine_.start(request("q", 1, 10, 5), at(1)).error() ==
@@ -129,7 +129,7 @@
         CPPUNIT_ASSERT(engine_.start(older, at(0)).error() == engine_refusal::stale_epoch);
     }
 
-    void released_memory_returns() {
+    void release_frees_cache_tokens() {
         CPPUNIT_ASSERT(engine_.start(request("p", 1, 1000, 5), at(0)).has_value());
         const std::int64_t end = finish({"p", 1, 1}, 0);
         CPPUNIT_ASSERT(engine_.cached_tokens_of("p") > 0);
@@ -138,7 +138,7 @@
         CPPUNIT_ASSERT_EQUAL(token_count{0}, engine_.cached_tokens());
     }
 
-    void an_import_saves_the_prefill() {
+    void an_imported_prefix_is_cached() {
         CPPUNIT_ASSERT(engine_.start(request("p", 1, 1000, 5), at(0)).has_value());
         (void)finish({"p", 1, 1}, 0);
         engine_core other(settings(), std::make_shared<prefill_ledger>(), at(0));
