--- a/tests/base/storage/segmented_log_test.cpp
+++ b/tests/base/storage/segmented_log_test.cpp
@@ -13,20 +13,20 @@
 
 class segmented_log_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(segmented_log_test);
-    CPPUNIT_TEST(nothing_is_added_behind_a_segment_that_may_be_the_newest);
+    CPPUNIT_TEST(a_failed_rewrite_loses_no_appended_records);
     CPPUNIT_TEST_SUITE_END();
 
-    /// Files can't be opened while it lives.
-    class without_descriptors {
+    /// Prevents opening files during its lifetime.
+    class descriptor_exhaustion {
       public:
-        without_descriptors() {
+        descriptor_exhaustion() {
             getrlimit(RLIMIT_NOFILE, &before_);
             rlimit none{0, before_.rlim_max};
             setrlimit(RLIMIT_NOFILE, &none);
         }
-        ~without_descriptors() { setrlimit(RLIMIT_NOFILE, &before_); }
-        without_descriptors(const without_descriptors&) = delete;
-        without_descriptors& operator=(const without_descriptors&) = delete;
+        ~descriptor_exhaustion() { setrlimit(RLIMIT_NOFILE, &before_); }
+        descriptor_exhaustion(const descriptor_exhaustion&) = delete;
+        descriptor_exhaustion& operator=(const descriptor_exhaustion&) = delete;
 
       private:
         rlimit before_{};
@@ -48,24 +48,21 @@
         return bytes;
     }
 
-    // Symptom: records that had been synced were gone after a restart.
-    // Sequence: a new segment was renamed into place and the sync of its folder failed; records
-    // went on into the older segment; the restart read the newer one and removed the older.
-    // Cause: a failed rewrite left the log usable, whatever the step at which it had failed.
-    // Settled by: reading; this test, with no descriptor left for the folder.
-    void nothing_is_added_behind_a_segment_that_may_be_the_newest() {
+    // Guards against loss of synced records: after a rewrite that fails once the new segment is
+    // renamed, a restart reads the new segment, so records must not go to the old one.
+    void a_failed_rewrite_loses_no_appended_records() {
         const temporary_path folder("tallyfold-segmented-log");
         std::filesystem::create_directories(folder.path());
         std::vector<std::string> none;
         segmented_log log = opened(folder.path(), none);
         CPPUNIT_ASSERT(log.append(record("first")).has_value());
-        std::optional<without_descriptors> starved;
+        std::optional<descriptor_exhaustion> no_descriptors;
         const auto rewritten = log.rewrite([&](std::string& bytes) {
             bytes = record("first");
-            starved.emplace();
+            no_descriptors.emplace();
             return false;
         });
-        starved.reset();
+        no_descriptors.reset();
         CPPUNIT_ASSERT(!rewritten.has_value());
         const bool added = log.append(record("second")).has_value();
         std::vector<std::string> kept;
--- a/tests/consensus/replica_fsm_test.cpp
+++ b/tests/consensus/replica_fsm_test.cpp
@@ -9,19 +9,19 @@
 
 class replica_fsm_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(replica_fsm_test);
-    CPPUNIT_TEST(commits_survive_any_schedule);
+    CPPUNIT_TEST(committed_entries_survive_any_schedule);
     CPPUNIT_TEST(a_group_recovers_once_faults_end);
-    CPPUNIT_TEST(each_replica_confirms_reads_while_a_leader_is_there);
+    CPPUNIT_TEST(every_replica_confirms_reads_while_there_is_a_leader);
     CPPUNIT_TEST(a_replica_without_a_leader_fails_its_reads);
-    CPPUNIT_TEST(a_lagging_voter_elects_a_member_that_it_knows_as_learner);
+    CPPUNIT_TEST(a_lagging_voter_can_elect_a_promoted_learner);
     CPPUNIT_TEST(a_replica_without_membership_does_not_vote);
     CPPUNIT_TEST(a_second_membership_change_waits_for_the_first);
     CPPUNIT_TEST(a_lagging_follower_gets_its_backlog_once);
     CPPUNIT_TEST(a_follower_that_does_not_answer_gets_a_bounded_backlog);
-    CPPUNIT_TEST(a_lost_backlog_is_sent_again);
+    CPPUNIT_TEST(a_lost_backlog_is_resent);
     CPPUNIT_TEST_SUITE_END();
 
-    void commits_survive_any_schedule() {
+    void committed_entries_survive_any_schedule() {
         check_property("one leader per term, one entry per committed index",
                        [](std::uint64_t seed) {
                            replica_group group(3 + 2 * (seed % 2), seed);
@@ -33,7 +33,7 @@
     }
 
     void a_group_recovers_once_faults_end() {
-        check_property("a leader commits after the last fault", [](std::uint64_t seed) {
+        check_property("a leader is elected and commits once faults end", [](std::uint64_t seed) {
             replica_group group(3, seed);
             for (int step = 0; step < 200; ++step) {
                 group.step(0.05);
@@ -43,10 +43,10 @@
         });
     }
 
-    void each_replica_confirms_reads_while_a_leader_is_there() {
+    void every_replica_confirms_reads_while_there_is_a_leader() {
         replica_group group(5, 11);
         CPPUNIT_ASSERT(group.settle());
-        // One heartbeat tells every replica who leads.
+        // Long enough for a heartbeat to announce the leader to all replicas.
         for (int count = 0; count < 20; ++count) {
             CPPUNIT_ASSERT(group.settle(1));
         }
@@ -69,14 +69,14 @@
             CPPUNIT_ASSERT(group.settle(1));
         }
         const replica_id leader = leader_of(group).leader();
-        const replica_id asked = leader == 1 ? 2 : 1;
+        const replica_id follower = leader == 1 ? 2 : 1;
         for (replica_id id = 1; id <= 3; ++id) {
-            if (id != asked) {
+            if (id != follower) {
                 group.crash(id);
             }
         }
-        group.read(asked);
-        group.run_alone(asked, std::chrono::seconds(2));
+        group.read(follower);
+        group.run_alone(follower, std::chrono::seconds(2));
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), group.confirmed_reads());
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), group.failed_reads());
     }
@@ -90,13 +90,13 @@
         return {settings, state, instant(std::chrono::seconds(1))};
     }
 
-    static bool grants(replica_fsm& voter, const vote_request& request) {
+    static bool grants_vote(replica_fsm& voter, const vote_request& request) {
         replica_message message;
         message.from = 1;
         message.to = 3;
         message.term = 3;
         message.body = request;
-        // Long after any leader was heard.
+        // Long after the last leader contact, which would prevent a vote.
         voter.step(message, instant(std::chrono::seconds(100)));
         ready work = voter.take_ready();
         work.messages_before_sync.insert(work.messages_before_sync.end(),
@@ -110,22 +110,22 @@
         return false;
     }
 
-    void a_lagging_voter_elects_a_member_that_it_knows_as_learner() {
-        // Seed 21867: replica 2 lost its disk, replica 1 had become a voter, and replica 3 had
-        // not yet heard of it; nobody could be elected any more.
-        membership older;
-        older.members = {{1, {"a", true}}, {2, {"b", false}}, {3, {"c", false}}};
-        replica_fsm voter = voter_with(older, 137);
-        CPPUNIT_ASSERT(grants(voter, {true, 140, 2}));
-        CPPUNIT_ASSERT(grants(voter, {false, 140, 2}));
-        replica_fsm current = voter_with(older, 141);
-        CPPUNIT_ASSERT(!grants(current, {false, 140, 2}));
+    void a_lagging_voter_can_elect_a_promoted_learner() {
+        // Guards against a group without electable replicas (seed 21867): replica 2 has lost its
+        // disk, and replica 3 has not yet received the promotion of replica 1 to voter.
+        membership outdated;
+        outdated.members = {{1, {"a", true}}, {2, {"b", false}}, {3, {"c", false}}};
+        replica_fsm voter = voter_with(outdated, 137);
+        CPPUNIT_ASSERT(grants_vote(voter, {true, 140, 2}));
+        CPPUNIT_ASSERT(grants_vote(voter, {false, 140, 2}));
+        replica_fsm current = voter_with(outdated, 141);
+        CPPUNIT_ASSERT(!grants_vote(current, {false, 140, 2}));
     }
 
     void a_replica_without_membership_does_not_vote() {
         replica_fsm empty = voter_with({}, 0);
-        CPPUNIT_ASSERT(!grants(empty, {true, 10, 2}));
-        CPPUNIT_ASSERT(!grants(empty, {false, 10, 2}));
+        CPPUNIT_ASSERT(!grants_vote(empty, {true, 10, 2}));
+        CPPUNIT_ASSERT(!grants_vote(empty, {false, 10, 2}));
     }
 
     void a_second_membership_change_waits_for_the_first() {
@@ -146,8 +146,8 @@
     static constexpr std::size_t entry_bytes = 100'000;
     static constexpr int backlog_entries = 60;
 
-    /// Payload bytes that the leader wants to send to `to` now, and the newest round among them.
-    static std::size_t bytes_for(replica_fsm& leader, replica_id to, std::uint64_t& round) {
+    /// Payload bytes of the leader's pending messages to `to`; sets `round` to their latest round.
+    static std::size_t take_append_bytes(replica_fsm& leader, replica_id to, std::uint64_t& round) {
         const ready work = leader.take_ready();
         std::size_t bytes = 0;
         for (const auto* messages : {&work.messages_before_sync, &work.messages_after_sync}) {
@@ -174,7 +174,8 @@
         throw std::logic_error("the group has no leader");
     }
 
-    static replica_message answer(const replica_fsm& leader, replica_id from, append_reply reply) {
+    static replica_message reply_from(const replica_fsm& leader, replica_id from,
+                                      append_reply reply) {
         replica_message message;
         message.from = from;
         message.to = leader.leader();
@@ -188,8 +189,8 @@
         return leader == 3 ? 2 : 3;
     }
 
-    /// A leader whose follower has been cut off, and took nothing of a backlog of 6 MB.
-    struct lagging {
+    /// Leader with an unreachable follower that has received nothing of a backlog of 6 MB.
+    struct lagging_follower {
         replica_group group{3, 11};
         replica_fsm* leader = nullptr;
         replica_id follower = 0;
@@ -197,54 +198,55 @@
         log_index matched = 0;
         std::size_t sent_bytes = 0;
 
-        lagging() {
+        lagging_follower() {
             CPPUNIT_ASSERT(group.settle());
             leader = &leader_of(group);
             follower = follower_of(group);
             matched = leader->log().last_index();
-            bytes_for(*leader, follower, round);
-            leader->step(answer(*leader, follower, {true, matched, round}), {});
+            take_append_bytes(*leader, follower, round);
+            leader->step(reply_from(*leader, follower, {true, matched, round}), {});
             for (int number = 0; number < backlog_entries; ++number) {
                 CPPUNIT_ASSERT(leader->propose(std::string(entry_bytes, 'x')).has_value());
-                sent_bytes += bytes_for(*leader, follower, round);
+                sent_bytes += take_append_bytes(*leader, follower, round);
             }
         }
     };
 
-    /// huayin-preview-grown scale-2 --seed 12763920105: after a cut every rejection brought the
-    /// whole backlog once more; the channel's queue overflowed, which lost them all, for ever.
+    /// Guards against resending the backlog for each rejection after an outage, which overflows the
+    /// channel's queue again and again. Reproduces huayin-preview-grown scale-2 --seed 12763920105.
     void a_lagging_follower_gets_its_backlog_once() {
-        lagging lag;
+        lagging_follower lag;
         const std::uint64_t old_round = lag.round;
         std::size_t bytes = 0;
         for (int rejection = 0; rejection < 10; ++rejection) {
-            lag.leader->step(answer(*lag.leader, lag.follower, {false, lag.matched, old_round}),
+            lag.leader->step(reply_from(*lag.leader, lag.follower, {false, lag.matched, old_round}),
                              {});
-            bytes += bytes_for(*lag.leader, lag.follower, lag.round);
+            bytes += take_append_bytes(*lag.leader, lag.follower, lag.round);
         }
         CPPUNIT_ASSERT(bytes > 0);
         CPPUNIT_ASSERT(bytes <= replica_settings{}.max_bytes_in_flight + entry_bytes);
     }
 
     void a_follower_that_does_not_answer_gets_a_bounded_backlog() {
-        const lagging lag;
+        const lagging_follower lag;
         CPPUNIT_ASSERT(lag.sent_bytes <= replica_settings{}.max_bytes_in_flight + entry_bytes);
     }
 
-    void a_lost_backlog_is_sent_again() {
-        lagging lag;
+    void a_lost_backlog_is_resent() {
+        lagging_follower lag;
         log_index matched = lag.matched;
         const log_index last = lag.leader->log().last_index();
-        // A rejection of what was sent after the last repeat: that one was lost as well.
+        // Each rejection refers to the last resend, which was lost as well.
         for (int repeat = 0; repeat < 3; ++repeat) {
-            lag.leader->step(answer(*lag.leader, lag.follower, {false, matched, lag.round}), {});
-            CPPUNIT_ASSERT(bytes_for(*lag.leader, lag.follower, lag.round) > 0);
+            lag.leader->step(reply_from(*lag.leader, lag.follower, {false, matched, lag.round}),
+                             {});
+            CPPUNIT_ASSERT(take_append_bytes(*lag.leader, lag.follower, lag.round) > 0);
         }
-        // Each answer brings the next part, up to the end.
+        // Each reply triggers the next part of the backlog.
         for (int step = 0; step < 2 * backlog_entries && matched < last; ++step) {
             matched += 1;
-            lag.leader->step(answer(*lag.leader, lag.follower, {true, matched, lag.round}), {});
-            bytes_for(*lag.leader, lag.follower, lag.round);
+            lag.leader->step(reply_from(*lag.leader, lag.follower, {true, matched, lag.round}), {});
+            take_append_bytes(*lag.leader, lag.follower, lag.round);
         }
         CPPUNIT_ASSERT_EQUAL(last, lag.leader->match_index(lag.follower));
     }
--- a/tests/plane/directory/admin_api_test.cpp
+++ b/tests/plane/directory/admin_api_test.cpp
@@ -1,8 +1,6 @@
 /// @file
-/// On directory machines with a twentieth of a core no change with 2,000 further routes came into
-/// force for half a minute: 21 nodes led one after the other. The leader read the operator's text,
-/// 2 MB, in the thread that also sends heartbeats; that took 0.6 s, its followers waited 0.4 s and
-/// elected another, to whom the operator sent the text next.
+/// Guards against a leader that parses a large configuration on the loop thread: its heartbeats
+/// stop, and its followers elect another leader, to which the operator then sends the same text.
 
 #include <asio/co_spawn.hpp>
 #include <asio/detached.hpp>
@@ -16,17 +14,17 @@
 
 using namespace directory;
 
-/// Needs, to read a text, that the loop goes on: as long as another duty hasn't run, it waits.
+/// A codec whose parse() waits until another task has run on the loop thread.
 class slow_codec final : public admin_codec {
   public:
-    explicit slow_codec(std::future<void> other_duty) : other_duty_(std::move(other_duty)) {}
+    explicit slow_codec(std::future<void> other_task) : other_task_(std::move(other_task)) {}
 
     [[nodiscard]] bool changes_configuration(const http::endpoint_request&) const override {
         return true;
     }
     [[nodiscard]] operator_call parse(const http::endpoint_request&) const override {
         constexpr std::chrono::seconds longest(3);
-        other_duty_ran = other_duty_.wait_for(longest) == std::future_status::ready;
+        other_task_ran = other_task_.wait_for(longest) == std::future_status::ready;
         replace_call call;
         call.parsed.version = 1;
         return call;
@@ -47,7 +45,7 @@
         return answer(200);
     }
 
-    mutable std::atomic<bool> other_duty_ran{false};
+    mutable std::atomic<bool> other_task_ran{false};
 
   private:
     static http::endpoint_response answer(unsigned status) {
@@ -56,12 +54,12 @@
         return made;
     }
 
-    std::future<void> other_duty_;
+    std::future<void> other_task_;
 };
 
 class admin_api_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(admin_api_test);
-    CPPUNIT_TEST(a_large_text_is_read_beside_the_other_duties);
+    CPPUNIT_TEST(large_text_is_parsed_off_the_loop_thread);
     CPPUNIT_TEST_SUITE_END();
 
     static std::unique_ptr<directory_core> leader() {
@@ -80,23 +78,23 @@
         return core;
     }
 
-    void a_large_text_is_read_beside_the_other_duties() {
+    void large_text_is_parsed_off_the_loop_thread() {
         net::node_process process{settings::node_settings{}};
-        std::promise<void> other_duty;
-        const slow_codec codec(other_duty.get_future());
+        std::promise<void> other_task;
+        const slow_codec codec(other_task.get_future());
         const std::unique_ptr<directory_core> core = leader();
-        admin_api* at_work = nullptr;
+        admin_api* admin_pointer = nullptr;
         admin_api admin(process, codec, core, [&] {
             for (directory_work work = core->take_work(); !work.empty(); work = core->take_work()) {
                 if (work.write.has_value()) {
                     core->persisted();
                 }
                 for (const directory_answer& answer : work.answers) {
-                    at_work->answered(answer);
+                    admin_pointer->on_answer(answer);
                 }
             }
         });
-        at_work = &admin;
+        admin_pointer = &admin;
         unsigned status = 0;
         const auto call = [&]() -> asio::awaitable<void> {
             http::endpoint_request request;
@@ -105,9 +103,9 @@
             status = response.status;
         };
         asio::co_spawn(process.loop(), call, asio::detached);
-        process.after(std::chrono::milliseconds(1), [&] { other_duty.set_value(); });
+        process.after(std::chrono::milliseconds(1), [&] { other_task.set_value(); });
         process.loop().run();
-        CPPUNIT_ASSERT(codec.other_duty_ran);
+        CPPUNIT_ASSERT(codec.other_task_ran);
         CPPUNIT_ASSERT_EQUAL(200U, status);
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{1},
                              core->state().configuration().version);
--- a/tests/plane/directory/pending_requests_test.cpp
+++ b/tests/plane/directory/pending_requests_test.cpp
@@ -9,9 +9,9 @@
 class pending_requests_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(pending_requests_test);
     CPPUNIT_TEST(an_applied_command_is_answered_once);
-    CPPUNIT_TEST(another_leaders_entry_in_its_place_leaves_the_outcome_unknown);
-    CPPUNIT_TEST(nobody_waits_for_the_leaders_own_command);
-    CPPUNIT_TEST(reads_and_proofs_are_told_apart);
+    CPPUNIT_TEST(command_replaced_by_other_leader_has_unknown_outcome);
+    CPPUNIT_TEST(leaders_own_command_needs_no_answer);
+    CPPUNIT_TEST(reads_and_proofs_are_separate);
     CPPUNIT_TEST(lost_leadership_ends_all_commands);
     CPPUNIT_TEST_SUITE_END();
 
@@ -26,14 +26,14 @@
         CPPUNIT_ASSERT(!pending.on_applied(5, 2).has_value());
     }
 
-    void another_leaders_entry_in_its_place_leaves_the_outcome_unknown() {
+    void command_replaced_by_other_leader_has_unknown_outcome() {
         pending_requests pending;
         pending.add_command(5, 77, 2);
         const auto answer = pending.on_applied(5, 3);
         CPPUNIT_ASSERT(answer.has_value() && answer->kind == answer_kind::unknown);
     }
 
-    void nobody_waits_for_the_leaders_own_command() {
+    void leaders_own_command_needs_no_answer() {
         pending_requests pending;
         pending.add_command(5, own_command, 2);
         CPPUNIT_ASSERT(pending.has_own_command());
@@ -41,7 +41,7 @@
         CPPUNIT_ASSERT(!pending.has_own_command());
     }
 
-    void reads_and_proofs_are_told_apart() {
+    void reads_and_proofs_are_separate() {
         pending_requests pending;
         const auto read = pending.next_read();
         const auto proof = pending.next_read();
--- a/tests/plane/directory/spread_simulation_test.cpp
+++ b/tests/plane/directory/spread_simulation_test.cpp
@@ -1,8 +1,7 @@
 /// @file
-/// A change with 2,000 further routes on its way from six directory nodes to 255 forwarders, in
-/// virtual time: answers and parts cost processor time of small machines, and links have a
-/// bandwidth. When each report brought a whole copy, the last forwarder held such a change after 7
-/// s: whoever asked again before its copy had come had another one made.
+/// Simulates the propagation of a change with 2,000 added routes from six directory nodes to 255
+/// forwarders, with limited processors and bandwidth. Guards against forwarders that request the
+/// same content again before it has arrived, which delays all others.
 
 #include <functional>
 #include <queue>
@@ -23,14 +22,14 @@
 constexpr std::size_t directory_count = 6;
 constexpr std::size_t forwarder_count = 255;
 constexpr duration report_interval = std::chrono::milliseconds(120);
-constexpr duration way = std::chrono::microseconds(1'500);
-/// Of a core; what a machine's work takes is divided by it.
+constexpr duration one_way_delay = std::chrono::microseconds(1'500);
+/// Available share of a processor core; the processing times of a machine are divided by it.
 constexpr double directory_share = 0.15;
 constexpr double forwarder_share = 0.12;
-/// Bytes a second of a forwarder's link: 30 Mbit/s.
+/// Bandwidth of a forwarder's link in bytes per second: 30 Mbit/s.
 constexpr double forwarder_bandwidth = 30e6 / 8;
-/// Processor time of a whole core, in seconds: of an answer, of each of its bytes, and of taking a
-/// change of this size into force.
+/// Processing times in seconds on a full core: of an answer, of each byte of it, and of applying a
+/// change of this size.
 constexpr double answer_cost = 50e-6;
 constexpr double byte_cost = 5e-9;
 constexpr double apply_cost = 12e-3;
@@ -53,24 +52,24 @@
     return std::make_shared<const routing::configuration>(std::move(made));
 }
 
-class spread_world {
+class propagation_simulation {
   public:
-    spread_world() : directories_(directory_count), forwarders_(forwarder_count) {
+    propagation_simulation() : directories_(directory_count), forwarders_(forwarder_count) {
         for (std::size_t number = 0; number < forwarder_count; ++number) {
-            forwarders_[number].asks = number % directory_count;
+            forwarders_[number].last_asked = number % directory_count;
             const duration offset = report_interval * number / forwarder_count;
             at(now_ + offset, [this, number] { report(number); });
         }
     }
 
-    /// A directory node holds a configuration from then on.
-    void show(std::size_t directory, const configuration_pointer& configuration, instant when) {
+    /// The directory node holds the configuration from `when` on.
+    void publish(std::size_t directory, const configuration_pointer& configuration, instant when) {
         at(when, [this, directory, configuration] {
             directories_[directory].source.publish(configuration);
             directories_[directory].version = configuration->version;
         });
     }
-    /// A directory node answers nothing from then on.
+    /// The directory node sends no answers from `when` on.
     void stop(std::size_t directory, instant when) {
         at(when, [this, directory] { directories_[directory].stopped = true; });
     }
@@ -86,7 +85,7 @@
 
     [[nodiscard]] instant now() const { return now_; }
     [[nodiscard]] std::size_t bytes_sent() const { return bytes_sent_; }
-    [[nodiscard]] std::size_t holders(routing::configuration_version version) const {
+    [[nodiscard]] std::size_t holder_count(routing::configuration_version version) const {
         std::size_t count = 0;
         for (const forwarder& each : forwarders_) {
             count += each.fetch.version() >= version ? 1 : 0;
@@ -111,7 +110,7 @@
     };
     struct forwarder {
         configuration_fetch fetch;
-        std::size_t asks = 0;
+        std::size_t last_asked = 0;
         instant link_free{};
         instant busy_until{};
     };
@@ -122,7 +121,8 @@
 
     static node_name name(std::size_t directory) { return std::to_string(directory); }
 
-    /// Has a directory node's processor work on something. @return when it is done
+    /// Occupies a directory node's processor.
+    /// @return the time of completion
     instant work_at(directory_machine& machine, double cost) {
         machine.busy_until = std::max(machine.busy_until, now_) + seconds(cost / directory_share);
         return machine.busy_until;
@@ -130,9 +130,9 @@
 
     void report(std::size_t number) {
         forwarder& asker = forwarders_[number];
-        asker.asks = (asker.asks + 1) % directory_count;
-        const std::size_t asked = asker.asks;
-        at(now_ + way, [this, number, asked] { answer_report(number, asked); });
+        asker.last_asked = (asker.last_asked + 1) % directory_count;
+        const std::size_t asked = asker.last_asked;
+        at(now_ + one_way_delay, [this, number, asked] { answer_report(number, asked); });
         at(now_ + report_interval, [this, number] { report(number); });
     }
 
@@ -142,7 +142,7 @@
             return;
         }
         const routing::configuration_version version = machine.version;
-        at(work_at(machine, answer_cost) + way, [this, number, asked, version] {
+        at(work_at(machine, answer_cost) + one_way_delay, [this, number, asked, version] {
             request(number, asked,
                     forwarders_[number].fetch.on_version_report(name(asked), version, now_));
         });
@@ -151,11 +151,12 @@
     void request(std::size_t number, std::size_t asked,
                  const std::optional<configuration_request>& wanted) {
         if (wanted) {
-            at(now_ + way, [this, number, asked, wanted] { give(number, asked, *wanted); });
+            at(now_ + one_way_delay,
+               [this, number, asked, wanted] { send_part(number, asked, *wanted); });
         }
     }
 
-    void give(std::size_t number, std::size_t asked, const configuration_request& wanted) {
+    void send_part(std::size_t number, std::size_t asked, const configuration_request& wanted) {
         directory_machine& machine = directories_[asked];
         if (machine.stopped) {
             return;
@@ -167,13 +168,15 @@
         const instant made = work_at(machine, answer_cost + byte_cost * size);
         forwarder& taker = forwarders_[number];
         taker.link_free = std::max(taker.link_free, made) + seconds(size / forwarder_bandwidth);
-        at(taker.link_free + way, [this, number, asked, part] { take(number, asked, part); });
+        at(taker.link_free + one_way_delay,
+           [this, number, asked, part] { receive_part(number, asked, part); });
     }
 
-    void take(std::size_t number, std::size_t asked, const configuration_part& part) {
+    void receive_part(std::size_t number, std::size_t asked, const configuration_part& part) {
         forwarder& taker = forwarders_[number];
         if (now_ < taker.busy_until) {
-            at(taker.busy_until, [this, number, asked, part] { take(number, asked, part); });
+            at(taker.busy_until,
+               [this, number, asked, part] { receive_part(number, asked, part); });
             return;
         }
         const configuration_fetch::progress progress = taker.fetch.receive(name(asked), part, now_);
@@ -195,23 +198,25 @@
 
 class spread_simulation_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(spread_simulation_test);
-    CPPUNIT_TEST(a_large_change_is_everywhere_within_a_second);
-    CPPUNIT_TEST(directory_nodes_that_fall_silent_hold_nobody_up);
-    CPPUNIT_TEST(changes_in_quick_succession_are_fetched_as_they_come);
+    CPPUNIT_TEST(large_change_propagates_within_one_second);
+    CPPUNIT_TEST(fetch_continues_after_directory_nodes_stop);
+    CPPUNIT_TEST(rapid_changes_propagate_without_growing_lag);
     CPPUNIT_TEST_SUITE_END();
 
-    /// All forwarders hold version 1, of 4,000 routes; what was sent for it is left out of `sent`.
-    static void begin(spread_world& world, std::size_t& sent) {
+    /// Brings all forwarders to version 1, which has 4,000 routes.
+    /// @param sent set to the bytes sent until then
+    static void begin(propagation_simulation& world, std::size_t& sent) {
         const configuration_pointer first = configuration_of(1, 4'000);
         for (std::size_t directory = 0; directory < directory_count; ++directory) {
-            world.show(directory, first, world.now());
+            world.publish(directory, first, world.now());
         }
         world.run_until(world.now() + std::chrono::seconds(10));
-        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(1));
+        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holder_count(1));
         sent = world.bytes_sent();
     }
 
-    /// What one forwarder needs to get from one to the other.
+    /// Returns the number of bytes that a forwarder fetches to update from one configuration to the
+    /// other.
     static std::size_t bytes_between(const configuration_pointer& one,
                                      const configuration_pointer& other) {
         configuration_source source;
@@ -222,59 +227,59 @@
         return source.answer(request).size;
     }
 
-    void a_large_change_is_everywhere_within_a_second() {
-        spread_world world;
+    void large_change_propagates_within_one_second() {
+        propagation_simulation world;
         std::size_t before = 0;
         begin(world, before);
         const configuration_pointer next = configuration_of(2, 6'000);
         for (std::size_t directory = 0; directory < directory_count; ++directory) {
-            // Two of six lag by two seconds.
+            // Two of the six directory nodes lag by two seconds.
             const duration late = directory < 2 ? std::chrono::seconds(2) : duration::zero();
-            world.show(directory, next, world.now() + late);
+            world.publish(directory, next, world.now() + late);
         }
         world.run_until(world.now() + std::chrono::seconds(1));
-        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(2));
+        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holder_count(2));
         const std::size_t needed =
             forwarder_count * bytes_between(configuration_of(1, 4'000), next);
-        // Each copy once; parts have a head.
+        // One copy per forwarder; the margin allows for the headers of the parts.
         CPPUNIT_ASSERT(world.bytes_sent() - before <= needed * 21 / 20);
     }
 
-    void directory_nodes_that_fall_silent_hold_nobody_up() {
-        spread_world world;
+    void fetch_continues_after_directory_nodes_stop() {
+        propagation_simulation world;
         std::size_t before = 0;
         begin(world, before);
         const configuration_pointer next = configuration_of(2, 6'000);
         for (std::size_t directory = 0; directory < directory_count; ++directory) {
-            world.show(directory, next, world.now());
+            world.publish(directory, next, world.now());
         }
-        // While most forwarders have a part of it.
+        // At this time, most forwarders have received a part of the change.
         const instant silent = world.now() + std::chrono::milliseconds(150);
         world.stop(0, silent);
         world.stop(1, silent);
         world.run_until(world.now() + std::chrono::seconds(2));
-        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(2));
+        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holder_count(2));
     }
 
-    void changes_in_quick_succession_are_fetched_as_they_come() {
-        spread_world world;
+    void rapid_changes_propagate_without_growing_lag() {
+        propagation_simulation world;
         std::size_t before = 0;
         begin(world, before);
         constexpr routing::configuration_version last = 20;
         for (routing::configuration_version version = 2; version <= last; ++version) {
             const configuration_pointer next = configuration_of(version, 4'000 + version * 50);
             for (std::size_t directory = 0; directory < directory_count; ++directory) {
-                world.show(directory, next, world.now());
+                world.publish(directory, next, world.now());
             }
             world.run_until(world.now() + std::chrono::milliseconds(200));
-            // Nobody lags by more than a second, though each fetch takes longer than a change
-            // lasts.
+            // No forwarder lags by more than a second, although a fetch takes longer than the
+            // interval between changes.
             if (version > 6) {
-                CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(version - 5));
+                CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holder_count(version - 5));
             }
         }
         world.run_until(world.now() + std::chrono::seconds(1));
-        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holders(last));
+        CPPUNIT_ASSERT_EQUAL(forwarder_count, world.holder_count(last));
     }
 };
 
--- a/tests/plane/http/message_parser_test.cpp
+++ b/tests/plane/http/message_parser_test.cpp
@@ -9,24 +9,24 @@
 
 class message_parser_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(message_parser_test);
-    CPPUNIT_TEST(a_request_split_at_any_byte_reads_the_same);
-    CPPUNIT_TEST(bytes_behind_a_message_are_left_alone);
-    CPPUNIT_TEST(an_answer_without_a_length_ends_with_its_connection);
-    CPPUNIT_TEST(a_cut_answer_is_not_whole);
-    CPPUNIT_TEST(bytes_that_are_no_answer_are_refused);
-    CPPUNIT_TEST(a_head_over_its_bound_is_told_apart);
-    CPPUNIT_TEST(fields_of_one_connection_are_not_passed_on);
-    CPPUNIT_TEST(events_split_at_any_byte_read_the_same);
+    CPPUNIT_TEST(parses_request_split_at_any_byte);
+    CPPUNIT_TEST(stops_at_end_of_message);
+    CPPUNIT_TEST(response_without_length_ends_at_close);
+    CPPUNIT_TEST(truncated_response_is_incomplete);
+    CPPUNIT_TEST(rejects_malformed_response);
+    CPPUNIT_TEST(reports_head_over_size_limit);
+    CPPUNIT_TEST(removes_hop_by_hop_fields);
+    CPPUNIT_TEST(reads_events_split_at_any_byte);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr std::size_t bound = 16U << 10U;
+    static constexpr std::size_t max_head_bytes = 16U << 10U;
 
-    void a_request_split_at_any_byte_reads_the_same() {
+    void parses_request_split_at_any_byte() {
         const std::string text =
             "POST /a/b?c=d HTTP/1.1\r\nHost: h.example\r\nTransfer-Encoding: chunked\r\n\r\n"
             "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
         for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-            message_parser parser(message_kind::request, bound);
+            message_parser parser(message_kind::request, max_head_bytes);
             CPPUNIT_ASSERT(parser.feed(text.substr(0, cut)).has_value());
             CPPUNIT_ASSERT(parser.feed(text.substr(cut)).has_value());
             CPPUNIT_ASSERT(parser.complete());
@@ -37,8 +37,8 @@
         }
     }
 
-    void bytes_behind_a_message_are_left_alone() {
-        message_parser parser(message_kind::response, bound);
+    void stops_at_end_of_message() {
+        message_parser parser(message_kind::response, max_head_bytes);
         const std::string first = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
         const auto consumed = parser.feed(first + "HTTP/1.1 200 OK\r\n");
         CPPUNIT_ASSERT(consumed.has_value());
@@ -46,8 +46,8 @@
         CPPUNIT_ASSERT(parser.complete());
     }
 
-    void an_answer_without_a_length_ends_with_its_connection() {
-        message_parser parser(message_kind::response, bound);
+    void response_without_length_ends_at_close() {
+        message_parser parser(message_kind::response, max_head_bytes);
         CPPUNIT_ASSERT(parser.feed("HTTP/1.1 200 OK\r\n\r\nsome").has_value());
         CPPUNIT_ASSERT(parser.head().framing == body_framing::until_close);
         CPPUNIT_ASSERT(!parser.complete());
@@ -55,29 +55,29 @@
         CPPUNIT_ASSERT_EQUAL(std::string("some"), parser.take_body());
     }
 
-    void a_cut_answer_is_not_whole() {
-        message_parser counted(message_kind::response, bound);
+    void truncated_response_is_incomplete() {
+        message_parser counted(message_kind::response, max_head_bytes);
         CPPUNIT_ASSERT(
             counted.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nsome").has_value());
         CPPUNIT_ASSERT(!counted.finish());
-        message_parser chunked(message_kind::response, bound);
+        message_parser chunked(message_kind::response, max_head_bytes);
         CPPUNIT_ASSERT(
             chunked.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nsome\r\n")
                 .has_value());
         CPPUNIT_ASSERT(!chunked.finish());
     }
 
-    void bytes_that_are_no_answer_are_refused() {
-        message_parser parser(message_kind::response, bound);
+    void rejects_malformed_response() {
+        message_parser parser(message_kind::response, max_head_bytes);
         CPPUNIT_ASSERT(!parser.feed("\x01\x02 nonsense\r\n\r\n").has_value());
     }
 
-    void a_head_over_its_bound_is_told_apart() {
+    void reports_head_over_size_limit() {
         message_parser parser(message_kind::request, 64);
         const auto fed = parser.feed("GET / HTTP/1.1\r\nA: " + std::string(100, 'x'));
         CPPUNIT_ASSERT(!fed.has_value());
         CPPUNIT_ASSERT(fed.error() == parse_failure::head_too_large);
-        // Also when the head's end comes with the bytes that exceed the bound.
+        // The limit also holds for a head that arrives in a single read.
         message_parser whole(message_kind::request, 64);
         const auto at_once =
             whole.feed("GET / HTTP/1.1\r\nA: " + std::string(100, 'x') + "\r\n\r\n");
@@ -85,7 +85,7 @@
         CPPUNIT_ASSERT(at_once.error() == parse_failure::head_too_large);
     }
 
-    void fields_of_one_connection_are_not_passed_on() {
+    void removes_hop_by_hop_fields() {
         header_list headers;
         headers.add("Connection", "close, X-Hop");
         headers.add("X-Hop", "1");
@@ -96,7 +96,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("X-Kept"), kept.fields().front().name);
     }
 
-    void events_split_at_any_byte_read_the_same() {
+    void reads_events_split_at_any_byte() {
         const std::string text =
             "id: 1\ndata: one\n\nid: 2\nx-weight-versions: 4\ndata: two\n\nid: 3\ndata: cut";
         for (std::size_t cut = 0; cut <= text.size(); ++cut) {
--- a/tests/platform/configuration_format_fixture_test.cpp
+++ b/tests/platform/configuration_format_fixture_test.cpp
@@ -1,7 +1,6 @@
 /// @file
-/// Pins the platform's form of a configuration and of the list of replicas: every field, every
-/// default, and the text of refusals. The platform writes both, so a change here breaks the system
-/// on it.
+/// Pins the platform's wire format of a configuration and of the list of replicas: every field,
+/// every default, and the error texts. The platform writes both, so they must stay compatible.
 
 #include "platform/configuration_format.hpp"
 #include "platform/replica_list.hpp"
@@ -13,7 +12,7 @@
 
 namespace {
 
-constexpr const char* whole_configuration = R"({
+constexpr const char* complete_configuration = R"({
   "Version": 18446744073709551,
   "Routes": [
     {"Name": "chat", "Hostname": "chat.example", "PathPrefix": "/chat/", "Type": "streaming",
@@ -56,7 +55,7 @@
     return route;
 }
 
-/// All but the fields that must be there has its default.
+/// A route with the required fields only; all others have their defaults.
 routing::route repeatable_route() {
     routing::route route;
     route.name = "tool";
@@ -105,19 +104,19 @@
 
 class configuration_format_fixture_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(configuration_format_fixture_test);
-    CPPUNIT_TEST(a_whole_configuration_is_read);
-    CPPUNIT_TEST(a_configuration_without_the_rest_is_read);
-    CPPUNIT_TEST(each_type_of_route_is_read);
-    CPPUNIT_TEST(numbers_below_zero_are_refused_by_name);
-    CPPUNIT_TEST(each_field_that_must_be_there_is_missed);
-    CPPUNIT_TEST(a_page_of_the_list_is_read);
-    CPPUNIT_TEST(each_state_of_a_replica_is_read);
-    CPPUNIT_TEST(each_page_is_asked_for_so);
-    CPPUNIT_TEST(each_field_of_a_replica_that_must_be_there_is_missed);
+    CPPUNIT_TEST(complete_configuration_is_parsed);
+    CPPUNIT_TEST(optional_fields_have_defaults);
+    CPPUNIT_TEST(route_types_are_parsed);
+    CPPUNIT_TEST(invalid_numbers_are_rejected_with_the_field_name);
+    CPPUNIT_TEST(missing_required_fields_are_rejected);
+    CPPUNIT_TEST(replica_list_page_is_parsed);
+    CPPUNIT_TEST(replica_states_are_parsed);
+    CPPUNIT_TEST(page_tokens_are_sent_and_parsed);
+    CPPUNIT_TEST(missing_required_replica_fields_are_rejected);
     CPPUNIT_TEST_SUITE_END();
 
-    void a_whole_configuration_is_read() {
-        const auto parsed = parse_configuration(whole_configuration);
+    void complete_configuration_is_parsed() {
+        const auto parsed = parse_configuration(complete_configuration);
         CPPUNIT_ASSERT_MESSAGE(parsed ? "" : parsed.error().reason, parsed.has_value());
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{18'446'744'073'709'551},
                              parsed->version);
@@ -137,7 +136,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{15004}, parsed->limits.idle_timeout_ms);
     }
 
-    void a_configuration_without_the_rest_is_read() {
+    void optional_fields_have_defaults() {
         const auto parsed = parse_configuration(R"({"Version":1,"Routes":[],"Services":[]})");
         CPPUNIT_ASSERT(parsed.has_value());
         CPPUNIT_ASSERT(parsed->routes.empty() && parsed->services.empty());
@@ -164,7 +163,7 @@
         CPPUNIT_ASSERT(route.services.empty());
     }
 
-    void each_type_of_route_is_read() {
+    void route_types_are_parsed() {
         assert_type("idempotent", false, true);
         assert_type("streaming", true, false);
         assert_type("unique", false, false);
@@ -176,7 +175,7 @@
         return parsed.error().reason;
     }
 
-    void numbers_below_zero_are_refused_by_name() {
+    void invalid_numbers_are_rejected_with_the_field_name() {
         const std::string reason = " must be a number, and not below 0";
         CPPUNIT_ASSERT_EQUAL("Version" + reason,
                              refusal_of(R"({"Version":-1,"Routes":[],"Services":[]})"));
@@ -189,7 +188,7 @@
         CPPUNIT_ASSERT_EQUAL("Burst" + reason, refusal_of(begin + R"("Burst":"1"}]})"));
     }
 
-    /// `text` with every `name` spelt otherwise.
+    /// Returns `text` with the field `name` renamed everywhere, so that it is missing.
     static std::string without(std::string text, const std::string& name) {
         const std::string quoted = "\"" + name + "\"";
         for (std::size_t at = text.find(quoted); at != std::string::npos; at = text.find(quoted)) {
@@ -198,15 +197,15 @@
         return text;
     }
 
-    void each_field_that_must_be_there_is_missed() {
+    void missing_required_fields_are_rejected() {
         for (const std::string name : {"Version", "Routes", "Services", "Name", "Hostname",
                                        "PathPrefix", "Type", "TimeoutMs", "Weight"}) {
-            const std::string reason = refusal_of(without(whole_configuration, name));
+            const std::string reason = refusal_of(without(complete_configuration, name));
             CPPUNIT_ASSERT_MESSAGE(reason, reason.find("'" + name + "'") != std::string::npos);
         }
     }
 
-    void a_page_of_the_list_is_read() {
+    void replica_list_page_is_parsed() {
         const auto page = replica_list().read_list(
             R"({"Instances":[{"Service":"large","Address":"10.0.0.1:80","Zone":"zone-a","Slots":12,)"
             R"("State":"draining","Id":"i-1"},{"Service":"small","Address":"10.0.0.2:81",)"
@@ -241,13 +240,13 @@
         return page->backends.front().member.leaving;
     }
 
-    void each_state_of_a_replica_is_read() {
+    void replica_states_are_parsed() {
         CPPUNIT_ASSERT(!is_leaving("ready"));
         CPPUNIT_ASSERT(is_leaving("draining"));
         CPPUNIT_ASSERT(is_leaving("anything else"));
     }
 
-    void each_page_is_asked_for_so() {
+    void page_tokens_are_sent_and_parsed() {
         CPPUNIT_ASSERT_EQUAL(std::string("/instances"), replica_list().list_target(""));
         CPPUNIT_ASSERT_EQUAL(std::string("/instances?PageToken=p-50"),
                              replica_list().list_target("p-50"));
@@ -257,7 +256,7 @@
         }
     }
 
-    void each_field_of_a_replica_that_must_be_there_is_missed() {
+    void missing_required_replica_fields_are_rejected() {
         const std::string page =
             R"({"Instances":[{"Service":"s","Address":"10.0.0.1:80","Id":"i"}]})";
         CPPUNIT_ASSERT(replica_list().read_list(page).has_value());
--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -1,7 +1,6 @@
 /// @file
-/// Pins the platform's form of callers' requests, of calls to replicas and their answers, and of
-/// operators' calls and their answers. They are the wire, so a change here breaks the system on the
-/// platform.
+/// Pins the platform's wire format of callers' requests, of calls to replicas and their answers,
+/// and of operators' calls and their answers, which must stay compatible.
 
 #include "platform/operator_calls.hpp"
 #include "platform/replica_calls.hpp"
@@ -15,17 +14,17 @@
 
 class platform_calls_fixture_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(platform_calls_fixture_test);
-    CPPUNIT_TEST(each_field_of_a_request_is_read);
-    CPPUNIT_TEST(a_request_without_fields_is_read);
-    CPPUNIT_TEST(an_engine_gets_these_fields);
-    CPPUNIT_TEST(another_back_end_gets_these_fields);
-    CPPUNIT_TEST(a_continued_stream_begins_after_our_event);
-    CPPUNIT_TEST(urgency_and_time_left_stay_within_their_bounds);
-    CPPUNIT_TEST(each_field_of_an_answer_is_read);
-    CPPUNIT_TEST(each_call_of_operators_is_read);
-    CPPUNIT_TEST(other_calls_of_operators_are_refused);
-    CPPUNIT_TEST(answers_to_operators_are_rendered_so);
-    CPPUNIT_TEST(refusals_of_operators_calls_are_rendered_so);
+    CPPUNIT_TEST(request_headers_are_parsed);
+    CPPUNIT_TEST(request_without_headers_has_defaults);
+    CPPUNIT_TEST(engine_request_headers_match_the_wire_format);
+    CPPUNIT_TEST(app_request_headers_match_the_wire_format);
+    CPPUNIT_TEST(resumed_stream_replaces_last_event_id);
+    CPPUNIT_TEST(urgency_and_time_left_are_clamped);
+    CPPUNIT_TEST(response_headers_are_parsed);
+    CPPUNIT_TEST(operator_calls_are_parsed);
+    CPPUNIT_TEST(unknown_operator_calls_are_rejected);
+    CPPUNIT_TEST(operator_responses_match_the_wire_format);
+    CPPUNIT_TEST(operator_errors_match_the_wire_format);
     CPPUNIT_TEST_SUITE_END();
 
     static http::message_head caller_head() {
@@ -43,7 +42,7 @@
         return head;
     }
 
-    void each_field_of_a_request_is_read() {
+    void request_headers_are_parsed() {
         const forwarding::request_metadata facts = replica_calls().read_request(caller_head());
         CPPUNIT_ASSERT_EQUAL(std::string("request-1"), facts.request);
         CPPUNIT_ASSERT(facts.caller_timeout == duration(milliseconds(4001)));
@@ -56,14 +55,14 @@
         CPPUNIT_ASSERT_EQUAL(std::string("key-8"), facts.credential);
         CPPUNIT_ASSERT_EQUAL(std::string("object-9"), facts.object);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, facts.prompt.size());
-        // Nodes tell each other these hashes, so they have to stay.
+        // Nodes exchange these hashes, so builds must agree on them.
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0xd0fe2cf629f58688}, facts.prompt[0].hash);
         CPPUNIT_ASSERT_EQUAL(token_count{800}, facts.prompt[0].tokens);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0x79ffa7d06f908bf5}, facts.prompt[1].hash);
         CPPUNIT_ASSERT_EQUAL(token_count{1210}, facts.prompt[1].tokens);
     }
 
-    void a_request_without_fields_is_read() {
+    void request_without_headers_has_defaults() {
         const forwarding::request_metadata facts = replica_calls().read_request({});
         CPPUNIT_ASSERT(facts.request.empty() && facts.program.empty());
         CPPUNIT_ASSERT(!facts.caller_timeout && !facts.program_time_left);
@@ -74,9 +73,9 @@
         CPPUNIT_ASSERT(facts.object.empty() && facts.prompt.empty());
     }
 
-    /// Fields as they stand on the wire.
-    static std::string sent(const http::message_head& head,
-                            const forwarding::attempt_headers& marks) {
+    /// Header fields of the request to a back end, one a line.
+    static std::string rendered_backend_headers(const http::message_head& head,
+                                                const forwarding::attempt_headers& marks) {
         std::string text;
         const http::header_list fields = replica_calls().backend_headers(head, marks);
         for (const http::header_field& field : fields.fields()) {
@@ -95,7 +94,7 @@
         return marks;
     }
 
-    static http::message_head head_with_fields_of_ours() {
+    static http::message_head head_with_forged_system_headers() {
         http::message_head head = caller_head();
         for (const char* name :
              {"X-Expected-Instance", "X-Expected-Version", "X-Request-Priority", "X-Tenant-Id",
@@ -108,8 +107,9 @@
         return head;
     }
 
-    void an_engine_gets_these_fields() {
-        CPPUNIT_ASSERT_EQUAL(std::string(R"(X-Request-Id: request-1
+    void engine_request_headers_match_the_wire_format() {
+        CPPUNIT_ASSERT_EQUAL(
+            std::string(R"(X-Request-Id: request-1
 X-Program-Id: program-2
 X-Program-Deadline-Ms: -73
 X-Token-Budget: 90004
@@ -124,10 +124,10 @@
 X-Tenant-Id: tenant-5
 X-Request-Priority: 4
 )"),
-                             sent(head_with_fields_of_ours(), engine_marks()));
+            rendered_backend_headers(head_with_forged_system_headers(), engine_marks()));
     }
 
-    void another_back_end_gets_these_fields() {
+    void app_request_headers_match_the_wire_format() {
         forwarding::attempt_headers marks;
         marks.time_left = milliseconds(1502);
         marks.incarnation = "instance-4";
@@ -136,10 +136,10 @@
         CPPUNIT_ASSERT_EQUAL(std::string("X-Request-Id: request-2\n"
                                          "X-Deadline-Ms: 1502\n"
                                          "X-Expected-Instance: instance-4\n"),
-                             sent(head, marks));
+                             rendered_backend_headers(head, marks));
     }
 
-    void a_continued_stream_begins_after_our_event() {
+    void resumed_stream_replaces_last_event_id() {
         forwarding::attempt_headers marks = engine_marks();
         marks.last_event = "17";
         http::message_head head;
@@ -149,28 +149,28 @@
                                          "X-Tenant-Id: tenant-5\n"
                                          "Last-Event-Id: 17\n"
                                          "X-Request-Priority: 4\n"),
-                             sent(head, marks));
+                             rendered_backend_headers(head, marks));
     }
 
-    static std::string bounded(duration time_left, std::int32_t urgency) {
+    static std::string headers_with_limits(duration time_left, std::int32_t urgency) {
         forwarding::attempt_headers marks;
         marks.time_left = time_left;
         marks.urgency = urgency;
         marks.is_engine = true;
         marks.incarnation = "i";
-        return sent({}, marks);
+        return rendered_backend_headers({}, marks);
     }
 
-    void urgency_and_time_left_stay_within_their_bounds() {
+    void urgency_and_time_left_are_clamped() {
         CPPUNIT_ASSERT_EQUAL(
             std::string("X-Deadline-Ms: 1\nX-Expected-Instance: i\nX-Request-Priority: 0\n"),
-            bounded(milliseconds(-5), -1));
+            headers_with_limits(milliseconds(-5), -1));
         CPPUNIT_ASSERT_EQUAL(
             std::string("X-Deadline-Ms: 2\nX-Expected-Instance: i\nX-Request-Priority: 9\n"),
-            bounded(milliseconds(2), 10));
+            headers_with_limits(milliseconds(2), 10));
     }
 
-    void each_field_of_an_answer_is_read() {
+    void response_headers_are_parsed() {
         http::message_head head;
         head.status = 200;
         const forwarding::answer_metadata bare = replica_calls().read_answer(head);
@@ -196,7 +196,7 @@
         return operator_calls().parse({method, target, body});
     }
 
-    void each_call_of_operators_is_read() {
+    void operator_calls_are_parsed() {
         const std::string body = R"({"Version":7,"Routes":[],"Services":[]})";
         const auto replace = parsed("POST", "/v1/config/replace?x=1", body);
         CPPUNIT_ASSERT(std::holds_alternative<directory::replace_call>(replace));
@@ -221,7 +221,7 @@
         return std::to_string(invalid.status) + " " + invalid.reason;
     }
 
-    void other_calls_of_operators_are_refused() {
+    void unknown_operator_calls_are_rejected() {
         const std::string none = "404 no such call";
         CPPUNIT_ASSERT_EQUAL(none, refusal("GET", "/v1/config/replace"));
         CPPUNIT_ASSERT_EQUAL(none, refusal("POST", "/v1/config/describe"));
@@ -238,7 +238,7 @@
         return http::render_response(response, true);
     }
 
-    void answers_to_operators_are_rendered_so() {
+    void operator_responses_match_the_wire_format() {
         const operator_calls calls;
         const std::string ok = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
         CPPUNIT_ASSERT_EQUAL(ok + "Content-Length: 2\r\n\r\n{}", rendered(calls.accepted()));
@@ -254,14 +254,14 @@
                              rendered(calls.redirect("10.0.0.1:80", "/v1/config/replace?x=1")));
     }
 
-    void refusals_of_operators_calls_are_rendered_so() {
+    void operator_errors_match_the_wire_format() {
         const operator_calls calls;
         CPPUNIT_ASSERT_EQUAL(std::string("HTTP/1.1 409 Conflict\r\n"
                                          "Content-Type: application/json\r\n"
                                          "Content-Length: 24\r\n\r\n"
                                          "{\"Error\":\"not \\\"this\\\"\"}"),
                              rendered(calls.refused(409, "not \"this\"")));
-        // Bytes that are no text become the replacement character.
+        // Invalid UTF-8 is replaced by U+FFFD.
         CPPUNIT_ASSERT_EQUAL(std::string("{\"Error\":\"a\xEF\xBF\xBD\"}"),
                              calls.refused(400, "a\xFF").body);
     }
--- a/tests/platform/soak/callers.py
+++ b/tests/platform/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that run whole programs, and an operator that changes the configuration."""
+"""Callers that run programs of several turns, and an operator that changes the configuration."""
 
 import asyncio
 import json
@@ -9,24 +9,25 @@
 from .http_text import read_body, read_message_head
 
 HOST = "soak.example"
-MOST_TOKENS = 8 * TOKENS_PER_EVENT
+MAX_TOKENS = 8 * TOKENS_PER_EVENT
 RETENTION_SECONDS = 600.0
-#: Callers use an added route this long after the change that brought it was acknowledged, in
-#: seconds: a node may go by proof that it asked for 0.05 s before the call.
-ADDED_SETTLES = 0.1
-#: A change has to be in force everywhere this long after its acknowledgement, in seconds.
+#: Time between the acknowledgement of a change and the callers' use of a route it added, in
+#: seconds: a node may still use a confirmation that it requested shortly before.
+ADDED_ROUTE_DELAY = 0.1
+#: Time after its acknowledgement by which a change must be in force at every node, in seconds.
 IN_FORCE_SECONDS = 2.0
-#: Tries to go on from a turn at the end, and the time in which they are made, in seconds. What is over
-#: the tenant's limit, or sent without a key, is no try: a limit stays used up for QUOTA_WINDOW.
-GO_ON_TRIES, GO_ON_SECONDS = 12, 60.0
-#: Calls of a route that was added just now, one after the other.
+#: Maximum number of attempts to continue a turn at the end, and their time limit in seconds.
+#: Requests with an invalid key or over the tenant's limit, which stays exhausted for QUOTA_WINDOW,
+#: don't count.
+CONTINUATION_ATTEMPTS, CONTINUATION_SECONDS = 12, 60.0
+#: Number of consecutive calls to a newly added route.
 PROBES = 6
-#: Routes that a change adds now and then beside its own, and the most of them, that nobody calls.
-FILLING_ROUTES, MOST_FILLING_ROUTES = 1000, 4000
+#: Number of unused routes that some changes add, and their maximum in a configuration.
+UNUSED_ROUTES, MAX_UNUSED_ROUTES = 1000, 4000
 
 
 def own_path(version):
-    """Path of a route that one version alone has."""
+    """Returns the path of the route that only this version contains."""
     return f"/own/{version}/"
 
 
@@ -37,7 +38,7 @@
 
 
 async def read_chunks(reader):
-    """Yields the bytes of each chunk; ends only after the last one."""
+    """Yields the bytes of each chunk; returns after the terminating one."""
     while True:
         length = int((await reader.readline()).strip() or b"x", 16)
         data = await reader.readexactly(length + 2)
@@ -47,30 +48,30 @@
 
 
 class Caller:
-    """Runs programs one after the other, each turn at any forwarder."""
+    """Runs programs one after the other, sending each turn to a random forwarder."""
 
     def __init__(self, history, clock, forwarders, seed, tenant, keys, added):
         self.history = history
         self.clock = clock
         self.forwarders = forwarders
-        #: Paths of routes that changes have added, and when they were acknowledged.
+        #: Times of acknowledgement by path of the routes that changes added.
         self.added = added
         self.random = random.Random(seed)
-        #: Of its own, so that seeds draw what they drew before there were added routes.
-        self.random_of_added = random.Random(f"added-{seed}")
+        #: Separate generator, so that draws of added routes don't alter the other draws of a seed.
+        self.added_routes_random = random.Random(f"added-{seed}")
         self.tenant = tenant
         self.keys = keys
-        #: Callers of other tenants, whose turns must stay unknown to this one.
-        self.strangers = []
+        #: Callers of other tenants, whose turns this one must not be able to continue.
+        self.other_tenant_callers = []
         self.stopping = False
-        #: Ends of lines of turns that were answered whole: (request, body of the whole line).
-        self.lines = []
+        #: Completely answered turns to continue: (request, body of the whole conversation).
+        self.conversations = []
 
     def draw_id(self):
         return f"{self.random.getrandbits(64):016x}"
 
-    def identify(self, attempt):
-        """Header fields that say who calls; now and then with a key that nobody holds."""
+    def credential_headers(self, attempt):
+        """Returns the credential header fields; a small share of requests gets an invalid key."""
         if not self.keys.in_use:
             attempt.tenant = self.tenant
             return []
@@ -78,20 +79,20 @@
         key = self.keys.current(self.tenant) if attempt.tenant else self.keys.forged()
         return [f"X-Credential: {key}", "X-Tenant-Id: open", "X-Hold: forged"]
 
-    async def exchange(self, attempt, patience, fields=(), forwarder=None):
-        """Sends one request on a new connection and notes what comes back."""
+    async def exchange(self, attempt, timeout_seconds, fields=(), forwarder=None):
+        """Sends one request on a new connection and records the answer in `attempt`."""
         self.history.attempts.append(attempt)
-        identity = self.identify(attempt)
+        identity = self.credential_headers(attempt)
         writer = None
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_seconds):
                 address = forwarder or self.random.choice(self.forwarders)
                 attempt.forwarder = address[0]
                 attempt.by_earlier_build = address[0] in self.history.earlier_forwarders
                 reader, writer = await asyncio.open_connection(*address)
                 head = [f"{attempt.method} {attempt.target} HTTP/1.1", f"Host: {HOST}",
                         f"X-Request-Id: {attempt.request}",
-                        f"X-Deadline-Ms: {int(patience * 1000)}", *identity,
+                        f"X-Deadline-Ms: {int(timeout_seconds * 1000)}", *identity,
                         f"Content-Length: {len(attempt.body)}", *fields, "", ""]
                 writer.write("\r\n".join(head).encode() + attempt.body)
                 attempt.status, headers = await read_head(reader)
@@ -99,7 +100,7 @@
                 attempt.answered_id = headers.get("x-request-id", "")
                 attempt.retry_after = headers.get("retry-after", "")
                 await self._read_answer(attempt, headers, reader)
-                attempt.whole = True
+                attempt.complete = True
         except (OSError, asyncio.IncompleteReadError, TimeoutError, ValueError):
             pass
         finally:
@@ -122,18 +123,18 @@
         if attempt.status == 200:
             attempt.pieces.append(body.decode())
 
-    def turn(self, program, line, budget):
-        """One turn that goes on from `line`: (request, body so far), or None."""
-        previous, before = line or ("", b"")
+    def turn(self, program, conversation, budget):
+        """Returns an attempt that continues `conversation`: (request, body so far), or None."""
+        previous, before = conversation or ("", b"")
         body = f"[{self.draw_id()[:self.random.randint(4, 16)]}]".encode()
         return Attempt(self.draw_id(), "turn", "POST", "/turns/x", body, self.clock(),
                        program=program, previous=previous, budget=budget,
-                       most_tokens=MOST_TOKENS, tokens_per_event=TOKENS_PER_EVENT,
+                       max_tokens=MAX_TOKENS, tokens_per_event=TOKENS_PER_EVENT,
                        expected_body=before + body)
 
     async def send_turn(self, attempt):
         fields = [f"X-Program-Id: {attempt.program}", f"X-Session-Id: {attempt.program}",
-                  f"X-Token-Usage: {len(attempt.expected_body) // 2},{MOST_TOKENS}",
+                  f"X-Token-Usage: {len(attempt.expected_body) // 2},{MAX_TOKENS}",
                   f"X-Prefix-Hash: aa:10,{attempt.program[:8]}:{len(attempt.expected_body) // 2}"]
         if attempt.previous:
             fields.append(f"X-Previous-Turn: {attempt.previous}")
@@ -141,11 +142,11 @@
             fields.append(f"X-Token-Budget: {attempt.budget}")
         return await self.exchange(attempt, 3.0, fields)
 
-    async def run_turn(self, program, line, budget):
-        """A turn with its repeats. Returns the new line; None when it failed."""
+    async def run_turn(self, program, conversation, budget):
+        """Sends a turn, with retries. Returns the new conversation; None when it failed."""
         for _ in range(4):
-            attempt = await self.send_turn(self.turn(program, line, budget))
-            if attempt.status == 200 and attempt.whole:
+            attempt = await self.send_turn(self.turn(program, conversation, budget))
+            if attempt.status == 200 and attempt.complete:
                 output = "".join(piece + "\n" for piece in attempt.pieces).encode()
                 return attempt.request, attempt.expected_body + output
             if attempt.status in (402, 404):
@@ -157,27 +158,28 @@
 
     async def run_program(self):
         program = self.draw_id()
-        budget = self.random.choice([0, 2 * MOST_TOKENS, 20 * MOST_TOKENS])
-        line = None
-        if self.lines and self.random.random() < 0.15:
-            line = self.random.choice(self.lines)
-        stranger = self.random.choice(self.strangers) if self.strangers else None
-        if stranger is not None and stranger.lines and self.random.random() < 0.05:
-            attempt = self.turn(program, self.random.choice(stranger.lines), budget)
-            attempt.foreign = True
+        budget = self.random.choice([0, 2 * MAX_TOKENS, 20 * MAX_TOKENS])
+        conversation = None
+        if self.conversations and self.random.random() < 0.15:
+            conversation = self.random.choice(self.conversations)
+        other_caller = self.random.choice(self.other_tenant_callers) if self.other_tenant_callers else None
+        if other_caller is not None and other_caller.conversations and self.random.random() < 0.05:
+            attempt = self.turn(program, self.random.choice(other_caller.conversations), budget)
+            attempt.continues_other_tenant = True
             await self.send_turn(attempt)
         for _ in range(self.random.randint(1, 6)):
-            line = await self.run_turn(program, line, budget)
-            if line is None or self.stopping:
+            conversation = await self.run_turn(program, conversation, budget)
+            if conversation is None or self.stopping:
                 break
-            self.lines.append(line)
+            self.conversations.append(conversation)
             await asyncio.gather(*(self.call_tool() for _ in range(self.random.randint(0, 2))))
 
     def draw_tool(self):
-        settled = [path for path, at in self.added.items() if self.clock() - at >= ADDED_SETTLES]
-        if settled and self.random_of_added.random() < 0.3:
-            # The newest ones are those that a node may not know yet.
-            return "repeatable", self.random_of_added.choice(settled[-3:]) + "x"
+        settled = [path for path, at in self.added.items()
+                   if self.clock() - at >= ADDED_ROUTE_DELAY]
+        if settled and self.added_routes_random.random() < 0.3:
+            # The newest routes are those that a node is most likely to lack.
+            return "repeatable", self.added_routes_random.choice(settled[-3:]) + "x"
         return ("repeatable", "/look/x") if self.random.random() < 0.5 else ("once", "/claim/x")
 
     async def call_tool(self):
@@ -185,15 +187,15 @@
         await self.exchange(Attempt(self.draw_id(), kind, "POST", path, b"tool", self.clock()), 1.5)
 
     async def probe_added(self, path):
-        """Calls a route that was added just now, while some nodes may not know it yet."""
+        """Calls a newly added route while some nodes may not have applied the change yet."""
         for _ in range(PROBES):
-            await asyncio.sleep(ADDED_SETTLES)
+            await asyncio.sleep(ADDED_ROUTE_DELAY)
             await self.exchange(
                 Attempt(self.draw_id(), "repeatable", "POST", path + "x", b"tool", self.clock()),
                 1.0)
 
     async def probe_in_force(self, version, added, dropped):
-        """Calls, at every forwarder, what a change added and dropped once it has to be in force."""
+        """Calls the added and the dropped route at every forwarder once a change is in force."""
         await asyncio.sleep(IN_FORCE_SECONDS)
         for forwarder in self.forwarders:
             for path in filter(None, (added, dropped)):
@@ -206,22 +208,22 @@
         while not self.stopping:
             await self.run_program()
 
-    async def go_on_from(self, line):
-        """Asks until the turn after `line` is answered. Returns the last status."""
+    async def continue_conversation(self, conversation):
+        """Retries a turn after `conversation` until it is answered. Returns the last status."""
         status = 0
         tries = 0
         began = self.clock()
-        while tries < GO_ON_TRIES and self.clock() - began < GO_ON_SECONDS:
-            attempt = await self.send_turn(self.turn(self.draw_id(), line, 0))
+        while tries < CONTINUATION_ATTEMPTS and self.clock() - began < CONTINUATION_SECONDS:
+            attempt = await self.send_turn(self.turn(self.draw_id(), conversation, 0))
             if not attempt.tenant:
-                # Sent with a key that nobody holds, as some are: it says nothing of the turn.
+                # The request had an invalid key, so its status says nothing about the turn.
                 continue
             if attempt.status == 429:
-                # Over the tenant's limit: not a word about the turn either.
+                # The tenant's limit is exhausted, which says nothing about the turn.
                 await asyncio.sleep(float(attempt.retry_after or 0.3))
                 continue
             tries += 1
-            status = attempt.status if attempt.whole else 0
+            status = attempt.status if attempt.complete else 0
             if status == 200:
                 break
             await asyncio.sleep(0.3)
@@ -229,7 +231,7 @@
 
 
 class Operator:
-    """Sends configurations with rising versions and reads them back, at any directory node."""
+    """Sends configurations with increasing versions to random nodes, and reads them back."""
 
     def __init__(self, history, clock, nodes, seed, keys, addresses):
         self.addresses = addresses
@@ -238,25 +240,26 @@
         self.nodes = nodes
         self.keys = keys
         self.random = random.Random(seed)
-        self.random_of_filling = random.Random(f"filling-{seed}")
+        self.unused_routes_random = random.Random(f"filling-{seed}")
         self.version = 1
-        #: Versions whose route every later one keeps.
-        self.kept = []
-        self.filling = 0
-        #: Paths of their routes, with the time of the acknowledgement.
+        #: Acknowledged versions; every later configuration keeps the routes that they added.
+        self.added_versions = []
+        self.unused_routes = 0
+        #: Times of acknowledgement by path of those routes.
         self.added = {}
-        #: Callers without a limit, who call each as soon as it is added.
+        #: Callers of an unlimited tenant that call each route as soon as it is added.
         self.probers = []
-        #: Calls what changes added and dropped, once they have to be in force; None for nobody.
+        #: Caller that checks added and dropped routes once a change must be in force; may be None.
         self.in_force_prober = None
-        #: The version whose own route the next change drops.
-        self.own_route_of = None
+        #: Version whose own route the next change drops; None before the first change.
+        self.own_route_version = None
         self.stopping = False
 
-    def draw_filling(self):
-        """Every now and then the configuration grows by many routes, or loses them all."""
-        if self.random_of_filling.random() < 0.2:
-            self.filling = (self.filling + FILLING_ROUTES) % (MOST_FILLING_ROUTES + FILLING_ROUTES)
+    def draw_unused_routes(self):
+        """Occasionally adds many unused routes to the next configuration, or removes them."""
+        if self.unused_routes_random.random() < 0.2:
+            self.unused_routes = (self.unused_routes + UNUSED_ROUTES) % (
+                MAX_UNUSED_ROUTES + UNUSED_ROUTES)
 
     def configuration(self):
         def route(name, path, kind, service, attempts):
@@ -267,11 +270,11 @@
         spare = [route(f"spare-{number}", f"/spare/{number}/", "idempotent", "apps", 1)
                  for number in range(self.version % 5)]
         spare += [route(f"added-{version}", f"/added/{version}/", "idempotent", "apps", 3)
-                  for version in (*self.kept, self.version)]
+                  for version in (*self.added_versions, self.version)]
         if self.in_force_prober is not None:
             spare.append(route("own", own_path(self.version), "idempotent", "apps", 3))
         spare += [route(f"filling-{number}", f"/filling/{number}/", "idempotent", "apps", 1)
-                  for number in range(self.filling)]
+                  for number in range(self.unused_routes)]
         routes = [route("turns", "/turns/", "streaming", "engines", 1),
                   route("look", "/look/", "idempotent", "apps", 3),
                   route("claim", "/claim/", "non_idempotent", "apps", 1)]
@@ -285,14 +288,14 @@
                 **({} if tenants is None else {"Tenants": tenants})}
 
     def probe_in_force(self):
-        """The change that was just acknowledged is to be in force everywhere soon."""
-        dropped = own_path(self.own_route_of) if self.own_route_of is not None else None
-        self.own_route_of = self.version
+        """Schedules the check that the change just acknowledged is in force at every forwarder."""
+        dropped = own_path(self.own_route_version) if self.own_route_version is not None else None
+        self.own_route_version = self.version
         asyncio.ensure_future(self.in_force_prober.probe_in_force(
             self.version, f"/added/{self.version}/", dropped))
 
     async def call(self, method, path, body=b""):
-        """Returns (status, body) at any node; status 0 when nothing came."""
+        """Sends a call to a random node. Returns (status, body); status 0 without an answer."""
         address = self.random.choice(self.nodes)
         for _ in range(3):
             writer = None
@@ -305,7 +308,7 @@
                     status, headers = await read_head(reader)
                     if status == 307:
                         host, port = headers["location"].split("/")[2].split(":")
-                        # Nodes name each other by their relays, which pass no operators' calls.
+                        # Nodes advertise relay addresses, which forward no operators' calls.
                         address = (self.addresses.direct(host), int(port))
                         continue
                     return status, await read_body(reader, headers)
@@ -317,20 +320,20 @@
         return 0, b""
 
     async def change(self):
-        """Sends one change until it is acknowledged."""
-        self.draw_filling()
+        """Sends a new configuration, retrying until it is acknowledged."""
+        self.draw_unused_routes()
         body = json.dumps(self.configuration()).encode()
         while True:
             status, _ = await self.call("POST", "/v1/config/replace", body)
             if status == 200:
                 self.history.changes.append(ConfigurationChange(self.version, self.clock()))
                 self.added[f"/added/{self.version}/"] = self.clock()
-                self.kept.append(self.version)
+                self.added_versions.append(self.version)
                 for prober in self.probers:
                     asyncio.ensure_future(prober.probe_added(f"/added/{self.version}/"))
                 if self.in_force_prober is not None:
                     self.probe_in_force()
-                self.keys.took()
+                self.keys.on_acknowledged()
                 self.version += self.random.randint(1, 3)
                 return
             await asyncio.sleep(0.2)
--- a/tests/platform/soak/checks_test.py
+++ b/tests/platform/soak/checks_test.py
@@ -1,23 +1,23 @@
-"""Each check finds a hand-made bad history, and passes a good one."""
+"""Tests that each check reports a constructed violation and passes a correct history."""
 
 import unittest
 
 from . import checks
-from .history import (Attempt, ConfigurationChange, ConfigurationRead, Ending, History, RouteProbe,
-                      Run, Strike)
+from .history import (Attempt, ConfigurationChange, ConfigurationRead, ProcessExit, History,
+                      RouteProbe, Run, FaultInterval)
 
 
 def attempt(request="a", kind="turn", **fields):
     values = {"method": "POST", "target": "/t/", "body": b"in", "sent": 1.0, "ended": 2.0,
               "status": 200, "signature": "s", "answered_id": request, "pieces": ["x", "y"],
-              "whole": True, "retry_after": ""}
+              "complete": True, "retry_after": ""}
     values.update(fields)
     return Attempt(request, kind, **values)
 
 
 def run(request="a", **fields):
     values = {"backend": "e", "service": "s", "method": "POST", "target": "/t/", "body": b"in",
-              "pieces": ["x", "y"], "status": 200, "whole": True}
+              "pieces": ["x", "y"], "status": 200, "complete": True}
     values.update(fields)
     return Run(request, **values)
 
@@ -27,38 +27,39 @@
         return check(History(**parts))[1]
 
     def test_a_good_history_has_no_violations(self):
-        good = History(runs=[run(tenant="open")], attempts=[attempt(tenant="open")], reads=[ConfigurationRead(9, 3)],
-                       changes=[ConfigurationChange(3, 1)], endings=[Ending("p", 1, 0, True)],
+        good = History(runs=[run(tenant="open")], attempts=[attempt(tenant="open")],
+                       reads=[ConfigurationRead(9, 3)], changes=[ConfigurationChange(3, 1)],
+                       process_exits=[ProcessExit("p", 1, 0, True)],
                        continued=[("a", 200)], read_back=3)
         for name, _, violations in checks.check_all(good):
             self.assertEqual([], violations, name)
 
-    def after_the_return(self, statuses, **fields):
+    def attempts_after_recovery(self, statuses, **fields):
         return [attempt(str(number), sent=30.0, status=status, tenant="open", **fields)
                 for number, status in enumerate(statuses)]
 
     def test_service_that_does_not_return_is_found(self):
-        refused = self.after_the_return([200] * 5 + [503] * 5)
-        self.assertTrue(self.violations(checks.service_returns, attempts=refused, returned=10.0))
+        refused = self.attempts_after_recovery([200] * 5 + [503] * 5)
+        self.assertTrue(self.violations(checks.service_returns, attempts=refused, machines_up_at=10.0))
         before_the_bound = [attempt(sent=15.0, status=503, tenant="open")]
         self.assertFalse(self.violations(checks.service_returns, attempts=before_the_bound,
-                                         returned=10.0))
-        served = self.after_the_return([200] * 10)
-        self.assertFalse(self.violations(checks.service_returns, attempts=served, returned=10.0))
-
-    def test_only_turns_that_may_be_gone_may_stay_undecided(self):
-        going_on = self.after_the_return([503] * 5, previous="p")
-        self.assertTrue(self.violations(checks.service_returns, attempts=going_on, returned=10.0))
-        self.assertFalse(self.violations(checks.service_returns, attempts=going_on, returned=10.0,
+                                         machines_up_at=10.0))
+        served = self.attempts_after_recovery([200] * 10)
+        self.assertFalse(self.violations(checks.service_returns, attempts=served, machines_up_at=10.0))
+
+    def test_only_possibly_lost_turns_may_stay_undecided(self):
+        continuing = self.attempts_after_recovery([503] * 5, previous="p")
+        self.assertTrue(self.violations(checks.service_returns, attempts=continuing, machines_up_at=10.0))
+        self.assertFalse(self.violations(checks.service_returns, attempts=continuing, machines_up_at=10.0,
                                          disks_in_series=True))
-        first_turns = self.after_the_return([503] * 5)
+        first_turns = self.attempts_after_recovery([503] * 5)
         self.assertTrue(self.violations(checks.service_returns, attempts=first_turns,
-                                        returned=10.0, disks_in_series=True))
+                                        machines_up_at=10.0, disks_in_series=True))
         forgotten = [("t", 404)]
         self.assertTrue(self.violations(checks.history_is_kept, continued=forgotten,
                                         disks_in_series=True))
 
-    def test_an_added_route_that_is_called_unknown_is_found(self):
+    def test_an_added_route_that_gets_404_is_found(self):
         unknown = attempt(kind="repeatable", target="/added/7/x", status=404, tenant="open")
         self.assertTrue(self.violations(checks.added_routes_are_known, attempts=[unknown]))
         refused = attempt(kind="repeatable", target="/added/7/x", status=503, tenant="open")
@@ -73,7 +74,7 @@
                                          attempts=[attempt(kind="repeatable")]))
 
     def test_a_refusal_that_ran_is_found(self):
-        for status in checks.PROMISES:
+        for status in checks.NOT_RUN_STATUSES:
             self.assertTrue(self.violations(checks.refused_never_ran, runs=[run()],
                                             attempts=[attempt(status=status)]))
 
@@ -88,8 +89,8 @@
         self.assertTrue(self.violations(checks.answers_are_their_own, runs=[run()],
                                         attempts=[attempt(signature="")]))
 
-    def test_an_answer_that_looks_whole_is_found(self):
-        self.assertTrue(self.violations(checks.answers_are_their_own, runs=[run(whole=False)],
+    def test_an_incomplete_or_altered_answer_is_found(self):
+        self.assertTrue(self.violations(checks.answers_are_their_own, runs=[run(complete=False)],
                                         attempts=[attempt()]))
         self.assertTrue(self.violations(checks.answers_are_their_own, runs=[run()],
                                         attempts=[attempt(pieces=["x"])]))
@@ -97,7 +98,7 @@
     def test_a_stream_with_a_gap_or_a_double_is_found(self):
         for pieces in (["y"], ["x", "x"]):
             self.assertTrue(self.violations(checks.streams_keep_their_order, runs=[run()],
-                                            attempts=[attempt(pieces=pieces, whole=False)]))
+                                            attempts=[attempt(pieces=pieces, complete=False)]))
 
     def test_a_changed_body_and_an_unknown_request_are_found(self):
         self.assertTrue(self.violations(checks.bodies_arrive_unchanged, runs=[run(body=b"other")],
@@ -106,18 +107,18 @@
         self.assertTrue(self.violations(checks.bodies_arrive_unchanged, runs=[run()],
                                         attempts=[attempt(expected_body=b"line")]))
 
-    def test_a_forgotten_turn_is_found(self):
-        later = attempt("b", previous="a", sent=3.0, status=404, whole=False)
+    def test_a_lost_turn_is_found(self):
+        later = attempt("b", previous="a", sent=3.0, status=404, complete=False)
         self.assertTrue(self.violations(checks.history_is_kept, attempts=[attempt(), later]))
         self.assertTrue(self.violations(checks.history_is_kept, continued=[("a", 503)]))
 
     def test_a_turn_that_never_ended_may_be_unknown(self):
-        later = attempt("b", previous="a", sent=3.0, status=404, whole=False)
+        later = attempt("b", previous="a", sent=3.0, status=404, complete=False)
         self.assertFalse(self.violations(checks.history_is_kept,
-                                         attempts=[attempt(whole=False), later]))
+                                         attempts=[attempt(complete=False), later]))
 
     def test_an_overdrawn_budget_is_found(self):
-        turns = [attempt(str(number), program="p", budget=10, most_tokens=5, tokens_per_event=3,
+        turns = [attempt(str(number), program="p", budget=10, max_tokens=5, tokens_per_event=3,
                          pieces=["x", "y"]) for number in range(3)]
         self.assertTrue(self.violations(checks.budgets_hold, attempts=turns))
         self.assertFalse(self.violations(checks.budgets_hold, attempts=turns[:2]))
@@ -139,14 +140,14 @@
         self.assertFalse(self.violations(checks.keys_stay_inside, attempts=[mine],
                                          runs=[run(tenant="open")]))
 
-    def test_a_stranger_that_ran_or_was_served_is_found(self):
+    def test_an_invalid_key_that_ran_or_was_served_is_found(self):
         self.assertTrue(self.violations(checks.strangers_never_run, runs=[run()],
                                         attempts=[attempt(status=401)]))
         self.assertTrue(self.violations(checks.strangers_never_run, attempts=[attempt()]))
         self.assertFalse(self.violations(checks.strangers_never_run,
                                          attempts=[attempt(status=401)]))
 
-    def test_a_stranger_on_a_dropped_route_may_be_told_that_there_is_none(self):
+    def test_an_invalid_key_may_get_404_on_a_dropped_route(self):
         for dropped, status, found in ((True, 404, False), (False, 404, True), (True, 200, True)):
             asked = attempt(status=status)
             probe = RouteProbe(asked, 2, dropped)
@@ -157,13 +158,13 @@
                                         attempts=[asked],
                                         route_probes=[RouteProbe(asked, 2, True)]))
 
-    def test_a_proper_key_that_is_called_unknown_is_found(self):
+    def test_a_valid_key_that_gets_401_is_found(self):
         self.assertTrue(self.violations(checks.proper_keys_are_let_in,
                                         attempts=[attempt(tenant="open", status=401)]))
 
-    def test_a_turn_on_from_another_tenants_is_found(self):
+    def test_continuing_another_tenants_turn_is_found(self):
         self.assertTrue(self.violations(checks.others_turns_are_unknown, runs=[run()],
-                                        attempts=[attempt(tenant="open", foreign=True)]))
+                                        attempts=[attempt(tenant="open", continues_other_tenant=True)]))
 
     def test_a_limit_that_is_exceeded_is_found(self):
         bound = int(checks.limit_of("tight"))
@@ -175,17 +176,17 @@
             self.assertEqual(count > bound and gap < 0.05, bool(found))
 
     def test_work_that_never_ends_is_found(self):
-        self.assertTrue(self.violations(checks.work_ends, unended=1))
+        self.assertTrue(self.violations(checks.work_ends, unfinished=1))
 
-    def in_force(self, status, dropped, ran=False, strikes=()):
-        """One probe of a route that a change dropped or added, and what it got."""
+    def in_force(self, status, dropped, ran=False, fault_intervals=()):
+        """Returns the violations of one probe of a route that a change dropped or added."""
         probe = RouteProbe(attempt(kind="repeatable", sent=10.0, ended=10.1, status=status,
                                    forwarder="f", target="/own/2/x" if dropped else "/added/3/x"),
                            3, dropped)
         return self.violations(checks.changes_are_in_force, route_probes=[probe],
                                attempts=[probe.attempt], runs=[run()] if ran else [],
                                forwarder_at={"f": "forwarder-0"}, directory=["directory-0"],
-                               strikes=list(strikes))
+                               fault_intervals=list(fault_intervals))
 
     def test_a_change_that_is_not_in_force_is_found(self):
         self.assertTrue(self.in_force(200, dropped=True, ran=True))
@@ -194,37 +195,40 @@
         self.assertTrue(self.in_force(503, dropped=False))
         self.assertFalse(self.in_force(200, dropped=False, ran=True))
         for process in ("forwarder-0", "directory-0"):
-            struck = [Strike(process, 7.5, 8.0)]
-            self.assertFalse(self.in_force(200, dropped=True, ran=True, strikes=struck))
-        for strike in (Strike("forwarder-0", 2.0, 6.5), Strike("turn-store-0", 9.0, 11.0)):
-            self.assertTrue(self.in_force(200, dropped=True, ran=True, strikes=[strike]))
-
-    def test_a_roll_that_is_not_served_is_found(self):
-        def roll(statuses, strikes=()):
+            struck = [FaultInterval(process, 7.5, 8.0)]
+            self.assertFalse(self.in_force(200, dropped=True, ran=True, fault_intervals=struck))
+        for interval in (FaultInterval("forwarder-0", 2.0, 6.5),
+                         FaultInterval("turn-store-0", 9.0, 11.0)):
+            self.assertTrue(self.in_force(200, dropped=True, ran=True, fault_intervals=[interval]))
+
+    def test_unserved_requests_during_a_rolling_replacement_are_found(self):
+        def roll(statuses, fault_intervals=()):
             asked = [attempt(str(number), sent=5.0, ended=5.1, status=status, forwarder="f")
                      for number, status in enumerate(statuses)]
             return self.violations(checks.planned_rolls_serve, attempts=asked,
-                                   planned_rolls=[(4.0, 9.0)], strikes=list(strikes),
+                                   rolling_replacements=[(4.0, 9.0)],
+                                   fault_intervals=list(fault_intervals),
                                    forwarder_at={"f": "forwarder-0"})
         self.assertTrue(roll([200] * 5 + [503] * 5))
         self.assertFalse(roll([200] * 10))
-        self.assertFalse(roll([200] * 5 + [0] * 5, [Strike("forwarder-0", 4.5, 6.0)]))
+        self.assertFalse(roll([200] * 5 + [0] * 5, [FaultInterval("forwarder-0", 4.5, 6.0)]))
 
-    def test_the_earlier_build_may_not_know_an_added_route_until_it_is_in_force(self):
-        def called(sent, earlier, strikes=()):
+    def test_the_earlier_build_may_answer_404_until_a_change_is_in_force(self):
+        def called(sent, earlier, fault_intervals=()):
             call = attempt(kind="repeatable", target="/added/3/x", status=404, sent=sent,
                            ended=sent, by_earlier_build=earlier, forwarder="f")
             return self.violations(checks.added_routes_are_known, attempts=[call],
-                                   changes=[ConfigurationChange(3, 10.0)], strikes=list(strikes),
+                                   changes=[ConfigurationChange(3, 10.0)],
+                                   fault_intervals=list(fault_intervals),
                                    forwarder_at={"f": "forwarder-0"})
         self.assertTrue(called(10.2, earlier=False))
         self.assertFalse(called(10.2, earlier=True))
         self.assertTrue(called(12.1, earlier=True))
-        self.assertFalse(called(12.1, True, [Strike("forwarder-0", 11.0, 12.5)]))
+        self.assertFalse(called(12.1, True, [FaultInterval("forwarder-0", 11.0, 12.5)]))
 
     def test_a_process_that_ends_by_itself_is_found(self):
         self.assertTrue(self.violations(checks.processes_stay_up,
-                                        endings=[Ending("p", 1, 139, False)]))
+                                        process_exits=[ProcessExit("p", 1, 139, False)]))
 
 
 if __name__ == "__main__":
--- a/tests/platform/soak/cluster.py
+++ b/tests/platform/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The real programs as separate processes, each behind a relay of its own."""
+"""Runs the programs as separate processes, each behind its own relay."""
 
 import asyncio
 import contextlib
@@ -8,7 +8,7 @@
 import shutil
 import signal
 
-from .history import Ending
+from .history import ProcessExit
 from .links import Link
 from .tenants import QUOTA_OVERSHOOT, QUOTA_SLACK, QUOTA_WINDOW
 
@@ -18,26 +18,26 @@
 
 
 class Addresses:
-    """Loopback addresses of one cluster: clusters with other numbers run beside it."""
+    """Loopback addresses of a cluster; clusters with different numbers can run at the same time."""
 
     def __init__(self, number):
         self.number = number
 
     def own(self, last):
-        """Where a process itself listens."""
+        """Returns the address at which the process itself listens."""
         return f"127.{self.number}.7.{last}"
 
     def relayed(self, last):
-        """Where others reach it, through its relay."""
+        """Returns the address at which other processes reach it, through its relay."""
         return f"127.{self.number}.8.{last}"
 
     def direct(self, address):
-        """Where the process itself listens whose relayed address this may be."""
+        """Returns the address of the process itself for its own or its relayed address."""
         return self.own(address.rsplit(".", 1)[1])
 
 
 class Node:
-    """One process. It listens at its own address; others reach it through its relay."""
+    """A process that listens at its own address and that others reach through its relay."""
 
     def __init__(self, cluster, program, number, last):
         self.cluster = cluster
@@ -46,32 +46,32 @@
         self.own = cluster.addresses.own(last)
         self.relayed = cluster.addresses.relayed(last)
         self.folder = cluster.work / self.name
-        #: Folder of the programs that its next start runs.
+        #: Folder of the programs used at the next start.
         self.build = cluster.build
         self.process = None
-        self.asked = False
+        self.stop_requested = False
         self.starting = asyncio.Lock()
         port = DIRECTORY_PORT if program == "directory" else STORE_PORT
         self.link = Link(self.name, (self.relayed, port), (self.own, port))
-        #: What to prepend to a log's name when it was kept.
+        #: Number of times that the process was started.
         self.starts = 0
-        #: Where in its log the lines of the process that was started last begin.
-        self.log_begins = 0
+        #: Offset in the log file at which the output of the latest start begins.
+        self.log_offset = 0
 
     @property
     def running(self):
         return self.process is not None and self.process.returncode is None
 
     @property
-    def has_begun(self):
-        """True once the process that was started last has written that it accepts connections."""
+    def has_started(self):
+        """True once the latest process has logged process_started: it accepts connections."""
         with (self.cluster.work / f"{self.name}.log").open("rb") as log:
-            log.seek(self.log_begins)
+            log.seek(self.log_offset)
             return b"name=process_started" in log.read()
 
     def write_settings(self):
         seeds = ", ".join(f'"{node.relayed}:{OPERATORS_PORT}"'
-                          for node in self.cluster.of("directory"))
+                          for node in self.cluster.nodes_of("directory"))
         path = self.cluster.work / f"{self.name}.toml"
         path.write_text(
             f'node = "{self.name}"\nzone = "zone-a"\nip = "{self.relayed}"\n'
@@ -85,7 +85,7 @@
             f'backend_list_address = "{self.cluster.addresses.own(99)}:{LIST_PORT}"\n'
             f"grace_seconds = {GRACE_SECONDS}\nacknowledge_ms = 4000\n")
         if self.build == self.cluster.build:
-            # An earlier build refuses a file with settings that it doesn't know.
+            # An earlier build rejects a file with unknown settings.
             with path.open("a") as settings:
                 settings.write(f"quota_window_seconds = {QUOTA_WINDOW}\n"
                                f"quota_overshoot = {QUOTA_OVERSHOOT}\n"
@@ -93,7 +93,7 @@
         return path
 
     async def start(self):
-        """Starts it unless it runs; while all power is off, waits until it is back."""
+        """Starts the process unless it runs; waits while the cluster has no power."""
         async with self.starting:
             await self.cluster.power.wait()
             if not self.running:
@@ -102,9 +102,9 @@
     async def _start(self):
         settings = self.write_settings()
         self.starts += 1
-        self.asked = False
+        self.stop_requested = False
         log = (self.cluster.work / f"{self.name}.log").open("ab")
-        self.log_begins = log.tell()
+        self.log_offset = log.tell()
         self.process = await asyncio.create_subprocess_exec(
             str(self.build / f"tallyfold-{self.program}"), "--settings", str(settings),
             stdout=log, stderr=log)
@@ -113,8 +113,9 @@
 
     async def _watch(self, process):
         code = await process.wait()
-        self.cluster.history.endings.append(
-            Ending(self.name, self.cluster.clock(), code, self.asked and code in (0, -9)))
+        self.cluster.history.process_exits.append(
+            ProcessExit(self.name, self.cluster.clock(), code,
+                        self.stop_requested and code in (0, -9)))
 
     def send(self, number):
         if self.running:
@@ -122,41 +123,41 @@
                 os.kill(self.process.pid, number)
 
     async def kill(self):
-        self.asked = True
+        self.stop_requested = True
         self.send(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
 
     async def stop(self):
-        """SIGTERM, and SIGKILL after the grace, which is then a violation."""
-        self.asked = True
+        """Sends SIGTERM; after GRACE_SECONDS sends SIGKILL, which counts as a violation."""
+        self.stop_requested = True
         self.send(signal.SIGTERM)
         try:
             await asyncio.wait_for(self.process.wait(), GRACE_SECONDS)
         except TimeoutError:
-            self.asked = False
+            self.stop_requested = False
             self.send(signal.SIGKILL)
             await self.process.wait()
 
     def wipe(self):
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    def tear_tail(self, generator):
-        """Adds what a write that was under way at a lost power may have left."""
+    def append_torn_write(self, generator):
+        """Appends random bytes to the newest turn file, as a write torn by a power loss may leave."""
         files = [path for path in self.folder.glob("*") if path.name.startswith("turns-")]
         if files:
             with max(files, key=lambda path: path.stat().st_mtime).open("ab") as file:
                 file.write(generator.randbytes(generator.randint(1, 400)))
 
-    def limit_files(self, size):
-        """Writes beyond `size` bytes of a file fail, as on a full disk."""
+    def limit_file_size(self, size):
+        """Makes writes beyond `size` bytes of a file fail, as on a full disk."""
         if self.running:
             hard = resource.RLIM_INFINITY
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (size, hard))
 
 
 class Cluster:
-    """Three directory nodes, three stores, three forwarders."""
+    """Three directory nodes, three turn stores and three forwarders."""
 
     def __init__(self, history, clock, build, work, addresses):
         self.addresses = addresses
@@ -164,14 +165,14 @@
         self.clock = clock
         self.build = pathlib.Path(build)
         self.work = pathlib.Path(work)
-        #: Cleared while every machine is dark.
+        #: Cleared during a power loss of all machines.
         self.power = asyncio.Event()
         self.power.set()
         self.nodes = []
         for program, first in (("directory", 1), ("turn-store", 11), ("forwarder", 21)):
             self.nodes += [Node(self, program, number, first + number) for number in range(3)]
 
-    def of(self, program):
+    def nodes_of(self, program):
         return [node for node in self.nodes if node.program == program]
 
     async def start(self):
@@ -180,11 +181,11 @@
                 await node.link.start()
             await node.start()
 
-    async def lose_power(self, lost_disks, dark_seconds, generator):
-        """Ends every process at once, empties the disks of some, and starts all again."""
+    async def lose_power(self, lost_disks, outage_seconds, generator):
+        """Kills all processes at once, wipes the disks of `lost_disks`, and starts all again."""
         self.power.clear()
         for node in self.nodes:
-            node.asked = True
+            node.stop_requested = True
             node.send(signal.SIGKILL)
         await asyncio.gather(*(node.kill() for node in self.nodes))
         for node in self.nodes:
@@ -192,19 +193,19 @@
             if node in lost_disks:
                 node.wipe()
             elif node.program == "turn-store":
-                node.tear_tail(generator)
-        await asyncio.sleep(dark_seconds)
+                node.append_torn_write(generator)
+        await asyncio.sleep(outage_seconds)
         self.power.set()
-        await asyncio.gather(*(self._start_late(node, generator.uniform(0, 0.3))
+        await asyncio.gather(*(self._start_delayed(node, generator.uniform(0, 0.3))
                                for node in self.nodes))
 
     @staticmethod
-    async def _start_late(node, delay):
+    async def _start_delayed(node, delay):
         await asyncio.sleep(delay)
         await node.start()
 
     async def stop(self):
-        """Ends what this cluster started."""
+        """Kills all processes of the cluster."""
         self.power.clear()
         for node in self.nodes:
             node.send(signal.SIGCONT)
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside, drawn by a seed: each strikes, lasts a while, and is over."""
+"""Injection of temporary external faults, chosen by a seeded generator."""
 
 import asyncio
 import contextlib
@@ -7,16 +7,16 @@
 import signal
 from collections import Counter
 
-from .history import Strike
+from .history import FaultInterval
 
-#: A lost disk counts as lost until this many seconds after its machine's return.
+#: Time after the restart of a wiped machine within which its disk is copied again, in seconds.
 CATCH_UP_SECONDS = 4.4
-#: Programs with a disk, one of whose disks may be lost at a time.
+#: Programs with a disk; one disk among them may be lost at a time.
 WITH_DISK = ("directory", "turn-store")
 
 
 class Faults:
-    """Injects faults, several at a time, until it is told to stop."""
+    """Injects faults, several at a time, until `stopping` is set."""
 
     def __init__(self, cluster, backends, clock, seed):
         self.cluster = cluster
@@ -26,18 +26,18 @@
         self.injected = Counter()
         self.log = []
         self.busy = set()
-        #: A disk was lost, and its successor hasn't had its time yet.
+        #: A disk was lost, and its replacement hasn't had CATCH_UP_SECONDS to copy the data.
         self.catching_up = False
-        #: Machines with a disk that are struck now, and when the last of them was well again.
-        self.struck = 0
-        self.well_since = 0.0
-        #: Only the time since the machine's return counts, whatever strikes the others meanwhile:
-        #: disks are then lost faster than any copy can be made. Of stores only: a directory whose
-        #: voters lost most of their disks has no way on.
+        #: Number of machines with a disk that have a fault now, and when the last such fault ended.
+        self.faulty_disk_machines = 0
+        self.last_fault_ended = 0.0
+        #: Allows the next disk loss CATCH_UP_SECONDS after the last wiped machine's restart, whatever
+        #: faults the others have, so that disks may be lost before a copy is complete. Applies to
+        #: stores only: a directory can't recover from the loss of a majority of its disks.
         self.disks_in_series = False
-        self.wiped_back = 0.0
+        self.wiped_restarted_at = 0.0
         self.stopping = False
-        #: Seconds between two faults, at least and at most.
+        #: Minimum and maximum time between the starts of two faults, in seconds.
         self.pauses = (0.2, 1.5)
         self.kinds = [self.kill, self.pause, self.slow, self.stop, self.wipe, self.torn_kill, self.cut,
                       self.cut_one_way, self.reset_link, self.delay_link, self.full_disk,
@@ -59,29 +59,29 @@
             return
         self.busy.add(node.name)
         self.note(kind, node.name)
-        with self.striking(node):
+        with self.recording_fault(node):
             await work(node)
 
     @contextlib.contextmanager
-    def striking(self, *nodes):
-        """Counts the machines with a disk among `nodes` as struck meanwhile."""
-        self.note_caught_up()
+    def recording_fault(self, *nodes):
+        """Records a fault of `nodes` for the duration of the context."""
+        self.update_catching_up()
         count = sum(node.program in WITH_DISK for node in nodes)
-        self.struck += count
+        self.faulty_disk_machines += count
         began = self.clock()
         try:
             yield
         finally:
-            self.struck -= count
-            self.cluster.history.strikes += [Strike(node.name, began, self.clock())
+            self.faulty_disk_machines -= count
+            self.cluster.history.fault_intervals += [FaultInterval(node.name, began, self.clock())
                                              for node in nodes]
             if count:
-                self.well_since = self.clock()
+                self.last_fault_ended = self.clock()
             self.busy.difference_update(node.name for node in nodes)
 
-    def note_caught_up(self):
-        since = self.wiped_back if self.disks_in_series else self.well_since
-        well = self.disks_in_series or self.struck == 0
+    def update_catching_up(self):
+        since = self.wiped_restarted_at if self.disks_in_series else self.last_fault_ended
+        well = self.disks_in_series or self.faulty_disk_machines == 0
         if well and self.clock() - since >= CATCH_UP_SECONDS:
             self.catching_up = False
 
@@ -103,7 +103,7 @@
         await self.on_node("pause", ("directory", "turn-store", "forwarder"), work)
 
     async def slow(self):
-        """A machine with a fifth of its processor, or less."""
+        """Slows a process down by stopping it for most of the time."""
         async def work(node):
             until = self.clock() + self.random.uniform(1.0, 6.0)
             while self.clock() < until:
@@ -121,47 +121,47 @@
         await self.on_node("stop", ("directory", "turn-store", "forwarder"), work)
 
     async def wipe(self):
-        self.note_caught_up()
+        self.update_catching_up()
         if self.catching_up:
             return
 
         async def work(node):
             self.catching_up = True
-            self.wiped_back = float("inf")
+            self.wiped_restarted_at = float("inf")
             await node.kill()
             node.wipe()
             await self.pause_between(0.1, 1.0)
             await node.start()
-            self.wiped_back = self.clock()
-        await self.on_node("wipe", self.losable(), work)
+            self.wiped_restarted_at = self.clock()
+        await self.on_node("wipe", self.wipeable_programs(), work)
 
-    def losable(self):
+    def wipeable_programs(self):
         return ("turn-store",) if self.disks_in_series else WITH_DISK
 
     async def lose_all_power(self):
-        """Strikes all machines at once, whatever else is under way, with or without a lost disk."""
+        """Kills all machines at once, also during other faults, with or without a lost disk."""
         if not self.cluster.power.is_set():
             return
         lost = []
         kind = self.random.choice(["power", "turn-store", "turn-store", "directory"])
-        self.note_caught_up()
+        self.update_catching_up()
         if kind != "power" and not self.catching_up:
-            program = kind if kind in self.losable() else "turn-store"
-            lost = [self.random.choice(self.cluster.of(program))]
+            program = kind if kind in self.wipeable_programs() else "turn-store"
+            lost = [self.random.choice(self.cluster.nodes_of(program))]
         self.note("lose_all_power", " ".join(node.name for node in lost) or "no disk")
         free = [node for node in self.cluster.nodes if node.name not in self.busy]
         self.busy.update(node.name for node in free)
-        with self.striking(*free):
+        with self.recording_fault(*free):
             if lost:
-                # From here on: the time that the machines were well before it doesn't count.
+                # Set here, since the catch-up time counts only from the restart of the machine.
                 self.catching_up = True
-                self.wiped_back = float("inf")
+                self.wiped_restarted_at = float("inf")
             await self.cluster.lose_power(lost, self.random.uniform(0.3, 2.0), self.random)
         if lost:
-            self.wiped_back = self.clock()
+            self.wiped_restarted_at = self.clock()
 
     async def close(self):
-        """The last fault of a run."""
+        """Injects the last fault of a run, a power loss."""
         self.stopping = True
         await self.lose_all_power()
 
@@ -172,7 +172,7 @@
     async def torn_kill(self):
         async def work(node):
             await node.kill()
-            node.tear_tail(self.random)
+            node.append_torn_write(self.random)
             await node.start()
         await self.on_node("torn_kill", ("turn-store",), work)
 
@@ -205,9 +205,9 @@
 
     async def full_disk(self):
         async def work(node):
-            node.limit_files(0)
+            node.limit_file_size(0)
             await self.pause_between(0.5, 3.0)
-            node.limit_files(resource.RLIM_INFINITY)
+            node.limit_file_size(resource.RLIM_INFINITY)
         await self.on_node("full_disk", ("directory", "turn-store"), work)
 
     def draw_backend(self):
@@ -235,9 +235,9 @@
 
     async def backend_sick(self):
         async def work(backend):
-            backend.sickness = self.random.choice(backend.SICKNESSES)
+            backend.failure_mode = self.random.choice(backend.FAILURE_MODES)
             await self.pause_between(1.0, 5.0)
-            backend.sickness = ""
+            backend.failure_mode = ""
         await self.on_backend("backend_sick", work)
 
     async def backend_leave(self):
@@ -252,19 +252,19 @@
         if self.random.random() > 0.3:
             return
         program = self.random.choice(["directory", "turn-store", "forwarder"])
-        nodes = [node for node in self.cluster.of(program) if node.name not in self.busy]
+        nodes = [node for node in self.cluster.nodes_of(program) if node.name not in self.busy]
         if len(nodes) < 3:
             return
         self.busy.update(node.name for node in nodes)
         self.note("kill_all_of_a_kind", program)
-        with self.striking(*nodes):
+        with self.recording_fault(*nodes):
             await asyncio.gather(*(node.kill() for node in nodes))
             await self.pause_between(0.1, 1.0)
             for node in nodes:
                 await node.start()
 
     async def run(self):
-        """Injects until told to stop, and returns when every fault is over."""
+        """Injects faults until `stopping` is set, and returns when all of them have ended."""
         tasks = set()
         while not self.stopping:
             task = asyncio.ensure_future(self.random.choice(self.kinds)())
--- a/tests/platform/soak/faults_test.py
+++ b/tests/platform/soak/faults_test.py
@@ -1,4 +1,4 @@
-"""The faults keep to what the system is promised to bear."""
+"""Tests that the injected faults stay within those that the system tolerates."""
 
 import asyncio
 import unittest
@@ -7,7 +7,7 @@
 from .history import History
 
 
-class StandInNode:
+class FakeNode:
     def __init__(self, program, number):
         self.program = program
         self.name = f"{program}-{number}"
@@ -24,29 +24,29 @@
         self.wiped += 1
 
 
-class StandInCluster:
+class FakeCluster:
     def __init__(self):
         self.history = History()
         self.power = asyncio.Event()
         self.power.set()
-        self.nodes = [StandInNode(program, number)
+        self.nodes = [FakeNode(program, number)
                       for program in ("directory", "turn-store") for number in range(3)]
 
-    def of(self, program):
+    def nodes_of(self, program):
         return [node for node in self.nodes if node.program == program]
 
-    async def lose_power(self, lost_disks, _dark_seconds, _generator):
+    async def lose_power(self, lost_disks, _outage_seconds, _generator):
         for node in lost_disks:
             node.wipe()
 
 
 class FaultsTest(unittest.TestCase):
     def test_no_second_disk_is_lost_before_the_first_could_be_copied(self):
-        """All power and a directory node's disk were lost, and the next disk of one 1 s later: two
-        of three voters were gone, and the directory stood still for good."""
+        """Losing two directory disks before the first is copied removes two of three voters, after
+        which the directory cannot elect a leader."""
 
         async def play(seed):
-            cluster = StandInCluster()
+            cluster = FakeCluster()
             now = 100.0
             faults = Faults(cluster, [], lambda: now, seed)
 
--- a/tests/platform/soak/record_forms.py
+++ b/tests/platform/soak/record_forms.py
@@ -1,11 +1,11 @@
-"""Records the forms that a build sends and stores, as its own programs make them.
+"""Records the wire and storage formats of a build, from its own programs.
 
     python3 -m tests.platform.soak.record_forms --build FOLDER OUTPUT
 
-Runs a small cluster of that build, with callers and a few changes of the configuration, and writes
-OUTPUT/frames.txt (one message of each kind that went over a connection) and OUTPUT/folders.txt (all
-files of a directory node and of a turn store that were stopped as planned). Each line is a name and
-bytes in hexadecimal. The fixtures of docs/FORMATS.md are made by it.
+Runs a small cluster of that build with callers and a few configuration changes, and writes
+OUTPUT/frames.txt (one message of each kind that was sent over a connection) and OUTPUT/folders.txt
+(all files of a directory node and of a turn store after a planned stop). Each line is a name and
+bytes in hexadecimal. Used to generate the fixtures of the format tests.
 """
 
 import argparse
@@ -23,18 +23,18 @@
 from .history import History
 from .tenants import NoKeys
 
-#: Changes after the first one, and seconds for which callers run programs.
+#: Number of changes after the first one, and seconds for which callers run programs.
 CHANGES, SECONDS = 2, 2.5
-#: Time in which the successors of lost disks are taken in, in seconds.
+#: Time for the replacements of wiped disks to join and copy the data, in seconds.
 CATCH_UP_SECONDS = 8.0
-#: A message longer than this, in bytes, is no readable fixture.
-LONGEST = 4000
-#: Kind of the replicas' messages: these are told apart by the kind of their body.
+#: Maximum length of a recorded message, in bytes, so that fixtures stay readable.
+MAX_FRAME_BYTES = 4000
+#: Kind number of consensus messages, which are distinguished by the kind of their body.
 REPLICA_ENVELOPE = 0
 
 
 def kind_of(payload):
-    """Name of a message's kind: its number, and for a replica's message that of its body."""
+    """Returns the kind number of a message, with the kind of the body for a consensus message."""
     kind, = struct.unpack_from("<I", payload)
     if kind != REPLICA_ENVELOPE:
         return f"{kind}"
@@ -47,42 +47,42 @@
 
 
 class Recorder:
-    """Keeps the longest message of each kind that is short enough."""
+    """Keeps the longest message of each kind that doesn't exceed the length limit."""
 
     def __init__(self):
         self.frames = {}
 
     def record(self, link):
-        passed = link._pump
+        original_pump = link._pump
 
         async def pump(reader, writer, direction):
-            await passed(Tee(reader, self), writer, direction)
+            await original_pump(FrameTap(reader, self), writer, direction)
 
         link._pump = pump
 
     def take(self, frame):
         kind = kind_of(frame[4:])
-        if len(frame) <= LONGEST and len(frame) > len(self.frames.get(kind, b"")):
+        if len(frame) <= MAX_FRAME_BYTES and len(frame) > len(self.frames.get(kind, b"")):
             self.frames[kind] = frame
 
 
-class Tee:
-    """Reads from a connection, and hands each whole frame to the recorder."""
+class FrameTap:
+    """Stream reader that passes each complete frame to the recorder."""
 
     def __init__(self, reader, recorder):
         self.reader = reader
         self.recorder = recorder
-        self.held = b""
+        self.buffer = b""
 
     async def read(self, size):
         data = await self.reader.read(size)
-        self.held += data
-        while len(self.held) >= 4:
-            end = 4 + struct.unpack_from("<I", self.held)[0]
-            if len(self.held) < end:
+        self.buffer += data
+        while len(self.buffer) >= 4:
+            end = 4 + struct.unpack_from("<I", self.buffer)[0]
+            if len(self.buffer) < end:
                 break
-            self.recorder.take(self.held[:end])
-            self.held = self.held[end:]
+            self.recorder.take(self.buffer[:end])
+            self.buffer = self.buffer[end:]
         return data
 
 
@@ -95,7 +95,7 @@
 
     addresses = Addresses(options.network)
     cluster = Cluster(history, clock, options.build, work, addresses)
-    # No setting that the recorded build may not know is written for it.
+    # Omits settings that the recorded build may reject as unknown.
     cluster.build = None
     recorder = Recorder()
     for node in cluster.nodes:
@@ -108,11 +108,11 @@
     await cluster.start()
     try:
         operator = Operator(history, clock, [(node.own, OPERATORS_PORT)
-                                             for node in cluster.of("directory")], 3, NoKeys(),
+                                             for node in cluster.nodes_of("directory")], 3, NoKeys(),
                             addresses)
         await operator.change()
         callers = [Caller(history, clock, [(node.own, CALLERS_PORT)
-                                           for node in cluster.of("forwarder")], number, "open",
+                                           for node in cluster.nodes_of("forwarder")], number, "open",
                           NoKeys(), operator.added) for number in range(2)]
         tasks = [asyncio.ensure_future(caller.run()) for caller in callers]
         for _ in range(CHANGES):
@@ -121,8 +121,8 @@
         for caller in callers:
             caller.stopping = True
         await asyncio.gather(*tasks)
-        # A lost disk has its successor ask to be taken in, and copy the others.
-        for lost in (cluster.of("turn-store")[2], cluster.of("directory")[2]):
+        # A wiped node asks to join and copies the others' data, which records these messages.
+        for lost in (cluster.nodes_of("turn-store")[2], cluster.nodes_of("directory")[2]):
             await lost.kill()
             lost.wipe()
             await lost.start()
@@ -147,7 +147,7 @@
     options.output.mkdir(parents=True, exist_ok=True)
     (options.output / "frames.txt").write_text("".join(
         f"{kind} {frame.hex()}\n" for kind, frame in sorted(recorder.frames.items())))
-    files = [path for node in (cluster.of("directory")[0], cluster.of("turn-store")[0])
+    files = [path for node in (cluster.nodes_of("directory")[0], cluster.nodes_of("turn-store")[0])
              for path in sorted(node.folder.rglob("*")) if path.is_file()]
     (options.output / "folders.txt").write_text("".join(
         f"{path.relative_to(work)} {path.read_bytes().hex()}\n" for path in files))
--- a/tests/program_api/process/settings_test.cpp
+++ b/tests/program_api/process/settings_test.cpp
@@ -12,24 +12,24 @@
 
 class settings_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(settings_test);
-    CPPUNIT_TEST(a_whole_file_is_read);
-    CPPUNIT_TEST(every_problem_is_named_with_file_and_key);
-    CPPUNIT_TEST(any_bytes_are_read_or_refused);
+    CPPUNIT_TEST(complete_file_is_read);
+    CPPUNIT_TEST(problems_of_a_process_file_are_reported_with_file_and_key);
+    CPPUNIT_TEST(arbitrary_process_file_is_read_or_rejected);
     CPPUNIT_TEST(every_key_is_documented);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr const char* whole =
+    static constexpr const char* complete_settings =
         "node = \"gateway-1\"\nhttp_listen = \"127.0.0.1:8080\"\nkey_file = \"k\"\n"
         "[control]\ncontrol-1 = \"127.0.0.1:7100\"\n";
 
-    void a_whole_file_is_read() {
-        const auto read = read_gateway(file_.write(whole));
+    void complete_file_is_read() {
+        const auto read = read_gateway(file_.write(complete_settings));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("gateway-1"), read->core.node);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->control.size());
     }
 
-    void every_problem_is_named_with_file_and_key() {
+    void problems_of_a_process_file_are_reported_with_file_and_key() {
         const auto read = read_gateway(file_.write(
             "node = 7\nhttp_listen = \"localhost:80\"\nrequest_limit = 0\nspeed = 1\n"));
         CPPUNIT_ASSERT(!read.has_value());
@@ -45,7 +45,7 @@
         }
     }
 
-    void any_bytes_are_read_or_refused() {
+    void arbitrary_process_file_is_read_or_rejected() {
         check_property("no file crashes a reader", [this] {
             const std::string text = *any_bytes() + "\nnode = \"x\"\n" + *any_bytes();
             const auto read = read_scheduler(file_.write(text));
--- a/tests/program_api/scheduler/backend_http_codec_test.cpp
+++ b/tests/program_api/scheduler/backend_http_codec_test.cpp
@@ -10,9 +10,9 @@
 
 class backend_http_codec_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(backend_http_codec_test);
-    CPPUNIT_TEST(events_are_split_wherever_bytes_are_cut);
-    CPPUNIT_TEST(refusals_say_what_is_proved);
-    CPPUNIT_TEST(any_bytes_are_parsed_or_refused);
+    CPPUNIT_TEST(events_are_split_at_any_chunk_boundary);
+    CPPUNIT_TEST(errors_map_to_failure_kinds);
+    CPPUNIT_TEST(arbitrary_bytes_do_not_crash_parsers);
     CPPUNIT_TEST_SUITE_END();
 
     static const attempt_key& key() {
@@ -20,8 +20,8 @@
         return made;
     }
 
-    void events_are_split_wherever_bytes_are_cut() {
-        check_property("any cut gives the same events", [] {
+    void events_are_split_at_any_chunk_boundary() {
+        check_property("any split of the bytes gives the same events", [] {
             const std::string whole = render_stream_event(stream_pieces{key(), 0, {"a\n\nb"}}) +
                                       render_stream_event(stream_pieces{key(), 1, {"c"}}) +
                                       render_stream_event(stream_finished{key(), 1, 2, 0});
@@ -43,7 +43,7 @@
         return std::get<attempt_failed>(report.value()).kind;
     }
 
-    void refusals_say_what_is_proved() {
+    void errors_map_to_failure_kinds() {
         start_stream start;
         start.key = key();
         CPPUNIT_ASSERT(kind_of(report_refusal(start, 409)) == failure_kind::refused);
@@ -55,12 +55,12 @@
         CPPUNIT_ASSERT(kind_of(report_refusal(resume, 404)) == failure_kind::unknown_stream);
     }
 
-    void any_bytes_are_parsed_or_refused() {
-        check_property("no input crashes a reader", [] {
-            const std::string noise = *any_bytes();
-            (void)parse_stream_event(key(), noise);
-            (void)parse_answer(poll_members{}, noise);
-            (void)parse_answer(poll_status{"e", 0}, noise);
+    void arbitrary_bytes_do_not_crash_parsers() {
+        check_property("no input crashes a parser", [] {
+            const std::string bytes = *any_bytes();
+            (void)parse_stream_event(key(), bytes);
+            (void)parse_answer(poll_members{}, bytes);
+            (void)parse_answer(poll_status{"e", 0}, bytes);
         });
     }
 };
--- a/tests/program_api/scheduler/journal_client_test.cpp
+++ b/tests/program_api/scheduler/journal_client_test.cpp
@@ -8,9 +8,9 @@
 
 class journal_client_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(journal_client_test);
-    CPPUNIT_TEST(a_reply_to_an_earlier_life_is_not_taken);
-    CPPUNIT_TEST(an_unanswered_append_is_sent_again);
-    CPPUNIT_TEST(commands_of_one_root_go_one_at_a_time);
+    CPPUNIT_TEST(reply_to_a_previous_process_is_ignored);
+    CPPUNIT_TEST(unanswered_append_is_resent);
+    CPPUNIT_TEST(commands_of_one_root_are_serialized);
     CPPUNIT_TEST_SUITE_END();
 
     static journal::journal_command command(const program_id& program) {
@@ -24,7 +24,7 @@
         return std::get<protocol::journal_append>(messages[index].message);
     }
 
-    void a_reply_to_an_earlier_life_is_not_taken() {
+    void reply_to_a_previous_process_is_ignored() {
         journal_client first({"c"}, 1, 100);
         journal_client second({"c"}, 1, 200);
         first.append({1, 1, "p"}, command("p"), {});
@@ -34,7 +34,7 @@
         CPPUNIT_ASSERT(!second.on_reply({old.group, old.correlation, true, {}, {}}, {}));
     }
 
-    void an_unanswered_append_is_sent_again() {
+    void unanswered_append_is_resent() {
         journal_client client({"a", "b"}, 1, 1);
         client.append({1, 1, "p"}, command("p"), {});
         const auto first = sent(client);
@@ -42,7 +42,7 @@
         CPPUNIT_ASSERT_EQUAL(first.command, sent(client).command);
     }
 
-    void commands_of_one_root_go_one_at_a_time() {
+    void commands_of_one_root_are_serialized() {
         journal_client client({"a"}, 1, 1);
         client.append({1, 1, "p"}, command("p"), {});
         client.append({1, 1, "p"}, command("p.x"), {});
--- a/tests/program_api/transport/keys_test.cpp
+++ b/tests/program_api/transport/keys_test.cpp
@@ -13,10 +13,10 @@
 
 class keys_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(keys_test);
-    CPPUNIT_TEST(every_key_of_the_file_is_accepted);
-    CPPUNIT_TEST(a_removed_key_is_refused);
-    CPPUNIT_TEST(a_request_proves_its_operator);
-    CPPUNIT_TEST(a_changed_or_old_request_is_refused);
+    CPPUNIT_TEST(every_key_in_the_file_is_accepted);
+    CPPUNIT_TEST(removed_key_is_rejected);
+    CPPUNIT_TEST(signed_request_authenticates_its_operator);
+    CPPUNIT_TEST(modified_or_expired_request_is_rejected);
     CPPUNIT_TEST_SUITE_END();
 
   public:
@@ -32,12 +32,12 @@
 
     void write(const std::string& text, int age_seconds) {
         std::ofstream(path_) << text;
-        // File times may be coarse; the reader goes by them.
+        // cluster_keys reloads by modification time, whose resolution may be coarse.
         std::filesystem::last_write_time(path_, std::filesystem::file_time_type::clock::now() -
                                                     std::chrono::seconds(age_seconds));
     }
 
-    void every_key_of_the_file_is_accepted() {
+    void every_key_in_the_file_is_accepted() {
         write(std::string(new_key) + "\n" + old_key + "\n", 5);
         cluster_keys keys(path_.string());
         CPPUNIT_ASSERT(keys.verify("text", keyed_hash(old_key, "text")));
@@ -46,7 +46,7 @@
         CPPUNIT_ASSERT(keys.prove("text").value() == keyed_hash(new_key, "text"));
     }
 
-    void a_removed_key_is_refused() {
+    void removed_key_is_rejected() {
         write(std::string(new_key) + "\n" + old_key + "\n", 5);
         cluster_keys keys(path_.string());
         CPPUNIT_ASSERT(keys.verify("text", keyed_hash(old_key, "text")));
@@ -60,7 +60,7 @@
         return made;
     }
 
-    void a_request_proves_its_operator() {
+    void signed_request_authenticates_its_operator() {
         write(std::string("ops editor ") + new_key + "\nwatch viewer " + old_key + "\n", 1);
         const operator_keys keys(path_.string());
         CPPUNIT_ASSERT(keys.check(request(new_key), 1010).value() == operator_role::editor);
@@ -68,7 +68,7 @@
         CPPUNIT_ASSERT(!keys.check(request(""), 1010).has_value());
     }
 
-    void a_changed_or_old_request_is_refused() {
+    void modified_or_expired_request_is_rejected() {
         write(std::string("ops editor ") + new_key + "\n", 1);
         const operator_keys keys(path_.string());
         signed_request changed = request(new_key);
--- a/tests/program_api/transport/peer_handshake_test.cpp
+++ b/tests/program_api/transport/peer_handshake_test.cpp
@@ -10,10 +10,10 @@
 class peer_handshake_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(peer_handshake_test);
     CPPUNIT_TEST(both_sides_become_ready);
-    CPPUNIT_TEST(another_key_is_refused_by_the_dialling_side);
-    CPPUNIT_TEST(another_node_at_the_address_is_refused);
-    CPPUNIT_TEST(a_proof_of_an_earlier_connection_is_refused);
-    CPPUNIT_TEST(any_bytes_are_refused);
+    CPPUNIT_TEST(wrong_key_is_rejected_by_the_dialling_side);
+    CPPUNIT_TEST(unexpected_node_is_rejected);
+    CPPUNIT_TEST(replayed_proof_is_rejected);
+    CPPUNIT_TEST(arbitrary_bytes_are_rejected);
     CPPUNIT_TEST_SUITE_END();
 
     const temporary_path file_{"handshake-keys"};
@@ -34,7 +34,7 @@
         CPPUNIT_ASSERT(ended.ready && !ended.send.has_value());
     }
 
-    void another_key_is_refused_by_the_dialling_side() {
+    void wrong_key_is_rejected_by_the_dialling_side() {
         peer_handshake dialling(keys_, "a", "b");
         peer_handshake accepting(other_keys_, "b", {});
         const auto answered = accepting.receive(*dialling.begin());
@@ -43,25 +43,25 @@
         CPPUNIT_ASSERT_EQUAL(std::string("wrong key"), refused.refusal);
     }
 
-    void another_node_at_the_address_is_refused() {
+    void unexpected_node_is_rejected() {
         peer_handshake dialling(keys_, "a", "b");
         peer_handshake accepting(keys_, "c", {});
         const auto answered = accepting.receive(*dialling.begin());
         CPPUNIT_ASSERT(!dialling.receive(*answered.send).refusal.empty());
     }
 
-    void a_proof_of_an_earlier_connection_is_refused() {
+    void replayed_proof_is_rejected() {
         peer_handshake dialling(keys_, "a", "b");
         peer_handshake accepting(keys_, "b", {});
-        const std::string greeting = *dialling.begin();
-        const auto proof = dialling.receive(*accepting.receive(greeting).send).send;
-        // The same greeting and proof once more, on another connection.
-        peer_handshake again(keys_, "b", {});
-        again.receive(greeting);
-        CPPUNIT_ASSERT_EQUAL(std::string("wrong key"), again.receive(*proof).refusal);
+        const std::string hello_message = *dialling.begin();
+        const auto proof = dialling.receive(*accepting.receive(hello_message).send).send;
+        // Replays the hello and the proof on another connection.
+        peer_handshake second_accepting(keys_, "b", {});
+        second_accepting.receive(hello_message);
+        CPPUNIT_ASSERT_EQUAL(std::string("wrong key"), second_accepting.receive(*proof).refusal);
     }
 
-    void any_bytes_are_refused() {
+    void arbitrary_bytes_are_rejected() {
         check_property("no bytes make either side ready", [this] {
             peer_handshake accepting(keys_, "b", {});
             const auto first = accepting.receive(*any_bytes());
--- a/tests/sim/checkers_test.cpp
+++ b/tests/sim/checkers_test.cpp
@@ -6,11 +6,11 @@
 
 using namespace sim;
 
-/// Each checker must flag a history made by hand that breaks its point, and pass a good one.
+/// Each checker must flag a hand-made run that violates its property and accept a valid run.
 class checkers_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(checkers_test);
-    CPPUNIT_TEST(a_good_history_passes);
-    CPPUNIT_TEST(each_bad_history_is_flagged);
+    CPPUNIT_TEST(a_valid_run_passes);
+    CPPUNIT_TEST(each_violation_is_flagged);
     CPPUNIT_TEST_SUITE_END();
 
     static instant at(int seconds) { return instant(std::chrono::seconds(seconds)); }
@@ -63,9 +63,9 @@
         return record;
     }
 
-    void a_good_history_passes() { CPPUNIT_ASSERT(flagged(good()).empty()); }
+    void a_valid_run_passes() { CPPUNIT_ASSERT(flagged(good()).empty()); }
 
-    void each_bad_history_is_flagged() {
+    void each_violation_is_flagged() {
         std::map<std::string, observations> bad;
         bad["order"] = good();
         bad["order"].ledger.push_back(entry(1, 2, 5));
--- a/tests/sim/found_failures_test.cpp
+++ b/tests/sim/found_failures_test.cpp
@@ -5,19 +5,19 @@
 
 namespace tallyfold::tests {
 
-/// Seeds that once broke a point. A seed's schedule moves when the code does, so the causes have
-/// tests of their own beside these.
+/// Regression test for seeds that violated a property. A seed's schedule changes with the code,
+/// so each cause also has a test of its own.
 class found_failures_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(found_failures_test);
-    CPPUNIT_TEST(seeds_that_failed_pass);
-    CPPUNIT_TEST(a_seed_gives_the_same_run_twice);
+    CPPUNIT_TEST(formerly_failing_seeds_pass);
+    CPPUNIT_TEST(runs_are_deterministic_per_seed);
     CPPUNIT_TEST_SUITE_END();
 
     static std::map<std::string, std::string> policies() {
         return sim::read_policies(source_root() + "/policies");
     }
 
-    void seeds_that_failed_pass() {
+    void formerly_failing_seeds_pass() {
         for (const std::uint64_t seed :
              {6,   48,  62,  92,  162, 212, 282,   325,   392,   482,  513,
               524, 561, 617, 667, 673, 678, 11554, 21255, 21564, 21867}) {
@@ -29,7 +29,7 @@
         }
     }
 
-    void a_seed_gives_the_same_run_twice() {
+    void runs_are_deterministic_per_seed() {
         std::vector<std::string> first;
         std::vector<std::string> second;
         (void)sim::run_with_faults(13, policies(),
--- a/tests/support/directory_group.hpp
+++ b/tests/support/directory_group.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Directory nodes on a network with a delay, in virtual time. Nodes may be cut off from the
-/// others; whoever holds a core may still ask it, as a forwarder that reaches it would. Some may
-/// know the first form of messages alone, as those of the build before did.
+/// Simulated directory nodes on a network with a fixed delay, in virtual time. A node can be
+/// partitioned from the others while tests still query its core directly, and can be limited to the
+/// first message format.
 
 #include <deque>
 #include <map>
@@ -40,15 +40,15 @@
     }
     [[nodiscard]] instant now() const { return now_; }
 
-    /// Messages from and to this node are lost from now on.
-    void cut(const node_name& address) { cut_.insert(address); }
-    void heal(const node_name& address) { cut_.erase(address); }
-    /// The node is one of the build that knows the first form alone, or no longer is.
+    /// Drops all messages from and to this node until it is healed.
+    void cut(const node_name& address) { partitioned_.insert(address); }
+    void heal(const node_name& address) { partitioned_.erase(address); }
+    /// Sets whether the node supports the first format only.
     void set_first_format(const node_name& address, bool first) {
         if (first) {
-            first_format_.insert(address);
+            first_format_nodes_.insert(address);
         } else {
-            first_format_.erase(address);
+            first_format_nodes_.erase(address);
         }
     }
 
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Runs until a node leads and has committed; empty when none does within ten seconds.
+    /// Runs until a node is leader and has committed in its term. @return its address; empty when
+    /// there is none within ten seconds
     node_name run_until_led() {
         for (int count = 0; count < 1'000; ++count) {
             run(step);
@@ -77,7 +78,7 @@
         return {};
     }
 
-    /// Nodes that don't lead.
+    /// @return addresses of all nodes that aren't leader
     [[nodiscard]] std::vector<node_name> followers() const {
         std::vector<node_name> found;
         for (const auto& [address, core] : nodes_) {
@@ -88,7 +89,7 @@
         return found;
     }
 
-    /// Has the leader put a configuration in force. @return false when it isn't committed in 1 s
+    /// Submits a configuration to the leader. @return false when it isn't committed within 1 s
     bool change(const node_name& leader, const routing::configuration& configuration) {
         node(leader).submit(++token_, directory::replace_configuration{configuration, {}});
         drain(leader);
@@ -96,7 +97,7 @@
         return node(leader).state().configuration().version == configuration.version;
     }
 
-    /// Does what a core has gathered. Its disk needs no time.
+    /// Performs all pending work of a core; writes complete at once.
     void drain(const node_name& address) {
         directory::directory_core& core = node(address);
         for (directory::directory_work work = core.take_work(); !work.empty();
@@ -110,7 +111,7 @@
     }
 
   private:
-    struct message_under_way {
+    struct message_in_flight {
         instant arrives;
         node_name from;
         directory::addressed_message message;
@@ -124,19 +125,22 @@
 
     void deliver() {
         while (!network_.empty() && network_.front().arrives <= now_) {
-            const message_under_way next = std::move(network_.front());
+            const message_in_flight next = std::move(network_.front());
             network_.pop_front();
             const node_name& to = next.message.to;
-            if (cut_.contains(next.from) || cut_.contains(to) || !nodes_.contains(to)) {
+            if (partitioned_.contains(next.from) || partitioned_.contains(to) ||
+                !nodes_.contains(to)) {
                 continue;
             }
             using protocol::format_version;
-            const bool first = first_format_.contains(next.from) || first_format_.contains(to);
+            const bool first =
+                first_format_nodes_.contains(next.from) || first_format_nodes_.contains(to);
             node(to).record_peer_format(
                 next.from,
-                first_format_.contains(next.from) ? format_version::v1 : format_version::v2, now_);
+                first_format_nodes_.contains(next.from) ? format_version::v1 : format_version::v2,
+                now_);
             if (const auto* message = std::get_if<consensus::replica_message>(&next.message.body)) {
-                const auto read = first ? replica_message_through_first_format(*message) : *message;
+                const auto read = first ? reencode_replica_message(*message) : *message;
                 if (read) {
                     node(to).receive(next.from, *read, now_);
                 }
@@ -152,9 +156,9 @@
 
     instant now_{std::chrono::seconds(1)};
     std::map<node_name, std::unique_ptr<directory::directory_core>> nodes_;
-    std::deque<message_under_way> network_;
-    std::set<node_name> cut_;
-    std::set<node_name> first_format_;
+    std::deque<message_in_flight> network_;
+    std::set<node_name> partitioned_;
+    std::set<node_name> first_format_nodes_;
     directory::request_token token_ = 0;
 };
 
--- a/tests/support/replica_group.hpp
+++ b/tests/support/replica_group.hpp
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Replicas of one group on a network that drops, delays, duplicates and reorders at the choice
-/// of a seed. Disks hold what was synced; a crash loses the rest.
+/// Simulated replicas of one consensus group on a network that drops, delays, duplicates and
+/// reorders messages by a seeded generator. A crash loses all state that wasn't synced to disk.
 
 #include <map>
 #include <set>
@@ -18,12 +18,12 @@
   public:
     replica_group(std::size_t size, std::uint64_t seed) : random_(seed) {
         for (std::size_t number = 1; number <= size; ++number) {
-            first_.members[number] = {"node-" + std::to_string(number), false};
+            initial_membership_.members[number] = {"node-" + std::to_string(number), false};
         }
-        for (const auto& [id, member] : first_.members) {
+        for (const auto& [id, member] : initial_membership_.members) {
             consensus::recovered_state start;
             start.state.term = 1;
-            start.base = {1, 1, first_, {}};
+            start.base = {1, 1, initial_membership_, {}};
             consensus::group_write write;
             write.state = start.state;
             write.base = start.base;
@@ -32,7 +32,8 @@
         }
     }
 
-    /// One random step: time passes, a message arrives or is lost, a replica crashes or returns.
+    /// Performs a random step: advances time, may crash or restart a replica, propose and read, and
+    /// delivers or drops some messages.
     void step(double crash_share) {
         now_ += std::chrono::milliseconds(random_.between(1, 20));
         for (auto& [id, replica] : replicas_) {
@@ -45,9 +46,9 @@
             propose("v" + std::to_string(++proposals_));
         }
         if (random_.chance(0.3)) {
-            read(1 + random_.below(first_.members.size()));
+            read(1 + random_.below(initial_membership_.members.size()));
         }
-        pump();
+        process_ready();
         deliver_some();
     }
 
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Asks a replica whether its state is the newest.
+    /// Requests a linearizable read at a replica.
     void read(consensus::replica_id id) {
         const auto found = replicas_.find(id);
         if (found == replicas_.end()) {
@@ -72,9 +73,9 @@
         }
     }
 
-    /// Runs without faults until some replica leads and has committed, or the steps run out.
+    /// Runs without faults. @return whether a replica committed as leader within `steps` steps
     bool settle(int steps = 2000) {
-        for (const auto& [id, member] : first_.members) {
+        for (const auto& [id, member] : initial_membership_.members) {
             if (!replicas_.contains(id)) {
                 start(id);
             }
@@ -84,7 +85,7 @@
             for (auto& [id, replica] : replicas_) {
                 replica.tick(now_);
             }
-            pump();
+            process_ready();
             while (!network_.empty()) {
                 deliver(0);
             }
@@ -97,13 +98,13 @@
         return false;
     }
 
-    /// Lets time pass at one replica, whose messages reach nobody.
+    /// Advances time at one replica only; no messages are delivered.
     void run_alone(consensus::replica_id id, duration time) {
         const instant end = now_ + time;
         while (now_ < end) {
             now_ += std::chrono::milliseconds(10);
             replicas_.at(id).tick(now_);
-            pump();
+            process_ready();
         }
     }
 
@@ -115,7 +116,7 @@
         replicas_.emplace(id, consensus::replica_fsm(settings, disks_.at(id).state(), now_));
     }
 
-    /// What went wrong so far; empty when every rule held.
+    /// The last violation of an invariant; empty when there was none.
     [[nodiscard]] const std::string& violation() const { return violation_; }
     [[nodiscard]] std::size_t committed() const { return committed_.size(); }
     [[nodiscard]] std::size_t confirmed_reads() const { return confirmed_reads_; }
@@ -126,7 +127,7 @@
 
   private:
     void crash_or_restart() {
-        const consensus::replica_id id = 1 + random_.below(first_.members.size());
+        const consensus::replica_id id = 1 + random_.below(initial_membership_.members.size());
         if (replicas_.contains(id)) {
             crash(id);
         } else {
@@ -134,11 +135,11 @@
         }
     }
 
-    void pump() {
+    void process_ready() {
         for (auto& [id, replica] : replicas_) {
             while (replica.has_ready()) {
                 consensus::ready work = replica.take_ready();
-                note_leader(id, replica);
+                check_leader(id, replica);
                 consensus::group_write write;
                 write.state = work.new_state;
                 write.base = work.received_snapshot;
@@ -150,17 +151,17 @@
                     replica.persisted(work.new_entries.back().index, work.new_entries.back().term);
                 }
                 for (const consensus::log_entry& entry : work.committed) {
-                    note_committed(entry);
+                    check_committed(entry);
                 }
                 for (const std::uint64_t token : work.confirmed_reads) {
-                    note_read(token, replica.commit_index());
+                    check_confirmed_read(token, replica.commit_index());
                 }
                 failed_reads_ += work.failed_reads.size();
             }
         }
     }
 
-    void note_leader(consensus::replica_id id, const consensus::replica_fsm& replica) {
+    void check_leader(consensus::replica_id id, const consensus::replica_fsm& replica) {
         if (replica.role() != consensus::replica_role::leader) {
             return;
         }
@@ -170,19 +171,20 @@
         }
     }
 
-    void note_committed(const consensus::log_entry& entry) {
+    void check_committed(const consensus::log_entry& entry) {
         const auto [known, added] = committed_.try_emplace(entry.index, entry);
         if (!added && !(known->second == entry)) {
-            violation_ = "two entries were committed at " + std::to_string(entry.index);
+            violation_ =
+                "two different entries were committed at index " + std::to_string(entry.index);
         }
     }
 
-    /// A confirmed read has to see everything that was committed when it was asked for.
-    void note_read(std::uint64_t token, consensus::log_index seen) {
+    /// Checks that a confirmed read covers every entry committed when it was requested.
+    void check_confirmed_read(std::uint64_t token, consensus::log_index seen) {
         ++confirmed_reads_;
         if (seen < reads_.at(token)) {
-            violation_ = "a read saw the log up to " + std::to_string(seen) + ", committed were " +
-                         std::to_string(reads_.at(token));
+            violation_ = "a read was confirmed at index " + std::to_string(seen) +
+                         ", but committed was " + std::to_string(reads_.at(token));
         }
     }
 
@@ -213,19 +215,19 @@
         const auto target = replicas_.find(message.to);
         if (target != replicas_.end()) {
             target->second.step(message, now_);
-            pump();
+            process_ready();
         }
     }
 
     random_source random_;
     instant now_{std::chrono::seconds(1000)};
-    consensus::membership first_;
+    consensus::membership initial_membership_;
     std::map<consensus::replica_id, consensus::durable_group> disks_;
     std::map<consensus::replica_id, consensus::replica_fsm> replicas_;
     std::vector<consensus::replica_message> network_;
     std::map<consensus::term_number, consensus::replica_id> leaders_;
     std::map<consensus::log_index, consensus::log_entry> committed_;
-    /// The newest committed position when each read was asked for.
+    /// Newest committed index at the time of each read request.
     std::map<std::uint64_t, consensus::log_index> reads_;
     std::uint64_t reads_asked_ = 0;
     std::size_t confirmed_reads_ = 0;
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Stores with disks, a forwarder and the planner of the groups, on a network that delays, reorders
-/// and loses messages at the choice of a seed. Machines crash, lose their disks, and are emptied
-/// and taken away. Programs continue their own turns and those of others.
+/// Simulation of turn stores, a forwarder and the store planner on a network that delays, reorders
+/// and drops messages by a seeded generator. Machines crash, lose their disks, and are retired.
+/// Programs continue their own turns and those of others.
 
 #include <algorithm>
 #include <set>
@@ -18,10 +18,10 @@
 
 /// When a machine may lose its disk.
 enum class disk_losses : std::uint8_t {
-    /// Once the group that lost the one before is whole again.
+    /// Only when every group is complete again after the previous loss.
     one_at_a_time,
-    /// At any time, also while a change is open, as long as each acknowledged turn and each
-    /// admitted request stays on the disk of another machine. All power is lost at times as well.
+    /// At any time, also during a membership change, as long as each acknowledged turn and each
+    /// admitted request is on the disk of another machine. Power losses of all machines occur too.
     in_series,
 };
 
@@ -47,13 +47,13 @@
     void run(int steps) {
         for (int step = 0; step < steps; ++step) {
             now_ += std::chrono::milliseconds(random_.between(1, 12));
-            act();
+            perform_random_action();
         }
-        settle_down();
+        run_until_settled();
     }
 
-    /// A disk is lost, its successor copies all that there is, and before the directory hears of it
-    /// all power is lost together with a second disk.
+    /// Wipes a disk and lets its replacement copy all data; then, before the replacement has
+    /// reported this to the directory, loses power on all machines and wipes a second disk.
     void lose_a_second_disk_while_a_change_is_open() {
         fleet_.machine(0).store.reset();
         fleet_.wipe_disk(0);
@@ -66,24 +66,24 @@
                           [](const turns::store_map& map) { return map.changing(); }));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, open);
         for (int round = 0; round < 60; ++round) {
-            exchange();
+            synchronize_stores();
         }
         CPPUNIT_ASSERT_EQUAL(state_.stores().epoch, fleet_.machine(0).store->copied_epoch());
         lose_power();
         fleet_.wipe_disk(2);
         planner_.start(now_);
-        settle_down();
+        run_until_settled();
     }
 
-    /// True when a program that is new begins its first turn.
-    bool serves_new_programs() { return continues({}, "new-program"); }
+    /// @return whether the first turn of a new program is admitted
+    bool serves_new_programs() { return admits_continuation({}, "new-program"); }
 
-    /// Turns that were settled and can't be continued any more, by their own program or another.
+    /// @return settled turns that can't be continued, by their own program or by another one
     std::vector<std::string> lost_turns() {
         std::vector<std::string> lost;
         for (const auto& [turn, program] : forwarder_.settled()) {
             for (const std::string& asker : {program, std::string("checker-" + turn)}) {
-                if (!continues(turn, asker)) {
+                if (!admits_continuation(turn, asker)) {
                     lost.push_back(turn);
                 }
             }
@@ -96,7 +96,7 @@
     [[nodiscard]] int wipes() const { return wipes_; }
     [[nodiscard]] int crashes() const { return crashes_; }
     [[nodiscard]] int power_losses() const { return power_losses_; }
-    /// Disks that were lost while a change was open.
+    /// Number of disks lost while a group was incomplete or changing.
     [[nodiscard]] int wipes_in_change() const { return wipes_in_change_; }
     [[nodiscard]] int retired() const { return retired_; }
 
@@ -125,15 +125,15 @@
     }
 
     void plan() {
-        // Longer than the turns here are kept.
+        // Exceeds the retention of the simulated turns.
         planner_.update_incomplete_groups(state_, std::chrono::seconds(75), now_);
         if (const auto change = planner_.plan(state_, now_)) {
             state_.apply(*change);
         }
     }
 
-    /// One machine's loss is borne at a time: the next comes once the one before is made good.
-    [[nodiscard]] bool whole() const {
+    /// @return whether every group is complete, has no open change, and all its stores run
+    [[nodiscard]] bool groups_are_complete() const {
         for (const turns::store_map& map : state_.stores().groups) {
             if (map.changing() ||
                 map.current.size() != planner_settings(losses_borne_).group_size()) {
@@ -149,8 +149,8 @@
         return true;
     }
 
-    /// True when all that was acknowledged is on another machine's disk too.
-    [[nodiscard]] bool outlives(std::size_t number) const {
+    /// @return whether every admitted request and settled turn is also on another machine's disk
+    [[nodiscard]] bool data_survives_loss_of(std::size_t number) const {
         std::set<std::string> requests;
         std::set<std::string> turns;
         for (std::size_t other = 0; other < fleet_.size(); ++other) {
@@ -171,7 +171,7 @@
         fleet_.lose_power();
     }
 
-    void lose_disks_in_series() {
+    void wipe_random_disk() {
         const std::size_t number = random_.below(fleet_.size());
         if (random_.chance(0.1)) {
             lose_power();
@@ -180,21 +180,21 @@
             planner_.start(now_);
         }
         fleet_.machine(number).store.reset();
-        if (!outlives(number)) {
+        if (!data_survives_loss_of(number)) {
             return;
         }
         ++wipes_;
-        wipes_in_change_ += whole() ? 0 : 1;
+        wipes_in_change_ += groups_are_complete() ? 0 : 1;
         fleet_.wipe_disk(number);
     }
 
-    void lose_a_machine() {
+    void fail_random_machine() {
         if (losses_ == disk_losses::in_series) {
-            lose_disks_in_series();
+            wipe_random_disk();
             return;
         }
         const std::size_t number = random_.below(fleet_.size());
-        if (!whole() || fleet_.machine(number).taken_away || random_.chance(0.3)) {
+        if (!groups_are_complete() || fleet_.machine(number).removed || random_.chance(0.3)) {
             return;
         }
         fleet_.machine(number).store.reset();
@@ -206,23 +206,24 @@
         }
     }
 
-    void empty_a_machine() {
+    void retire_random_machine() {
         const std::size_t number = random_.below(fleet_.size());
-        if (retired_ == 0 && whole() && planner_.may_retire(state_, store_fleet::node_of(number))) {
+        if (retired_ == 0 && groups_are_complete() &&
+            planner_.may_retire(state_, store_fleet::node_of(number))) {
             state_.apply(
                 directory::retire_store{store_fleet::node_of(number),
                                         planner_.disks_of(state_, store_fleet::node_of(number))});
         }
     }
 
-    /// Machines that were emptied go, together with their disks.
-    void take_away_emptied() {
+    /// Removes retired machines that belong to no group any more, with their disks.
+    void remove_retired_machines() {
         for (std::size_t number = 0; number < fleet_.size(); ++number) {
             store_machine& emptied = fleet_.machine(number);
             const bool done = state_.retired().contains(emptied.identity) &&
                               !state_.stores().contains(emptied.identity);
-            if (done && !emptied.taken_away) {
-                emptied.taken_away = true;
+            if (done && !emptied.removed) {
+                emptied.removed = true;
                 emptied.store.reset();
                 emptied.disk.clear();
                 ++retired_;
@@ -230,52 +231,52 @@
         }
     }
 
-    void act() {
+    void perform_random_action() {
         const std::uint64_t choice = random_.below(100);
         const std::size_t number = random_.below(fleet_.size());
         if (choice < 42) {
-            // Faster than messages are made, or the queue would only grow and delay everything.
+            // The delivery rate must exceed the rate of sends, or the queue grows without bound.
             fleet_.deliver_some(4 * groups());
         } else if (choice < 58) {
             fleet_.flush(number);
         } else if (choice < 65) {
             forwarder_.begin_turn();
-        } else if (choice < 70 && forwarder_.has_beginnings()) {
-            forwarder_.continue_any_beginning();
-        } else if (choice < 74 && forwarder_.has_settlements()) {
-            forwarder_.resend_any_settlement();
+        } else if (choice < 70 && forwarder_.has_unfinished_begins()) {
+            forwarder_.continue_random_begin();
+        } else if (choice < 74 && forwarder_.has_unfinished_settlements()) {
+            forwarder_.resend_random_settlement();
         } else if (choice < 80) {
-            fleet_.copy_more(number);
+            fleet_.continue_copy(number);
         } else if (choice < 88) {
             report(number);
         } else if (choice < 92) {
             plan();
-            take_away_emptied();
+            remove_retired_machines();
         } else if (choice < 95 && fleet_.machine(number).store) {
             fleet_.machine(number).store->learn_table(state_.stores());
         } else if (choice < 96) {
             forwarder_.learn_table(state_.stores());
         } else if (choice < 97) {
-            lose_a_machine();
+            fail_random_machine();
         } else if (choice < 98 && random_.chance(0.4)) {
-            empty_a_machine();
-        } else if (!fleet_.machine(number).store && !fleet_.machine(number).taken_away) {
+            retire_random_machine();
+        } else if (!fleet_.machine(number).store && !fleet_.machine(number).removed) {
             fleet_.start(number);
         }
     }
 
-    /// All stores learn the table and copy, and all messages arrive; the directory plans nothing.
-    void exchange() {
+    /// Updates the group table of all stores, copies, and delivers all messages, without planning.
+    void synchronize_stores() {
         now_ += std::chrono::milliseconds(20);
         for (std::size_t number = 0; number < fleet_.size(); ++number) {
-            if (fleet_.machine(number).taken_away) {
+            if (fleet_.machine(number).removed) {
                 continue;
             }
             if (!fleet_.machine(number).store) {
                 fleet_.start(number);
             }
             fleet_.machine(number).store->learn_table(state_.stores());
-            fleet_.copy_more(number);
+            fleet_.continue_copy(number);
         }
         fleet_.deliver_all();
         for (std::size_t number = 0; number < fleet_.size(); ++number) {
@@ -283,19 +284,19 @@
         }
     }
 
-    /// Lets what is under way end, without further losses.
-    void settle_down() {
-        // What is still on its way must not make up for what the stores lack.
+    /// Stops the faults and runs until all pending changes and copies are complete.
+    void run_until_settled() {
+        // Messages in flight must not compensate for data that the stores lost.
         fleet_.lose_messages();
         forwarder_.stop();
         for (int round = 0; round < 400; ++round) {
-            exchange();
+            synchronize_stores();
             report_all();
             plan();
         }
     }
 
-    /// What a store answers, with all else at rest.
+    /// @return a store's reply, computed directly from its turn table
     turns::store_reply answer_of(const turns::addressed_request& question) {
         const store_machine& asked = fleet_.machine_at(question.store);
         const turns::turn_table& table = asked.store->turns();
@@ -319,7 +320,7 @@
             find.operation, asked.identity, {}, table.holds_turn(find.request)};
     }
 
-    bool continues(const std::string& turn, const std::string& program) {
+    bool admits_continuation(const std::string& turn, const std::string& program) {
         turns::begin_parameters question;
         question.reservation = {program, "c-" + turn, 1, 60'000};
         question.previous = turn;
