--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
@@ -38,7 +38,7 @@
     net::node_process& process_;
     const std::unique_ptr<directory_core>& core_;
     discovery::list_poller poller_;
-    discovery::list_memory list_;
+    discovery::backend_list_replica list_;
 };
 
 }  // namespace tallyfold::directory
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -29,7 +29,7 @@
     process_.every(settings_.report_interval, [this] { report(); });
 }
 
-void directory_client::share_list(discovery::list_memory& list,
+void directory_client::share_list(discovery::backend_list_replica& list,
                                   std::function<void(bool changed)> on_list) {
     list_ = &list;
     on_list_ = std::move(on_list);
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -44,7 +44,8 @@
                std::function<std::vector<store_report>()> describe_store);
     /// Keeps `list` up to date with the directory nodes' list of back ends.
     /// @param on_list called after each answer that contains the list
-    void share_list(discovery::list_memory& list, std::function<void(bool changed)> on_list);
+    void share_list(discovery::backend_list_replica& list,
+                    std::function<void(bool changed)> on_list);
     /// Merges a group's map that was received from another source.
     void learn_map(const turns::store_map& map);
     /// Waits until it is proved that this node holds the configuration that was the newest at the
@@ -118,7 +119,7 @@
     configuration_handler on_configuration_;
     stores_handler on_stores_;
     std::function<std::vector<store_report>()> describe_store_;
-    discovery::list_memory* list_ = nullptr;
+    discovery::backend_list_replica* list_ = nullptr;
     std::function<void(bool changed)> on_list_;
     std::function<void(const messaging::peer_message&)> on_other_message_;
     std::function<void(const std::vector<discovery::relayed_failure>&)> on_relayed_failures_;
--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -52,7 +52,8 @@
     return result;
 }
 
-void list_memory::replace(std::vector<listed_backend> backends, list_fingerprint fingerprint) {
+void backend_list_replica::replace(std::vector<listed_backend> backends,
+                                   list_fingerprint fingerprint) {
     differences_.clear();
     if (kept_lists_ > 0 && known()) {
         earlier_.push_back({fingerprint_, std::move(backends_)});
@@ -64,7 +65,7 @@
     fingerprint_ = fingerprint;
 }
 
-bool list_memory::see(const std::vector<listed_backend>& backends, instant now) {
+bool backend_list_replica::see(const std::vector<listed_backend>& backends, instant now) {
     seen_ = now;
     // Sorted by name, so that the fingerprint does not depend on the order of the entries.
     std::vector<listed_backend> sorted = with_changes({}, {backends, {}});
@@ -76,7 +77,7 @@
     return true;
 }
 
-bool list_memory::learn(const list_sight& sight, instant now) {
+bool backend_list_replica::learn(const list_sight& sight, instant now) {
     const instant seen = now - std::chrono::milliseconds(sight.age_ms);
     if (known() && seen <= seen_) {
         return false;
@@ -100,7 +101,8 @@
     return true;
 }
 
-const list_changes& list_memory::changes_from(list_fingerprint held, list_fingerprint& base) {
+const list_changes& backend_list_replica::changes_from(list_fingerprint held,
+                                                       list_fingerprint& base) {
     const auto earlier =
         std::find_if(earlier_.begin(), earlier_.end(),
                      [held](const earlier_list& list) { return list.fingerprint == held; });
@@ -113,8 +115,8 @@
     return entry->second;
 }
 
-std::vector<list_sight> list_memory::update_for(list_fingerprint held, duration held_age,
-                                                instant now) {
+std::vector<list_sight> backend_list_replica::update_for(list_fingerprint held, duration held_age,
+                                                         instant now) {
     if (!known() || (held != 0 && seen_ <= now - held_age)) {
         return {};
     }
--- a/src/tallyfold/plane/discovery/types.hpp
+++ b/src/tallyfold/plane/discovery/types.hpp
@@ -73,11 +73,11 @@
 };
 
 /// The newest list that this node holds, polled by itself or received from another node. Pure.
-class list_memory {
+class backend_list_replica {
   public:
     /// @param kept_lists number of earlier lists to keep, so that nodes that hold one of them can
     /// be sent differences
-    explicit list_memory(std::size_t kept_lists = 0) : kept_lists_(kept_lists) {}
+    explicit backend_list_replica(std::size_t kept_lists = 0) : kept_lists_(kept_lists) {}
 
     /// Records a list that this node has polled.
     /// @return true when it differs from the one held
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -76,7 +76,7 @@
     tenants::quota_client quotas_;
     turns::turn_client turns_;
     discovery::list_poller poller_;
-    discovery::list_memory list_;
+    discovery::backend_list_replica list_;
     call_ranking ranking_;
     forwarder_context context_;
     caller_listener callers_;
--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -28,9 +28,9 @@
     }
 
     void older_update_does_not_replace_newer_list() {
-        list_memory slow;
+        backend_list_replica slow;
         slow.see(list(false), at(0));
-        list_memory node;
+        backend_list_replica node;
         node.see(list(true), at(500));
         CPPUNIT_ASSERT(!node.learn(slow.update_for(0, {}, at(1000)).front(), at(1000)));
         CPPUNIT_ASSERT(node.backends().front().member.leaving);
@@ -42,24 +42,24 @@
     }
 
     void update_of_held_list_has_no_contents() {
-        list_memory sender;
+        backend_list_replica sender;
         sender.see(list(false), at(700));
-        list_memory node;
+        backend_list_replica node;
         node.see(list(false), at(0));
         const list_sight sight =
             sender.update_for(node.fingerprint(), std::chrono::seconds(1), at(1000)).front();
         CPPUNIT_ASSERT(sight.changes.changed.empty() && sight.changes.removed.empty());
         CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
         CPPUNIT_ASSERT(node.seen() == at(700));
-        CPPUNIT_ASSERT(list_memory{}.update_for(0, {}, at(0)).empty());
+        CPPUNIT_ASSERT(backend_list_replica{}.update_for(0, {}, at(0)).empty());
     }
 
     void update_without_contents_of_other_list_is_ignored() {
-        list_memory sender;
+        backend_list_replica sender;
         sender.see(list(true), at(700));
         list_sight sight =
             sender.update_for(sender.fingerprint(), std::chrono::seconds(1), at(1000)).front();
-        list_memory node;
+        backend_list_replica node;
         node.see(list(false), at(0));
         CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
         CPPUNIT_ASSERT(!node.backends().front().member.leaving);
@@ -80,9 +80,9 @@
     /// forwarder after each change.
     void holder_of_earlier_list_receives_differences() {
         constexpr std::size_t kept = 8;
-        list_memory sender(kept);
+        backend_list_replica sender(kept);
         sender.see(numbered(1, 500), at(0));
-        list_memory node;
+        backend_list_replica node;
         CPPUNIT_ASSERT(node.learn(sender.update_for(0, {}, at(10)).front(), at(10)));
         auto later = numbered(2, 501);
         later[5].member.leaving = true;
@@ -96,19 +96,19 @@
     }
 
     void differences_from_other_base_are_ignored() {
-        list_memory sender(1);
+        backend_list_replica sender(1);
         sender.see(numbered(1, 9), at(0));
         const list_fingerprint first = sender.fingerprint();
         sender.see(numbered(1, 10), at(100));
         const list_sight sight = sender.update_for(first, std::chrono::seconds(1), at(200)).front();
-        list_memory other;
+        backend_list_replica other;
         other.see(numbered(3, 9), at(50));
         CPPUNIT_ASSERT(!other.learn(sight, at(200)));
         CPPUNIT_ASSERT(other.backends() == numbered(3, 9));
     }
 
     void holder_of_newer_list_receives_no_update() {
-        list_memory sender(1);
+        backend_list_replica sender(1);
         sender.see(numbered(1, 9), at(0));
         CPPUNIT_ASSERT(sender.update_for(77, std::chrono::milliseconds(100), at(500)).empty());
         CPPUNIT_ASSERT(!sender.update_for(77, std::chrono::milliseconds(900), at(500)).empty());
