--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -20,7 +20,7 @@
 void backend_list_sharing::start() {
     poller_.start(
         [this](const std::vector<discovery::listed_backend>& backends) {
-            list_.see(backends, http::steady_now());
+            list_.record_poll(backends, http::steady_now());
         },
         [this] { return is_poller(); });
 }
--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -65,7 +65,7 @@
     fingerprint_ = fingerprint;
 }
 
-bool backend_list_replica::see(const std::vector<listed_backend>& backends, instant now) {
+bool backend_list_replica::record_poll(const std::vector<listed_backend>& backends, instant now) {
     seen_ = now;
     // Sorted by name, so that the fingerprint does not depend on the order of the entries.
     std::vector<listed_backend> sorted = with_changes({}, {backends, {}});
--- a/src/tallyfold/plane/discovery/types.hpp
+++ b/src/tallyfold/plane/discovery/types.hpp
@@ -81,7 +81,7 @@
 
     /// Records a list that this node has polled.
     /// @return true when it differs from the one held
-    bool see(const std::vector<listed_backend>& backends, instant now);
+    bool record_poll(const std::vector<listed_backend>& backends, instant now);
     /// Applies an update from another node.
     /// @return true when the update is newer and changes the list
     bool learn(const list_sight& sight, instant now);
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -251,7 +251,7 @@
     directory_.share_list(list_, [this](bool changed) { apply_backend_list(changed); });
     poller_.start(
         [this](const std::vector<discovery::listed_backend>& backends) {
-            apply_backend_list(list_.see(backends, http::steady_now()));
+            apply_backend_list(list_.record_poll(backends, http::steady_now()));
         },
         [this, started = http::steady_now()] {
             return discovery::forwarder_polls(list_.seen(), started, http::steady_now());
--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -29,9 +29,9 @@
 
     void older_update_does_not_replace_newer_list() {
         backend_list_replica slow;
-        slow.see(list(false), at(0));
+        slow.record_poll(list(false), at(0));
         backend_list_replica node;
-        node.see(list(true), at(500));
+        node.record_poll(list(true), at(500));
         CPPUNIT_ASSERT(!node.learn(slow.update_for(0, {}, at(1000)).front(), at(1000)));
         CPPUNIT_ASSERT(node.backends().front().member.leaving);
         CPPUNIT_ASSERT(slow.learn(
@@ -43,9 +43,9 @@
 
     void update_of_held_list_has_no_contents() {
         backend_list_replica sender;
-        sender.see(list(false), at(700));
+        sender.record_poll(list(false), at(700));
         backend_list_replica node;
-        node.see(list(false), at(0));
+        node.record_poll(list(false), at(0));
         const list_sight sight =
             sender.update_for(node.fingerprint(), std::chrono::seconds(1), at(1000)).front();
         CPPUNIT_ASSERT(sight.changes.changed.empty() && sight.changes.removed.empty());
@@ -56,11 +56,11 @@
 
     void update_without_contents_of_other_list_is_ignored() {
         backend_list_replica sender;
-        sender.see(list(true), at(700));
+        sender.record_poll(list(true), at(700));
         list_sight sight =
             sender.update_for(sender.fingerprint(), std::chrono::seconds(1), at(1000)).front();
         backend_list_replica node;
-        node.see(list(false), at(0));
+        node.record_poll(list(false), at(0));
         CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
         CPPUNIT_ASSERT(!node.backends().front().member.leaving);
     }
@@ -81,12 +81,12 @@
     void holder_of_earlier_list_receives_differences() {
         constexpr std::size_t kept = 8;
         backend_list_replica sender(kept);
-        sender.see(numbered(1, 500), at(0));
+        sender.record_poll(numbered(1, 500), at(0));
         backend_list_replica node;
         CPPUNIT_ASSERT(node.learn(sender.update_for(0, {}, at(10)).front(), at(10)));
         auto later = numbered(2, 501);
         later[5].member.leaving = true;
-        sender.see(later, at(500));
+        sender.record_poll(later, at(500));
         const list_sight sight =
             sender.update_for(node.fingerprint(), std::chrono::milliseconds(600), at(600)).front();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sight.changes.changed.size());
@@ -97,19 +97,19 @@
 
     void differences_from_other_base_are_ignored() {
         backend_list_replica sender(1);
-        sender.see(numbered(1, 9), at(0));
+        sender.record_poll(numbered(1, 9), at(0));
         const list_fingerprint first = sender.fingerprint();
-        sender.see(numbered(1, 10), at(100));
+        sender.record_poll(numbered(1, 10), at(100));
         const list_sight sight = sender.update_for(first, std::chrono::seconds(1), at(200)).front();
         backend_list_replica other;
-        other.see(numbered(3, 9), at(50));
+        other.record_poll(numbered(3, 9), at(50));
         CPPUNIT_ASSERT(!other.learn(sight, at(200)));
         CPPUNIT_ASSERT(other.backends() == numbered(3, 9));
     }
 
     void holder_of_newer_list_receives_no_update() {
         backend_list_replica sender(1);
-        sender.see(numbered(1, 9), at(0));
+        sender.record_poll(numbered(1, 9), at(0));
         CPPUNIT_ASSERT(sender.update_for(77, std::chrono::milliseconds(100), at(500)).empty());
         CPPUNIT_ASSERT(!sender.update_for(77, std::chrono::milliseconds(900), at(500)).empty());
     }
