--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -29,7 +29,7 @@
     discovery::poller_election election;
     election.leads = core_ && core_->leads();
     election.known = list_.known();
-    election.age = http::steady_now() - list_.seen();
+    election.age = http::steady_now() - list_.last_polled_at();
     election.rank = core_ ? core_->rank_behind_leader() : 0;
     return election.should_poll();
 }
@@ -57,7 +57,7 @@
     // Requests the list only: store groups and the configuration arrive through the log.
     report.stores = core_->state().stores().epoch;
     report.list = list_.fingerprint();
-    const duration age = http::steady_now() - list_.seen();
+    const duration age = http::steady_now() - list_.last_polled_at();
     report.list_age_ms = static_cast<std::uint32_t>(list_.known() ? to_milliseconds(age) : 0);
     return report;
 }
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -77,7 +77,7 @@
     report.wants_list = list_ != nullptr;
     if (list_ != nullptr) {
         report.list = list_->fingerprint();
-        const duration age = http::steady_now() - list_->seen();
+        const duration age = http::steady_now() - list_->last_polled_at();
         report.list_age_ms = static_cast<std::uint32_t>(list_->known() ? to_milliseconds(age) : 0);
     }
     if (describe_store_) {
--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -66,7 +66,7 @@
 }
 
 bool backend_list_replica::record_poll(const std::vector<listed_backend>& backends, instant now) {
-    seen_ = now;
+    last_polled_at_ = now;
     // Sorted by name, so that the fingerprint does not depend on the order of the entries.
     std::vector<listed_backend> sorted = with_changes({}, {backends, {}});
     const list_fingerprint fingerprint = fingerprint_of(sorted);
@@ -78,12 +78,12 @@
 }
 
 bool backend_list_replica::learn(const list_sight& sight, instant now) {
-    const instant seen = now - std::chrono::milliseconds(sight.age_ms);
-    if (known() && seen <= seen_) {
+    const instant polled_at = now - std::chrono::milliseconds(sight.age_ms);
+    if (known() && polled_at <= last_polled_at_) {
         return false;
     }
     if (sight.fingerprint == fingerprint_) {
-        seen_ = seen;
+        last_polled_at_ = polled_at;
         return false;
     }
     if (sight.base != 0 && sight.base != fingerprint_) {
@@ -96,7 +96,7 @@
     if (fingerprint_of(updated) != sight.fingerprint) {
         return false;
     }
-    seen_ = seen;
+    last_polled_at_ = polled_at;
     replace(std::move(updated), sight.fingerprint);
     return true;
 }
@@ -117,13 +117,13 @@
 
 std::vector<list_sight> backend_list_replica::update_for(list_fingerprint held, duration held_age,
                                                          instant now) {
-    if (!known() || (held != 0 && seen_ <= now - held_age)) {
+    if (!known() || (held != 0 && last_polled_at_ <= now - held_age)) {
         return {};
     }
     list_sight sight;
     sight.fingerprint = fingerprint_;
-    sight.age_ms =
-        static_cast<std::uint32_t>(std::max<std::int64_t>(0, to_milliseconds(now - seen_)));
+    sight.age_ms = static_cast<std::uint32_t>(
+        std::max<std::int64_t>(0, to_milliseconds(now - last_polled_at_)));
     if (held != fingerprint_) {
         sight.changes = changes_from(held, sight.base);
     }
--- a/src/tallyfold/plane/discovery/types.hpp
+++ b/src/tallyfold/plane/discovery/types.hpp
@@ -95,7 +95,7 @@
     [[nodiscard]] const std::vector<listed_backend>& backends() const { return backends_; }
     [[nodiscard]] bool known() const { return fingerprint_ != 0; }
     /// When some node last polled the list held.
-    [[nodiscard]] instant seen() const { return seen_; }
+    [[nodiscard]] instant last_polled_at() const { return last_polled_at_; }
 
   private:
     struct earlier_list {
@@ -112,7 +112,7 @@
     std::size_t kept_lists_;
     std::vector<listed_backend> backends_;
     list_fingerprint fingerprint_ = 0;
-    instant seen_{};
+    instant last_polled_at_{};
     std::deque<earlier_list> earlier_;
     /// Differences to the current list by their base, computed on demand.
     std::map<list_fingerprint, list_changes> differences_;
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -118,7 +118,7 @@
 }
 
 void forwarder_node::apply_backend_list(bool changed) {
-    backends_.update(list_.backends(), list_.seen());
+    backends_.update(list_.backends(), list_.last_polled_at());
     if (!changed) {
         return;
     }
@@ -254,7 +254,7 @@
             apply_backend_list(list_.record_poll(backends, http::steady_now()));
         },
         [this, started = http::steady_now()] {
-            return discovery::forwarder_polls(list_.seen(), started, http::steady_now());
+            return discovery::forwarder_polls(list_.last_polled_at(), started, http::steady_now());
         });
 }
 
--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -38,7 +38,7 @@
             node.update_for(slow.fingerprint(), std::chrono::seconds(1), at(1000)).front(),
             at(1000)));
         CPPUNIT_ASSERT(slow.backends().front().member.leaving);
-        CPPUNIT_ASSERT(slow.seen() == at(500));
+        CPPUNIT_ASSERT(slow.last_polled_at() == at(500));
     }
 
     void update_of_held_list_has_no_contents() {
@@ -50,7 +50,7 @@
             sender.update_for(node.fingerprint(), std::chrono::seconds(1), at(1000)).front();
         CPPUNIT_ASSERT(sight.changes.changed.empty() && sight.changes.removed.empty());
         CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
-        CPPUNIT_ASSERT(node.seen() == at(700));
+        CPPUNIT_ASSERT(node.last_polled_at() == at(700));
         CPPUNIT_ASSERT(backend_list_replica{}.update_for(0, {}, at(0)).empty());
     }
 
