--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -36,7 +36,7 @@
 
 void backend_list_sharing::on_leader_answer(const node_report_answer& answer) {
     for (const discovery::list_sight& sight : answer.list) {
-        list_.learn(sight, http::steady_now());
+        list_.apply_update(sight, http::steady_now());
     }
 }
 
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -206,7 +206,7 @@
     }
     for (const discovery::list_sight& sight : answer.list) {
         if (list_ != nullptr) {
-            on_list_(list_->learn(sight, last_answer_at_));
+            on_list_(list_->apply_update(sight, last_answer_at_));
         }
     }
 }
--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -77,7 +77,7 @@
     return true;
 }
 
-bool backend_list_replica::learn(const list_sight& sight, instant now) {
+bool backend_list_replica::apply_update(const list_sight& sight, instant now) {
     const instant polled_at = now - std::chrono::milliseconds(sight.age_ms);
     if (known() && polled_at <= last_polled_at_) {
         return false;
--- a/src/tallyfold/plane/discovery/types.hpp
+++ b/src/tallyfold/plane/discovery/types.hpp
@@ -84,7 +84,7 @@
     bool record_poll(const std::vector<listed_backend>& backends, instant now);
     /// Applies an update from another node.
     /// @return true when the update is newer and changes the list
-    bool learn(const list_sight& sight, instant now);
+    bool apply_update(const list_sight& sight, instant now);
     /// Returns the update for a node that holds the list `held`; empty when this node holds none or
     /// none that is newer.
     /// @param held_age time since some node polled the list `held`
--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -32,9 +32,9 @@
         slow.record_poll(list(false), at(0));
         backend_list_replica node;
         node.record_poll(list(true), at(500));
-        CPPUNIT_ASSERT(!node.learn(slow.update_for(0, {}, at(1000)).front(), at(1000)));
+        CPPUNIT_ASSERT(!node.apply_update(slow.update_for(0, {}, at(1000)).front(), at(1000)));
         CPPUNIT_ASSERT(node.backends().front().member.leaving);
-        CPPUNIT_ASSERT(slow.learn(
+        CPPUNIT_ASSERT(slow.apply_update(
             node.update_for(slow.fingerprint(), std::chrono::seconds(1), at(1000)).front(),
             at(1000)));
         CPPUNIT_ASSERT(slow.backends().front().member.leaving);
@@ -49,7 +49,7 @@
         const list_sight sight =
             sender.update_for(node.fingerprint(), std::chrono::seconds(1), at(1000)).front();
         CPPUNIT_ASSERT(sight.changes.changed.empty() && sight.changes.removed.empty());
-        CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
+        CPPUNIT_ASSERT(!node.apply_update(sight, at(1000)));
         CPPUNIT_ASSERT(node.last_polled_at() == at(700));
         CPPUNIT_ASSERT(backend_list_replica{}.update_for(0, {}, at(0)).empty());
     }
@@ -61,7 +61,7 @@
             sender.update_for(sender.fingerprint(), std::chrono::seconds(1), at(1000)).front();
         backend_list_replica node;
         node.record_poll(list(false), at(0));
-        CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
+        CPPUNIT_ASSERT(!node.apply_update(sight, at(1000)));
         CPPUNIT_ASSERT(!node.backends().front().member.leaving);
     }
 
@@ -83,7 +83,7 @@
         backend_list_replica sender(kept);
         sender.record_poll(numbered(1, 500), at(0));
         backend_list_replica node;
-        CPPUNIT_ASSERT(node.learn(sender.update_for(0, {}, at(10)).front(), at(10)));
+        CPPUNIT_ASSERT(node.apply_update(sender.update_for(0, {}, at(10)).front(), at(10)));
         auto later = numbered(2, 501);
         later[5].member.leaving = true;
         sender.record_poll(later, at(500));
@@ -91,7 +91,7 @@
             sender.update_for(node.fingerprint(), std::chrono::milliseconds(600), at(600)).front();
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sight.changes.changed.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sight.changes.removed.size());
-        CPPUNIT_ASSERT(node.learn(sight, at(600)));
+        CPPUNIT_ASSERT(node.apply_update(sight, at(600)));
         CPPUNIT_ASSERT(node.backends() == sender.backends());
     }
 
@@ -103,7 +103,7 @@
         const list_sight sight = sender.update_for(first, std::chrono::seconds(1), at(200)).front();
         backend_list_replica other;
         other.record_poll(numbered(3, 9), at(50));
-        CPPUNIT_ASSERT(!other.learn(sight, at(200)));
+        CPPUNIT_ASSERT(!other.apply_update(sight, at(200)));
         CPPUNIT_ASSERT(other.backends() == numbered(3, 9));
     }
 
