--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -35,13 +35,13 @@
 }
 
 void backend_list_sharing::on_leader_answer(const node_report_answer& answer) {
-    for (const discovery::list_sight& sight : answer.list) {
-        list_.apply_update(sight, http::steady_now());
+    for (const discovery::list_update& update : answer.list) {
+        list_.apply_update(update, http::steady_now());
     }
 }
 
-std::vector<discovery::list_sight> backend_list_sharing::changes_for(const node_report& report,
-                                                                     instant now) {
+std::vector<discovery::list_update> backend_list_sharing::changes_for(const node_report& report,
+                                                                      instant now) {
     if (!report.wants_list) {
         return {};
     }
--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.hpp
@@ -25,8 +25,8 @@
     void on_leader_answer(const node_report_answer& answer);
     /// Returns the changes that the reporting node lacks; empty when it holds the newest list or
     /// does not use it.
-    [[nodiscard]] std::vector<discovery::list_sight> changes_for(const node_report& report,
-                                                                 instant now);
+    [[nodiscard]] std::vector<discovery::list_update> changes_for(const node_report& report,
+                                                                  instant now);
     /// Returns the report that requests the list from the leader; empty at the leader and when no
     /// leader is known.
     [[nodiscard]] std::optional<node_report> list_request() const;
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -204,9 +204,9 @@
             on_stores_(stores_);
         }
     }
-    for (const discovery::list_sight& sight : answer.list) {
+    for (const discovery::list_update& update : answer.list) {
         if (list_ != nullptr) {
-            on_list_(list_->apply_update(sight, last_answer_at_));
+            on_list_(list_->apply_update(update, last_answer_at_));
         }
     }
 }
--- a/src/tallyfold/plane/directory/messages.hpp
+++ b/src/tallyfold/plane/directory/messages.hpp
@@ -74,7 +74,7 @@
     std::vector<std::string> directory_addresses;
     /// The list of back ends as known to this node; at most one entry. Not part of the log, so it
     /// may come from any node.
-    std::vector<discovery::list_sight> list;
+    std::vector<discovery::list_update> list;
     /// The question that is answered: no newer configuration was in force when it was asked. 0
     /// without a proof.
     std::uint64_t question = 0;
--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -77,27 +77,27 @@
     return true;
 }
 
-bool backend_list_replica::apply_update(const list_sight& sight, instant now) {
-    const instant polled_at = now - std::chrono::milliseconds(sight.age_ms);
+bool backend_list_replica::apply_update(const list_update& update, instant now) {
+    const instant polled_at = now - std::chrono::milliseconds(update.age_ms);
     if (known() && polled_at <= last_polled_at_) {
         return false;
     }
-    if (sight.fingerprint == fingerprint_) {
+    if (update.fingerprint == fingerprint_) {
         last_polled_at_ = polled_at;
         return false;
     }
-    if (sight.base != 0 && sight.base != fingerprint_) {
+    if (update.base != 0 && update.base != fingerprint_) {
         return false;
     }
-    const bool is_full_list = sight.base == 0;
+    const bool is_full_list = update.base == 0;
     std::vector<listed_backend> updated =
-        with_changes(is_full_list ? std::vector<listed_backend>{} : backends_, sight.changes);
+        with_changes(is_full_list ? std::vector<listed_backend>{} : backends_, update.changes);
     // The changes were applied to a different list; the sender will send them again.
-    if (fingerprint_of(updated) != sight.fingerprint) {
+    if (fingerprint_of(updated) != update.fingerprint) {
         return false;
     }
     last_polled_at_ = polled_at;
-    replace(std::move(updated), sight.fingerprint);
+    replace(std::move(updated), update.fingerprint);
     return true;
 }
 
@@ -115,19 +115,19 @@
     return entry->second;
 }
 
-std::vector<list_sight> backend_list_replica::update_for(list_fingerprint held, duration held_age,
-                                                         instant now) {
+std::vector<list_update> backend_list_replica::update_for(list_fingerprint held, duration held_age,
+                                                          instant now) {
     if (!known() || (held != 0 && last_polled_at_ <= now - held_age)) {
         return {};
     }
-    list_sight sight;
-    sight.fingerprint = fingerprint_;
-    sight.age_ms = static_cast<std::uint32_t>(
+    list_update update;
+    update.fingerprint = fingerprint_;
+    update.age_ms = static_cast<std::uint32_t>(
         std::max<std::int64_t>(0, to_milliseconds(now - last_polled_at_)));
     if (held != fingerprint_) {
-        sight.changes = changes_from(held, sight.base);
+        update.changes = changes_from(held, update.base);
     }
-    return {sight};
+    return {update};
 }
 
 }  // namespace tallyfold::discovery
--- a/src/tallyfold/plane/discovery/types.hpp
+++ b/src/tallyfold/plane/discovery/types.hpp
@@ -57,7 +57,7 @@
                                          const list_changes& changes);
 
 /// Update of the list, as sent between nodes.
-struct list_sight {
+struct list_update {
     list_fingerprint fingerprint = 0;
     /// Time from the poll of the list to the sending of this message, in milliseconds.
     std::uint32_t age_ms = 0;
@@ -84,12 +84,12 @@
     bool record_poll(const std::vector<listed_backend>& backends, instant now);
     /// Applies an update from another node.
     /// @return true when the update is newer and changes the list
-    bool apply_update(const list_sight& sight, instant now);
+    bool apply_update(const list_update& update, instant now);
     /// Returns the update for a node that holds the list `held`; empty when this node holds none or
     /// none that is newer.
     /// @param held_age time since some node polled the list `held`
-    [[nodiscard]] std::vector<list_sight> update_for(list_fingerprint held, duration held_age,
-                                                     instant now);
+    [[nodiscard]] std::vector<list_update> update_for(list_fingerprint held, duration held_age,
+                                                      instant now);
 
     [[nodiscard]] list_fingerprint fingerprint() const { return fingerprint_; }
     [[nodiscard]] const std::vector<listed_backend>& backends() const { return backends_; }
--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/list_memory_test.cpp
@@ -46,10 +46,10 @@
         sender.record_poll(list(false), at(700));
         backend_list_replica node;
         node.record_poll(list(false), at(0));
-        const list_sight sight =
+        const list_update update =
             sender.update_for(node.fingerprint(), std::chrono::seconds(1), at(1000)).front();
-        CPPUNIT_ASSERT(sight.changes.changed.empty() && sight.changes.removed.empty());
-        CPPUNIT_ASSERT(!node.apply_update(sight, at(1000)));
+        CPPUNIT_ASSERT(update.changes.changed.empty() && update.changes.removed.empty());
+        CPPUNIT_ASSERT(!node.apply_update(update, at(1000)));
         CPPUNIT_ASSERT(node.last_polled_at() == at(700));
         CPPUNIT_ASSERT(backend_list_replica{}.update_for(0, {}, at(0)).empty());
     }
@@ -57,11 +57,11 @@
     void update_without_contents_of_other_list_is_ignored() {
         backend_list_replica sender;
         sender.record_poll(list(true), at(700));
-        list_sight sight =
+        list_update update =
             sender.update_for(sender.fingerprint(), std::chrono::seconds(1), at(1000)).front();
         backend_list_replica node;
         node.record_poll(list(false), at(0));
-        CPPUNIT_ASSERT(!node.apply_update(sight, at(1000)));
+        CPPUNIT_ASSERT(!node.apply_update(update, at(1000)));
         CPPUNIT_ASSERT(!node.backends().front().member.leaving);
     }
 
@@ -87,11 +87,11 @@
         auto later = numbered(2, 501);
         later[5].member.leaving = true;
         sender.record_poll(later, at(500));
-        const list_sight sight =
+        const list_update update =
             sender.update_for(node.fingerprint(), std::chrono::milliseconds(600), at(600)).front();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sight.changes.changed.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sight.changes.removed.size());
-        CPPUNIT_ASSERT(node.apply_update(sight, at(600)));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, update.changes.changed.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.changes.removed.size());
+        CPPUNIT_ASSERT(node.apply_update(update, at(600)));
         CPPUNIT_ASSERT(node.backends() == sender.backends());
     }
 
@@ -100,10 +100,11 @@
         sender.record_poll(numbered(1, 9), at(0));
         const list_fingerprint first = sender.fingerprint();
         sender.record_poll(numbered(1, 10), at(100));
-        const list_sight sight = sender.update_for(first, std::chrono::seconds(1), at(200)).front();
+        const list_update update =
+            sender.update_for(first, std::chrono::seconds(1), at(200)).front();
         backend_list_replica other;
         other.record_poll(numbered(3, 9), at(50));
-        CPPUNIT_ASSERT(!other.apply_update(sight, at(200)));
+        CPPUNIT_ASSERT(!other.apply_update(update, at(200)));
         CPPUNIT_ASSERT(other.backends() == numbered(3, 9));
     }
 
