--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/backend_list_replica_test.cpp
@@ -7,8 +7,8 @@
 
 using namespace discovery;
 
-class list_memory_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(list_memory_test);
+class backend_list_replica_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(backend_list_replica_test);
     CPPUNIT_TEST(older_update_does_not_replace_newer_list);
     CPPUNIT_TEST(update_of_held_list_has_no_contents);
     CPPUNIT_TEST(update_without_contents_of_other_list_is_ignored);
@@ -134,6 +134,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(list_memory_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(backend_list_replica_test);
 
 }  // namespace tallyfold::tests
