--- a/src/tallyfold/plane/discovery/poller_election.hpp
+++ b/src/tallyfold/plane/discovery/poller_election.hpp
@@ -48,7 +48,7 @@
 /// limit.
 /// @param seen when some node last polled the list that this forwarder holds
 /// @param started when this process started
-[[nodiscard]] inline bool forwarder_polls(instant seen, instant started, instant now) {
+[[nodiscard]] inline bool should_forwarder_poll(instant seen, instant started, instant now) {
     return now - std::max(seen, started) > forwarder_poll_age;
 }
 
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -254,7 +254,8 @@
             apply_backend_list(list_.record_poll(backends, http::steady_now()));
         },
         [this, started = http::steady_now()] {
-            return discovery::forwarder_polls(list_.last_polled_at(), started, http::steady_now());
+            return discovery::should_forwarder_poll(list_.last_polled_at(), started,
+                                                    http::steady_now());
         });
 }
 
--- a/tests/plane/discovery/poller_election_test.cpp
+++ b/tests/plane/discovery/poller_election_test.cpp
@@ -20,11 +20,11 @@
 
     void started_forwarder_waits_before_polling() {
         const instant started = at(100'000);
-        CPPUNIT_ASSERT(!discovery::forwarder_polls(instant{}, started, at(100'050)));
-        CPPUNIT_ASSERT(discovery::forwarder_polls(instant{}, started, at(102'450)));
+        CPPUNIT_ASSERT(!discovery::should_forwarder_poll(instant{}, started, at(100'050)));
+        CPPUNIT_ASSERT(discovery::should_forwarder_poll(instant{}, started, at(102'450)));
         // After an update, the forwarder polls only when the list has become too old.
-        CPPUNIT_ASSERT(!discovery::forwarder_polls(at(101'000), started, at(103'300)));
-        CPPUNIT_ASSERT(discovery::forwarder_polls(at(101'000), started, at(103'500)));
+        CPPUNIT_ASSERT(!discovery::should_forwarder_poll(at(101'000), started, at(103'300)));
+        CPPUNIT_ASSERT(discovery::should_forwarder_poll(at(101'000), started, at(103'500)));
     }
 
     void the_leader_polls() {
