--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -158,7 +158,7 @@
     for (const std::string& address : answer.directory_addresses) {
         add_address(address);
     }
-    learn_leader(answer.leader, answer.term);
+    update_leader(answer.leader, answer.term);
     merge_stores_and_list(answer);
     if (settings_.wants_configuration) {
         on_configuration_report(from, answer);
@@ -235,7 +235,7 @@
     }
 }
 
-void directory_client::learn_leader(const node_name& leader, consensus::term_number term) {
+void directory_client::update_leader(const node_name& leader, consensus::term_number term) {
     if (!leader.empty() && term >= term_) {
         leader_ = leader;
         term_ = term;
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -69,7 +69,7 @@
         on_relayed_failures_ = std::move(handler);
     }
     /// Records the leader named by a directory node, unless its term is older than the known one.
-    void learn_leader(const node_name& leader, consensus::term_number term);
+    void update_leader(const node_name& leader, consensus::term_number term);
     /// Address of the leader in the newest known term; empty when unknown.
     [[nodiscard]] const node_name& leader() const { return leader_; }
     /// Adds seeds after a change of the settings.
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -110,7 +110,7 @@
         return;
     }
     report_sent_.reset();
-    directory_.learn_leader(answer.leader, answer.term);
+    directory_.update_leader(answer.leader, answer.term);
     if (!holder_.apply(answer, http::steady_now())) {
         // A lender that requires a full report gets it at once. A node that is not the lender may
         // have named the lender, which gets the report of the next tick.
