--- a/src/tallyfold/plane/turns/store_fsm.cpp
+++ b/src/tallyfold/plane/turns/store_fsm.cpp
@@ -16,7 +16,7 @@
 
 store_fsm::store_fsm(store_id self, const store_map& stored_map, turn_table recovered)
     : self_(self), turns_(std::move(recovered)), durable_epoch_(stored_map.epoch) {
-    learn_map(stored_map);
+    adopt_newer_map(stored_map);
     map_write_pending_ = false;
 }
 
@@ -66,7 +66,7 @@
 std::vector<addressed_reply> store_fsm::receive(peer_token from, const copy_request& request) {
     // No write under an older map is accepted after this. Writes accepted before are ahead in the
     // queue, so that the copy includes them.
-    learn_map(request.map);
+    adopt_newer_map(request.map);
     queue_.push_back({from, request});
     return {};
 }
@@ -75,7 +75,7 @@
     queue_.push_back({0, reply});
 }
 
-bool store_fsm::learn_map(const store_map& map) {
+bool store_fsm::adopt_newer_map(const store_map& map) {
     if (map.epoch <= map_.epoch) {
         return false;
     }
@@ -105,7 +105,7 @@
         [](const store_map* left, const store_map* right) { return left->epoch < right->epoch; });
     bool newer = false;
     for (const store_map* map : concerning) {
-        newer = learn_map(*map) || newer;
+        newer = adopt_newer_map(*map) || newer;
     }
     return newer;
 }
--- a/src/tallyfold/plane/turns/store_fsm.hpp
+++ b/src/tallyfold/plane/turns/store_fsm.hpp
@@ -62,7 +62,7 @@
     void receive(const copy_reply& reply);
     /// Adopts a newer map of the group that this store belongs or belonged to. @return true when it
     /// was newer
-    bool learn_map(const store_map& map);
+    bool adopt_newer_map(const store_map& map);
     /// Adopts the newer maps of the group that this store belongs or belonged to.
     /// @return true when any was newer
     bool learn_table(const store_table& table);
