--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -290,7 +290,7 @@
     links_[address]->send(message);
 }
 
-void directory_client::learn_map(const turns::store_map& map) {
+void directory_client::merge_map(const turns::store_map& map) {
     if (stores_.merge_newer(map)) {
         on_stores_(stores_);
     }
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -47,7 +47,7 @@
     void share_list(discovery::backend_list_replica& list,
                     std::function<void(bool changed)> on_list);
     /// Merges a group's map that was received from another source.
-    void learn_map(const turns::store_map& map);
+    void merge_map(const turns::store_map& map);
     /// Waits until it is proved that this node holds the configuration that was the newest at the
     /// time of the call, or until the limit. Concurrent callers share questions; a proof obtained
     /// immediately before is reused.
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -96,7 +96,7 @@
           settings.disabled),
       directory_(process_, client_settings(settings)),
       quotas_(process_, directory_),
-      turns_(process_, [this](const turns::store_map& map) { directory_.learn_map(map); }),
+      turns_(process_, [this](const turns::store_map& map) { directory_.merge_map(map); }),
       poller_(process_, lists),
       context_{process_, codec,    directory_, quotas_, turns_, backends_, connections_,
                metrics_, ranking_, {},         nullptr, {},     false},
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -120,7 +120,7 @@
     reply_channels_[from] = channel;
     const std::vector<addressed_reply> replies = dispatch(from, message);
     if (store_.map().epoch > epoch) {
-        directory_.learn_map(store_.map());
+        directory_.merge_map(store_.map());
     }
     send(replies);
     schedule_write();
@@ -203,7 +203,7 @@
                      [this](const store_table& stores) { on_store_table(stores); },
                      [this] { return std::vector<directory::store_report>{describe()}; });
     if (store_.map().epoch > 0) {
-        directory_.learn_map(store_.map());
+        directory_.merge_map(store_.map());
     }
     process_.every(expiry_interval, [this] { store_.expire(steady_now(), expiry_margin); });
     process_.every(repair_interval, [this] { writer_.repair(store_.turns()); });
