--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -25,7 +25,7 @@
     on_stores_ = std::move(on_stores);
     describe_store_ = std::move(describe_store);
     last_answer_at_ = http::steady_now();
-    use_seeds(process_.settings().seed_directories());
+    add_seeds(process_.settings().seed_directories());
     process_.every(settings_.report_interval, [this] { report(); });
 }
 
@@ -35,7 +35,7 @@
     on_list_ = std::move(on_list);
 }
 
-void directory_client::use_seeds(const std::vector<std::string>& peers) {
+void directory_client::add_seeds(const std::vector<std::string>& peers) {
     for (const std::string& peer : peers) {
         add_address(peer);
     }
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -73,7 +73,7 @@
     /// Address of the leader in the newest known term; empty when unknown.
     [[nodiscard]] const node_name& leader() const { return leader_; }
     /// Adds seeds after a change of the settings.
-    void use_seeds(const std::vector<std::string>& peers);
+    void add_seeds(const std::vector<std::string>& peers);
 
     [[nodiscard]] const turns::store_table& stores() const { return stores_; }
     [[nodiscard]] routing::configuration_version version() const { return fetch_.version(); }
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -291,7 +291,7 @@
     }
     return process_.run([this] { stop(); },
                         [this](const settings::node_settings& settings) {
-                            directory_.use_seeds(settings.seed_directories());
+                            directory_.add_seeds(settings.seed_directories());
                         });
 }
 
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -210,7 +210,7 @@
     process_.every(copy_check_interval, [this] { copy_.check_timeout(); });
     return process_.run([this] { process_.after(stop_delay, [this] { process_.finish(); }); },
                         [this](const settings::node_settings& settings) {
-                            directory_.use_seeds(settings.seed_directories());
+                            directory_.add_seeds(settings.seed_directories());
                         });
 }
 
