--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -34,8 +34,8 @@
     : settings_(std::move(settings)),
       identity_(identity),
       replica_(replica_settings_of(settings_, identity),
-               forms_directory(settings_, identity, recovered) ? first_state(settings_.seeds)
-                                                               : recovered,
+               creates_directory(settings_, identity, recovered) ? first_state(settings_.seeds)
+                                                                 : recovered,
                now),
       member_planner_(settings_.members),
       store_planner_(settings_.stores),
@@ -45,7 +45,7 @@
     }
     check_membership_entries();
     applied_ = replica_.log().snapshot_index();
-    if (forms_directory(settings_, identity, recovered)) {
+    if (creates_directory(settings_, identity, recovered)) {
         const consensus::recovered_state first = first_state(settings_.seeds);
         consensus::group_write write;
         write.group = configuration_group;
--- a/src/tallyfold/plane/directory/directory_settings.cpp
+++ b/src/tallyfold/plane/directory/directory_settings.cpp
@@ -46,8 +46,8 @@
     return state;
 }
 
-bool forms_directory(const directory_settings& settings, consensus::replica_id identity,
-                     const consensus::recovered_state& recovered) {
+bool creates_directory(const directory_settings& settings, consensus::replica_id identity,
+                       const consensus::recovered_state& recovered) {
     const bool is_seed = std::find(settings.seeds.begin(), settings.seeds.end(),
                                    settings.address) != settings.seeds.end();
     const bool is_empty =
--- a/src/tallyfold/plane/directory/directory_settings.hpp
+++ b/src/tallyfold/plane/directory/directory_settings.hpp
@@ -51,8 +51,8 @@
 
 /// True when this replica creates a new directory with the other seeds: the system's first start,
 /// with an empty disk. Otherwise it continues from its disk or asks to join.
-[[nodiscard]] bool forms_directory(const directory_settings& settings,
-                                   consensus::replica_id identity,
-                                   const consensus::recovered_state& recovered);
+[[nodiscard]] bool creates_directory(const directory_settings& settings,
+                                     consensus::replica_id identity,
+                                     const consensus::recovered_state& recovered);
 
 }  // namespace tallyfold::directory
