--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -34,7 +34,7 @@
     : settings_(std::move(settings)),
       identity_(identity),
       replica_(replica_settings_of(settings_, identity),
-               creates_directory(settings_, identity, recovered) ? first_state(settings_.seeds)
+               creates_directory(settings_, identity, recovered) ? initial_state(settings_.seeds)
                                                                  : recovered,
                now),
       member_planner_(settings_.members),
@@ -46,7 +46,7 @@
     check_membership_entries();
     applied_ = replica_.log().snapshot_index();
     if (creates_directory(settings_, identity, recovered)) {
-        const consensus::recovered_state first = first_state(settings_.seeds);
+        const consensus::recovered_state first = initial_state(settings_.seeds);
         consensus::group_write write;
         write.group = configuration_group;
         write.state = first.state;
--- a/src/tallyfold/plane/directory/directory_settings.cpp
+++ b/src/tallyfold/plane/directory/directory_settings.cpp
@@ -35,7 +35,7 @@
     return std::max<consensus::replica_id>(1, stable_hash(address));
 }
 
-consensus::recovered_state first_state(const std::vector<node_name>& seeds) {
+consensus::recovered_state initial_state(const std::vector<node_name>& seeds) {
     consensus::recovered_state state;
     state.state.term = first_term;
     state.base.index = first_index;
--- a/src/tallyfold/plane/directory/directory_settings.hpp
+++ b/src/tallyfold/plane/directory/directory_settings.hpp
@@ -47,7 +47,7 @@
 [[nodiscard]] consensus::replica_id first_identity(const node_name& address);
 
 /// State of a new directory: every seed is a voter under the identity derived from its address.
-[[nodiscard]] consensus::recovered_state first_state(const std::vector<node_name>& seeds);
+[[nodiscard]] consensus::recovered_state initial_state(const std::vector<node_name>& seeds);
 
 /// True when this replica creates a new directory with the other seeds: the system's first start,
 /// with an empty disk. Otherwise it continues from its disk or asks to join.
