--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -207,7 +207,7 @@
         log_format_wait("recovery=store_groups", *older_node, now);
     }
     if (auto change = store_planner_.plan(state_, now)) {
-        submit(own_command, std::move(*change));
+        submit(leader_command_token, std::move(*change));
     }
 }
 
--- a/src/tallyfold/plane/directory/pending_requests.cpp
+++ b/src/tallyfold/plane/directory/pending_requests.cpp
@@ -20,8 +20,9 @@
 }  // namespace
 
 bool pending_requests::has_own_command() const {
-    return std::any_of(commands_.begin(), commands_.end(),
-                       [](const auto& entry) { return entry.second.token == own_command; });
+    return std::any_of(commands_.begin(), commands_.end(), [](const auto& entry) {
+        return entry.second.token == leader_command_token;
+    });
 }
 
 std::optional<directory_answer> pending_requests::on_applied(consensus::log_index index,
@@ -32,7 +33,7 @@
     }
     const pending_command command = waiting->second;
     commands_.erase(waiting);
-    if (command.token == own_command) {
+    if (command.token == leader_command_token) {
         return std::nullopt;
     }
     const bool is_same_entry = command.term == term;
@@ -51,7 +52,7 @@
 std::vector<request_token> pending_requests::take_commands() {
     std::vector<request_token> tokens;
     for (const auto& [index, command] : commands_) {
-        if (command.token != own_command) {
+        if (command.token != leader_command_token) {
             tokens.push_back(command.token);
         }
     }
--- a/src/tallyfold/plane/directory/pending_requests.hpp
+++ b/src/tallyfold/plane/directory/pending_requests.hpp
@@ -14,7 +14,7 @@
 namespace tallyfold::directory {
 
 /// Token of the leader's own commands, which need no answer.
-constexpr request_token own_command = 0;
+constexpr request_token leader_command_token = 0;
 
 class pending_requests {
   public:
@@ -50,7 +50,7 @@
 
   private:
     struct pending_command {
-        request_token token = own_command;
+        request_token token = leader_command_token;
         consensus::term_number term = 0;
     };
 
--- a/tests/plane/directory/pending_requests_test.cpp
+++ b/tests/plane/directory/pending_requests_test.cpp
@@ -35,7 +35,7 @@
 
     void leaders_own_command_needs_no_answer() {
         pending_requests pending;
-        pending.add_command(5, own_command, 2);
+        pending.add_command(5, leader_command_token, 2);
         CPPUNIT_ASSERT(pending.has_own_command());
         CPPUNIT_ASSERT(!pending.on_applied(5, 2).has_value());
         CPPUNIT_ASSERT(!pending.has_own_command());
@@ -58,7 +58,7 @@
     void lost_leadership_ends_all_commands() {
         pending_requests pending;
         pending.add_command(5, 77, 2);
-        pending.add_command(6, own_command, 2);
+        pending.add_command(6, leader_command_token, 2);
         pending.add_command(7, 78, 2);
         CPPUNIT_ASSERT((pending.take_commands() == std::vector<request_token>{77, 78}));
         CPPUNIT_ASSERT(!pending.has_own_command());
