--- a/src/tallyfold/plane/directory/configuration_fetch.cpp
+++ b/src/tallyfold/plane/directory/configuration_fetch.cpp
@@ -29,7 +29,7 @@
     const bool is_full = change->base == routing::no_version;
     auto result = routing::apply(*change, is_full ? routing::configuration{} : base);
     if (!result) {
-        const bool is_base_mismatch = result.error() == routing::change_failure::other_base;
+        const bool is_base_mismatch = result.error() == routing::change_failure::base_mismatch;
         return tl::unexpected(
             is_base_mismatch
                 ? fetch_problem{fetch_failure::base_mismatch, "base version is not held"}
--- a/src/tallyfold/plane/routing/configuration_change.cpp
+++ b/src/tallyfold/plane/routing/configuration_change.cpp
@@ -123,7 +123,7 @@
 tl::expected<configuration, change_failure> apply(const configuration_change& change,
                                                   const configuration& base) {
     if (change.base != base.version) {
-        return tl::unexpected(change_failure::other_base);
+        return tl::unexpected(change_failure::base_mismatch);
     }
     configuration result;
     result.version = change.version;
--- a/src/tallyfold/plane/routing/configuration_change.hpp
+++ b/src/tallyfold/plane/routing/configuration_change.hpp
@@ -53,7 +53,7 @@
 
 enum class change_failure : std::uint8_t {
     /// The change applies to another version.
-    other_base,
+    base_mismatch,
     /// The change refers to items that the base does not have, or the result has another digest.
     damaged,
 };
--- a/tests/plane/routing/configuration_change_test.cpp
+++ b/tests/plane/routing/configuration_change_test.cpp
@@ -92,7 +92,7 @@
         const configuration_change change = difference(plain(1, 5), plain(2, 6));
         const auto result = apply(change, plain(3, 5));
         CPPUNIT_ASSERT(!result.has_value());
-        CPPUNIT_ASSERT(result.error() == change_failure::other_base);
+        CPPUNIT_ASSERT(result.error() == change_failure::base_mismatch);
     }
 
     void a_damaged_difference_is_refused() {
