--- a/src/tallyfold/plane/routing/configuration_change.cpp
+++ b/src/tallyfold/plane/routing/configuration_change.cpp
@@ -132,7 +132,7 @@
                           apply(change.services, base.services, result.services) &&
                           apply(change.tenants, base.tenants, result.tenants);
     if (!complete || digest_of(result) != change.digest) {
-        return tl::unexpected(change_failure::damaged);
+        return tl::unexpected(change_failure::result_mismatch);
     }
     return result;
 }
--- a/src/tallyfold/plane/routing/configuration_change.hpp
+++ b/src/tallyfold/plane/routing/configuration_change.hpp
@@ -55,7 +55,7 @@
     /// The change applies to another version.
     base_mismatch,
     /// The change refers to items that the base does not have, or the result has another digest.
-    damaged,
+    result_mismatch,
 };
 
 /// Returns a hash of the contents; equal on every node for equal configurations.
--- a/tests/plane/routing/configuration_change_test.cpp
+++ b/tests/plane/routing/configuration_change_test.cpp
@@ -99,15 +99,15 @@
         const configuration from = plain(1, 5);
         configuration_change beyond = difference(from, plain(2, 6));
         beyond.routes.runs.front().count = 9;
-        CPPUNIT_ASSERT(apply(beyond, from).error() == change_failure::damaged);
+        CPPUNIT_ASSERT(apply(beyond, from).error() == change_failure::result_mismatch);
         configuration_change altered = difference(from, plain(2, 6));
         altered.routes.runs.back().then.back().timeout_ms = 1;
-        CPPUNIT_ASSERT(apply(altered, from).error() == change_failure::damaged);
+        CPPUNIT_ASSERT(apply(altered, from).error() == change_failure::result_mismatch);
         // The base has the same version, but other contents.
         configuration other = plain(1, 5);
         other.routes[0].timeout_ms = 3;
         CPPUNIT_ASSERT(apply(difference(from, plain(2, 6)), other).error() ==
-                       change_failure::damaged);
+                       change_failure::result_mismatch);
     }
 };
 
