--- a/src/tallyfold/plane/directory/admin_codec.hpp
+++ b/src/tallyfold/plane/directory/admin_codec.hpp
@@ -15,7 +15,7 @@
     routing::configuration parsed;
     std::string text;
 };
-struct describe_call {};
+struct get_configuration_call {};
 struct retire_call {
     std::string node;
 };
@@ -28,8 +28,8 @@
     std::string reason;
 };
 
-using operator_call =
-    std::variant<replace_call, describe_call, retire_call, retire_state_call, invalid_call>;
+using operator_call = std::variant<replace_call, get_configuration_call, retire_call,
+                                   retire_state_call, invalid_call>;
 
 enum class retire_progress : std::uint8_t { running, succeeded };
 
--- a/tests/platform/platform_calls_fixture_test.cpp
+++ b/tests/platform/platform_calls_fixture_test.cpp
@@ -205,7 +205,7 @@
                              std::get<directory::replace_call>(replace).parsed.version);
         CPPUNIT_ASSERT(operator_calls().changes_configuration({"POST", "/v1/config/replace", ""}));
         CPPUNIT_ASSERT(!operator_calls().changes_configuration({"GET", "/v1/config/replace", ""}));
-        CPPUNIT_ASSERT(std::holds_alternative<directory::describe_call>(
+        CPPUNIT_ASSERT(std::holds_alternative<directory::get_configuration_call>(
             parsed("GET", "/v1/config/describe?x=1")));
         const auto retire = parsed("POST", "/v1/retire/node-1/start");
         CPPUNIT_ASSERT_EQUAL(std::string("node-1"), std::get<directory::retire_call>(retire).node);
