--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -77,7 +77,7 @@
     turn_session* turn_;
     http::event_stream_reader events_;
     /// Complete events of a resumable stream that were relayed to the caller.
-    http::whole_events relayed_events_;
+    http::event_boundary_filter relayed_events_;
     stream_pace pace_;
     bool started_ = false;
     bool fully_relayed_ = false;
--- a/src/tallyfold/plane/http/whole_events.cpp
+++ b/src/tallyfold/plane/http/whole_events.cpp
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-std::string whole_events::feed(std::string_view bytes) {
+std::string event_boundary_filter::feed(std::string_view bytes) {
     partial_ += bytes;
     std::string forwarded;
     std::string_view rest = partial_;
@@ -72,7 +72,7 @@
     return forwarded;
 }
 
-bool whole_events::accept_event(std::string_view event) {
+bool event_boundary_filter::accept_event(std::string_view event) {
     const std::string_view id = id_of(event);
     if (id.empty()) {
         return true;
--- a/src/tallyfold/plane/http/whole_events.hpp
+++ b/src/tallyfold/plane/http/whole_events.hpp
@@ -11,7 +11,7 @@
 
 namespace tallyfold::http {
 
-class whole_events {
+class event_boundary_filter {
   public:
     /// Adds input, which may be split at any byte. @return the events that are complete now and
     /// haven't been returned before
--- a/tests/plane/http/whole_events_test.cpp
+++ b/tests/plane/http/whole_events_test.cpp
@@ -1,5 +1,4 @@
 #include "tallyfold/plane/http/whole_events.hpp"
-
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
@@ -27,7 +26,7 @@
     }
 
     void withholds_incomplete_event() {
-        whole_events stream;
+        event_boundary_filter stream;
         CPPUNIT_ASSERT_EQUAL(event(1), stream.feed(event(1) + "id: 2\ndata: te"));
         CPPUNIT_ASSERT_EQUAL(std::string("1"), stream.last_id());
         stream.begin_anew();
@@ -35,7 +34,7 @@
     }
 
     void drops_repeated_events_after_resume() {
-        whole_events stream;
+        event_boundary_filter stream;
         stream.feed(events(1, 4));
         stream.begin_anew();
         CPPUNIT_ASSERT_EQUAL(events(5, 6), stream.feed(events(3, 6)));
@@ -43,7 +42,7 @@
     }
 
     void detects_missing_event_after_resume() {
-        whole_events stream;
+        event_boundary_filter stream;
         stream.feed(events(1, 4));
         stream.begin_anew();
         CPPUNIT_ASSERT_EQUAL(std::string{}, stream.feed(events(6, 7)));
@@ -51,7 +50,7 @@
     }
 
     void forwards_events_without_identifiers() {
-        whole_events stream;
+        event_boundary_filter stream;
         const std::string text = "data: a\r\n\r\ndata: b\n\n";
         CPPUNIT_ASSERT_EQUAL(text, stream.feed(text));
     }
@@ -60,7 +59,7 @@
         check_property("a stream cut anywhere and continued has each event once, in order", [] {
             const int count = *rc::gen::inRange(3, 30);
             const std::string whole = events(1, count);
-            whole_events stream;
+            event_boundary_filter stream;
             std::string forwarded;
             const auto cut =
                 static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(whole.size())));
