--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -13,8 +13,8 @@
 #include "tallyfold/plane/forwarding/forwarded_request.hpp"
 #include "tallyfold/plane/forwarding/stream_pace.hpp"
 #include "tallyfold/plane/forwarding/turn_session_shell.hpp"
+#include "tallyfold/plane/http/event_boundary_filter.hpp"
 #include "tallyfold/plane/http/event_stream.hpp"
-#include "tallyfold/plane/http/whole_events.hpp"
 
 namespace tallyfold::forwarding {
 
--- a/src/tallyfold/plane/http/whole_events.cpp
+++ b/src/tallyfold/plane/http/event_boundary_filter.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/http/whole_events.hpp"
+#include "tallyfold/plane/http/event_boundary_filter.hpp"
 
 #include <charconv>
 #include <optional>
