--- a/tests/plane/http/whole_events_test.cpp
+++ b/tests/plane/http/event_boundary_filter_test.cpp
@@ -1,12 +1,13 @@
 #include "tallyfold/plane/http/event_boundary_filter.hpp"
+
 #include "tests/support/suite.hpp"
 
 namespace tallyfold::tests {
 
 using namespace http;
 
-class whole_events_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(whole_events_test);
+class event_boundary_filter_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(event_boundary_filter_test);
     CPPUNIT_TEST(withholds_incomplete_event);
     CPPUNIT_TEST(drops_repeated_events_after_resume);
     CPPUNIT_TEST(detects_missing_event_after_resume);
@@ -79,6 +80,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(whole_events_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(event_boundary_filter_test);
 
 }  // namespace tallyfold::tests
