--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -161,7 +161,7 @@
 }
 
 std::string answer_relay::begin_stream(const http::message_head& head) {
-    relayed_events_.begin_anew();
+    relayed_events_.begin_response();
     if (started_) {
         return {};
     }
--- a/src/tallyfold/plane/http/event_boundary_filter.hpp
+++ b/src/tallyfold/plane/http/event_boundary_filter.hpp
@@ -19,7 +19,7 @@
     /// Bytes of the incomplete event at the end of the input.
     [[nodiscard]] const std::string& partial() const { return partial_; }
     /// Drops the incomplete event, before the first bytes of a further response.
-    void begin_anew() { partial_.clear(); }
+    void begin_response() { partial_.clear(); }
     /// Identifier of the last event returned; empty when none had an identifier.
     [[nodiscard]] const std::string& last_id() const { return last_id_; }
     [[nodiscard]] std::uint64_t events_with_id() const { return events_with_id_; }
--- a/tests/plane/http/event_boundary_filter_test.cpp
+++ b/tests/plane/http/event_boundary_filter_test.cpp
@@ -30,14 +30,14 @@
         event_boundary_filter stream;
         CPPUNIT_ASSERT_EQUAL(event(1), stream.feed(event(1) + "id: 2\ndata: te"));
         CPPUNIT_ASSERT_EQUAL(std::string("1"), stream.last_id());
-        stream.begin_anew();
+        stream.begin_response();
         CPPUNIT_ASSERT_EQUAL(event(2), stream.feed(event(2)));
     }
 
     void drops_repeated_events_after_resume() {
         event_boundary_filter stream;
         stream.feed(events(1, 4));
-        stream.begin_anew();
+        stream.begin_response();
         CPPUNIT_ASSERT_EQUAL(events(5, 6), stream.feed(events(3, 6)));
         CPPUNIT_ASSERT(stream.in_order());
     }
@@ -45,7 +45,7 @@
     void detects_missing_event_after_resume() {
         event_boundary_filter stream;
         stream.feed(events(1, 4));
-        stream.begin_anew();
+        stream.begin_response();
         CPPUNIT_ASSERT_EQUAL(std::string{}, stream.feed(events(6, 7)));
         CPPUNIT_ASSERT(!stream.in_order());
     }
@@ -70,7 +70,7 @@
                     stream.feed(std::string_view(whole).substr(at, std::min(piece, cut - at)));
                 at += piece;
             }
-            stream.begin_anew();
+            stream.begin_response();
             const int last = stream.last_id().empty() ? 0 : std::stoi(stream.last_id());
             const int first = std::max(1, last + 1 - *rc::gen::inRange(0, 3));
             forwarded += stream.feed(events(first, count));
