--- a/src/tallyfold/plane/forwarding/answer_rendering.cpp
+++ b/src/tallyfold/plane/forwarding/answer_rendering.cpp
@@ -43,7 +43,7 @@
 std::string render_relayed_head(const http::message_head& head, const relayed_framing& framing,
                                 bool keep_alive) {
     std::string text = "HTTP/1.1 " + std::to_string(head.status) + " " +
-                       std::string(http::reason_of(head.status)) + "\r\n";
+                       std::string(http::reason_phrase(head.status)) + "\r\n";
     const http::header_list kept = head.headers.end_to_end();
     for (const http::header_field& field : kept.fields()) {
         if (!http::same_name(field.name, "Content-Length")) {
--- a/src/tallyfold/plane/http/endpoint_messages.cpp
+++ b/src/tallyfold/plane/http/endpoint_messages.cpp
@@ -4,7 +4,7 @@
 
 std::string render_response(const endpoint_response& response, bool keep_alive) {
     std::string text = "HTTP/1.1 " + std::to_string(response.status) + " " +
-                       std::string(reason_of(response.status)) + "\r\n";
+                       std::string(reason_phrase(response.status)) + "\r\n";
     if (!response.body.empty()) {
         text += "Content-Type: " + response.content_type + "\r\n";
     }
--- a/src/tallyfold/plane/http/message.cpp
+++ b/src/tallyfold/plane/http/message.cpp
@@ -89,7 +89,7 @@
     return std::string_view(target).substr(0, target.find('?'));
 }
 
-std::string_view reason_of(unsigned status) {
+std::string_view reason_phrase(unsigned status) {
     switch (status) {
         case 200:
             return "OK";
--- a/src/tallyfold/plane/http/message.hpp
+++ b/src/tallyfold/plane/http/message.hpp
@@ -53,6 +53,6 @@
 };
 
 /// Standard reason phrase of a status.
-std::string_view reason_of(unsigned status);
+std::string_view reason_phrase(unsigned status);
 
 }  // namespace tallyfold::http
