--- a/src/tallyfold/plane/forwarding/caller_channel_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_channel_shell.cpp
@@ -39,7 +39,7 @@
 }
 
 void caller_channel::watch(std::function<void()> on_disconnect) {
-    connection_->watch_close(std::move(on_disconnect));
+    connection_->notify_on_close(std::move(on_disconnect));
 }
 
 }  // namespace tallyfold::forwarding
--- a/src/tallyfold/plane/forwarding/caller_channel_shell.hpp
+++ b/src/tallyfold/plane/forwarding/caller_channel_shell.hpp
@@ -25,7 +25,7 @@
     asio::awaitable<void> write_answer(const local_answer& answer);
     /// Calls `on_disconnect` once when the client disconnects while its request is served.
     void watch(std::function<void()> on_disconnect);
-    void stop_watching() { connection_->stop_watching(); }
+    void cancel_close_notification() { connection_->cancel_close_notification(); }
     void mark_disconnected() { disconnected_ = true; }
     /// Resets the connection, so that the client can't take a truncated answer for a complete one.
     void abort() { connection_->abort(); }
--- a/src/tallyfold/plane/forwarding/request_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/request_relay_shell.cpp
@@ -169,7 +169,7 @@
     if (!ran) {
         admission_.return_permit();
     }
-    caller_.stop_watching();
+    caller_.cancel_close_notification();
     if (turn_ && turn_->open()) {
         turn_->settle_unanswered(answer_ ? answer_->generated_tokens() : 0);
     }
--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -210,7 +210,7 @@
     co_return tl::expected<void, io_failure>{};
 }
 
-void connection::watch_close(std::function<void()> closed) {
+void connection::notify_on_close(std::function<void()> closed) {
     const std::uint64_t number = ++close_watch_id_;
     socket_.async_wait(asio::ip::tcp::socket::wait_read, [weak = weak_from_this(), number,
                                                           closed = std::move(closed)](
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -62,8 +62,8 @@
     void next_message() { parser_.next_message(); }
 
     /// Calls `closed` at most once, when the peer closes the connection while no read is pending.
-    void watch_close(std::function<void()> closed);
-    void stop_watching() { ++close_watch_id_; }
+    void notify_on_close(std::function<void()> closed);
+    void cancel_close_notification() { ++close_watch_id_; }
     /// True when an idle connection has unread bytes or is closed, so that it can't be reused.
     [[nodiscard]] bool stale();
 
