--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -63,7 +63,7 @@
     }
     std::string body;
     while (true) {
-        auto piece = co_await connection_->read_body_piece(deadline);
+        auto piece = co_await connection_->read_body_chunk(deadline);
         if (!piece) {
             co_return tl::unexpected("read: " + std::string(http::name_of(piece.error())));
         }
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.cpp
@@ -100,7 +100,7 @@
                                                              instant until) {
     std::string body;
     do {
-        auto piece = co_await connection->read_body_piece(until);
+        auto piece = co_await connection->read_body_chunk(until);
         if (!piece) {
             co_return body_failure(piece.error());
         }
@@ -126,7 +126,7 @@
     const bool resumable_stream = success && chunked_ && request_.route.resumable;
     bool complete = false;
     while (!complete) {
-        auto piece = co_await connection->read_body_piece(request_.budget.deadline());
+        auto piece = co_await connection->read_body_chunk(request_.budget.deadline());
         if (!piece) {
             attempt_result result = body_failure(piece.error());
             result.connection_closed = resumable_stream && !result.timed_out;
--- a/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
+++ b/src/tallyfold/plane/forwarding/backend_attempt_shell.cpp
@@ -145,7 +145,7 @@
 
 asio::awaitable<bool> backend_attempt::drain_body(instant until) {
     while (!connection_->message_complete()) {
-        const auto piece = co_await connection_->read_body_piece(until);
+        const auto piece = co_await connection_->read_body_chunk(until);
         if (!piece) {
             co_return false;
         }
--- a/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
+++ b/src/tallyfold/plane/forwarding/caller_listener_shell.cpp
@@ -140,7 +140,7 @@
                                                  caller_request& request) {
     const duration idle_timeout = std::chrono::milliseconds(bounds.idle_timeout_ms);
     while (true) {
-        auto piece = co_await caller->read_body_piece(http::steady_now() + idle_timeout);
+        auto piece = co_await caller->read_body_chunk(http::steady_now() + idle_timeout);
         if (!piece) {
             if (piece.error() == http::io_failure::timed_out) {
                 co_await reject(caller, 408, "the body did not come in time");
--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -173,7 +173,7 @@
     }
 }
 
-asio::awaitable<tl::expected<std::string, io_failure>> connection::read_body_piece(
+asio::awaitable<tl::expected<std::string, io_failure>> connection::read_body_chunk(
     instant deadline) {
     const auto self = shared_from_this();
     while (true) {
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -52,7 +52,7 @@
     /// Waits for the first byte of the next message.
     asio::awaitable<tl::expected<void, io_failure>> wait_for_message(instant deadline);
     /// Reads the next body bytes; an empty string once the message is complete.
-    asio::awaitable<tl::expected<std::string, io_failure>> read_body_piece(instant deadline);
+    asio::awaitable<tl::expected<std::string, io_failure>> read_body_chunk(instant deadline);
     asio::awaitable<tl::expected<void, io_failure>> write(std::string bytes, instant deadline);
 
     [[nodiscard]] const message_head& head() const { return parser_.head(); }
--- a/src/tallyfold/plane/http/endpoint_server_shell.cpp
+++ b/src/tallyfold/plane/http/endpoint_server_shell.cpp
@@ -50,7 +50,7 @@
                                                                        instant deadline) {
     std::string body;
     do {
-        auto piece = co_await caller->read_body_piece(deadline);
+        auto piece = co_await caller->read_body_chunk(deadline);
         if (!piece) {
             co_return std::nullopt;
         }
