--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -64,7 +64,7 @@
             if (!up) {
                 fetch_.on_disconnect(address);
             }
-            messaging::log_link(address, "directory", up, reason);
+            messaging::log_link_state(address, "directory", up, reason);
         });
 }
 
--- a/src/tallyfold/plane/directory/directory_links_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_links_shell.cpp
@@ -23,7 +23,7 @@
                 }
             },
             [address](bool up, const std::string& reason) {
-                messaging::log_link(address, "directory", up, reason);
+                messaging::log_link_state(address, "directory", up, reason);
             });
     }
     return *link;
--- a/src/tallyfold/plane/messaging/link_log.cpp
+++ b/src/tallyfold/plane/messaging/link_log.cpp
@@ -4,8 +4,8 @@
 
 namespace tallyfold::messaging {
 
-void log_link(const std::string& address, std::string_view role, bool up,
-              const std::string& reason) {
+void log_link_state(const std::string& address, std::string_view role, bool up,
+                    const std::string& reason) {
     const std::string peer = "peer=" + address + " role=" + std::string(role);
     if (up) {
         logging::write_event(logging::event_id::peer_connected, peer);
--- a/src/tallyfold/plane/messaging/link_log.hpp
+++ b/src/tallyfold/plane/messaging/link_log.hpp
@@ -8,7 +8,7 @@
 namespace tallyfold::messaging {
 
 /// Logs that the connection to a node was established, or was lost for `reason`.
-void log_link(const std::string& address, std::string_view role, bool up,
-              const std::string& reason);
+void log_link_state(const std::string& address, std::string_view role, bool up,
+                    const std::string& reason);
 
 }  // namespace tallyfold::messaging
--- a/src/tallyfold/plane/turns/turn_client_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_client_shell.cpp
@@ -41,7 +41,7 @@
         store.link->start(
             [this, id](const messaging::peer_message& message) { on_message(id, message); },
             [this, id, address = member.address](bool up, const std::string& reason) {
-                messaging::log_link(address, "store", up, reason);
+                messaging::log_link_state(address, "store", up, reason);
                 if (up) {
                     resend_to(id);
                 }
