--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -38,7 +38,7 @@
     while (input_.size() - offset >= frame_header_size) {
         std::uint32_t length = 0;
         std::memcpy(&length, input_.data() + offset, sizeof(length));
-        if (length > largest_frame) {
+        if (length > max_frame_payload_bytes) {
             close_on_protocol_error("frame of " + std::to_string(length) +
                                     " bytes exceeds the size limit");
             return false;
--- a/src/tallyfold/plane/messaging/peer_message.hpp
+++ b/src/tallyfold/plane/messaging/peer_message.hpp
@@ -38,7 +38,7 @@
                  directory::configuration_part>;
 
 /// Limit of a frame's payload, far above the size of any valid message; longer frames are rejected.
-constexpr std::size_t largest_frame = 32U << 20U;
+constexpr std::size_t max_frame_payload_bytes = 32U << 20U;
 /// A frame starts with the length of its payload in four bytes.
 constexpr std::size_t frame_header_size = 4;
 
