--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -26,7 +26,7 @@
     describe_store_ = std::move(describe_store);
     last_answer_at_ = http::steady_now();
     add_seeds(process_.settings().seed_directories());
-    process_.every(settings_.report_interval, [this] { report(); });
+    process_.run_every(settings_.report_interval, [this] { report(); });
 }
 
 void directory_client::share_list(discovery::backend_list_replica& list,
--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -149,9 +149,9 @@
 }
 
 void directory_node::start_timers() {
-    process_.every(list_request_interval, [this] { request_list_from_leader(); });
-    process_.every(propagation_check_interval, [this] { check_propagation(); });
-    process_.every(tick_interval, [this] { tick(); });
+    process_.run_every(list_request_interval, [this] { request_list_from_leader(); });
+    process_.run_every(propagation_check_interval, [this] { check_propagation(); });
+    process_.run_every(tick_interval, [this] { tick(); });
 }
 
 int directory_node::run() {
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -261,10 +261,10 @@
 
 void forwarder_node::start_periodic_work() {
     reload_policy();
-    process_.every(policy_check_interval, [this] { reload_policy(); });
-    process_.every(housekeeping_interval, [this] { connections_.expire(http::steady_now()); });
-    process_.every(admission_window::interval, [this] { adjust_admission(); });
-    process_.every(silence_check_interval, [this] { eject_silent_backends(); });
+    process_.run_every(policy_check_interval, [this] { reload_policy(); });
+    process_.run_every(housekeeping_interval, [this] { connections_.expire(http::steady_now()); });
+    process_.run_every(admission_window::interval, [this] { adjust_admission(); });
+    process_.run_every(silence_check_interval, [this] { eject_silent_backends(); });
 }
 
 std::string forwarder_node::listen() {
--- a/src/tallyfold/plane/process/node_process_shell.cpp
+++ b/src/tallyfold/plane/process/node_process_shell.cpp
@@ -37,10 +37,10 @@
     std::signal(SIGXFSZ, SIG_IGN);
 }
 
-void node_process::every(duration interval, std::function<void()> work) {
+void node_process::run_every(duration interval, std::function<void()> work) {
     after(interval, [this, interval, work = std::move(work)]() {
         work();
-        every(interval, work);
+        run_every(interval, work);
     });
 }
 
@@ -104,8 +104,8 @@
     on_stop_ = std::move(on_stop);
     on_reload_ = std::move(on_reload);
     wait_for_signals();
-    every(log_flush_interval, [] { logging::flush_bounded_log(); });
-    every(settings_check_interval, [this] { check_settings_file(false); });
+    run_every(log_flush_interval, [] { logging::flush_bounded_log(); });
+    run_every(settings_check_interval, [this] { check_settings_file(false); });
     if (settings_.metrics_port != 0) {
         metrics_server_ = std::make_unique<http::endpoint_server>(
             loop_, join_address(settings_.listen_ip, settings_.metrics_port), 0);
--- a/src/tallyfold/plane/process/node_process_shell.hpp
+++ b/src/tallyfold/plane/process/node_process_shell.hpp
@@ -32,7 +32,7 @@
     [[nodiscard]] prometheus::Registry& metrics() { return *registry_; }
 
     /// Calls `work` every `interval`, the first time after one interval.
-    void every(duration interval, std::function<void()> work);
+    void run_every(duration interval, std::function<void()> work);
     /// Calls `work` once, after `delay`.
     void after(duration delay, std::function<void()> work);
 
--- a/src/tallyfold/plane/tenants/quota_client_shell.cpp
+++ b/src/tallyfold/plane/tenants/quota_client_shell.cpp
@@ -59,7 +59,7 @@
 void quota_client::start() {
     directory_.on_other_messages(
         [this](const messaging::peer_message& message) { on_message(message); });
-    process_.every(tick_interval, [this] { tick(); });
+    process_.run_every(tick_interval, [this] { tick(); });
 }
 
 void quota_client::on_message(const messaging::peer_message& message) {
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -205,9 +205,9 @@
     if (store_.map().epoch > 0) {
         directory_.merge_map(store_.map());
     }
-    process_.every(expiry_interval, [this] { store_.expire(steady_now(), expiry_margin); });
-    process_.every(repair_interval, [this] { writer_.repair(store_.turns()); });
-    process_.every(copy_check_interval, [this] { copy_.check_timeout(); });
+    process_.run_every(expiry_interval, [this] { store_.expire(steady_now(), expiry_margin); });
+    process_.run_every(repair_interval, [this] { writer_.repair(store_.turns()); });
+    process_.run_every(copy_check_interval, [this] { copy_.check_timeout(); });
     return process_.run([this] { process_.after(stop_delay, [this] { process_.finish(); }); },
                         [this](const settings::node_settings& settings) {
                             directory_.add_seeds(settings.seed_directories());
