--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -62,7 +62,7 @@
 }
 
 void directory_replica::schedule_reopen() {
-    process_.after(reopen_interval, [this] { start(); });
+    process_.run_after(reopen_interval, [this] { start(); });
 }
 
 void directory_replica::clear_damaged_folder(const std::string& reason) {
--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -163,7 +163,7 @@
     }
     list_.start();
     start_timers();
-    return process_.run([this] { process_.after(stop_delay, [this] { process_.finish(); }); },
+    return process_.run([this] { process_.run_after(stop_delay, [this] { process_.finish(); }); },
                         [](const settings::node_settings&) {});
 }
 
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -219,12 +219,12 @@
             break;
         case shutdown_step::finish:
             callers_.abort_requests();
-            process_.after(stop_check_interval, [this] { process_.finish(); });
+            process_.run_after(stop_check_interval, [this] { process_.finish(); });
             return;
         case shutdown_step::wait:
             break;
     }
-    process_.after(stop_check_interval, [this] { continue_stop(); });
+    process_.run_after(stop_check_interval, [this] { continue_stop(); });
 }
 
 void forwarder_node::subscribe_to_directory() {
--- a/src/tallyfold/plane/process/node_process_shell.cpp
+++ b/src/tallyfold/plane/process/node_process_shell.cpp
@@ -38,13 +38,13 @@
 }
 
 void node_process::run_every(duration interval, std::function<void()> work) {
-    after(interval, [this, interval, work = std::move(work)]() {
+    run_after(interval, [this, interval, work = std::move(work)]() {
         work();
         run_every(interval, work);
     });
 }
 
-void node_process::after(duration delay, std::function<void()> work) {
+void node_process::run_after(duration delay, std::function<void()> work) {
     auto timer = std::make_shared<asio::steady_timer>(loop_, delay);
     timer->async_wait([timer, work = std::move(work)](const std::error_code& error) {
         if (!error) {
--- a/src/tallyfold/plane/process/node_process_shell.hpp
+++ b/src/tallyfold/plane/process/node_process_shell.hpp
@@ -34,7 +34,7 @@
     /// Calls `work` every `interval`, the first time after one interval.
     void run_every(duration interval, std::function<void()> work);
     /// Calls `work` once, after `delay`.
-    void after(duration delay, std::function<void()> work);
+    void run_after(duration delay, std::function<void()> work);
 
     /// Runs the loop until finish().
     /// @param on_stop called once on SIGTERM or SIGINT; has to result in a call of finish()
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -208,7 +208,7 @@
     process_.run_every(expiry_interval, [this] { store_.expire(steady_now(), expiry_margin); });
     process_.run_every(repair_interval, [this] { writer_.repair(store_.turns()); });
     process_.run_every(copy_check_interval, [this] { copy_.check_timeout(); });
-    return process_.run([this] { process_.after(stop_delay, [this] { process_.finish(); }); },
+    return process_.run([this] { process_.run_after(stop_delay, [this] { process_.finish(); }); },
                         [this](const settings::node_settings& settings) {
                             directory_.add_seeds(settings.seed_directories());
                         });
--- a/tests/plane/directory/admin_api_test.cpp
+++ b/tests/plane/directory/admin_api_test.cpp
@@ -103,7 +103,7 @@
             status = response.status;
         };
         asio::co_spawn(process.loop(), call, asio::detached);
-        process.after(std::chrono::milliseconds(1), [&] { other_task.set_value(); });
+        process.run_after(std::chrono::milliseconds(1), [&] { other_task.set_value(); });
         process.loop().run();
         CPPUNIT_ASSERT(codec.other_task_ran);
         CPPUNIT_ASSERT_EQUAL(200U, status);
