--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -28,9 +28,9 @@
     core_settings.seeds = settings.seed_directories();
     core_settings.first_start = settings.first_start;
     // 2f+1 voters tolerate f losses; two more keep that tolerance while a lost one is replaced.
-    core_settings.members.max_voters = 2 * settings.losses_borne + 3;
-    core_settings.members.min_voters = 2 * settings.losses_borne + 1;
-    core_settings.stores.losses = settings.losses_borne;
+    core_settings.members.max_voters = 2 * settings.tolerated_losses + 3;
+    core_settings.members.min_voters = 2 * settings.tolerated_losses + 1;
+    core_settings.stores.losses = settings.tolerated_losses;
     core_settings.seed = random_nonzero();
     return core_settings;
 }
--- a/src/tallyfold/plane/process/node_settings.cpp
+++ b/src/tallyfold/plane/process/node_settings.cpp
@@ -75,7 +75,7 @@
     }
     settings.first_start = reader.text_or("first_start", "false") == "true";
     settings.data_folder = reader.text_or("data_folder", {});
-    settings.losses_borne = static_cast<std::uint32_t>(
+    settings.tolerated_losses = static_cast<std::uint32_t>(
         reader.integer_or("losses_borne", default_losses_borne, 0, max_losses_borne));
 }
 
--- a/src/tallyfold/plane/process/node_settings.hpp
+++ b/src/tallyfold/plane/process/node_settings.hpp
@@ -32,7 +32,7 @@
     /// Empty on machines without a disk.
     std::string data_folder;
     /// Number of machines with disks whose simultaneous loss is tolerated.
-    std::uint32_t losses_borne = 1;
+    std::uint32_t tolerated_losses = 1;
     /// Interfaces of this node, as "ip:port"; empty when disabled.
     std::string callers_address;
     std::string readiness_address;
--- a/tests/plane/process/node_settings_test.cpp
+++ b/tests/plane/process/node_settings_test.cpp
@@ -24,7 +24,7 @@
         const auto read = read_node_settings(file_.write(required_keys));
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT(read->policy_file.empty());
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, read->losses_borne);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, read->tolerated_losses);
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1:72"), read->store_address());
         CPPUNIT_ASSERT_EQUAL(read->store_address(), read->store_listener());
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.2:71"), read->seed_directories().front());
