--- a/tests/plane/turns/disk_loss_simulation_test.cpp
+++ b/tests/plane/turns/disk_loss_simulation_test.cpp
@@ -23,18 +23,19 @@
     }
 
     void successive_disk_losses_lose_no_settled_turn() {
-        const run_totals one_group = run_worlds(3, 60, put_back::nothing, disk_losses::in_series);
+        const run_totals one_group =
+            run_worlds(3, 60, injected_defect::nothing, disk_losses::in_series);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(one_group.first_broken, 0, one_group.broken);
         CPPUNIT_ASSERT(one_group.wipes_in_change > 100);
         CPPUNIT_ASSERT(one_group.power_losses > 60);
         CPPUNIT_ASSERT(one_group.settled > 1'000);
         const run_totals several_groups =
-            run_worlds(13, 40, put_back::nothing, disk_losses::in_series);
+            run_worlds(13, 40, injected_defect::nothing, disk_losses::in_series);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(several_groups.first_broken, 0, several_groups.broken);
         CPPUNIT_ASSERT(several_groups.wipes_in_change > 100);
         CPPUNIT_ASSERT(several_groups.settled > 1'000);
         const run_totals group_of_five =
-            run_worlds(7, 40, put_back::nothing, disk_losses::in_series, 2);
+            run_worlds(7, 40, injected_defect::nothing, disk_losses::in_series, 2);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(group_of_five.first_broken, 0, group_of_five.broken);
         CPPUNIT_ASSERT(group_of_five.wipes_in_change > 100);
         CPPUNIT_ASSERT(group_of_five.settled > 300);
--- a/tests/support/simulated_forwarder.hpp
+++ b/tests/support/simulated_forwarder.hpp
@@ -16,20 +16,20 @@
 namespace tallyfold::tests {
 
 /// Defect that is injected to verify that the checks detect it.
-enum class put_back : std::uint8_t {
+enum class injected_defect : std::uint8_t {
     nothing,
     /// A joining store is reported as copied at once.
-    no_copy,
+    copy_reported_early,
     /// The ledger of a program's other turns is removed from the stores' replies.
-    blind_ledger,
+    ledger_omitted,
     /// Stores of other groups report turns that they hold as missing.
-    denied_turn,
+    turn_denied,
 };
 
 class simulated_forwarder {
   public:
     /// `random` and `now` belong to the simulation; they and `fleet` must outlive this object.
-    simulated_forwarder(store_fleet& fleet, put_back fault, random_source& random,
+    simulated_forwarder(store_fleet& fleet, injected_defect fault, random_source& random,
                         const instant& now)
         : fleet_(fleet), fault_(fault), random_(random), now_(now) {}
 
@@ -150,7 +150,7 @@
         if (const auto* begun = std::get_if<turns::begin_reply>(&body)) {
             learn(begun->newer_map);
             turns::begin_reply taken = *begun;
-            if (fault_ == put_back::blind_ledger) {
+            if (fault_ == injected_defect::ledger_omitted) {
                 taken.ledger.clear();
             }
             turn.on_reply(taken);
@@ -159,7 +159,7 @@
         } else if (const auto* reply = std::get_if<turns::find_reply>(&body)) {
             learn(reply->newer_map);
             turns::find_reply taken = *reply;
-            taken.held = taken.held && fault_ != put_back::denied_turn;
+            taken.held = taken.held && fault_ != injected_defect::turn_denied;
             turn.on_reply(taken);
         }
         advance_begin(request);
@@ -229,7 +229,7 @@
     }
 
     store_fleet& fleet_;
-    put_back fault_;
+    injected_defect fault_;
     random_source& random_;
     const instant& now_;
     turns::operation_number last_operation_ = 0;
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -27,7 +27,8 @@
 
 class store_world {
   public:
-    store_world(std::uint64_t seed, std::size_t machine_count, put_back fault = put_back::nothing,
+    store_world(std::uint64_t seed, std::size_t machine_count,
+                injected_defect fault = injected_defect::nothing,
                 disk_losses losses = disk_losses::one_at_a_time, std::uint32_t losses_borne = 1)
         : random_(seed),
           fault_(fault),
@@ -112,7 +113,8 @@
         if (!reporting.store) {
             return;
         }
-        const bool claims = fault_ == put_back::no_copy && reporting.store->map().changing();
+        const bool claims =
+            fault_ == injected_defect::copy_reported_early && reporting.store->map().changing();
         const turns::map_epoch copied =
             claims ? reporting.store->map().epoch : reporting.store->copied_epoch();
         planner_.on_report({fleet_.member_of(number), copied}, now_);
@@ -343,7 +345,7 @@
     }
 
     random_source random_;
-    put_back fault_;
+    injected_defect fault_;
     disk_losses losses_;
     std::uint32_t losses_borne_;
     instant now_{};
--- a/tests/support/store_world_runs.hpp
+++ b/tests/support/store_world_runs.hpp
@@ -23,7 +23,7 @@
     std::string first_broken;
 };
 
-inline run_totals run_worlds(std::size_t machines, std::uint64_t seeds, put_back fault,
+inline run_totals run_worlds(std::size_t machines, std::uint64_t seeds, injected_defect fault,
                              disk_losses losses = disk_losses::one_at_a_time,
                              std::uint32_t losses_borne = 1) {
     run_totals sum;
