--- a/tests/plane/turns/disk_loss_simulation_test.cpp
+++ b/tests/plane/turns/disk_loss_simulation_test.cpp
@@ -17,7 +17,7 @@
         store_world world(1, 3);
         world.run(1500);
         CPPUNIT_ASSERT(world.forwarder().settled().size() > 10);
-        world.lose_a_second_disk_while_a_change_is_open();
+        world.lose_second_disk_during_membership_change();
         CPPUNIT_ASSERT(world.serves_new_programs());
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world.lost_turns().size());
     }
--- a/tests/support/store_world.hpp
+++ b/tests/support/store_world.hpp
@@ -55,7 +55,7 @@
 
     /// Wipes a disk and lets its replacement copy all data; then, before the replacement has
     /// reported this to the directory, loses power on all machines and wipes a second disk.
-    void lose_a_second_disk_while_a_change_is_open() {
+    void lose_second_disk_during_membership_change() {
         fleet_.machine(0).store.reset();
         fleet_.wipe_disk(0);
         fleet_.start(0);
