--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -119,10 +119,10 @@
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(group.change(leader, configuration_of(48, many_routes)));
-        const auto report = through_first_format(report_of_first_format(46));
+        const auto report = reencode_in_first_format(report_of_first_format(46));
         CPPUNIT_ASSERT(report.has_value());
         for (const node_name& asked : {leader, group.followers().front()}) {
-            const auto answer = through_first_format(
+            const auto answer = reencode_in_first_format(
                 group.node(asked).receive(*report, group.now(), format_version::v1));
             CPPUNIT_ASSERT(answer.has_value());
             CPPUNIT_ASSERT_EQUAL(std::size_t{1}, answer->newer_configuration.size());
@@ -141,7 +141,7 @@
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(group.change(leader, with_tenants(50)));
-        const auto answer = through_first_format(group.node(leader).receive(
+        const auto answer = reencode_in_first_format(group.node(leader).receive(
             report_of_first_format(46), group.now(), format_version::v1));
         CPPUNIT_ASSERT(answer.has_value());
         CPPUNIT_ASSERT(answer->newer_configuration.empty());
--- a/tests/support/first_format.hpp
+++ b/tests/support/first_format.hpp
@@ -13,7 +13,7 @@
 
 /// @return the message as its receiver decodes it; empty when the first format can't represent it
 template <class Message>
-std::optional<Message> through_first_format(const Message& message) {
+std::optional<Message> reencode_in_first_format(const Message& message) {
     const auto bytes = protocol::encode_as(message, protocol::format_version::v1);
     if (!bytes) {
         return std::nullopt;
@@ -28,7 +28,7 @@
     if (!directory::to_first_format(message)) {
         return std::nullopt;
     }
-    return through_first_format(message);
+    return reencode_in_first_format(message);
 }
 
 }  // namespace tallyfold::tests
