--- a/src/tallyfold/base/protocol/compression.hpp
+++ b/src/tallyfold/base/protocol/compression.hpp
@@ -23,7 +23,7 @@
 
 /// Encodes `value` like encode_stored(), and compresses the result unless it is small.
 template <class T>
-std::string encode_packed(const T& value) {
+std::string encode_compressed(const T& value) {
     std::string bytes = encode_stored(value);
     return bytes.size() < compression_threshold_bytes ? bytes : compress(bytes);
 }
@@ -34,9 +34,9 @@
 /// Size of the result of unpacked().
 std::size_t unpacked_size(std::string_view bytes);
 
-/// Decodes a value that was encoded by encode_packed() or encode_stored().
+/// Decodes a value that was encoded by encode_compressed() or encode_stored().
 template <class T>
-tl::expected<T, decode_error> decode_packed(std::string_view bytes) {
+tl::expected<T, decode_error> decode_compressed(std::string_view bytes) {
     return decode_stored<T>(unpacked(bytes));
 }
 
--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -130,7 +130,7 @@
         return;
     }
     // Compressed, because a large entry delays the heartbeats behind it on the connection.
-    const auto index = replica_.propose(protocol::encode_packed(command));
+    const auto index = replica_.propose(protocol::encode_compressed(command));
     if (!index) {
         answer(token, answer_kind::not_leader);
         return;
@@ -257,7 +257,7 @@
 }
 
 void directory_core::apply_command(const consensus::log_entry& entry) {
-    auto command = protocol::decode_packed<directory_command>(entry.payload);
+    auto command = protocol::decode_compressed<directory_command>(entry.payload);
     if (!command) {
         // If the entry were skipped, it would still be acknowledged, and this node would serve an
         // outdated configuration.
--- a/src/tallyfold/plane/directory/directory_state.cpp
+++ b/src/tallyfold/plane/directory/directory_state.cpp
@@ -46,7 +46,7 @@
 }
 
 std::string directory_state::to_bytes() const {
-    return protocol::encode_packed(*this);
+    return protocol::encode_compressed(*this);
 }
 
 tl::expected<void, protocol::decode_error> directory_state::restore(const std::string& bytes) {
@@ -54,7 +54,7 @@
         *this = directory_state{};
         return {};
     }
-    auto read = protocol::decode_packed<directory_state>(bytes);
+    auto read = protocol::decode_compressed<directory_state>(bytes);
     if (!read) {
         return tl::unexpected(read.error());
     }
--- a/tests/plane/directory/directory_core_test.cpp
+++ b/tests/plane/directory/directory_core_test.cpp
@@ -87,7 +87,8 @@
         CPPUNIT_ASSERT(read.configuration() == stored.configuration());
         CPPUNIT_ASSERT(stored.to_bytes().size() < protocol::encode(stored).size() / 2);
         const directory_command command = change;
-        const auto plain = protocol::decode_packed<directory_command>(protocol::encode(command));
+        const auto plain =
+            protocol::decode_compressed<directory_command>(protocol::encode(command));
         CPPUNIT_ASSERT(plain.has_value());
         CPPUNIT_ASSERT(std::get<replace_configuration>(*plain).text == change.text);
     }
