--- a/src/tallyfold/base/protocol/compression.cpp
+++ b/src/tallyfold/base/protocol/compression.cpp
@@ -42,14 +42,14 @@
     return bytes;
 }
 
-std::size_t unpacked_size(std::string_view bytes) {
+std::size_t decompressed_size(std::string_view bytes) {
     const unsigned long long size = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
     const bool is_compressed = size != ZSTD_CONTENTSIZE_ERROR && size != ZSTD_CONTENTSIZE_UNKNOWN;
     return is_compressed ? size : bytes.size();
 }
 
-std::string unpacked(std::string_view bytes) {
-    return decompress(bytes, max_unpacked_bytes).value_or(std::string(bytes));
+std::string decompressed_or_same(std::string_view bytes) {
+    return decompress(bytes, max_decompressed_bytes).value_or(std::string(bytes));
 }
 
 }  // namespace tallyfold::protocol
--- a/src/tallyfold/base/protocol/compression.hpp
+++ b/src/tallyfold/base/protocol/compression.hpp
@@ -19,7 +19,7 @@
 /// Size in bytes below which a value is not compressed.
 constexpr std::size_t compression_threshold_bytes = 1U << 10U;
 /// Limit of a decompressed value in bytes, larger than any record.
-constexpr std::size_t max_unpacked_bytes = 256U << 20U;
+constexpr std::size_t max_decompressed_bytes = 256U << 20U;
 
 /// Encodes `value` like encode_stored(), and compresses the result unless it is small.
 template <class T>
@@ -29,15 +29,15 @@
 }
 
 /// Decompressed bytes; `bytes` unchanged when they are not compressed.
-std::string unpacked(std::string_view bytes);
+std::string decompressed_or_same(std::string_view bytes);
 
-/// Size of the result of unpacked().
-std::size_t unpacked_size(std::string_view bytes);
+/// Size of the result of decompressed_or_same().
+std::size_t decompressed_size(std::string_view bytes);
 
 /// Decodes a value that was encoded by encode_compressed() or encode_stored().
 template <class T>
 tl::expected<T, decode_error> decode_compressed(std::string_view bytes) {
-    return decode_stored<T>(unpacked(bytes));
+    return decode_stored<T>(decompressed_or_same(bytes));
 }
 
 }  // namespace tallyfold::protocol
--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -287,7 +287,7 @@
     }
     applied_ = entry.index;
     applied_bytes_ += entry.payload.size();
-    applied_disk_bytes_ += protocol::unpacked_size(entry.payload);
+    applied_disk_bytes_ += protocol::decompressed_size(entry.payload);
     if (const auto answered = pending_.on_applied(entry.index, entry.term)) {
         answer(answered->token, answered->kind);
     }
--- a/src/tallyfold/plane/directory/stored_forms.cpp
+++ b/src/tallyfold/plane/directory/stored_forms.cpp
@@ -41,7 +41,7 @@
         if (entry.kind != consensus::entry_kind::command) {
             continue;
         }
-        std::string plain = protocol::unpacked(entry.payload);
+        std::string plain = protocol::decompressed_or_same(entry.payload);
         if (!is_first_format_of_command(plain)) {
             return tl::unexpected(
                 encode_error{"log entry " + std::to_string(entry.index) + " in a later format"});
@@ -52,7 +52,7 @@
 }
 
 tl::expected<void, encode_error> state_to_first_format(std::string& packed) {
-    std::string plain = protocol::unpacked(packed);
+    std::string plain = protocol::decompressed_or_same(packed);
     if (!is_first_format_of_state(plain)) {
         return tl::unexpected(encode_error{"a snapshot in a later format"});
     }
@@ -67,7 +67,7 @@
 }
 
 std::string state_on_disk(const std::string& packed) {
-    std::string plain = protocol::unpacked(packed);
+    std::string plain = protocol::decompressed_or_same(packed);
     if (!is_first_format_of_state(plain)) {
         return packed;
     }
@@ -76,7 +76,7 @@
 
 consensus::group_write write_on_disk(consensus::group_write write) {
     for (consensus::log_entry& entry : write.entries) {
-        std::string plain = protocol::unpacked(entry.payload);
+        std::string plain = protocol::decompressed_or_same(entry.payload);
         if (entry.kind == consensus::entry_kind::command && is_first_format_of_command(plain)) {
             entry.payload = std::move(plain);
         }
