--- a/src/tallyfold/base/protocol/binary_codec.hpp
+++ b/src/tallyfold/base/protocol/binary_codec.hpp
@@ -6,8 +6,8 @@
 /// bytes, so that a corrupt or hostile frame gives an error instead of a huge allocation.
 ///
 /// Both archives carry the format_version that they write or read. A type whose format has changed
-/// checks it in serialize() and reports, with note_lacking(), content that an older format can't
-/// represent.
+/// checks it in serialize() and reports, with report_unsupported(), content that an older format
+/// can't represent.
 
 #include <cereal/cereal.hpp>
 #include <cereal/types/deque.hpp>
@@ -37,7 +37,7 @@
 /// Reason for which a value can't be encoded in the requested format.
 struct encode_error {
     /// Content that the format can't represent.
-    std::string lacking;
+    std::string unsupported_content;
 };
 
 class binary_writer : public cereal::OutputArchive<binary_writer, cereal::AllowEmptyClassElision> {
@@ -50,14 +50,14 @@
 
     [[nodiscard]] format_version format() const { return format_; }
     /// Marks the output as unusable: the value has `content`, which the format can't represent.
-    void lacks(std::string_view content) { lacking_ = content; }
+    void mark_unsupported(std::string_view content) { unsupported_content_ = content; }
     /// Content that the format can't represent; empty when the encoding is complete.
-    [[nodiscard]] const std::string& lacking() const { return lacking_; }
+    [[nodiscard]] const std::string& unsupported_content() const { return unsupported_content_; }
 
   private:
     std::string& target_;
     format_version format_;
-    std::string lacking_;
+    std::string unsupported_content_;
 };
 
 class binary_reader : public cereal::InputArchive<binary_reader, cereal::AllowEmptyClassElision> {
@@ -141,9 +141,9 @@
 /// Called in serialize() when the value has content that the archive's format can't represent.
 /// Applies to writers only: a reader gets no such content.
 template <class Archive>
-void note_lacking(Archive& archive, std::string_view content) {
+void report_unsupported(Archive& archive, std::string_view content) {
     if constexpr (std::is_same_v<Archive, binary_writer>) {
-        archive.lacks(content);
+        archive.mark_unsupported(content);
     }
 }
 
@@ -162,8 +162,8 @@
     std::string bytes;
     binary_writer writer(bytes, format);
     writer(value);
-    if (!writer.lacking().empty()) {
-        return tl::unexpected(encode_error{writer.lacking()});
+    if (!writer.unsupported_content().empty()) {
+        return tl::unexpected(encode_error{writer.unsupported_content()});
     }
     return bytes;
 }
--- a/src/tallyfold/consensus/messages.hpp
+++ b/src/tallyfold/consensus/messages.hpp
@@ -191,7 +191,7 @@
     void serialize(Archive& archive) {
         if (archive.format() < protocol::format_version::v2 &&
             body.index() >= kinds_in_first_format) {
-            protocol::note_lacking(archive, "a read index");
+            protocol::report_unsupported(archive, "a read index");
         }
         archive(group, from, to, to_node, term, body);
     }
--- a/src/tallyfold/plane/directory/directory_links_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_links_shell.cpp
@@ -52,7 +52,7 @@
     if (!converted && std::has_single_bit(++withheld_)) {
         logging::write_event(logging::event_id::message_withheld,
                              "peer=" + to + " format=1 withheld=" + std::to_string(withheld_) +
-                                 " lacking=\"" + converted.error().lacking + "\"");
+                                 " lacking=\"" + converted.error().unsupported_content + "\"");
     }
     return converted.has_value();
 }
--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -105,7 +105,7 @@
                          "peer=" + peer_address() + " kind=" + std::to_string(message.index()) +
                              " format=" + protocol::to_string(negotiation_.send_format()) +
                              " withheld=" + std::to_string(withheld_) + " lacking=\"" +
-                             error.lacking + "\"");
+                             error.unsupported_content + "\"");
 }
 
 void frame_channel::close_on_protocol_error(const std::string& reason) {
--- a/src/tallyfold/plane/routing/configuration.hpp
+++ b/src/tallyfold/plane/routing/configuration.hpp
@@ -189,7 +189,7 @@
     template <class Archive>
     void save_without_tenants(Archive& archive) const {
         if (!tenants.empty()) {
-            protocol::note_lacking(archive, "a configuration with tenants");
+            protocol::report_unsupported(archive, "a configuration with tenants");
             return;
         }
         archive(version, cereal::make_size_tag(routes.size()));
--- a/src/tallyfold/plane/turns/types.hpp
+++ b/src/tallyfold/plane/turns/types.hpp
@@ -154,7 +154,7 @@
             archive(after_loss, absent);
         } else if (after_loss || !absent.empty()) {
             // A reader of the first format would count majorities that may lack turns.
-            protocol::note_lacking(archive, "a group that lost a majority of its disks");
+            protocol::report_unsupported(archive, "a group that lost a majority of its disks");
         }
     }
 };
