--- a/src/tallyfold/base/protocol/stored_value.hpp
+++ b/src/tallyfold/base/protocol/stored_value.hpp
@@ -17,7 +17,7 @@
 
 /// First eight bytes of a value with a format version; the lowest byte holds the version. Values of
 /// earlier formats begin with a version, an epoch or a small number, which never reach this value.
-constexpr std::uint64_t numbered_form_mark = 0xFFFF'FFFF'FFFF'FE00U;
+constexpr std::uint64_t format_version_marker = 0xFFFF'FFFF'FFFF'FE00U;
 
 /// Format version at the start of `bytes`, if there is one.
 inline std::optional<std::uint8_t> leading_format_number(std::string_view bytes) {
@@ -27,7 +27,7 @@
     }
     std::memcpy(&first, bytes.data(), sizeof(first));
     constexpr std::uint64_t number_bits = 0xFF;
-    if ((first & ~number_bits) != numbered_form_mark) {
+    if ((first & ~number_bits) != format_version_marker) {
         return std::nullopt;
     }
     return static_cast<std::uint8_t>(first & number_bits);
--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -151,7 +151,7 @@
     /// support.
     static consensus::replica_message with_later_entry(const directory_core& leader,
                                                        const node_name& follower) {
-        const std::uint64_t mark = protocol::numbered_form_mark | 3U;
+        const std::uint64_t mark = protocol::format_version_marker | 3U;
         consensus::append_request append;
         append.previous_index = leader.replica().log().last_index();
         append.previous_term = leader.term();
@@ -202,7 +202,7 @@
     }
 
     void snapshot_in_later_format_is_rejected() {
-        const std::uint64_t mark = protocol::numbered_form_mark | 3U;
+        const std::uint64_t mark = protocol::format_version_marker | 3U;
         directory_state state;
         state.apply(replace_configuration{configuration_of(46, 2), "text"});
         const auto restored =
@@ -263,7 +263,7 @@
     }
 
     void later_format_is_distinguished_from_damage() {
-        const std::uint64_t mark = protocol::numbered_form_mark | 3U;
+        const std::uint64_t mark = protocol::format_version_marker | 3U;
         const std::string later = std::string(reinterpret_cast<const char*>(&mark), sizeof(mark));
         const auto read = protocol::decode_stored<directory_command>(later + "whatever");
         CPPUNIT_ASSERT(!read && read.error().is_later_format);
--- a/tests/plane/turns/store_folder_test.cpp
+++ b/tests/plane/turns/store_folder_test.cpp
@@ -24,7 +24,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     static std::string newer_format() {
-        const std::uint64_t mark = protocol::numbered_form_mark | 3U;
+        const std::uint64_t mark = protocol::format_version_marker | 3U;
         return std::string(reinterpret_cast<const char*>(&mark), sizeof(mark)) + "whatever";
     }
 
