--- a/src/tallyfold/base/protocol/binary_codec.hpp
+++ b/src/tallyfold/base/protocol/binary_codec.hpp
@@ -31,7 +31,7 @@
 struct decode_error {
     std::string reason;
     /// The bytes declare a format later than newest_format, so they are not corrupt.
-    bool is_later_format = false;
+    bool is_newer_format = false;
 };
 
 /// Reason for which a value can't be encoded in the requested format.
--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -208,7 +208,7 @@
         const auto restored =
             state.restore(std::string(reinterpret_cast<const char*>(&mark), sizeof(mark)));
         CPPUNIT_ASSERT(!restored);
-        CPPUNIT_ASSERT(restored.error().is_later_format);
+        CPPUNIT_ASSERT(restored.error().is_newer_format);
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46}, state.configuration().version);
     }
 
@@ -266,9 +266,9 @@
         const std::uint64_t mark = protocol::format_version_marker | 3U;
         const std::string later = std::string(reinterpret_cast<const char*>(&mark), sizeof(mark));
         const auto read = protocol::decode_stored<directory_command>(later + "whatever");
-        CPPUNIT_ASSERT(!read && read.error().is_later_format);
+        CPPUNIT_ASSERT(!read && read.error().is_newer_format);
         const auto damaged = protocol::decode_stored<directory_command>("whatever");
-        CPPUNIT_ASSERT(!damaged && !damaged.error().is_later_format);
+        CPPUNIT_ASSERT(!damaged && !damaged.error().is_newer_format);
     }
 };
 
