--- a/src/tallyfold/consensus/messages.hpp
+++ b/src/tallyfold/consensus/messages.hpp
@@ -153,22 +153,22 @@
 /// Request of a follower for the leader's commit index.
 struct read_index_request {
     /// Request identifier, echoed in the reply.
-    std::uint64_t question = 0;
+    std::uint64_t request_id = 0;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(question);
+        archive(request_id);
     }
 };
 
 /// Sent after a quorum has confirmed, since the request arrived, that its receiver is the leader.
 struct read_index_reply {
-    std::uint64_t question = 0;
+    std::uint64_t request_id = 0;
     /// A replica that has applied the log up to here has everything that was committed before the
     /// request.
     log_index commit_index = 0;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(question, commit_index);
+        archive(request_id, commit_index);
     }
 };
 
--- a/src/tallyfold/consensus/replica_reads.cpp
+++ b/src/tallyfold/consensus/replica_reads.cpp
@@ -48,15 +48,16 @@
     if (leader_ == no_replica || role_ == replica_role::leader) {
         return;
     }
-    if (const auto question = follower_reads_.next_request_id(now, settings_.heartbeat_interval)) {
-        send(leader_, read_index_request{*question}, false);
+    if (const auto request_id =
+            follower_reads_.next_request_id(now, settings_.heartbeat_interval)) {
+        send(leader_, read_index_request{*request_id}, false);
     }
 }
 
 void replica_fsm::on_read_index_request(const replica_message& message,
                                         const read_index_request& body, instant now) {
     if (role_ == replica_role::leader) {
-        queue_read({body.question, round_ + 1, message.from}, now);
+        queue_read({body.request_id, round_ + 1, message.from}, now);
     }
 }
 
@@ -65,7 +66,7 @@
     if (message.from != leader_) {
         return;
     }
-    follower_reads_.on_reply(body.question, body.commit_index);
+    follower_reads_.on_reply(body.request_id, body.commit_index);
     confirm_follower_reads();
 }
 
