--- a/src/tallyfold/base/storage/record_format.cpp
+++ b/src/tallyfold/base/storage/record_format.cpp
@@ -86,7 +86,7 @@
         record_header header;
         std::memcpy(&header, rest.data(), sizeof(header));
         if (header.length_checksum != checksum_of_length(header.length)) {
-            if (policy == tail_policy::cut_unsynced && !record_follows(rest)) {
+            if (policy == tail_policy::truncate_torn && !record_follows(rest)) {
                 break;
             }
             return tl::unexpected(damage(name, offset, "checksum mismatch in a record's length"));
@@ -96,7 +96,7 @@
         }
         const std::string_view payload = rest.substr(sizeof(header), header.length);
         if (header.payload_checksum != checksum(payload)) {
-            if (policy == tail_policy::cut_unsynced && !record_follows(rest)) {
+            if (policy == tail_policy::truncate_torn && !record_follows(rest)) {
                 break;
             }
             // The length is intact, so the record may have been synced and acknowledged. Truncating
--- a/src/tallyfold/base/storage/record_format.hpp
+++ b/src/tallyfold/base/storage/record_format.hpp
@@ -37,7 +37,7 @@
     refuse,
     /// Treats the mismatch as a torn write when no complete record follows it, and as damage
     /// otherwise. For stores that sync each write before the next one.
-    cut_unsynced,
+    truncate_torn,
 };
 
 /// Splits `bytes` into records. A tail that is truncated or all zeros is skipped; any other
--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -77,7 +77,7 @@
     const directory_settings settings = core_settings_of(process_.settings());
     const auto open_as = [&](consensus::replica_id identity) {
         return storage::log_store::open(folder, identity, segment_bytes,
-                                        storage::tail_policy::cut_unsynced);
+                                        storage::tail_policy::truncate_torn);
     };
     auto opened = open_as(new_identity(settings));
     // Data in another build's format is intact, so the folder is kept for a build that can read it.
--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -75,7 +75,7 @@
         }
         return {};
     };
-    return log_.open(storage::tail_policy::cut_unsynced, decode_record);
+    return log_.open(storage::tail_policy::truncate_torn, decode_record);
 }
 
 tl::expected<void, storage_error> turn_log::append(const std::vector<turn_change>& changes) {
--- a/tests/base/storage/record_reader_test.cpp
+++ b/tests/base/storage/record_reader_test.cpp
@@ -83,7 +83,7 @@
                 bytes[flip % bytes.size()] ^= 0x10;
             }
             file_.write(bytes);
-            for (const tail_policy policy : {tail_policy::refuse, tail_policy::cut_unsynced}) {
+            for (const tail_policy policy : {tail_policy::refuse, tail_policy::truncate_torn}) {
                 RC_ASSERT(read(policy) == scan(bytes, policy));
             }
         });
--- a/tests/base/storage/segmented_log_test.cpp
+++ b/tests/base/storage/segmented_log_test.cpp
@@ -34,7 +34,7 @@
 
     static segmented_log opened(const std::string& folder, std::vector<std::string>& payloads) {
         segmented_log log(folder, "part-", 1U << 20U);
-        const auto opened = log.open(tail_policy::cut_unsynced, [&](std::string_view payload) {
+        const auto opened = log.open(tail_policy::truncate_torn, [&](std::string_view payload) {
             payloads.emplace_back(payload);
             return tl::expected<void, storage_error>{};
         });
