--- a/src/tallyfold/base/storage/storage_error.hpp
+++ b/src/tallyfold/base/storage/storage_error.hpp
@@ -14,7 +14,7 @@
     damaged,
     /// Complete records of a format unknown to this build, written by another program or a later
     /// build. They must not be modified.
-    foreign,
+    unknown_format,
 };
 
 struct storage_error {
--- a/src/tallyfold/consensus/log_store.cpp
+++ b/src/tallyfold/consensus/log_store.cpp
@@ -86,7 +86,7 @@
         const auto record = protocol::decode<identity_record>(*payload);
         if (!record || record->version != format_version) {
             return tl::unexpected(
-                storage_error{storage_failure::foreign, path + ": unknown format version"});
+                storage_error{storage_failure::unknown_format, path + ": unknown format version"});
         }
         recovered_.identity = record->identity;
         return {};
@@ -122,8 +122,8 @@
 tl::expected<void, storage_error> log_store::apply_payload(std::string_view payload) {
     auto record = protocol::decode<log_record>(payload);
     if (!record) {
-        return tl::unexpected(
-            storage_error{storage_failure::foreign, log_.path() + ": " + record.error().reason});
+        return tl::unexpected(storage_error{storage_failure::unknown_format,
+                                            log_.path() + ": " + record.error().reason});
     }
     group_write write{record->group, record->state, std::nullopt, std::move(record->entries)};
     if (record->snapshot_index.has_value()) {
@@ -138,8 +138,8 @@
             }
             auto base = protocol::decode<consensus::snapshot>(*bytes);
             if (!base) {
-                return tl::unexpected(
-                    storage_error{storage_failure::foreign, path + ": " + base.error().reason});
+                return tl::unexpected(storage_error{storage_failure::unknown_format,
+                                                    path + ": " + base.error().reason});
             }
             write.base = std::move(*base);
         }
--- a/src/tallyfold/plane/turns/store_folder_shell.cpp
+++ b/src/tallyfold/plane/turns/store_folder_shell.cpp
@@ -38,7 +38,7 @@
         return *kept;
     }
     log_failure(kept.error());
-    return kept.error().failure == storage::storage_failure::foreign
+    return kept.error().failure == storage::storage_failure::unknown_format
                ? std::nullopt
                : std::optional<store_map>(store_map{});
 }
--- a/src/tallyfold/plane/turns/turn_log.cpp
+++ b/src/tallyfold/plane/turns/turn_log.cpp
@@ -55,7 +55,7 @@
     }
     const auto identity = protocol::decode<store_id>(*payload);
     if (!identity) {
-        return tl::unexpected(storage_error{storage_failure::foreign, path});
+        return tl::unexpected(storage_error{storage_failure::unknown_format, path});
     }
     identity_ = *identity;
     return {};
@@ -67,7 +67,7 @@
         const auto changes = protocol::decode_stored<std::vector<turn_change>>(payload);
         if (!changes) {
             // The checksum matches, so the format is unknown rather than the record damaged.
-            return tl::unexpected(storage_error{storage_failure::foreign,
+            return tl::unexpected(storage_error{storage_failure::unknown_format,
                                                 log_.path() + ": " + changes.error().reason});
         }
         for (const turn_change& change : *changes) {
@@ -99,7 +99,7 @@
     const auto map = protocol::decode_stored<store_map>(*payload);
     if (!map) {
         return tl::unexpected(
-            storage_error{storage_failure::foreign, path + ": " + map.error().reason});
+            storage_error{storage_failure::unknown_format, path + ": " + map.error().reason});
     }
     return *map;
 }
