--- a/src/tallyfold/base/storage/file.cpp
+++ b/src/tallyfold/base/storage/file.cpp
@@ -197,7 +197,7 @@
     return file->sync();
 }
 
-void empty_folder(const std::string& path) {
+void remove_folder_contents(const std::string& path) {
     // An entry that can't be removed is detected and reported when the folder is opened next.
     std::error_code ignored;
     std::vector<std::filesystem::path> entries;
--- a/src/tallyfold/base/storage/file.hpp
+++ b/src/tallyfold/base/storage/file.hpp
@@ -73,7 +73,7 @@
 tl::expected<void, storage_error> overwrite_file(const std::string& path, std::string_view bytes);
 
 /// Removes the contents of a folder; errors are ignored.
-void empty_folder(const std::string& path);
+void remove_folder_contents(const std::string& path);
 
 /// Syncs the directory entries of the folder.
 tl::expected<void, storage_error> sync_folder(const std::string& path);
--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -69,7 +69,7 @@
     // The folder's contents are not reliable: this node starts as a new replica and obtains the
     // state from its peers.
     logging::write_event(logging::event_id::identity_renewed, "reason=\"" + reason + "\"");
-    storage::empty_folder(process_.settings().data_folder);
+    storage::remove_folder_contents(process_.settings().data_folder);
 }
 
 bool directory_replica::open() {
--- a/src/tallyfold/plane/turns/store_folder_shell.cpp
+++ b/src/tallyfold/plane/turns/store_folder_shell.cpp
@@ -54,7 +54,7 @@
         // The other stores hold the lost data, which this store copies under a new identity.
         logging::write_event(logging::event_id::identity_renewed,
                              "reason=\"" + opened.error().detail + "\"");
-        storage::empty_folder(folder);
+        storage::remove_folder_contents(folder);
         recovered = turn_table{};
         opened = read_folder(folder, recovered);
     }
