--- a/src/tallyfold/consensus/log_store.cpp
+++ b/src/tallyfold/consensus/log_store.cpp
@@ -53,7 +53,7 @@
 }
 
 tl::expected<log_store, storage_error> log_store::open(const std::string& folder,
-                                                       consensus::replica_id fresh_identity,
+                                                       consensus::replica_id initial_identity,
                                                        std::uint64_t segment_bytes,
                                                        tail_policy tail) {
     std::error_code failure;
@@ -63,7 +63,7 @@
             storage_error{storage_failure::input_output, folder + ": " + failure.message()});
     }
     log_store store(folder, segment_bytes, tail);
-    if (auto loaded = store.load_identity(fresh_identity); !loaded) {
+    if (auto loaded = store.load_identity(initial_identity); !loaded) {
         return tl::unexpected(loaded.error());
     }
     if (auto loaded = store.load_segment(); !loaded) {
@@ -76,7 +76,7 @@
     return store;
 }
 
-tl::expected<void, storage_error> log_store::load_identity(consensus::replica_id fresh_identity) {
+tl::expected<void, storage_error> log_store::load_identity(consensus::replica_id initial_identity) {
     const std::string path = folder_ + "/" + std::string(identity_name);
     if (fs::exists(path)) {
         const auto payload = read_single_record(path);
@@ -98,9 +98,9 @@
                                                 path + ": missing, while the folder has " + name});
         }
     }
-    recovered_.identity = fresh_identity;
+    recovered_.identity = initial_identity;
     return replace_file(
-        path, single_record(protocol::encode(identity_record{format_version, fresh_identity})));
+        path, single_record(protocol::encode(identity_record{format_version, initial_identity})));
 }
 
 tl::expected<void, storage_error> log_store::load_segment() {
--- a/src/tallyfold/consensus/log_store.hpp
+++ b/src/tallyfold/consensus/log_store.hpp
@@ -24,9 +24,9 @@
     static constexpr std::uint64_t default_segment_bytes = 16U << 20U;
 
     /// Opens the folder and recovers its contents. An empty or missing folder is initialized with
-    /// `fresh_identity`.
+    /// `initial_identity`.
     static tl::expected<log_store, storage_error> open(
-        const std::string& folder, consensus::replica_id fresh_identity,
+        const std::string& folder, consensus::replica_id initial_identity,
         std::uint64_t segment_bytes = default_segment_bytes,
         tail_policy tail = tail_policy::refuse);
 
@@ -40,7 +40,7 @@
 
   private:
     log_store(std::string folder, std::uint64_t segment_bytes, tail_policy tail);
-    tl::expected<void, storage_error> load_identity(consensus::replica_id fresh_identity);
+    tl::expected<void, storage_error> load_identity(consensus::replica_id initial_identity);
     tl::expected<void, storage_error> load_segment();
     tl::expected<void, storage_error> apply_payload(std::string_view payload);
     tl::expected<void, storage_error> write_snapshot(const consensus::group_write& write);
