--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -35,7 +35,7 @@
     duration first_election_timeout = duration::zero();
     /// Minimum interval between rounds for reads, so that many reads don't saturate the group's
     /// connections. Reads that arrive in between share the next round.
-    duration read_round_gap = duration::zero();
+    duration min_read_round_interval = duration::zero();
     std::size_t max_entries_per_message = 256;
     /// Limit of unacknowledged payload bytes per replica. A single entry is sent whatever its size.
     std::size_t max_bytes_in_flight = 1U << 20U;
@@ -169,7 +169,8 @@
     void advance_commit();
     void commit_to(log_index index);
     void queue_read(pending_read read, instant now);
-    /// Begins a round when reads wait for one, none is in flight, and `read_round_gap` has passed.
+    /// Begins a round when reads wait for one, none is in flight, and `min_read_round_interval` has
+    /// passed.
     void begin_round_for_reads(instant now);
     void confirm_reads(instant now);
     void request_read_index(instant now);
--- a/src/tallyfold/consensus/replica_reads.cpp
+++ b/src/tallyfold/consensus/replica_reads.cpp
@@ -37,7 +37,8 @@
 void replica_fsm::begin_round_for_reads(instant now) {
     const bool waiting = !pending_reads_.empty() && pending_reads_.back().round > round_;
     const bool no_round_in_flight = confirmed_round() >= round_;
-    if (waiting && no_round_in_flight && now - last_round_start_ >= settings_.read_round_gap) {
+    if (waiting && no_round_in_flight &&
+        now - last_round_start_ >= settings_.min_read_round_interval) {
         begin_round(now);
     }
 }
--- a/src/tallyfold/plane/directory/directory_settings.cpp
+++ b/src/tallyfold/plane/directory/directory_settings.cpp
@@ -14,7 +14,7 @@
 
 /// Minimum interval between rounds in which the leader confirms its leadership for reads; limits
 /// the number of messages.
-constexpr duration read_round_gap = std::chrono::milliseconds(20);
+constexpr duration min_read_round_interval = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -26,7 +26,7 @@
     result.election_timeout = settings.election_timeout;
     result.heartbeat_interval = settings.heartbeat_interval;
     result.first_election_timeout = settings.first_election_timeout;
-    result.read_round_gap = read_round_gap;
+    result.min_read_round_interval = min_read_round_interval;
     result.seed = settings.seed;
     return result;
 }
