--- a/src/tallyfold/consensus/replica_election.cpp
+++ b/src/tallyfold/consensus/replica_election.cpp
@@ -6,7 +6,7 @@
 namespace tallyfold::consensus {
 
 void replica_fsm::set_first_election_deadline(instant now) {
-    const std::int64_t first = settings_.first_election_timeout.count();
+    const std::int64_t first = settings_.initial_election_timeout.count();
     if (first > 0) {
         election_deadline_ = now + duration(random_.between(first, 2 * first));
     }
--- a/src/tallyfold/consensus/replica_fsm.hpp
+++ b/src/tallyfold/consensus/replica_fsm.hpp
@@ -32,7 +32,7 @@
     /// Shorter election timeout, also randomized up to twice its value, after a start or a failed
     /// pre-vote, so that a fully restarted group elects a leader quickly. Safe since a pre-vote
     /// does not disturb a leader. Zero applies `election_timeout`.
-    duration first_election_timeout = duration::zero();
+    duration initial_election_timeout = duration::zero();
     /// Minimum interval between rounds for reads, so that many reads don't saturate the group's
     /// connections. Reads that arrive in between share the next round.
     duration min_read_round_interval = duration::zero();
--- a/src/tallyfold/plane/directory/directory_settings.cpp
+++ b/src/tallyfold/plane/directory/directory_settings.cpp
@@ -25,7 +25,7 @@
     result.self = identity;
     result.election_timeout = settings.election_timeout;
     result.heartbeat_interval = settings.heartbeat_interval;
-    result.first_election_timeout = settings.first_election_timeout;
+    result.initial_election_timeout = settings.initial_election_timeout;
     result.min_read_round_interval = min_read_round_interval;
     result.seed = settings.seed;
     return result;
--- a/src/tallyfold/plane/directory/directory_settings.hpp
+++ b/src/tallyfold/plane/directory/directory_settings.hpp
@@ -24,7 +24,7 @@
     /// Silence of the leader after which a follower starts an election; five heartbeat intervals.
     duration election_timeout = std::chrono::milliseconds(400);
     /// Election timeout immediately after a start, when there is no leader.
-    duration first_election_timeout = std::chrono::milliseconds(120);
+    duration initial_election_timeout = std::chrono::milliseconds(120);
     duration heartbeat_interval = std::chrono::milliseconds(80);
     /// Number of entries, or bytes of them, after which a snapshot is taken. Limits what a restart
     /// has to read.
