--- a/src/tallyfold/base/net/tcp_sockets_shell.cpp
+++ b/src/tallyfold/base/net/tcp_sockets_shell.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void tune_socket(asio::ip::tcp::socket& socket, duration silence_limit) {
+void set_tcp_options(asio::ip::tcp::socket& socket, duration silence_limit) {
     // If this fails, small writes may be delayed until an acknowledgement, which is harmless.
     std::error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
--- a/src/tallyfold/base/net/tcp_sockets_shell.hpp
+++ b/src/tallyfold/base/net/tcp_sockets_shell.hpp
@@ -11,7 +11,7 @@
 
 /// Disables Nagle's algorithm, and closes the connection when sent bytes stay unacknowledged for
 /// `silence_limit`, since a failed host sends no reset.
-void tune_socket(asio::ip::tcp::socket& socket, duration silence_limit);
+void set_tcp_options(asio::ip::tcp::socket& socket, duration silence_limit);
 
 /// Enables TCP keep-alive: a connection to a failed host is closed after `idle` and a few probes.
 void probe_when_idle(asio::ip::tcp::socket& socket, std::chrono::seconds idle);
--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -61,7 +61,7 @@
       deadline_timer_(socket_.get_executor()),
       parser_(kind, max_head_bytes) {
     if (socket_.is_open()) {
-        net::tune_socket(socket_, unacknowledged_timeout);
+        net::set_tcp_options(socket_, unacknowledged_timeout);
     }
 }
 
@@ -117,7 +117,7 @@
         close();
         co_return tl::unexpected(failure);
     }
-    net::tune_socket(socket_, unacknowledged_timeout);
+    net::set_tcp_options(socket_, unacknowledged_timeout);
     co_return tl::expected<void, io_failure>{};
 }
 
--- a/src/tallyfold/plane/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -19,7 +19,7 @@
 constexpr std::chrono::seconds keepalive_idle(3);
 
 void configure_socket(asio::ip::tcp::socket& socket) {
-    net::tune_socket(socket, unacknowledged_timeout);
+    net::set_tcp_options(socket, unacknowledged_timeout);
     net::probe_when_idle(socket, keepalive_idle);
 }
 
