--- a/src/tallyfold/base/net/tcp_sockets_shell.cpp
+++ b/src/tallyfold/base/net/tcp_sockets_shell.cpp
@@ -23,7 +23,7 @@
                static_cast<int>(to_milliseconds(silence_limit)));
 }
 
-void probe_when_idle(asio::ip::tcp::socket& socket, std::chrono::seconds idle) {
+void enable_keep_alive(asio::ip::tcp::socket& socket, std::chrono::seconds idle) {
     constexpr int probe_seconds = 1;
     set_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
     set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, static_cast<int>(idle.count()));
--- a/src/tallyfold/base/net/tcp_sockets_shell.hpp
+++ b/src/tallyfold/base/net/tcp_sockets_shell.hpp
@@ -14,7 +14,7 @@
 void set_tcp_options(asio::ip::tcp::socket& socket, duration silence_limit);
 
 /// Enables TCP keep-alive: a connection to a failed host is closed after `idle` and a few probes.
-void probe_when_idle(asio::ip::tcp::socket& socket, std::chrono::seconds idle);
+void enable_keep_alive(asio::ip::tcp::socket& socket, std::chrono::seconds idle);
 
 /// Binds the acceptor to "ip:port" and listens. @return an error message, empty on success
 std::string listen_on(asio::ip::tcp::acceptor& acceptor, const std::string& address);
--- a/src/tallyfold/plane/messaging/peer_link_shell.cpp
+++ b/src/tallyfold/plane/messaging/peer_link_shell.cpp
@@ -20,7 +20,7 @@
 
 void configure_socket(asio::ip::tcp::socket& socket) {
     net::set_tcp_options(socket, unacknowledged_timeout);
-    net::probe_when_idle(socket, keepalive_idle);
+    net::enable_keep_alive(socket, keepalive_idle);
 }
 
 }  // namespace
