--- a/src/tallyfold/plane/directory/directory_links_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_links_shell.cpp
@@ -3,7 +3,7 @@
 #include <bit>
 
 #include "tallyfold/base/logging/event_log.hpp"
-#include "tallyfold/plane/directory/stored_forms.hpp"
+#include "tallyfold/plane/directory/stored_formats.hpp"
 #include "tallyfold/plane/messaging/link_log.hpp"
 
 namespace tallyfold::directory {
--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "tallyfold/base/logging/event_log.hpp"
-#include "tallyfold/plane/directory/stored_forms.hpp"
+#include "tallyfold/plane/directory/stored_formats.hpp"
 
 namespace tallyfold::directory {
 
--- a/src/tallyfold/plane/directory/stored_forms.cpp
+++ b/src/tallyfold/plane/directory/stored_formats.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/directory/stored_forms.hpp"
+#include "tallyfold/plane/directory/stored_formats.hpp"
 
 #include <cstring>
 
--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -6,7 +6,7 @@
 #include "tallyfold/base/common/random.hpp"
 #include "tallyfold/base/protocol/stored_value.hpp"
 #include "tallyfold/plane/directory/format_tracker.hpp"
-#include "tallyfold/plane/directory/stored_forms.hpp"
+#include "tallyfold/plane/directory/stored_formats.hpp"
 #include "tests/support/directory_group.hpp"
 #include "tests/support/suite.hpp"
 
--- a/tests/support/first_format.hpp
+++ b/tests/support/first_format.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "tallyfold/plane/directory/directory_work.hpp"
-#include "tallyfold/plane/directory/stored_forms.hpp"
+#include "tallyfold/plane/directory/stored_formats.hpp"
 #include "tallyfold/plane/messaging/peer_message.hpp"
 
 namespace tallyfold::tests {
