--- a/src/tallyfold/program_api/membership/control_session.hpp
+++ b/src/tallyfold/program_api/membership/control_session.hpp
@@ -35,7 +35,7 @@
     /// Returns the heartbeats that are due.
     std::vector<protocol::outbound_message> tick(instant now);
     /// Makes the next tick send a heartbeat.
-    void hurry() { next_heartbeat_ = {}; }
+    void expedite_heartbeat() { next_heartbeat_ = {}; }
     void set_draining() { draining_ = true; }
 
     /// @return true when the configuration changed
--- a/src/tallyfold/program_api/scheduler/shard_ownership.cpp
+++ b/src/tallyfold/program_api/scheduler/shard_ownership.cpp
@@ -153,7 +153,7 @@
 void scheduler_core::drain() {
     draining_ = true;
     session_.set_draining();
-    session_.hurry();
+    session_.expedite_heartbeat();
 }
 
 bool scheduler_core::drained() const {
