--- a/src/tallyfold/program_api/scheduler/backend_messages.hpp
+++ b/src/tallyfold/program_api/scheduler/backend_messages.hpp
@@ -38,7 +38,7 @@
 /// Time on a back end's monotonic clock, in microseconds. Limits the start
 /// of an attempt: a delayed attempt must not start after a later attempt has begun.
 using backend_clock = std::int64_t;
-constexpr backend_clock no_start_limit = 0;
+constexpr backend_clock no_start_deadline = 0;
 
 struct start_stream {
     backend_name backend;
@@ -50,7 +50,7 @@
     std::vector<std::string> prefix;
     token_count max_tokens = 0;
     std::int32_t priority = 0;
-    backend_clock not_after = no_start_limit;
+    backend_clock not_after = no_start_deadline;
 };
 
 /// Requests the rest of a stream. An engine without this attempt must not start it.
@@ -75,7 +75,7 @@
     std::string argument;
     bool repeatable = true;
     duration timeout{};
-    backend_clock not_after = no_start_limit;
+    backend_clock not_after = no_start_deadline;
 };
 
 /// Asks whether an attempt ran, and prevents it from starting if it has not.
--- a/stand_ins/backend_protocol.cpp
+++ b/stand_ins/backend_protocol.cpp
@@ -56,7 +56,7 @@
     order.prefix = body.at("prefix").get<std::vector<std::string>>();
     order.max_tokens = body.at("max_tokens").get<token_count>();
     order.priority = body.at("priority").get<std::int32_t>();
-    order.not_after = body.value("not_after", no_start_limit);
+    order.not_after = body.value("not_after", no_start_deadline);
     return order;
 }
 
@@ -76,7 +76,7 @@
     order.operation = body.at("operation").get<std::string>();
     order.argument = body.at("argument").get<std::string>();
     order.repeatable = body.at("repeatable").get<bool>();
-    order.not_after = body.value("not_after", no_start_limit);
+    order.not_after = body.value("not_after", no_start_deadline);
     return order;
 }
 
--- a/stand_ins/engine_core.cpp
+++ b/stand_ins/engine_core.cpp
@@ -19,7 +19,7 @@
 constexpr duration seal_retention = std::chrono::seconds(60);
 
 bool is_late(scheduler::backend_clock not_after, instant now) {
-    return not_after != scheduler::no_start_limit && now.time_since_epoch().count() > not_after;
+    return not_after != scheduler::no_start_deadline && now.time_since_epoch().count() > not_after;
 }
 
 }  // namespace
--- a/stand_ins/service_core.cpp
+++ b/stand_ins/service_core.cpp
@@ -26,7 +26,7 @@
         reports_.push_back(scheduler::request_answered{request.key, known->second});
         return {};
     }
-    const bool late = request.not_after != scheduler::no_start_limit &&
+    const bool late = request.not_after != scheduler::no_start_deadline &&
                       now.time_since_epoch().count() > request.not_after;
     if (late) {
         return tl::unexpected(service_refusal::too_late);
