--- a/sim/checkers.cpp
+++ b/sim/checkers.cpp
@@ -54,7 +54,7 @@
     std::vector<std::string> violations;
     std::map<program_id, token_count> used;
     for (const ledger_entry& entry : seen.ledger) {
-        used[journal::root_of_identifier(entry.key.program)] += entry.tokens;
+        used[journal::root_program_id(entry.key.program)] += entry.tokens;
     }
     for (const caller_report& report : seen.callers) {
         if (used[report.program] > report.budget) {
--- a/src/tallyfold/program_api/gateway/commands/parse_request.cpp
+++ b/src/tallyfold/program_api/gateway/commands/parse_request.cpp
@@ -132,7 +132,7 @@
     open.program.request_identity = identity;
     if (body.contains("parent")) {
         const program_id parent = text_field(body, "parent", max_name_length);
-        open.program.root = journal::root_of_identifier(parent);
+        open.program.root = journal::root_program_id(parent);
         open.program.id = identifier_of_child(parent, identity);
     } else {
         open.program.budget = number_field(body, "budget", UINT64_MAX);
--- a/src/tallyfold/program_api/journal/shard_state.cpp
+++ b/src/tallyfold/program_api/journal/shard_state.cpp
@@ -6,12 +6,12 @@
 
 namespace tallyfold::journal {
 
-program_id root_of_identifier(const program_id& id) {
+program_id root_program_id(const program_id& id) {
     return id.substr(0, id.find('.'));
 }
 
 shard_id shard_of(const program_id& id, std::uint32_t shard_count) {
-    return static_cast<shard_id>(stable_hash(root_of_identifier(id)) % shard_count);
+    return static_cast<shard_id>(stable_hash(root_program_id(id)) % shard_count);
 }
 
 group_id group_of_shard(shard_id shard, std::uint32_t journal_groups) {
--- a/src/tallyfold/program_api/journal/shard_state.hpp
+++ b/src/tallyfold/program_api/journal/shard_state.hpp
@@ -46,7 +46,7 @@
 };
 
 /// Root part of a program identifier. Sub-agents belong to the shard of their root.
-program_id root_of_identifier(const program_id& id);
+program_id root_program_id(const program_id& id);
 
 /// Shard that the program belongs to.
 shard_id shard_of(const program_id& id, std::uint32_t shard_count);
--- a/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/program_commands.cpp
@@ -92,7 +92,7 @@
 
 void scheduler_core::record_activity(const program_id& id, instant now) {
     // Activity of a sub-agent also keeps its root from being reaped.
-    for (const program_id& active_id : {id, journal::root_of_identifier(id)}) {
+    for (const program_id& active_id : {id, journal::root_program_id(id)}) {
         const auto runtime = programs_.find(active_id);
         if (runtime != programs_.end()) {
             runtime->second.last_activity = now;
@@ -184,7 +184,7 @@
     }
     const lease_epoch epoch = shard->second.epoch;
     journal_.append(
-        {number, epoch, journal::root_of_identifier(id)},
+        {number, epoch, journal::root_program_id(id)},
         journal::journal_command(journal::owner_command{
             number, epoch, journal::program_change(journal::close_program{id, reason})}),
         now);
--- a/tests/program_api/gateway/gateway_test.cpp
+++ b/tests/program_api/gateway/gateway_test.cpp
@@ -68,7 +68,7 @@
         CPPUNIT_ASSERT_EQUAL(identifier_of_program("t", "i"), identifier_of_program("t", "i"));
         CPPUNIT_ASSERT(identifier_of_program("t", "i") != identifier_of_program("u", "i"));
         const program_id root = identifier_of_program("t", "i");
-        CPPUNIT_ASSERT_EQUAL(root, journal::root_of_identifier(identifier_of_child(root, "c")));
+        CPPUNIT_ASSERT_EQUAL(root, journal::root_program_id(identifier_of_child(root, "c")));
     }
 
     static gateway_core make_gateway(std::uint64_t seed = 1) {
