--- a/src/tallyfold/plane/directory/directory_core.cpp
+++ b/src/tallyfold/plane/directory/directory_core.cpp
@@ -34,8 +34,8 @@
     : settings_(std::move(settings)),
       identity_(identity),
       replica_(replica_settings_of(settings_, identity),
-               forms_directory(settings_, identity, recovered) ? first_state(settings_.seeds)
-                                                               : recovered,
+               creates_directory(settings_, identity, recovered) ? initial_state(settings_.seeds)
+                                                                 : recovered,
                now),
       member_planner_(settings_.members),
       store_planner_(settings_.stores),
@@ -45,8 +45,8 @@
     }
     check_membership_entries();
     applied_ = replica_.log().snapshot_index();
-    if (forms_directory(settings_, identity, recovered)) {
-        const consensus::recovered_state first = first_state(settings_.seeds);
+    if (creates_directory(settings_, identity, recovered)) {
+        const consensus::recovered_state first = initial_state(settings_.seeds);
         consensus::group_write write;
         write.group = configuration_group;
         write.state = first.state;
@@ -130,7 +130,7 @@
         return;
     }
     // Compressed, because a large entry delays the heartbeats behind it on the connection.
-    const auto index = replica_.propose(protocol::encode_packed(command));
+    const auto index = replica_.propose(protocol::encode_compressed(command));
     if (!index) {
         answer(token, answer_kind::not_leader);
         return;
@@ -207,7 +207,7 @@
         log_format_wait("recovery=store_groups", *older_node, now);
     }
     if (auto change = store_planner_.plan(state_, now)) {
-        submit(own_command, std::move(*change));
+        submit(leader_command_token, std::move(*change));
     }
 }
 
@@ -257,7 +257,7 @@
 }
 
 void directory_core::apply_command(const consensus::log_entry& entry) {
-    auto command = protocol::decode_packed<directory_command>(entry.payload);
+    auto command = protocol::decode_compressed<directory_command>(entry.payload);
     if (!command) {
         // If the entry were skipped, it would still be acknowledged, and this node would serve an
         // outdated configuration.
@@ -287,7 +287,7 @@
     }
     applied_ = entry.index;
     applied_bytes_ += entry.payload.size();
-    applied_disk_bytes_ += protocol::unpacked_size(entry.payload);
+    applied_disk_bytes_ += protocol::decompressed_size(entry.payload);
     if (const auto answered = pending_.on_applied(entry.index, entry.term)) {
         answer(answered->token, answered->kind);
     }
--- a/src/tallyfold/plane/directory/directory_replica_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_replica_shell.cpp
@@ -4,7 +4,7 @@
 #include <random>
 
 #include "tallyfold/base/logging/event_log.hpp"
-#include "tallyfold/plane/directory/stored_forms.hpp"
+#include "tallyfold/plane/directory/stored_formats.hpp"
 
 namespace tallyfold::directory {
 
@@ -28,9 +28,9 @@
     core_settings.seeds = settings.seed_directories();
     core_settings.first_start = settings.first_start;
     // 2f+1 voters tolerate f losses; two more keep that tolerance while a lost one is replaced.
-    core_settings.members.max_voters = 2 * settings.losses_borne + 3;
-    core_settings.members.min_voters = 2 * settings.losses_borne + 1;
-    core_settings.stores.losses = settings.losses_borne;
+    core_settings.members.max_voters = 2 * settings.tolerated_losses + 3;
+    core_settings.members.min_voters = 2 * settings.tolerated_losses + 1;
+    core_settings.stores.losses = settings.tolerated_losses;
     core_settings.seed = random_nonzero();
     return core_settings;
 }
@@ -62,14 +62,14 @@
 }
 
 void directory_replica::schedule_reopen() {
-    process_.after(reopen_interval, [this] { start(); });
+    process_.run_after(reopen_interval, [this] { start(); });
 }
 
 void directory_replica::clear_damaged_folder(const std::string& reason) {
     // The folder's contents are not reliable: this node starts as a new replica and obtains the
     // state from its peers.
     logging::write_event(logging::event_id::identity_renewed, "reason=\"" + reason + "\"");
-    storage::empty_folder(process_.settings().data_folder);
+    storage::remove_folder_contents(process_.settings().data_folder);
 }
 
 bool directory_replica::open() {
@@ -77,7 +77,7 @@
     const directory_settings settings = core_settings_of(process_.settings());
     const auto open_as = [&](consensus::replica_id identity) {
         return storage::log_store::open(folder, identity, segment_bytes,
-                                        storage::tail_policy::cut_unsynced);
+                                        storage::tail_policy::truncate_torn);
     };
     auto opened = open_as(new_identity(settings));
     // Data in another build's format is intact, so the folder is kept for a build that can read it.
--- a/src/tallyfold/plane/directory/directory_settings.cpp
+++ b/src/tallyfold/plane/directory/directory_settings.cpp
@@ -14,7 +14,7 @@
 
 /// Minimum interval between rounds in which the leader confirms its leadership for reads; limits
 /// the number of messages.
-constexpr duration read_round_gap = std::chrono::milliseconds(20);
+constexpr duration min_read_round_interval = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -25,8 +25,8 @@
     result.self = identity;
     result.election_timeout = settings.election_timeout;
     result.heartbeat_interval = settings.heartbeat_interval;
-    result.first_election_timeout = settings.first_election_timeout;
-    result.read_round_gap = read_round_gap;
+    result.initial_election_timeout = settings.initial_election_timeout;
+    result.min_read_round_interval = min_read_round_interval;
     result.seed = settings.seed;
     return result;
 }
@@ -35,7 +35,7 @@
     return std::max<consensus::replica_id>(1, stable_hash(address));
 }
 
-consensus::recovered_state first_state(const std::vector<node_name>& seeds) {
+consensus::recovered_state initial_state(const std::vector<node_name>& seeds) {
     consensus::recovered_state state;
     state.state.term = first_term;
     state.base.index = first_index;
@@ -46,8 +46,8 @@
     return state;
 }
 
-bool forms_directory(const directory_settings& settings, consensus::replica_id identity,
-                     const consensus::recovered_state& recovered) {
+bool creates_directory(const directory_settings& settings, consensus::replica_id identity,
+                       const consensus::recovered_state& recovered) {
     const bool is_seed = std::find(settings.seeds.begin(), settings.seeds.end(),
                                    settings.address) != settings.seeds.end();
     const bool is_empty =
--- a/src/tallyfold/plane/directory/directory_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_shell.cpp
@@ -149,9 +149,9 @@
 }
 
 void directory_node::start_timers() {
-    process_.every(list_request_interval, [this] { request_list_from_leader(); });
-    process_.every(propagation_check_interval, [this] { check_propagation(); });
-    process_.every(tick_interval, [this] { tick(); });
+    process_.run_every(list_request_interval, [this] { request_list_from_leader(); });
+    process_.run_every(propagation_check_interval, [this] { check_propagation(); });
+    process_.run_every(tick_interval, [this] { tick(); });
 }
 
 int directory_node::run() {
@@ -163,7 +163,7 @@
     }
     list_.start();
     start_timers();
-    return process_.run([this] { process_.after(stop_delay, [this] { process_.finish(); }); },
+    return process_.run([this] { process_.run_after(stop_delay, [this] { process_.finish(); }); },
                         [](const settings::node_settings&) {});
 }
 
--- a/src/tallyfold/plane/discovery/types.hpp
+++ b/src/tallyfold/plane/discovery/types.hpp
@@ -57,7 +57,7 @@
                                          const list_changes& changes);
 
 /// Update of the list, as sent between nodes.
-struct list_sight {
+struct list_update {
     list_fingerprint fingerprint = 0;
     /// Time from the poll of the list to the sending of this message, in milliseconds.
     std::uint32_t age_ms = 0;
@@ -73,29 +73,29 @@
 };
 
 /// The newest list that this node holds, polled by itself or received from another node. Pure.
-class list_memory {
+class backend_list_replica {
   public:
     /// @param kept_lists number of earlier lists to keep, so that nodes that hold one of them can
     /// be sent differences
-    explicit list_memory(std::size_t kept_lists = 0) : kept_lists_(kept_lists) {}
+    explicit backend_list_replica(std::size_t kept_lists = 0) : kept_lists_(kept_lists) {}
 
     /// Records a list that this node has polled.
     /// @return true when it differs from the one held
-    bool see(const std::vector<listed_backend>& backends, instant now);
+    bool record_poll(const std::vector<listed_backend>& backends, instant now);
     /// Applies an update from another node.
     /// @return true when the update is newer and changes the list
-    bool learn(const list_sight& sight, instant now);
+    bool apply_update(const list_update& update, instant now);
     /// Returns the update for a node that holds the list `held`; empty when this node holds none or
     /// none that is newer.
     /// @param held_age time since some node polled the list `held`
-    [[nodiscard]] std::vector<list_sight> update_for(list_fingerprint held, duration held_age,
-                                                     instant now);
+    [[nodiscard]] std::vector<list_update> update_for(list_fingerprint held, duration held_age,
+                                                      instant now);
 
     [[nodiscard]] list_fingerprint fingerprint() const { return fingerprint_; }
     [[nodiscard]] const std::vector<listed_backend>& backends() const { return backends_; }
     [[nodiscard]] bool known() const { return fingerprint_ != 0; }
     /// When some node last polled the list held.
-    [[nodiscard]] instant seen() const { return seen_; }
+    [[nodiscard]] instant last_polled_at() const { return last_polled_at_; }
 
   private:
     struct earlier_list {
@@ -112,7 +112,7 @@
     std::size_t kept_lists_;
     std::vector<listed_backend> backends_;
     list_fingerprint fingerprint_ = 0;
-    instant seen_{};
+    instant last_polled_at_{};
     std::deque<earlier_list> earlier_;
     /// Differences to the current list by their base, computed on demand.
     std::map<list_fingerprint, list_changes> differences_;
--- a/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
+++ b/src/tallyfold/plane/forwarding/answer_relay_shell.hpp
@@ -13,8 +13,8 @@
 #include "tallyfold/plane/forwarding/forwarded_request.hpp"
 #include "tallyfold/plane/forwarding/stream_pace.hpp"
 #include "tallyfold/plane/forwarding/turn_session_shell.hpp"
+#include "tallyfold/plane/http/event_boundary_filter.hpp"
 #include "tallyfold/plane/http/event_stream.hpp"
-#include "tallyfold/plane/http/whole_events.hpp"
 
 namespace tallyfold::forwarding {
 
@@ -77,7 +77,7 @@
     turn_session* turn_;
     http::event_stream_reader events_;
     /// Complete events of a resumable stream that were relayed to the caller.
-    http::whole_events relayed_events_;
+    http::event_boundary_filter relayed_events_;
     stream_pace pace_;
     bool started_ = false;
     bool fully_relayed_ = false;
--- a/src/tallyfold/plane/http/connection_shell.hpp
+++ b/src/tallyfold/plane/http/connection_shell.hpp
@@ -52,7 +52,7 @@
     /// Waits for the first byte of the next message.
     asio::awaitable<tl::expected<void, io_failure>> wait_for_message(instant deadline);
     /// Reads the next body bytes; an empty string once the message is complete.
-    asio::awaitable<tl::expected<std::string, io_failure>> read_body_piece(instant deadline);
+    asio::awaitable<tl::expected<std::string, io_failure>> read_body_chunk(instant deadline);
     asio::awaitable<tl::expected<void, io_failure>> write(std::string bytes, instant deadline);
 
     [[nodiscard]] const message_head& head() const { return parser_.head(); }
@@ -62,8 +62,8 @@
     void next_message() { parser_.next_message(); }
 
     /// Calls `closed` at most once, when the peer closes the connection while no read is pending.
-    void watch_close(std::function<void()> closed);
-    void stop_watching() { ++close_watch_id_; }
+    void notify_on_close(std::function<void()> closed);
+    void cancel_close_notification() { ++close_watch_id_; }
     /// True when an idle connection has unread bytes or is closed, so that it can't be reused.
     [[nodiscard]] bool stale();
 
--- a/src/tallyfold/plane/messaging/frame_channel_shell.cpp
+++ b/src/tallyfold/plane/messaging/frame_channel_shell.cpp
@@ -38,7 +38,7 @@
     while (input_.size() - offset >= frame_header_size) {
         std::uint32_t length = 0;
         std::memcpy(&length, input_.data() + offset, sizeof(length));
-        if (length > largest_frame) {
+        if (length > max_frame_payload_bytes) {
             close_on_protocol_error("frame of " + std::to_string(length) +
                                     " bytes exceeds the size limit");
             return false;
@@ -105,7 +105,7 @@
                          "peer=" + peer_address() + " kind=" + std::to_string(message.index()) +
                              " format=" + protocol::to_string(negotiation_.send_format()) +
                              " withheld=" + std::to_string(withheld_) + " lacking=\"" +
-                             error.lacking + "\"");
+                             error.unsupported_content + "\"");
 }
 
 void frame_channel::close_on_protocol_error(const std::string& reason) {
--- a/src/tallyfold/plane/routing/configuration_change.cpp
+++ b/src/tallyfold/plane/routing/configuration_change.cpp
@@ -123,7 +123,7 @@
 tl::expected<configuration, change_failure> apply(const configuration_change& change,
                                                   const configuration& base) {
     if (change.base != base.version) {
-        return tl::unexpected(change_failure::other_base);
+        return tl::unexpected(change_failure::base_mismatch);
     }
     configuration result;
     result.version = change.version;
@@ -132,7 +132,7 @@
                           apply(change.services, base.services, result.services) &&
                           apply(change.tenants, base.tenants, result.tenants);
     if (!complete || digest_of(result) != change.digest) {
-        return tl::unexpected(change_failure::damaged);
+        return tl::unexpected(change_failure::result_mismatch);
     }
     return result;
 }
--- a/tests/plane/directory/mixed_formats_test.cpp
+++ b/tests/plane/directory/mixed_formats_test.cpp
@@ -6,7 +6,7 @@
 #include "tallyfold/base/common/random.hpp"
 #include "tallyfold/base/protocol/stored_value.hpp"
 #include "tallyfold/plane/directory/format_tracker.hpp"
-#include "tallyfold/plane/directory/stored_forms.hpp"
+#include "tallyfold/plane/directory/stored_formats.hpp"
 #include "tests/support/directory_group.hpp"
 #include "tests/support/suite.hpp"
 
@@ -119,10 +119,10 @@
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(group.change(leader, configuration_of(48, many_routes)));
-        const auto report = through_first_format(report_of_first_format(46));
+        const auto report = reencode_in_first_format(report_of_first_format(46));
         CPPUNIT_ASSERT(report.has_value());
         for (const node_name& asked : {leader, group.followers().front()}) {
-            const auto answer = through_first_format(
+            const auto answer = reencode_in_first_format(
                 group.node(asked).receive(*report, group.now(), format_version::v1));
             CPPUNIT_ASSERT(answer.has_value());
             CPPUNIT_ASSERT_EQUAL(std::size_t{1}, answer->newer_configuration.size());
@@ -141,7 +141,7 @@
         directory_group group(3);
         const node_name leader = group.run_until_led();
         CPPUNIT_ASSERT(group.change(leader, with_tenants(50)));
-        const auto answer = through_first_format(group.node(leader).receive(
+        const auto answer = reencode_in_first_format(group.node(leader).receive(
             report_of_first_format(46), group.now(), format_version::v1));
         CPPUNIT_ASSERT(answer.has_value());
         CPPUNIT_ASSERT(answer->newer_configuration.empty());
@@ -151,7 +151,7 @@
     /// support.
     static consensus::replica_message with_later_entry(const directory_core& leader,
                                                        const node_name& follower) {
-        const std::uint64_t mark = protocol::numbered_form_mark | 3U;
+        const std::uint64_t mark = protocol::format_version_marker | 3U;
         consensus::append_request append;
         append.previous_index = leader.replica().log().last_index();
         append.previous_term = leader.term();
@@ -202,13 +202,13 @@
     }
 
     void snapshot_in_later_format_is_rejected() {
-        const std::uint64_t mark = protocol::numbered_form_mark | 3U;
+        const std::uint64_t mark = protocol::format_version_marker | 3U;
         directory_state state;
         state.apply(replace_configuration{configuration_of(46, 2), "text"});
         const auto restored =
             state.restore(std::string(reinterpret_cast<const char*>(&mark), sizeof(mark)));
         CPPUNIT_ASSERT(!restored);
-        CPPUNIT_ASSERT(restored.error().is_later_format);
+        CPPUNIT_ASSERT(restored.error().is_newer_format);
         CPPUNIT_ASSERT_EQUAL(routing::configuration_version{46}, state.configuration().version);
     }
 
@@ -263,12 +263,12 @@
     }
 
     void later_format_is_distinguished_from_damage() {
-        const std::uint64_t mark = protocol::numbered_form_mark | 3U;
+        const std::uint64_t mark = protocol::format_version_marker | 3U;
         const std::string later = std::string(reinterpret_cast<const char*>(&mark), sizeof(mark));
         const auto read = protocol::decode_stored<directory_command>(later + "whatever");
-        CPPUNIT_ASSERT(!read && read.error().is_later_format);
+        CPPUNIT_ASSERT(!read && read.error().is_newer_format);
         const auto damaged = protocol::decode_stored<directory_command>("whatever");
-        CPPUNIT_ASSERT(!damaged && !damaged.error().is_later_format);
+        CPPUNIT_ASSERT(!damaged && !damaged.error().is_newer_format);
     }
 };
 
--- a/tests/plane/http/whole_events_test.cpp
+++ b/tests/plane/http/event_boundary_filter_test.cpp
@@ -1,4 +1,4 @@
-#include "tallyfold/plane/http/whole_events.hpp"
+#include "tallyfold/plane/http/event_boundary_filter.hpp"
 
 #include "tests/support/suite.hpp"
 
@@ -6,8 +6,8 @@
 
 using namespace http;
 
-class whole_events_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(whole_events_test);
+class event_boundary_filter_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(event_boundary_filter_test);
     CPPUNIT_TEST(withholds_incomplete_event);
     CPPUNIT_TEST(drops_repeated_events_after_resume);
     CPPUNIT_TEST(detects_missing_event_after_resume);
@@ -27,31 +27,31 @@
     }
 
     void withholds_incomplete_event() {
-        whole_events stream;
+        event_boundary_filter stream;
         CPPUNIT_ASSERT_EQUAL(event(1), stream.feed(event(1) + "id: 2\ndata: te"));
         CPPUNIT_ASSERT_EQUAL(std::string("1"), stream.last_id());
-        stream.begin_anew();
+        stream.begin_response();
         CPPUNIT_ASSERT_EQUAL(event(2), stream.feed(event(2)));
     }
 
     void drops_repeated_events_after_resume() {
-        whole_events stream;
+        event_boundary_filter stream;
         stream.feed(events(1, 4));
-        stream.begin_anew();
+        stream.begin_response();
         CPPUNIT_ASSERT_EQUAL(events(5, 6), stream.feed(events(3, 6)));
         CPPUNIT_ASSERT(stream.in_order());
     }
 
     void detects_missing_event_after_resume() {
-        whole_events stream;
+        event_boundary_filter stream;
         stream.feed(events(1, 4));
-        stream.begin_anew();
+        stream.begin_response();
         CPPUNIT_ASSERT_EQUAL(std::string{}, stream.feed(events(6, 7)));
         CPPUNIT_ASSERT(!stream.in_order());
     }
 
     void forwards_events_without_identifiers() {
-        whole_events stream;
+        event_boundary_filter stream;
         const std::string text = "data: a\r\n\r\ndata: b\n\n";
         CPPUNIT_ASSERT_EQUAL(text, stream.feed(text));
     }
@@ -60,7 +60,7 @@
         check_property("a stream cut anywhere and continued has each event once, in order", [] {
             const int count = *rc::gen::inRange(3, 30);
             const std::string whole = events(1, count);
-            whole_events stream;
+            event_boundary_filter stream;
             std::string forwarded;
             const auto cut =
                 static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(whole.size())));
@@ -70,7 +70,7 @@
                     stream.feed(std::string_view(whole).substr(at, std::min(piece, cut - at)));
                 at += piece;
             }
-            stream.begin_anew();
+            stream.begin_response();
             const int last = stream.last_id().empty() ? 0 : std::stoi(stream.last_id());
             const int first = std::max(1, last + 1 - *rc::gen::inRange(0, 3));
             forwarded += stream.feed(events(first, count));
@@ -80,6 +80,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(whole_events_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(event_boundary_filter_test);
 
 }  // namespace tallyfold::tests
--- a/tests/plane/routing/configuration_change_test.cpp
+++ b/tests/plane/routing/configuration_change_test.cpp
@@ -92,22 +92,22 @@
         const configuration_change change = difference(plain(1, 5), plain(2, 6));
         const auto result = apply(change, plain(3, 5));
         CPPUNIT_ASSERT(!result.has_value());
-        CPPUNIT_ASSERT(result.error() == change_failure::other_base);
+        CPPUNIT_ASSERT(result.error() == change_failure::base_mismatch);
     }
 
     void a_damaged_difference_is_refused() {
         const configuration from = plain(1, 5);
         configuration_change beyond = difference(from, plain(2, 6));
         beyond.routes.runs.front().count = 9;
-        CPPUNIT_ASSERT(apply(beyond, from).error() == change_failure::damaged);
+        CPPUNIT_ASSERT(apply(beyond, from).error() == change_failure::result_mismatch);
         configuration_change altered = difference(from, plain(2, 6));
         altered.routes.runs.back().then.back().timeout_ms = 1;
-        CPPUNIT_ASSERT(apply(altered, from).error() == change_failure::damaged);
+        CPPUNIT_ASSERT(apply(altered, from).error() == change_failure::result_mismatch);
         // The base has the same version, but other contents.
         configuration other = plain(1, 5);
         other.routes[0].timeout_ms = 3;
         CPPUNIT_ASSERT(apply(difference(from, plain(2, 6)), other).error() ==
-                       change_failure::damaged);
+                       change_failure::result_mismatch);
     }
 };
 
