--- a/src/tallyfold/consensus/replica_reads.cpp
+++ b/src/tallyfold/consensus/replica_reads.cpp
@@ -37,7 +37,8 @@
 void replica_fsm::begin_round_for_reads(instant now) {
     const bool waiting = !pending_reads_.empty() && pending_reads_.back().round > round_;
     const bool no_round_in_flight = confirmed_round() >= round_;
-    if (waiting && no_round_in_flight && now - last_round_start_ >= settings_.read_round_gap) {
+    if (waiting && no_round_in_flight &&
+        now - last_round_start_ >= settings_.min_read_round_interval) {
         begin_round(now);
     }
 }
@@ -48,15 +49,16 @@
     if (leader_ == no_replica || role_ == replica_role::leader) {
         return;
     }
-    if (const auto question = follower_reads_.next_request_id(now, settings_.heartbeat_interval)) {
-        send(leader_, read_index_request{*question}, false);
+    if (const auto request_id =
+            follower_reads_.next_request_id(now, settings_.heartbeat_interval)) {
+        send(leader_, read_index_request{*request_id}, false);
     }
 }
 
 void replica_fsm::on_read_index_request(const replica_message& message,
                                         const read_index_request& body, instant now) {
     if (role_ == replica_role::leader) {
-        queue_read({body.question, round_ + 1, message.from}, now);
+        queue_read({body.request_id, round_ + 1, message.from}, now);
     }
 }
 
@@ -65,7 +67,7 @@
     if (message.from != leader_) {
         return;
     }
-    follower_reads_.on_reply(body.question, body.commit_index);
+    follower_reads_.on_reply(body.request_id, body.commit_index);
     confirm_follower_reads();
 }
 
--- a/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
+++ b/src/tallyfold/plane/directory/backend_list_sharing_shell.cpp
@@ -20,7 +20,7 @@
 void backend_list_sharing::start() {
     poller_.start(
         [this](const std::vector<discovery::listed_backend>& backends) {
-            list_.see(backends, http::steady_now());
+            list_.record_poll(backends, http::steady_now());
         },
         [this] { return is_poller(); });
 }
@@ -29,19 +29,19 @@
     discovery::poller_election election;
     election.leads = core_ && core_->leads();
     election.known = list_.known();
-    election.age = http::steady_now() - list_.seen();
+    election.age = http::steady_now() - list_.last_polled_at();
     election.rank = core_ ? core_->rank_behind_leader() : 0;
     return election.should_poll();
 }
 
 void backend_list_sharing::on_leader_answer(const node_report_answer& answer) {
-    for (const discovery::list_sight& sight : answer.list) {
-        list_.learn(sight, http::steady_now());
+    for (const discovery::list_update& update : answer.list) {
+        list_.apply_update(update, http::steady_now());
     }
 }
 
-std::vector<discovery::list_sight> backend_list_sharing::changes_for(const node_report& report,
-                                                                     instant now) {
+std::vector<discovery::list_update> backend_list_sharing::changes_for(const node_report& report,
+                                                                      instant now) {
     if (!report.wants_list) {
         return {};
     }
@@ -57,7 +57,7 @@
     // Requests the list only: store groups and the configuration arrive through the log.
     report.stores = core_->state().stores().epoch;
     report.list = list_.fingerprint();
-    const duration age = http::steady_now() - list_.seen();
+    const duration age = http::steady_now() - list_.last_polled_at();
     report.list_age_ms = static_cast<std::uint32_t>(list_.known() ? to_milliseconds(age) : 0);
     return report;
 }
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -25,17 +25,17 @@
     on_stores_ = std::move(on_stores);
     describe_store_ = std::move(describe_store);
     last_answer_at_ = http::steady_now();
-    use_seeds(process_.settings().seed_directories());
-    process_.every(settings_.report_interval, [this] { report(); });
+    add_seeds(process_.settings().seed_directories());
+    process_.run_every(settings_.report_interval, [this] { report(); });
 }
 
-void directory_client::share_list(discovery::list_memory& list,
+void directory_client::share_list(discovery::backend_list_replica& list,
                                   std::function<void(bool changed)> on_list) {
     list_ = &list;
     on_list_ = std::move(on_list);
 }
 
-void directory_client::use_seeds(const std::vector<std::string>& peers) {
+void directory_client::add_seeds(const std::vector<std::string>& peers) {
     for (const std::string& peer : peers) {
         add_address(peer);
     }
@@ -64,7 +64,7 @@
             if (!up) {
                 fetch_.on_disconnect(address);
             }
-            messaging::log_link(address, "directory", up, reason);
+            messaging::log_link_state(address, "directory", up, reason);
         });
 }
 
@@ -77,7 +77,7 @@
     report.wants_list = list_ != nullptr;
     if (list_ != nullptr) {
         report.list = list_->fingerprint();
-        const duration age = http::steady_now() - list_->seen();
+        const duration age = http::steady_now() - list_->last_polled_at();
         report.list_age_ms = static_cast<std::uint32_t>(list_->known() ? to_milliseconds(age) : 0);
     }
     if (describe_store_) {
@@ -158,7 +158,7 @@
     for (const std::string& address : answer.directory_addresses) {
         add_address(address);
     }
-    learn_leader(answer.leader, answer.term);
+    update_leader(answer.leader, answer.term);
     merge_stores_and_list(answer);
     if (settings_.wants_configuration) {
         on_configuration_report(from, answer);
@@ -204,9 +204,9 @@
             on_stores_(stores_);
         }
     }
-    for (const discovery::list_sight& sight : answer.list) {
+    for (const discovery::list_update& update : answer.list) {
         if (list_ != nullptr) {
-            on_list_(list_->learn(sight, last_answer_at_));
+            on_list_(list_->apply_update(update, last_answer_at_));
         }
     }
 }
@@ -235,7 +235,7 @@
     }
 }
 
-void directory_client::learn_leader(const node_name& leader, consensus::term_number term) {
+void directory_client::update_leader(const node_name& leader, consensus::term_number term) {
     if (!leader.empty() && term >= term_) {
         leader_ = leader;
         term_ = term;
@@ -290,7 +290,7 @@
     links_[address]->send(message);
 }
 
-void directory_client::learn_map(const turns::store_map& map) {
+void directory_client::merge_map(const turns::store_map& map) {
     if (stores_.merge_newer(map)) {
         on_stores_(stores_);
     }
--- a/src/tallyfold/plane/directory/directory_client_shell.hpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.hpp
@@ -44,9 +44,10 @@
                std::function<std::vector<store_report>()> describe_store);
     /// Keeps `list` up to date with the directory nodes' list of back ends.
     /// @param on_list called after each answer that contains the list
-    void share_list(discovery::list_memory& list, std::function<void(bool changed)> on_list);
+    void share_list(discovery::backend_list_replica& list,
+                    std::function<void(bool changed)> on_list);
     /// Merges a group's map that was received from another source.
-    void learn_map(const turns::store_map& map);
+    void merge_map(const turns::store_map& map);
     /// Waits until it is proved that this node holds the configuration that was the newest at the
     /// time of the call, or until the limit. Concurrent callers share questions; a proof obtained
     /// immediately before is reused.
@@ -68,11 +69,11 @@
         on_relayed_failures_ = std::move(handler);
     }
     /// Records the leader named by a directory node, unless its term is older than the known one.
-    void learn_leader(const node_name& leader, consensus::term_number term);
+    void update_leader(const node_name& leader, consensus::term_number term);
     /// Address of the leader in the newest known term; empty when unknown.
     [[nodiscard]] const node_name& leader() const { return leader_; }
     /// Adds seeds after a change of the settings.
-    void use_seeds(const std::vector<std::string>& peers);
+    void add_seeds(const std::vector<std::string>& peers);
 
     [[nodiscard]] const turns::store_table& stores() const { return stores_; }
     [[nodiscard]] routing::configuration_version version() const { return fetch_.version(); }
@@ -118,7 +119,7 @@
     configuration_handler on_configuration_;
     stores_handler on_stores_;
     std::function<std::vector<store_report>()> describe_store_;
-    discovery::list_memory* list_ = nullptr;
+    discovery::backend_list_replica* list_ = nullptr;
     std::function<void(bool changed)> on_list_;
     std::function<void(const messaging::peer_message&)> on_other_message_;
     std::function<void(const std::vector<discovery::relayed_failure>&)> on_relayed_failures_;
--- a/src/tallyfold/plane/directory/directory_links_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_links_shell.cpp
@@ -3,7 +3,7 @@
 #include <bit>
 
 #include "tallyfold/base/logging/event_log.hpp"
-#include "tallyfold/plane/directory/stored_forms.hpp"
+#include "tallyfold/plane/directory/stored_formats.hpp"
 #include "tallyfold/plane/messaging/link_log.hpp"
 
 namespace tallyfold::directory {
@@ -23,7 +23,7 @@
                 }
             },
             [address](bool up, const std::string& reason) {
-                messaging::log_link(address, "directory", up, reason);
+                messaging::log_link_state(address, "directory", up, reason);
             });
     }
     return *link;
@@ -52,7 +52,7 @@
     if (!converted && std::has_single_bit(++withheld_)) {
         logging::write_event(logging::event_id::message_withheld,
                              "peer=" + to + " format=1 withheld=" + std::to_string(withheld_) +
-                                 " lacking=\"" + converted.error().lacking + "\"");
+                                 " lacking=\"" + converted.error().unsupported_content + "\"");
     }
     return converted.has_value();
 }
--- a/src/tallyfold/plane/directory/directory_settings.hpp
+++ b/src/tallyfold/plane/directory/directory_settings.hpp
@@ -24,7 +24,7 @@
     /// Silence of the leader after which a follower starts an election; five heartbeat intervals.
     duration election_timeout = std::chrono::milliseconds(400);
     /// Election timeout immediately after a start, when there is no leader.
-    duration first_election_timeout = std::chrono::milliseconds(120);
+    duration initial_election_timeout = std::chrono::milliseconds(120);
     duration heartbeat_interval = std::chrono::milliseconds(80);
     /// Number of entries, or bytes of them, after which a snapshot is taken. Limits what a restart
     /// has to read.
@@ -47,12 +47,12 @@
 [[nodiscard]] consensus::replica_id first_identity(const node_name& address);
 
 /// State of a new directory: every seed is a voter under the identity derived from its address.
-[[nodiscard]] consensus::recovered_state first_state(const std::vector<node_name>& seeds);
+[[nodiscard]] consensus::recovered_state initial_state(const std::vector<node_name>& seeds);
 
 /// True when this replica creates a new directory with the other seeds: the system's first start,
 /// with an empty disk. Otherwise it continues from its disk or asks to join.
-[[nodiscard]] bool forms_directory(const directory_settings& settings,
-                                   consensus::replica_id identity,
-                                   const consensus::recovered_state& recovered);
+[[nodiscard]] bool creates_directory(const directory_settings& settings,
+                                     consensus::replica_id identity,
+                                     const consensus::recovered_state& recovered);
 
 }  // namespace tallyfold::directory
--- a/src/tallyfold/plane/discovery/types.cpp
+++ b/src/tallyfold/plane/discovery/types.cpp
@@ -52,7 +52,8 @@
     return result;
 }
 
-void list_memory::replace(std::vector<listed_backend> backends, list_fingerprint fingerprint) {
+void backend_list_replica::replace(std::vector<listed_backend> backends,
+                                   list_fingerprint fingerprint) {
     differences_.clear();
     if (kept_lists_ > 0 && known()) {
         earlier_.push_back({fingerprint_, std::move(backends_)});
@@ -64,8 +65,8 @@
     fingerprint_ = fingerprint;
 }
 
-bool list_memory::see(const std::vector<listed_backend>& backends, instant now) {
-    seen_ = now;
+bool backend_list_replica::record_poll(const std::vector<listed_backend>& backends, instant now) {
+    last_polled_at_ = now;
     // Sorted by name, so that the fingerprint does not depend on the order of the entries.
     std::vector<listed_backend> sorted = with_changes({}, {backends, {}});
     const list_fingerprint fingerprint = fingerprint_of(sorted);
@@ -76,31 +77,32 @@
     return true;
 }
 
-bool list_memory::learn(const list_sight& sight, instant now) {
-    const instant seen = now - std::chrono::milliseconds(sight.age_ms);
-    if (known() && seen <= seen_) {
+bool backend_list_replica::apply_update(const list_update& update, instant now) {
+    const instant polled_at = now - std::chrono::milliseconds(update.age_ms);
+    if (known() && polled_at <= last_polled_at_) {
         return false;
     }
-    if (sight.fingerprint == fingerprint_) {
-        seen_ = seen;
+    if (update.fingerprint == fingerprint_) {
+        last_polled_at_ = polled_at;
         return false;
     }
-    if (sight.base != 0 && sight.base != fingerprint_) {
+    if (update.base != 0 && update.base != fingerprint_) {
         return false;
     }
-    const bool is_full_list = sight.base == 0;
+    const bool is_full_list = update.base == 0;
     std::vector<listed_backend> updated =
-        with_changes(is_full_list ? std::vector<listed_backend>{} : backends_, sight.changes);
+        with_changes(is_full_list ? std::vector<listed_backend>{} : backends_, update.changes);
     // The changes were applied to a different list; the sender will send them again.
-    if (fingerprint_of(updated) != sight.fingerprint) {
+    if (fingerprint_of(updated) != update.fingerprint) {
         return false;
     }
-    seen_ = seen;
-    replace(std::move(updated), sight.fingerprint);
+    last_polled_at_ = polled_at;
+    replace(std::move(updated), update.fingerprint);
     return true;
 }
 
-const list_changes& list_memory::changes_from(list_fingerprint held, list_fingerprint& base) {
+const list_changes& backend_list_replica::changes_from(list_fingerprint held,
+                                                       list_fingerprint& base) {
     const auto earlier =
         std::find_if(earlier_.begin(), earlier_.end(),
                      [held](const earlier_list& list) { return list.fingerprint == held; });
@@ -113,19 +115,19 @@
     return entry->second;
 }
 
-std::vector<list_sight> list_memory::update_for(list_fingerprint held, duration held_age,
-                                                instant now) {
-    if (!known() || (held != 0 && seen_ <= now - held_age)) {
+std::vector<list_update> backend_list_replica::update_for(list_fingerprint held, duration held_age,
+                                                          instant now) {
+    if (!known() || (held != 0 && last_polled_at_ <= now - held_age)) {
         return {};
     }
-    list_sight sight;
-    sight.fingerprint = fingerprint_;
-    sight.age_ms =
-        static_cast<std::uint32_t>(std::max<std::int64_t>(0, to_milliseconds(now - seen_)));
+    list_update update;
+    update.fingerprint = fingerprint_;
+    update.age_ms = static_cast<std::uint32_t>(
+        std::max<std::int64_t>(0, to_milliseconds(now - last_polled_at_)));
     if (held != fingerprint_) {
-        sight.changes = changes_from(held, sight.base);
+        update.changes = changes_from(held, update.base);
     }
-    return {sight};
+    return {update};
 }
 
 }  // namespace tallyfold::discovery
--- a/src/tallyfold/plane/forwarding/forwarder_shell.cpp
+++ b/src/tallyfold/plane/forwarding/forwarder_shell.cpp
@@ -76,7 +76,7 @@
     tenants::quota_client quotas_;
     turns::turn_client turns_;
     discovery::list_poller poller_;
-    discovery::list_memory list_;
+    discovery::backend_list_replica list_;
     call_ranking ranking_;
     forwarder_context context_;
     caller_listener callers_;
@@ -96,7 +96,7 @@
           settings.disabled),
       directory_(process_, client_settings(settings)),
       quotas_(process_, directory_),
-      turns_(process_, [this](const turns::store_map& map) { directory_.learn_map(map); }),
+      turns_(process_, [this](const turns::store_map& map) { directory_.merge_map(map); }),
       poller_(process_, lists),
       context_{process_, codec,    directory_, quotas_, turns_, backends_, connections_,
                metrics_, ranking_, {},         nullptr, {},     false},
@@ -118,7 +118,7 @@
 }
 
 void forwarder_node::apply_backend_list(bool changed) {
-    backends_.update(list_.backends(), list_.seen());
+    backends_.update(list_.backends(), list_.last_polled_at());
     if (!changed) {
         return;
     }
@@ -219,12 +219,12 @@
             break;
         case shutdown_step::finish:
             callers_.abort_requests();
-            process_.after(stop_check_interval, [this] { process_.finish(); });
+            process_.run_after(stop_check_interval, [this] { process_.finish(); });
             return;
         case shutdown_step::wait:
             break;
     }
-    process_.after(stop_check_interval, [this] { continue_stop(); });
+    process_.run_after(stop_check_interval, [this] { continue_stop(); });
 }
 
 void forwarder_node::subscribe_to_directory() {
@@ -251,19 +251,20 @@
     directory_.share_list(list_, [this](bool changed) { apply_backend_list(changed); });
     poller_.start(
         [this](const std::vector<discovery::listed_backend>& backends) {
-            apply_backend_list(list_.see(backends, http::steady_now()));
+            apply_backend_list(list_.record_poll(backends, http::steady_now()));
         },
         [this, started = http::steady_now()] {
-            return discovery::forwarder_polls(list_.seen(), started, http::steady_now());
+            return discovery::should_forwarder_poll(list_.last_polled_at(), started,
+                                                    http::steady_now());
         });
 }
 
 void forwarder_node::start_periodic_work() {
     reload_policy();
-    process_.every(policy_check_interval, [this] { reload_policy(); });
-    process_.every(housekeeping_interval, [this] { connections_.expire(http::steady_now()); });
-    process_.every(admission_window::interval, [this] { adjust_admission(); });
-    process_.every(silence_check_interval, [this] { eject_silent_backends(); });
+    process_.run_every(policy_check_interval, [this] { reload_policy(); });
+    process_.run_every(housekeeping_interval, [this] { connections_.expire(http::steady_now()); });
+    process_.run_every(admission_window::interval, [this] { adjust_admission(); });
+    process_.run_every(silence_check_interval, [this] { eject_silent_backends(); });
 }
 
 std::string forwarder_node::listen() {
@@ -290,7 +291,7 @@
     }
     return process_.run([this] { stop(); },
                         [this](const settings::node_settings& settings) {
-                            directory_.use_seeds(settings.seed_directories());
+                            directory_.add_seeds(settings.seed_directories());
                         });
 }
 
--- a/src/tallyfold/plane/http/connection_shell.cpp
+++ b/src/tallyfold/plane/http/connection_shell.cpp
@@ -61,7 +61,7 @@
       deadline_timer_(socket_.get_executor()),
       parser_(kind, max_head_bytes) {
     if (socket_.is_open()) {
-        net::tune_socket(socket_, unacknowledged_timeout);
+        net::set_tcp_options(socket_, unacknowledged_timeout);
     }
 }
 
@@ -117,7 +117,7 @@
         close();
         co_return tl::unexpected(failure);
     }
-    net::tune_socket(socket_, unacknowledged_timeout);
+    net::set_tcp_options(socket_, unacknowledged_timeout);
     co_return tl::expected<void, io_failure>{};
 }
 
@@ -173,7 +173,7 @@
     }
 }
 
-asio::awaitable<tl::expected<std::string, io_failure>> connection::read_body_piece(
+asio::awaitable<tl::expected<std::string, io_failure>> connection::read_body_chunk(
     instant deadline) {
     const auto self = shared_from_this();
     while (true) {
@@ -210,7 +210,7 @@
     co_return tl::expected<void, io_failure>{};
 }
 
-void connection::watch_close(std::function<void()> closed) {
+void connection::notify_on_close(std::function<void()> closed) {
     const std::uint64_t number = ++close_watch_id_;
     socket_.async_wait(asio::ip::tcp::socket::wait_read, [weak = weak_from_this(), number,
                                                           closed = std::move(closed)](
--- a/src/tallyfold/plane/process/node_process_shell.hpp
+++ b/src/tallyfold/plane/process/node_process_shell.hpp
@@ -32,9 +32,9 @@
     [[nodiscard]] prometheus::Registry& metrics() { return *registry_; }
 
     /// Calls `work` every `interval`, the first time after one interval.
-    void every(duration interval, std::function<void()> work);
+    void run_every(duration interval, std::function<void()> work);
     /// Calls `work` once, after `delay`.
-    void after(duration delay, std::function<void()> work);
+    void run_after(duration delay, std::function<void()> work);
 
     /// Runs the loop until finish().
     /// @param on_stop called once on SIGTERM or SIGINT; has to result in a call of finish()
--- a/src/tallyfold/plane/turns/turn_store_shell.cpp
+++ b/src/tallyfold/plane/turns/turn_store_shell.cpp
@@ -120,7 +120,7 @@
     reply_channels_[from] = channel;
     const std::vector<addressed_reply> replies = dispatch(from, message);
     if (store_.map().epoch > epoch) {
-        directory_.learn_map(store_.map());
+        directory_.merge_map(store_.map());
     }
     send(replies);
     schedule_write();
@@ -203,14 +203,14 @@
                      [this](const store_table& stores) { on_store_table(stores); },
                      [this] { return std::vector<directory::store_report>{describe()}; });
     if (store_.map().epoch > 0) {
-        directory_.learn_map(store_.map());
+        directory_.merge_map(store_.map());
     }
-    process_.every(expiry_interval, [this] { store_.expire(steady_now(), expiry_margin); });
-    process_.every(repair_interval, [this] { writer_.repair(store_.turns()); });
-    process_.every(copy_check_interval, [this] { copy_.check_timeout(); });
-    return process_.run([this] { process_.after(stop_delay, [this] { process_.finish(); }); },
+    process_.run_every(expiry_interval, [this] { store_.expire(steady_now(), expiry_margin); });
+    process_.run_every(repair_interval, [this] { writer_.repair(store_.turns()); });
+    process_.run_every(copy_check_interval, [this] { copy_.check_timeout(); });
+    return process_.run([this] { process_.run_after(stop_delay, [this] { process_.finish(); }); },
                         [this](const settings::node_settings& settings) {
-                            directory_.use_seeds(settings.seed_directories());
+                            directory_.add_seeds(settings.seed_directories());
                         });
 }
 
--- a/tests/plane/discovery/list_memory_test.cpp
+++ b/tests/plane/discovery/backend_list_replica_test.cpp
@@ -7,8 +7,8 @@
 
 using namespace discovery;
 
-class list_memory_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(list_memory_test);
+class backend_list_replica_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(backend_list_replica_test);
     CPPUNIT_TEST(older_update_does_not_replace_newer_list);
     CPPUNIT_TEST(update_of_held_list_has_no_contents);
     CPPUNIT_TEST(update_without_contents_of_other_list_is_ignored);
@@ -28,40 +28,40 @@
     }
 
     void older_update_does_not_replace_newer_list() {
-        list_memory slow;
-        slow.see(list(false), at(0));
-        list_memory node;
-        node.see(list(true), at(500));
-        CPPUNIT_ASSERT(!node.learn(slow.update_for(0, {}, at(1000)).front(), at(1000)));
+        backend_list_replica slow;
+        slow.record_poll(list(false), at(0));
+        backend_list_replica node;
+        node.record_poll(list(true), at(500));
+        CPPUNIT_ASSERT(!node.apply_update(slow.update_for(0, {}, at(1000)).front(), at(1000)));
         CPPUNIT_ASSERT(node.backends().front().member.leaving);
-        CPPUNIT_ASSERT(slow.learn(
+        CPPUNIT_ASSERT(slow.apply_update(
             node.update_for(slow.fingerprint(), std::chrono::seconds(1), at(1000)).front(),
             at(1000)));
         CPPUNIT_ASSERT(slow.backends().front().member.leaving);
-        CPPUNIT_ASSERT(slow.seen() == at(500));
+        CPPUNIT_ASSERT(slow.last_polled_at() == at(500));
     }
 
     void update_of_held_list_has_no_contents() {
-        list_memory sender;
-        sender.see(list(false), at(700));
-        list_memory node;
-        node.see(list(false), at(0));
-        const list_sight sight =
+        backend_list_replica sender;
+        sender.record_poll(list(false), at(700));
+        backend_list_replica node;
+        node.record_poll(list(false), at(0));
+        const list_update update =
             sender.update_for(node.fingerprint(), std::chrono::seconds(1), at(1000)).front();
-        CPPUNIT_ASSERT(sight.changes.changed.empty() && sight.changes.removed.empty());
-        CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
-        CPPUNIT_ASSERT(node.seen() == at(700));
-        CPPUNIT_ASSERT(list_memory{}.update_for(0, {}, at(0)).empty());
+        CPPUNIT_ASSERT(update.changes.changed.empty() && update.changes.removed.empty());
+        CPPUNIT_ASSERT(!node.apply_update(update, at(1000)));
+        CPPUNIT_ASSERT(node.last_polled_at() == at(700));
+        CPPUNIT_ASSERT(backend_list_replica{}.update_for(0, {}, at(0)).empty());
     }
 
     void update_without_contents_of_other_list_is_ignored() {
-        list_memory sender;
-        sender.see(list(true), at(700));
-        list_sight sight =
+        backend_list_replica sender;
+        sender.record_poll(list(true), at(700));
+        list_update update =
             sender.update_for(sender.fingerprint(), std::chrono::seconds(1), at(1000)).front();
-        list_memory node;
-        node.see(list(false), at(0));
-        CPPUNIT_ASSERT(!node.learn(sight, at(1000)));
+        backend_list_replica node;
+        node.record_poll(list(false), at(0));
+        CPPUNIT_ASSERT(!node.apply_update(update, at(1000)));
         CPPUNIT_ASSERT(!node.backends().front().member.leaving);
     }
 
@@ -80,36 +80,37 @@
     /// forwarder after each change.
     void holder_of_earlier_list_receives_differences() {
         constexpr std::size_t kept = 8;
-        list_memory sender(kept);
-        sender.see(numbered(1, 500), at(0));
-        list_memory node;
-        CPPUNIT_ASSERT(node.learn(sender.update_for(0, {}, at(10)).front(), at(10)));
+        backend_list_replica sender(kept);
+        sender.record_poll(numbered(1, 500), at(0));
+        backend_list_replica node;
+        CPPUNIT_ASSERT(node.apply_update(sender.update_for(0, {}, at(10)).front(), at(10)));
         auto later = numbered(2, 501);
         later[5].member.leaving = true;
-        sender.see(later, at(500));
-        const list_sight sight =
+        sender.record_poll(later, at(500));
+        const list_update update =
             sender.update_for(node.fingerprint(), std::chrono::milliseconds(600), at(600)).front();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sight.changes.changed.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sight.changes.removed.size());
-        CPPUNIT_ASSERT(node.learn(sight, at(600)));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, update.changes.changed.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, update.changes.removed.size());
+        CPPUNIT_ASSERT(node.apply_update(update, at(600)));
         CPPUNIT_ASSERT(node.backends() == sender.backends());
     }
 
     void differences_from_other_base_are_ignored() {
-        list_memory sender(1);
-        sender.see(numbered(1, 9), at(0));
+        backend_list_replica sender(1);
+        sender.record_poll(numbered(1, 9), at(0));
         const list_fingerprint first = sender.fingerprint();
-        sender.see(numbered(1, 10), at(100));
-        const list_sight sight = sender.update_for(first, std::chrono::seconds(1), at(200)).front();
-        list_memory other;
-        other.see(numbered(3, 9), at(50));
-        CPPUNIT_ASSERT(!other.learn(sight, at(200)));
+        sender.record_poll(numbered(1, 10), at(100));
+        const list_update update =
+            sender.update_for(first, std::chrono::seconds(1), at(200)).front();
+        backend_list_replica other;
+        other.record_poll(numbered(3, 9), at(50));
+        CPPUNIT_ASSERT(!other.apply_update(update, at(200)));
         CPPUNIT_ASSERT(other.backends() == numbered(3, 9));
     }
 
     void holder_of_newer_list_receives_no_update() {
-        list_memory sender(1);
-        sender.see(numbered(1, 9), at(0));
+        backend_list_replica sender(1);
+        sender.record_poll(numbered(1, 9), at(0));
         CPPUNIT_ASSERT(sender.update_for(77, std::chrono::milliseconds(100), at(500)).empty());
         CPPUNIT_ASSERT(!sender.update_for(77, std::chrono::milliseconds(900), at(500)).empty());
     }
@@ -133,6 +134,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(list_memory_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(backend_list_replica_test);
 
 }  // namespace tallyfold::tests
