--- a/scripts/lib/fleet.sh
+++ b/scripts/lib/fleet.sh
@@ -1,11 +1,11 @@
-# Starts and stops a fleet of separate processes on loopback addresses. Sourced by the scripts
-# that need one; everything lies in the folder $run, and only processes started here are ended.
+# Functions that start and stop a fleet of separate processes on loopback addresses; to be sourced.
+# All files are in the folder $run. Only processes started here are terminated.
 #
-# Each process listens on 127.0.R.N; links to it go through the relay on 127.1.R.N, which adds the
-# one-way delay of the profile.
+# Each process listens on 127.0.R.N. Connections to it go through the relay on 127.1.R.N, which
+# adds the one-way delay of the profile.
 
 declare -A fleet_pids=()
-# 127.1 goes through the relay, 127.0 straight to the process.
+# Address prefix that processes use for each other: 127.1 through the relay, 127.0 directly.
 via=${via:-127.1}
 
 # fleet_start NAME PROGRAM ARGUMENTS...
@@ -29,7 +29,7 @@
     return $code
 }
 
-# Ends what is still running, whatever state it is in.
+# Kills all processes that still run, including stopped (SIGSTOP) ones.
 fleet_cleanup() {
     local name
     for name in "${!fleet_pids[@]}"; do
@@ -156,7 +156,7 @@
     fleet_start platform stand-in-platform --listen 127.0.7.1:8000 "${members[@]}"
 }
 
-# add_routes KIND ROW PORT COUNT DELAY: a route to each process of a kind.
+# add_routes KIND ROW PORT COUNT DELAY: adds a relay route to each process of a kind.
 add_routes() {
     local n
     for n in $(seq "$4"); do
@@ -188,7 +188,7 @@
     done
 }
 
-# True when each gateway and scheduler serves with the newest configuration.
+# Succeeds when each gateway and scheduler has applied the newest configuration.
 configuration_in_force() {
     local newest expected=$((gateway_count + scheduler_count))
     newest=$(ctl tenant list --json | jq 'map(.changed_at) | max')
@@ -197,7 +197,8 @@
         '[.nodes[] | select(.configuration >= $newest)] | length >= $expected'
 }
 
-# Starts everything for $profile and waits until it serves with its configuration.
+# Starts the fleet of $profile and waits until all nodes are ready and have applied its
+# configuration.
 fleet_up() {
     fleet_profile "$profile"
     : "${scheduler_count:=2}" "${gateway_count:=2}" "${engine_count:=10}" "${app_count:=10}"
@@ -227,7 +228,7 @@
     wait_until "the configuration to be in force" configuration_in_force
 }
 
-# A planned stop of everything; fails when a process does not end with 0.
+# Stops all nodes with SIGTERM; fails when one exits with a non-zero code.
 fleet_down() {
     local name failed=0
     for prefix in gateway scheduler control; do
--- a/scripts/lib/loss_account.py
+++ b/scripts/lib/loss_account.py
@@ -1,8 +1,8 @@
-"""Where a day's credit went: reads what `fleetbench run SITE DAY --log frontend` printed, report and forwarders' lines.
+"""Breaks down the lost credit of a day from the output of `fleetbench run SITE DAY --log frontend`.
 
-The report tells what each window of the day earned; the lines of event 3201 tell what turns spent their time on, and
-which requests to follow. The time of a line is taken from its own `time=`, since the bench prints a moment only before
-the first of several lines.
+The report rows give the credit of each window of the day; the log lines of event 3201 (request_finished) give the time
+spent in each phase of a turn and sample request ids. Lines are placed by their own `time=` field, since the bench
+prefixes only the first of several lines with a timestamp.
 """
 import collections
 import re
@@ -10,7 +10,7 @@
 FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
 WINDOW_ROW = re.compile(r"^(\d+) +(\d+) +(\d+) +(\d+) +(\d+) +(\d+) +(\d+) +([\d.]+) +[\d.]+ +[\d.]+\s*$")
 PRICE_ROW = re.compile(r"^ +-(0\.\d+) +[\d.]+ (.+)$")
-# Requests that are named for each way of not being answered.
+# Number of sample request ids listed for each outcome of unanswered requests.
 SAMPLES = 3
 
 
@@ -29,7 +29,7 @@
 
 
 class Account:
-    """What a log says, by window of the day."""
+    """Report rows, prices and finished requests of a log, grouped by window of the day."""
 
     def __init__(self, lead, width):
         self.lead, self.width = lead, width
@@ -73,7 +73,7 @@
             self.samples.setdefault(ending, []).append(fields.get("request", "-"))
 
     def idle_gap(self):
-        """Time between events on an engine with little to do: near the least of the day."""
+        """Time between events on a lightly loaded engine, in ms: a low quantile of the day's gaps."""
         gaps = [gap_of(turn) for turns in self.turns.values() for turn in turns if number(turn, "events") > 2]
         return quantile(gaps, 0.05)
 
@@ -83,7 +83,7 @@
 
 
 def spent(turn):
-    """Milliseconds of one turn at the stores, waiting here, until the first event, and generating."""
+    """Milliseconds of a turn: at the stores, queued at the forwarder, until the first event, and generating."""
     store, waited = number(turn, "store_ms"), number(turn, "waited_ms")
     first, total = number(turn, "first_byte_ms"), number(turn, "total_ms")
     return store, waited, max(0, first - store - waited), total - first
