--- a/apps/stand_in_platform.cpp
+++ b/apps/stand_in_platform.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's membership list and weight store as a process.
+/// Process of the stand-in for the platform's membership list and weight store.
 
 #include <tclap/CmdLine.h>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Reads "kind,name,address,zone,model,slots".
+/// Parses "kind,name,address,zone,model,slots".
 std::optional<tallyfold::scheduling::backend_member> parse_member(const std::string& text) {
     std::istringstream stream(text);
     std::vector<std::string> fields;
@@ -46,8 +46,8 @@
     TCLAP::ValueArg<std::string> listen("", "listen", "HTTP address", true, "", "ip:port", line);
     TCLAP::MultiArg<std::string> members("", "member", "A back end", true,
                                          "kind,name,address,zone,model,slots", line);
-    TCLAP::ValueArg<unsigned> lag("", "list-lag-ms", "How far the list lags", false, 1500, "ms",
-                                  line);
+    TCLAP::ValueArg<unsigned> lag("", "list-lag-ms", "Delay of the membership list", false, 1500,
+                                  "ms", line);
     line.parse(argument_count, arguments);
     stand_ins::platform_process settings;
     settings.listen = listen.getValue();
--- a/apps/tallyfold_prove.cpp
+++ b/apps/tallyfold_prove.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Runs the seeded fault runs and prints a row for each point of what must always hold.
+/// Executes seeded fault runs and prints the results for each property.
 
 #include <tclap/CmdLine.h>
 
@@ -21,7 +21,7 @@
     std::map<std::string, std::uint64_t> faults;
 };
 
-/// What all runs gave together.
+/// Aggregated results of all runs.
 struct summary {
     std::map<std::string, property_row> rows;
     std::vector<std::int64_t> leader_gaps_ms;
@@ -52,8 +52,9 @@
     });
 }
 
-/// @return true when the run violated the property
-bool judge(const run_result& result, const tallyfold::sim::property& property, property_row& row) {
+/// @return true if the run violated the property
+bool check_run(const run_result& result, const tallyfold::sim::property& property,
+               property_row& row) {
     ++row.runs;
     for (const std::string& fault : property.faults) {
         const auto found = result.faults.find(fault);
@@ -71,12 +72,12 @@
     return true;
 }
 
-/// @param only the property to judge; empty for all
+/// @param only name of the property to check; empty for all
 void add_run(const run_result& result, const std::string& only, summary& all) {
     bool failed = false;
     for (const auto& property : tallyfold::sim::properties()) {
         if (only.empty() || property.name == only) {
-            failed = judge(result, property, all.rows[property.name]) || failed;
+            failed = check_run(result, property, all.rows[property.name]) || failed;
         }
     }
     all.failed_runs += failed ? 1 : 0;
@@ -137,7 +138,8 @@
     }
 }
 
-/// Faults that no run had, though there were enough runs for every one. @return their number
+/// Prints the faults that no run injected, if there were enough runs for every fault.
+/// @return the number of such faults
 std::uint64_t print_not_injected(const summary& all, std::uint64_t seeds) {
     constexpr std::uint64_t seeds_for_every_fault = 200;
     std::uint64_t not_injected = 0;
@@ -158,13 +160,14 @@
     TCLAP::CmdLine line("Simulated fault runs of the whole system", ' ', "0.1.0");
     TCLAP::ValueArg<std::uint64_t> seeds("", "seeds", "Number of seeds", false, 20, "N", line);
     TCLAP::ValueArg<std::uint64_t> first("", "first-seed", "First seed", false, 1, "S", line);
-    TCLAP::ValueArg<std::string> only("", "property", "Judge this property only", false, "", "NAME",
+    TCLAP::ValueArg<std::string> only("", "property", "Check only this property", false, "", "NAME",
                                       line);
     TCLAP::ValueArg<std::string> folder("", "policies", "Folder of the shipped policies", false,
                                         "policies", "folder", line);
-    TCLAP::ValueArg<unsigned> threads("", "threads", "Runs at once", false,
+    TCLAP::ValueArg<unsigned> threads("", "threads", "Number of parallel runs", false,
                                       std::thread::hardware_concurrency(), "N", line);
-    TCLAP::ValueArg<std::string> trace("", "trace", "Print the first seed's lines that hold this",
+    TCLAP::ValueArg<std::string> trace("", "trace",
+                                       "Print the first seed's trace lines that contain this text",
                                        false, "", "text", line);
     TCLAP::SwitchArg list("", "list", "Print the properties and how each is proved", line);
     line.parse(argument_count, arguments);
--- a/scripts/lib/loss_account.py
+++ b/scripts/lib/loss_account.py
@@ -1,8 +1,8 @@
-"""Where a day's credit went: reads what `fleetbench run SITE DAY --log frontend` printed, report and forwarders' lines.
+"""Breaks down the lost credit of a day from the output of `fleetbench run SITE DAY --log frontend`.
 
-The report tells what each window of the day earned; the lines of event 3201 tell what turns spent their time on, and
-which requests to follow. The time of a line is taken from its own `time=`, since the bench prints a moment only before
-the first of several lines.
+The report rows give the credit of each window of the day; the log lines of event 3201 (request_finished) give the time
+spent in each phase of a turn and sample request ids. Lines are placed by their own `time=` field, since the bench
+prefixes only the first of several lines with a timestamp.
 """
 import collections
 import re
@@ -10,7 +10,7 @@
 FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
 WINDOW_ROW = re.compile(r"^(\d+) +(\d+) +(\d+) +(\d+) +(\d+) +(\d+) +(\d+) +([\d.]+) +[\d.]+ +[\d.]+\s*$")
 PRICE_ROW = re.compile(r"^ +-(0\.\d+) +[\d.]+ (.+)$")
-# Requests that are named for each way of not being answered.
+# Number of sample request ids listed for each outcome of unanswered requests.
 SAMPLES = 3
 
 
@@ -29,7 +29,7 @@
 
 
 class Account:
-    """What a log says, by window of the day."""
+    """Report rows, prices and finished requests of a log, grouped by window of the day."""
 
     def __init__(self, lead, width):
         self.lead, self.width = lead, width
@@ -73,17 +73,17 @@
             self.samples.setdefault(ending, []).append(fields.get("request", "-"))
 
     def idle_gap(self):
-        """Time between events on an engine with little to do: near the least of the day."""
-        gaps = [gap_of(turn) for turns in self.turns.values() for turn in turns if number(turn, "events") > 2]
+        """Time between events on a lightly loaded engine, in ms: a low quantile of the day's gaps."""
+        gaps = [event_gap(turn) for turns in self.turns.values() for turn in turns if number(turn, "events") > 2]
         return quantile(gaps, 0.05)
 
 
-def gap_of(turn):
+def event_gap(turn):
     return (number(turn, "total_ms") - number(turn, "first_byte_ms")) / (number(turn, "events") - 1)
 
 
-def spent(turn):
-    """Milliseconds of one turn at the stores, waiting here, until the first event, and generating."""
+def phase_times(turn):
+    """Milliseconds of a turn: at the stores, queued at the forwarder, until the first event, and generating."""
     store, waited = number(turn, "store_ms"), number(turn, "waited_ms")
     first, total = number(turn, "first_byte_ms"), number(turn, "total_ms")
     return store, waited, max(0, first - store - waited), total - first
@@ -98,9 +98,9 @@
              "from s  turns    stores      waited   to first event  generating  pace x idle  not cached %  continued"]
     idle = account.idle_gap()
     for window, turns in sorted(account.turns.items()):
-        parts = list(zip(*(spent(turn) for turn in turns)))
+        parts = list(zip(*(phase_times(turn) for turn in turns)))
         cells = " ".join(f"{quantile(part, .5):5}/{quantile(part, .95):5}" for part in parts)
-        gaps = [gap_of(turn) for turn in turns if number(turn, "events") > 2]
+        gaps = [event_gap(turn) for turn in turns if number(turn, "events") > 2]
         slow = quantile(gaps, .5) / idle if idle else 0
         uncached = 100 * sum(number(turn, "cached") == 0 for turn in turns) / len(turns)
         text.append(f"{window:6} {len(turns):6} {cells} {slow:11.2f} {uncached:12.1f} "
--- a/src/tallyfold/base/storage/checksum.cpp
+++ b/src/tallyfold/base/storage/checksum.cpp
@@ -14,8 +14,8 @@
 constexpr std::uint32_t all_ones = 0xFFFFFFFF;
 
 #if defined(__x86_64__)
-/// A configuration with 6,000 routes has 2.7 MB on disk: 8.3 ms of a core without the instruction.
-__attribute__((target("sse4.2"))) std::uint32_t checksum_by_instruction(std::string_view bytes) {
+/// Uses the CRC-32C instruction; the portable version is too slow for large configurations.
+__attribute__((target("sse4.2"))) std::uint32_t checksum_sse42(std::string_view bytes) {
     std::uint64_t value = all_ones;
     while (bytes.size() >= sizeof(std::uint64_t)) {
         std::uint64_t word = 0;
@@ -30,7 +30,7 @@
     return rest ^ all_ones;
 }
 
-bool has_instruction() {
+bool has_sse42() {
     static const bool has = __builtin_cpu_supports("sse4.2") != 0;
     return has;
 }
@@ -47,8 +47,8 @@
 
 std::uint32_t checksum(std::string_view bytes) {
 #if defined(__x86_64__)
-    if (has_instruction()) {
-        return checksum_by_instruction(bytes);
+    if (has_sse42()) {
+        return checksum_sse42(bytes);
     }
 #endif
     return portable_checksum(bytes);
--- a/src/tallyfold/base/storage/segmented_log.cpp
+++ b/src/tallyfold/base/storage/segmented_log.cpp
@@ -14,8 +14,8 @@
 
 namespace fs = std::filesystem;
 
-/// Number in the name of a segment; 0 for other files.
-std::uint64_t number_in(std::string_view name, std::string_view prefix) {
+/// Number in the file name of a segment; 0 for other files.
+std::uint64_t segment_number(std::string_view name, std::string_view prefix) {
     if (!name.starts_with(prefix)) {
         return 0;
     }
@@ -36,7 +36,7 @@
         }
     }
     for (const fs::path& path : stale) {
-        // A file that stays costs room until the next start, which finds it again.
+        // A file that can't be removed only takes up space; the next call tries again.
         std::error_code ignored;
         fs::remove(path, ignored);
     }
@@ -53,7 +53,7 @@
     tail_policy tail,
     const std::function<tl::expected<void, storage_error>(std::string_view payload)>& on_payload) {
     for (const auto& entry : fs::directory_iterator(folder_)) {
-        number_ = std::max(number_, number_in(entry.path().filename().string(), prefix_));
+        number_ = std::max(number_, segment_number(entry.path().filename().string(), prefix_));
     }
     if (number_ == 0) {
         return rewrite([](std::string&) { return false; });
@@ -74,14 +74,14 @@
             return taken;
         }
     }
-    cut_bytes_ = records->tail_length();
-    start_bytes_ = records->valid_length();
-    auto file = append_file::open_at(path(), start_bytes_);
+    truncated_bytes_ = records->tail_length();
+    initial_bytes_ = records->valid_length();
+    auto file = append_file::open_at(path(), initial_bytes_);
     if (!file) {
         return tl::unexpected(file.error());
     }
     file_.emplace(std::move(*file));
-    remove_older();
+    remove_older_segments();
     return {};
 }
 
@@ -99,11 +99,12 @@
 }
 
 bool segmented_log::needs_rewrite() const {
-    return file_.has_value() && file_->size() > segment_bytes_ && file_->size() > 2 * start_bytes_;
+    return file_.has_value() && file_->size() > segment_bytes_ &&
+           file_->size() > 2 * initial_bytes_;
 }
 
 tl::expected<std::uint64_t, storage_error> segmented_log::write_replacement(
-    const std::string& path, const segment_pages& pages) {
+    const std::string& path, const segment_chunk_source& next_chunk) {
     auto file = append_file::create(replacement_path(path));
     if (!file) {
         return tl::unexpected(file.error());
@@ -111,7 +112,7 @@
     bool more = true;
     while (more) {
         std::string bytes;
-        more = pages(bytes);
+        more = next_chunk(bytes);
         if (auto written = file->append(bytes); !written) {
             return tl::unexpected(written.error());
         }
@@ -122,14 +123,14 @@
     return file->size();
 }
 
-tl::expected<void, storage_error> segmented_log::rewrite(const segment_pages& pages) {
+tl::expected<void, storage_error> segmented_log::rewrite(const segment_chunk_source& next_chunk) {
     const std::string next = path_of(number_ + 1);
-    const auto length = write_replacement(next, pages);
+    const auto length = write_replacement(next, next_chunk);
     if (!length) {
         return tl::unexpected(length.error());
     }
-    // From its renaming on, a restart may read the new segment: nothing is added to the older one
-    // until the new one is in use.
+    // Once the new segment is renamed, a restart may read it instead of the old one. Appending to
+    // the old segment is therefore disabled until the new one is open.
     failed_ = true;
     if (auto replaced = commit_replacement(next); !replaced) {
         return replaced;
@@ -140,15 +141,15 @@
     }
     file_.emplace(std::move(*file));
     ++number_;
-    start_bytes_ = *length;
+    initial_bytes_ = *length;
     failed_ = false;
-    remove_older();
+    remove_older_segments();
     return {};
 }
 
-void segmented_log::remove_older() {
+void segmented_log::remove_older_segments() {
     remove_files(folder_, [this](const std::string& name) {
-        const std::uint64_t number = number_in(name, prefix_);
+        const std::uint64_t number = segment_number(name, prefix_);
         const bool unfinished = name.starts_with(prefix_) && name.ends_with(".tmp");
         return unfinished || (number > 0 && number < number_);
     });
--- a/src/tallyfold/consensus/persistence.cpp
+++ b/src/tallyfold/consensus/persistence.cpp
@@ -16,11 +16,11 @@
     }
     if (write.base.has_value()) {
         const snapshot& base = *write.base;
-        const auto holds = std::find_if(entries.begin(), entries.end(), [&](const log_entry& e) {
-            return e.index == base.index && e.term == base.term;
-        });
-        if (holds == entries.end()) {
-            // A snapshot from the leader replaces a log that may have diverged from its own.
+        const auto matching_entry = std::find_if(
+            entries.begin(), entries.end(),
+            [&](const log_entry& e) { return e.index == base.index && e.term == base.term; });
+        if (matching_entry == entries.end()) {
+            // The log may have diverged from the leader's, so its snapshot replaces all of it.
             entries = write.entries;
         }
         std::erase_if(entries, [&](const log_entry& entry) { return entry.index <= base.index; });
--- a/src/tallyfold/consensus/replica_fsm.cpp
+++ b/src/tallyfold/consensus/replica_fsm.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// A replica's start, the messages and ticks that drive it, its own log, and the work that it hands
-/// out. The other members of replica_fsm stand by their job in replica_election,
-/// replica_replication, replica_snapshots, replica_membership and replica_reads.
+/// Members of replica_fsm for construction, ticks, message dispatch, the local log and ready work.
+/// Further members are in replica_election, replica_replication, replica_snapshots,
+/// replica_membership and replica_reads.
 
 #include "tallyfold/consensus/replica_fsm.hpp"
 
@@ -21,18 +21,18 @@
     memberships_.push_back({latest_snapshot_.index, latest_snapshot_.members});
     for (const log_entry& entry : recovered.entries) {
         if (entry.kind == entry_kind::membership) {
-            take_membership(entry);
+            apply_membership(entry);
         }
     }
     commit_index_ = log_.snapshot_index();
     persisted_index_ = log_.last_index();
     reset_election_deadline(now);
-    wait_for_first_leader(now);
+    set_first_election_deadline(now);
 }
 
 void replica_fsm::tick(instant now) {
     if (role_ == replica_role::leader) {
-        step_down_if_cut_off(now);
+        step_down_without_quorum(now);
     }
     if (role_ == replica_role::leader) {
         if (now >= heartbeat_due_) {
@@ -41,7 +41,7 @@
         begin_round_for_reads(now);
         return;
     }
-    ask_leader_for_reads(now);
+    request_read_index(now);
     if (now >= election_deadline_ && is_voter()) {
         start_pre_vote(now);
     }
@@ -49,7 +49,7 @@
 
 void replica_fsm::begin_round(instant now) {
     ++round_;
-    round_began_ = now;
+    last_round_start_ = now;
     heartbeat_due_ = now + settings_.heartbeat_interval;
     broadcast_append(true);
     confirm_reads(now);
@@ -71,13 +71,13 @@
     queue.push_back(std::move(message));
 }
 
-bool replica_fsm::is_newer_term(const replica_message& message, instant now) {
+bool replica_fsm::should_adopt_term(const replica_message& message, instant now) {
     if (message.term <= state_.term) {
         return false;
     }
     if (const auto* request = std::get_if<vote_request>(&message.body)) {
-        // Neither a pre-vote nor a vote asked for while a leader is alive moves the term.
-        return !request->pre_vote && !heard_from_leader_recently(now);
+        // Neither a pre-vote nor a vote request during recent leader contact advances the term.
+        return !request->pre_vote && !has_recent_leader_contact(now);
     }
     if (const auto* reply = std::get_if<vote_reply>(&message.body)) {
         return !(reply->pre_vote && reply->granted);
@@ -89,7 +89,7 @@
     if (message.to != settings_.self || message.group != settings_.group) {
         return;
     }
-    if (is_newer_term(message, now)) {
+    if (should_adopt_term(message, now)) {
         become_follower(message.term, no_replica);
     }
     std::visit(
@@ -118,7 +118,7 @@
     if (role_ != replica_role::leader) {
         return tl::unexpected(replica_error::not_leader);
     }
-    append_own(entry_kind::command, std::move(payload));
+    append_new_entry(entry_kind::command, std::move(payload));
     broadcast_append(false);
     return log_.last_index();
 }
@@ -127,26 +127,27 @@
     return role_ == replica_role::leader && log_.term_at(commit_index_) == state_.term;
 }
 
-void replica_fsm::append_own(entry_kind kind, std::string payload) {
+void replica_fsm::append_new_entry(entry_kind kind, std::string payload) {
     store_entry({state_.term, log_.last_index() + 1, kind, std::move(payload)});
 }
 
 void replica_fsm::store_entry(const log_entry& entry) {
     log_.append(entry);
-    if (!unsaved_from_.has_value() || entry.index < *unsaved_from_) {
-        unsaved_from_ = entry.index;
+    if (!first_unsaved_index_.has_value() || entry.index < *first_unsaved_index_) {
+        first_unsaved_index_ = entry.index;
     }
     if (entry.kind == entry_kind::membership) {
-        take_membership(entry);
+        apply_membership(entry);
     }
 }
 
-void replica_fsm::take_membership(const log_entry& entry) {
+void replica_fsm::apply_membership(const log_entry& entry) {
     auto members = protocol::decode<membership>(entry.payload);
     if (members) {
         memberships_.push_back({entry.index, std::move(*members)});
     } else if (!unreadable_entry_) {
-        // The members before stay: with none, this replica would take itself for a quorum.
+        // The previous members stay in effect. With an empty membership, this replica would be a
+        // quorum by itself.
         unreadable_entry_ = entry.index;
     }
 }
@@ -154,8 +155,8 @@
 void replica_fsm::truncate_from(log_index index) {
     log_.truncate_from(index);
     persisted_index_ = std::min(persisted_index_, index - 1);
-    if (unsaved_from_.has_value() && *unsaved_from_ > index) {
-        unsaved_from_ = index;
+    if (first_unsaved_index_.has_value() && *first_unsaved_index_ > index) {
+        first_unsaved_index_ = index;
     }
     while (memberships_.size() > 1 && memberships_.back().index >= index) {
         memberships_.pop_back();
@@ -176,15 +177,15 @@
 }
 
 bool replica_fsm::has_ready() const {
-    return unsaved_from_.has_value() || ready_.needs_sync() || !ready_.committed.empty() ||
+    return first_unsaved_index_.has_value() || ready_.needs_sync() || !ready_.committed.empty() ||
            !ready_.messages_before_sync.empty() || !ready_.messages_after_sync.empty() ||
            !ready_.confirmed_reads.empty() || !ready_.failed_reads.empty();
 }
 
 ready replica_fsm::take_ready() {
-    if (unsaved_from_.has_value()) {
-        ready_.new_entries = log_.slice(*unsaved_from_, log_.last_index());
-        unsaved_from_.reset();
+    if (first_unsaved_index_.has_value()) {
+        ready_.new_entries = log_.slice(*first_unsaved_index_, log_.last_index());
+        first_unsaved_index_.reset();
     }
     ready taken;
     std::swap(taken, ready_);
--- a/src/tallyfold/consensus/replica_reads.cpp
+++ b/src/tallyfold/consensus/replica_reads.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Reads of a replica (Raft's read index): how a leader, or a replica that asks the leader,
-/// confirms that its state is the newest. Members of replica_fsm.
+/// Members of replica_fsm for linearizable reads (Raft's read index) at the leader and at
+/// followers.
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
     if (role_ != replica_role::leader) {
         return tl::unexpected(replica_error::not_leader);
     }
-    await_round({token, round_ + 1}, now);
+    queue_read({token, round_ + 1}, now);
     return {};
 }
 
@@ -25,30 +25,30 @@
         return tl::unexpected(replica_error::not_leader);
     }
     follower_reads_.add(token, now);
-    ask_leader_for_reads(now);
+    request_read_index(now);
     return {};
 }
 
-void replica_fsm::await_round(pending_read read, instant now) {
+void replica_fsm::queue_read(pending_read read, instant now) {
     pending_reads_.push_back(read);
     begin_round_for_reads(now);
 }
 
 void replica_fsm::begin_round_for_reads(instant now) {
     const bool waiting = !pending_reads_.empty() && pending_reads_.back().round > round_;
-    const bool none_out = confirmed_round() >= round_;
-    if (waiting && none_out && now - round_began_ >= settings_.read_round_gap) {
+    const bool no_round_in_flight = confirmed_round() >= round_;
+    if (waiting && no_round_in_flight && now - last_round_start_ >= settings_.read_round_gap) {
         begin_round(now);
     }
 }
 
-void replica_fsm::ask_leader_for_reads(instant now) {
-    // A leader that doesn't answer for an election timeout may be none any more.
+void replica_fsm::request_read_index(instant now) {
+    // A leader that doesn't reply for an election timeout may have been replaced.
     fail_reads(follower_reads_.take_expired(now, settings_.election_timeout));
     if (leader_ == no_replica || role_ == replica_role::leader) {
         return;
     }
-    if (const auto question = follower_reads_.next_question(now, settings_.heartbeat_interval)) {
+    if (const auto question = follower_reads_.next_request_id(now, settings_.heartbeat_interval)) {
         send(leader_, read_index_request{*question}, false);
     }
 }
@@ -56,7 +56,7 @@
 void replica_fsm::on_read_index_request(const replica_message& message,
                                         const read_index_request& body, instant now) {
     if (role_ == replica_role::leader) {
-        await_round({body.question, round_ + 1, message.from}, now);
+        queue_read({body.question, round_ + 1, message.from}, now);
     }
 }
 
@@ -65,7 +65,7 @@
     if (message.from != leader_) {
         return;
     }
-    follower_reads_.answered(body.question, body.commit_index);
+    follower_reads_.on_reply(body.question, body.commit_index);
     confirm_follower_reads();
 }
 
@@ -81,7 +81,7 @@
 
 void replica_fsm::fail_reads() {
     for (const pending_read& read : pending_reads_) {
-        if (read.asker == no_replica) {
+        if (read.requester == no_replica) {
             ready_.failed_reads.push_back(read.token);
         }
     }
@@ -115,10 +115,10 @@
     while (!pending_reads_.empty() && pending_reads_.front().round <= confirmed) {
         const pending_read read = pending_reads_.front();
         pending_reads_.pop_front();
-        if (read.asker == no_replica) {
+        if (read.requester == no_replica) {
             ready_.confirmed_reads.push_back(read.token);
         } else {
-            send(read.asker, read_index_reply{read.token, commit_index_}, false);
+            send(read.requester, read_index_reply{read.token, commit_index_}, false);
         }
     }
     begin_round_for_reads(now);
--- a/src/tallyfold/consensus/replica_replication.cpp
+++ b/src/tallyfold/consensus/replica_replication.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Replication of the log: what a leader sends and counts as committed, and what a follower takes.
-/// Members of replica_fsm.
+/// Members of replica_fsm for log replication: sending and committing at the leader, appending at
+/// followers.
 
 #include <algorithm>
 
@@ -8,14 +8,14 @@
 
 namespace tallyfold::consensus {
 
-void replica_fsm::follow(const replica_message& message, instant now) {
+void replica_fsm::accept_leader(const replica_message& message, instant now) {
     become_follower(message.term, message.from);
-    leader_heard_ = now;
-    heard_leader_ever_ = true;
+    last_leader_contact_ = now;
+    has_had_leader_contact_ = true;
     reset_election_deadline(now);
 }
 
-void replica_fsm::store_missing(entry_iterator entry, entry_iterator end) {
+void replica_fsm::append_missing_entries(entry_iterator entry, entry_iterator end) {
     for (; entry != end; ++entry) {
         const std::optional<term_number> own_term = log_.term_at(entry->index);
         if (own_term == entry->term) {
@@ -34,10 +34,10 @@
         send(message.from, append_reply{false, log_.last_index(), body.round}, true);
         return;
     }
-    follow(message, now);
+    accept_leader(message, now);
     log_index previous = body.previous_index;
     auto entry = body.entries.begin();
-    // Entries at or before our snapshot are committed, hence equal: skip them.
+    // Entries covered by the local snapshot are committed, hence identical: skip them.
     while (previous < log_.snapshot_index() && entry != body.entries.end()) {
         ++previous;
         ++entry;
@@ -55,7 +55,7 @@
         return;
     }
     const log_index last_new = entry == body.entries.end() ? previous : body.entries.back().index;
-    store_missing(entry, body.entries.end());
+    append_missing_entries(entry, body.entries.end());
     commit_to(std::min(body.commit_index, last_new));
     send(message.from, append_reply{true, last_new, body.round}, true);
 }
@@ -67,16 +67,16 @@
         return;
     }
     replica_progress& peer = found->second;
-    peer.heard(body.round, now);
+    peer.record_reply(body.round, now);
     if (body.accepted) {
-        peer.matched(body.match_index);
+        peer.record_match(body.match_index);
         advance_commit();
         if (peer.next_index() <= log_.last_index()) {
             send_append(message.from, false);
         }
-    } else if (peer.wants_repeat(body.round)) {
-        // A round of its own tells the answers to the repeat from those to what went before it.
-        peer.repeat_from(std::max(peer.match_index(), body.match_index) + 1, ++round_);
+    } else if (peer.needs_resend(body.round)) {
+        // A new round distinguishes replies to the resend from replies to earlier messages.
+        peer.resend_from(std::max(peer.match_index(), body.match_index) + 1, ++round_);
         send_append(message.from, true);
     }
     confirm_reads(now);
@@ -100,10 +100,10 @@
 
 void replica_fsm::send_append(replica_id to, bool allow_empty) {
     replica_progress& peer = progress_[to];
-    peer.go_on_at(std::min(peer.next_index(), log_.last_index() + 1));
+    peer.set_next_index(std::min(peer.next_index(), log_.last_index() + 1));
     const std::optional<term_number> previous_term = log_.term_at(peer.next_index() - 1);
     if (!previous_term.has_value()) {
-        peer.go_on_at(latest_snapshot_.index + 1);
+        peer.set_next_index(latest_snapshot_.index + 1);
         send(to, snapshot_request{round_, latest_snapshot_}, false);
         return;
     }
@@ -117,12 +117,12 @@
         return;
     }
     if (!request.entries.empty()) {
-        // Optimistic: a lost message shows as a rejection of the next one.
+        // Pipelined without waiting for replies; a loss leads to a rejection of the next message.
         std::size_t bytes = 0;
         for (const log_entry& entry : request.entries) {
             bytes += entry.payload.size();
         }
-        peer.sent(request.entries.back().index, bytes);
+        peer.record_sent(request.entries.back().index, bytes);
     }
     send(to, std::move(request), false);
 }
@@ -155,9 +155,9 @@
     }
     std::sort(durable.rbegin(), durable.rend());
     const log_index candidate = durable[members().quorum() - 1];
-    // Only an entry of the leader's own term commits by counting replicas (Raft, figure 8).
+    // Only entries of the leader's own term are committed by counting replicas (Raft, figure 8).
     if (candidate > commit_index_ && log_.term_at(candidate) == state_.term) {
-        // Followers learn the new commit index from the next message that they are sent anyway.
+        // The next message to each follower carries the new commit index.
         commit_to(candidate);
     }
 }
--- a/src/tallyfold/consensus/replica_snapshots.cpp
+++ b/src/tallyfold/consensus/replica_snapshots.cpp
@@ -1,6 +1,5 @@
 /// @file
-/// Snapshots: one that a leader sends in place of entries that it no longer has, and the compaction
-/// of the own log. Members of replica_fsm.
+/// Members of replica_fsm for snapshots: installing one from the leader, and log compaction.
 
 #include "tallyfold/consensus/replica_fsm.hpp"
 
@@ -12,7 +11,7 @@
         send(message.from, append_reply{false, log_.last_index(), body.round}, true);
         return;
     }
-    follow(message, now);
+    accept_leader(message, now);
     if (body.contents.index <= commit_index_) {
         send(message.from, append_reply{true, commit_index_, body.round}, true);
         return;
@@ -21,7 +20,7 @@
     memberships_ = {{body.contents.index, body.contents.members}};
     commit_index_ = body.contents.index;
     persisted_index_ = body.contents.index;
-    unsaved_from_.reset();
+    first_unsaved_index_.reset();
     latest_snapshot_ = body.contents;
     ready_.received_snapshot = body.contents;
     ready_.committed.clear();
--- a/src/tallyfold/plane/directory/admin_api_shell.cpp
+++ b/src/tallyfold/plane/directory/admin_api_shell.cpp
@@ -14,22 +14,21 @@
 
 namespace {
 
-/// An operator's call waits this long for the log. Chosen, not measured: operators' clients give a
-/// call up after a second.
-constexpr duration answer_limit = std::chrono::milliseconds(900);
-/// Texts of this size, in bytes, are parsed by the parsing thread. One of 2 MB takes 35 ms of a
-/// core, so 0.7 s of a machine that has a twentieth of one: longer than its followers wait for a
-/// heartbeat. By that measure one of 64 KB takes 22 ms of such a machine, about a tick of the node.
-constexpr std::size_t large_text_bytes = 64U << 10U;
-constexpr const char* unusable_folder = "the data folder can't be used now";
+/// Maximum time for which an operator's call waits for the log; shorter than the one-second timeout
+/// of operators' clients.
+constexpr duration log_timeout = std::chrono::milliseconds(900);
+/// Minimum size in bytes of a text that is parsed on the parser thread. Parsing a larger one on the
+/// loop thread of a slow machine would delay heartbeats beyond the election timeout.
+constexpr std::size_t parser_thread_min_bytes = 64U << 10U;
+constexpr const char* folder_unavailable_reason = "the data folder can't be used now";
 
 asio::awaitable<operator_call> parse_in_this_thread(const admin_codec& codec,
                                                     const http::endpoint_request& request) {
     co_return codec.parse(request);
 }
 
-/// The log's name of what became of a change. A version that doesn't exceed the one held is
-/// acknowledged and alters nothing: it is overtaken.
+/// Name of a change's outcome in the log. A change is overtaken when its version does not exceed
+/// the one in force: it is acknowledged without effect.
 const char* outcome_name(answer_kind kind, bool is_in_force) {
     switch (kind) {
         case answer_kind::done:
@@ -44,9 +43,9 @@
 
 }  // namespace
 
-/// One operator's call that waits for the log's answer.
+/// An operator's call that waits for its log entry.
 struct admin_api::waiting_call {
-    explicit waiting_call(asio::io_context& loop) : timer(loop, answer_limit) {}
+    explicit waiting_call(asio::io_context& loop) : timer(loop, log_timeout) {}
     asio::steady_timer timer;
     answer_kind kind = answer_kind::unknown;
     bool answered = false;
@@ -61,8 +60,8 @@
       calls_(net::add_counter(process.metrics(), "tallyfold_directory_operator_calls_total",
                               "Calls of operators")) {}
 
-void admin_api::answered(const directory_answer& answer) {
-    changes_.ended(answer.token);
+void admin_api::on_answer(const directory_answer& answer) {
+    changes_.remove(answer.token);
     const auto [first, last] = waiting_.equal_range(answer.token);
     for (auto entry = first; entry != last; ++entry) {
         entry->second->kind = answer.kind;
@@ -72,7 +71,7 @@
     waiting_.erase(first, last);
 }
 
-void admin_api::storage_lost() {
+void admin_api::on_storage_lost() {
     changes_.clear();
     for (const auto& [token, call] : waiting_) {
         call->answered = true;
@@ -83,19 +82,19 @@
 
 asio::awaitable<answer_kind> admin_api::wait(request_token token) {
     auto call = std::make_shared<waiting_call>(process_.loop());
-    const auto place = waiting_.emplace(token, call);
+    const auto position = waiting_.emplace(token, call);
     pump_();
     if (!call->answered) {
         co_await call->timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
     }
     if (!call->answered) {
-        waiting_.erase(place);
+        waiting_.erase(position);
     }
     co_return call->kind;
 }
 
 asio::awaitable<operator_call> admin_api::parse(const http::endpoint_request& request) {
-    if (request.body.size() < large_text_bytes) {
+    if (request.body.size() < parser_thread_min_bytes) {
         co_return codec_.parse(request);
     }
     co_return co_await asio::co_spawn(parser_, parse_in_this_thread(codec_, request),
@@ -114,13 +113,13 @@
     co_return co_await wait(token);
 }
 
-http::endpoint_response admin_api::failed(const http::endpoint_request& request,
-                                          answer_kind kind) const {
+http::endpoint_response admin_api::failure_response(const http::endpoint_request& request,
+                                                    answer_kind kind) const {
     if (kind != answer_kind::not_leader || !core_ || core_->leader_address().empty() ||
         core_->leads()) {
         return codec_.refused(503, "no majority has confirmed this call; ask again");
     }
-    // Operators' interfaces have the same port on every machine.
+    // The operator interface has the same port on every machine.
     const std::string& own = process_.settings().operators_address;
     const std::string port = own.substr(own.rfind(':'));
     return codec_.redirect(net::ip_of(core_->leader_address()) + port, request.target);
@@ -128,43 +127,44 @@
 
 asio::awaitable<http::endpoint_response> admin_api::replace(const http::endpoint_request& request) {
     if (!core_) {
-        co_return codec_.refused(503, unusable_folder);
+        co_return codec_.refused(503, folder_unavailable_reason);
     }
-    // A large text takes long to parse on a small machine: a node that can't decide doesn't parse
-    // it.
+    // Only the leader parses the text: parsing a large one is expensive.
     if (!core_->leads()) {
-        co_return failed(request, answer_kind::not_leader);
+        co_return failure_response(request, answer_kind::not_leader);
     }
     if (request.body == core_->state().configuration_text()) {
         log_change(core_->state().configuration().version, answer_kind::done);
         co_return codec_.accepted();
     }
-    if (const auto open = changes_.find(request.body)) {
-        const answer_kind kind = co_await wait(*open);
-        co_return kind == answer_kind::done ? codec_.accepted() : failed(request, kind);
+    if (const auto original_token = changes_.find(request.body)) {
+        const answer_kind kind = co_await wait(*original_token);
+        co_return kind == answer_kind::done ? codec_.accepted() : failure_response(request, kind);
     }
     operator_call call = co_await parse(request);
     if (const auto* invalid = std::get_if<invalid_call>(&call)) {
         co_return refuse(request, *invalid);
     }
     if (!core_ || !core_->leads()) {
-        co_return failed(request, answer_kind::not_leader);
+        co_return failure_response(request, answer_kind::not_leader);
     }
-    // Named, since GCC 12 destroys aggregate temporaries of a co_await twice.
+    // A named variable, because GCC 12 destroys aggregate temporaries in a co_await expression
+    // twice.
     replace_call replacement = std::get<replace_call>(std::move(call));
     if (!replacement.parsed.tenants.empty() && !core_->may_apply_tenants(http::steady_now())) {
-        const invalid_call early{503, "a node of an earlier build can't read tenants; ask again"};
-        co_return refuse(request, early);
+        const invalid_call unsupported{503,
+                                       "a node of an earlier build can't read tenants; ask again"};
+        co_return refuse(request, unsupported);
     }
     const answer_kind kind = co_await change(std::move(replacement), request.body);
-    co_return kind == answer_kind::done ? codec_.accepted() : failed(request, kind);
+    co_return kind == answer_kind::done ? codec_.accepted() : failure_response(request, kind);
 }
 
 asio::awaitable<answer_kind> admin_api::change(replace_call call, const std::string& text) {
     const routing::configuration_version version = call.parsed.version;
     directory_command command = replace_configuration{std::move(call.parsed), text};
     const request_token token = next_token_++;
-    changes_.begin(token, text);
+    changes_.add(token, text);
     core_->submit(token, command);
     const answer_kind kind = co_await wait(token);
     log_change(version, kind);
@@ -180,11 +180,11 @@
                              " held=" + std::to_string(held));
 }
 
-asio::awaitable<http::endpoint_response> admin_api::describe(
+asio::awaitable<http::endpoint_response> admin_api::get_configuration(
     const http::endpoint_request& request) {
     const answer_kind kind = co_await confirm();
     if (kind != answer_kind::done || !core_) {
-        co_return failed(request, kind);
+        co_return failure_response(request, kind);
     }
     if (core_->state().configuration().version == routing::no_version) {
         co_return codec_.refused(503, "no configuration is known yet");
@@ -202,7 +202,7 @@
                                                            const std::string& node) {
     const answer_kind confirmed = co_await confirm();
     if (confirmed != answer_kind::done || !core_) {
-        co_return failed(request, confirmed);
+        co_return failure_response(request, confirmed);
     }
     if (is_retired(node)) {
         co_return codec_.accepted();
@@ -219,14 +219,14 @@
     }
     directory_command command = retire_store{node, std::move(disks)};
     const answer_kind kind = co_await submit(std::move(command));
-    co_return kind == answer_kind::done ? codec_.accepted() : failed(request, kind);
+    co_return kind == answer_kind::done ? codec_.accepted() : failure_response(request, kind);
 }
 
 asio::awaitable<http::endpoint_response> admin_api::retire_state(
     const http::endpoint_request& request, const std::string& node) {
     const answer_kind confirmed = co_await confirm();
     if (confirmed != answer_kind::done || !core_) {
-        co_return failed(request, confirmed);
+        co_return failure_response(request, confirmed);
     }
     if (!is_retired(node)) {
         co_return codec_.refused(404, "nobody asked to empty this store");
@@ -258,7 +258,7 @@
         co_return refuse(request, *invalid);
     }
     if (!core_) {
-        co_return codec_.refused(503, unusable_folder);
+        co_return codec_.refused(503, folder_unavailable_reason);
     }
     if (const auto* start = std::get_if<retire_call>(&call)) {
         co_return co_await retire(request, start->node);
@@ -266,7 +266,7 @@
     if (const auto* state = std::get_if<retire_state_call>(&call)) {
         co_return co_await retire_state(request, state->node);
     }
-    co_return co_await describe(request);
+    co_return co_await get_configuration(request);
 }
 
 }  // namespace tallyfold::directory
--- a/src/tallyfold/plane/directory/directory_client_shell.cpp
+++ b/src/tallyfold/plane/directory/directory_client_shell.cpp
@@ -11,9 +11,8 @@
 
 namespace {
 
-/// Silence of all directory nodes after which their loss is logged. Chosen, not measured: longer
-/// than an election, which takes 0.5 to 1 s.
-constexpr duration lost_after = std::chrono::milliseconds(1500);
+/// Silence of all directory nodes after which their loss is logged. Longer than an election.
+constexpr duration loss_timeout = std::chrono::milliseconds(1500);
 
 }  // namespace
 
@@ -25,7 +24,7 @@
     on_configuration_ = std::move(on_configuration);
     on_stores_ = std::move(on_stores);
     describe_store_ = std::move(describe_store);
-    heard_ = http::steady_now();
+    last_answer_at_ = http::steady_now();
     use_seeds(process_.settings().seed_directories());
     process_.every(settings_.report_interval, [this] { report(); });
 }
@@ -54,8 +53,8 @@
                 on_answer(address, *answer);
             } else if (const auto* part = std::get_if<configuration_part>(&message)) {
                 on_part(address, *part);
-            } else if (on_other_) {
-                on_other_(message);
+            } else if (on_other_message_) {
+                on_other_message_(message);
             }
         },
         [this, address](bool up, const std::string& reason) {
@@ -87,18 +86,18 @@
     return report;
 }
 
-void directory_client::log_silence(instant now) {
-    if (!is_lost_ && now - heard_ > lost_after) {
-        is_lost_ = true;
+void directory_client::log_loss(instant now) {
+    if (!is_loss_logged_ && now - last_answer_at_ > loss_timeout) {
+        is_loss_logged_ = true;
         logging::write_event(logging::event_id::directory_lost,
-                             "silent_ms=" + std::to_string(to_milliseconds(now - heard_)) +
+                             "silent_ms=" + std::to_string(to_milliseconds(now - last_answer_at_)) +
                                  " version=" + std::to_string(version()));
     }
 }
 
-void directory_client::log_answer(routing::configuration_version version) {
-    if (is_lost_) {
-        is_lost_ = false;
+void directory_client::log_recovery(routing::configuration_version version) {
+    if (is_loss_logged_) {
+        is_loss_logged_ = false;
         logging::write_event(logging::event_id::directory_regained,
                              "version=" + std::to_string(version));
     }
@@ -106,7 +105,7 @@
 
 void directory_client::report() {
     const instant now = http::steady_now();
-    log_silence(now);
+    log_loss(now);
     renew_proof(now);
     const node_report report = make_report();
     if (settings_.reports_to_all) {
@@ -143,7 +142,7 @@
 }
 
 void directory_client::ask_for_proof() {
-    // Nodes that know the first form alone prove nothing.
+    // Nodes that support only format v1 cannot give proofs.
     const messaging::link_pointer link = next_link(protocol::format_version::v2);
     if (!link) {
         return;
@@ -154,52 +153,52 @@
 }
 
 void directory_client::on_answer(const node_name& from, const node_report_answer& answer) {
-    heard_ = http::steady_now();
-    log_answer(answer.configuration);
+    last_answer_at_ = http::steady_now();
+    log_recovery(answer.configuration);
     for (const std::string& address : answer.directory_addresses) {
         add_address(address);
     }
     learn_leader(answer.leader, answer.term);
-    learn_stores_and_list(answer);
+    merge_stores_and_list(answer);
     if (settings_.wants_configuration) {
-        learn_configuration(from, answer);
+        on_configuration_report(from, answer);
     }
     if (on_relayed_failures_ && !answer.backend_failures.empty()) {
         on_relayed_failures_(answer.backend_failures);
     }
     if (answer.question != 0) {
         proofs_.on_answer(from, answer.question, answer.configuration);
-        wake_waiting();
+        wake_waiters();
     }
 }
 
-void directory_client::learn_configuration(const node_name& from,
-                                           const node_report_answer& answer) {
+void directory_client::on_configuration_report(const node_name& from,
+                                               const node_report_answer& answer) {
     const auto link = links_.find(from);
     if (link != links_.end() && link->second->peer_format() >= protocol::format_version::v2) {
-        fetch(from, fetch_.on_version_report(from, answer.configuration, heard_));
+        fetch(from, fetch_.on_version_report(from, answer.configuration, last_answer_at_));
         return;
     }
-    // A node that knows the first form alone can't be asked for parts: its answer brings the whole.
+    // A node that supports only format v1 sends the full configuration in its answer, not in parts.
     for (const configuration_pointer& newer : answer.newer_configuration) {
         if (fetch_.accept_full_configuration(newer)) {
-            use_configuration(from, 0, duration::zero());
+            on_new_configuration(from, 0, duration::zero());
         }
     }
 }
 
-void directory_client::use_configuration(const node_name& from, std::uint64_t bytes,
-                                         duration taken) {
+void directory_client::on_new_configuration(const node_name& from, std::uint64_t bytes,
+                                            duration taken) {
     logging::write_event(logging::event_id::configuration_fetched,
                          "from=" + from + " version=" + std::to_string(version()) +
                              " bytes=" + std::to_string(bytes) +
                              " took_ms=" + std::to_string(to_milliseconds(taken)));
     proofs_.set_held_version(version());
     on_configuration_(fetch_.held());
-    wake_waiting();
+    wake_waiters();
 }
 
-void directory_client::learn_stores_and_list(const node_report_answer& answer) {
+void directory_client::merge_stores_and_list(const node_report_answer& answer) {
     for (const turns::store_table& stores : answer.newer_stores) {
         if (stores_.merge_newer(stores)) {
             on_stores_(stores_);
@@ -207,7 +206,7 @@
     }
     for (const discovery::list_sight& sight : answer.list) {
         if (list_ != nullptr) {
-            on_list_(list_->learn(sight, heard_));
+            on_list_(list_->learn(sight, last_answer_at_));
         }
     }
 }
@@ -232,7 +231,7 @@
                                  progress.problem->detail + "\"");
     }
     if (progress.new_configuration) {
-        use_configuration(from, part.size, taken);
+        on_new_configuration(from, part.size, taken);
     }
 }
 
@@ -250,13 +249,13 @@
     }
 }
 
-void directory_client::wake_waiting() {
+void directory_client::wake_waiters() {
     for (const auto& timer : waiting_) {
         timer->cancel();
     }
 }
 
-bool directory_client::knows_first_format_alone() const {
+bool directory_client::peers_support_only_first_format() const {
     const auto connected = [](const auto& entry) { return entry.second->connected(); };
     const auto has_later = [](const auto& entry) {
         return entry.second->peer_format() > protocol::oldest_format;
@@ -266,8 +265,8 @@
 }
 
 asio::awaitable<bool> directory_client::refresh(duration limit) {
-    if (knows_first_format_alone()) {
-        // Nobody is there who could prove anything: the caller needn't wait.
+    if (peers_support_only_first_format()) {
+        // No connected node can give a proof, so waiting is pointless.
         co_return false;
     }
     const instant began = http::steady_now();
--- a/src/tallyfold/plane/directory/leader_stall_log.cpp
+++ b/src/tallyfold/plane/directory/leader_stall_log.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/// A stall that lasts longer is logged, and again after each such time. Chosen, not measured: an
-/// election takes 0.5 to 1 s, and the copy for a change some seconds.
+/// Duration after which a stall is logged, and interval at which it is logged again. Longer than an
+/// election.
 constexpr duration report_interval = std::chrono::seconds(2);
 
-/// The last index that each member is known to hold durably, joined by commas.
+/// The last index known to be durable at each member, joined by commas.
 std::string matched_indexes(const consensus::replica_fsm& replica) {
     std::string matched;
     for (const auto& [id, member] : replica.members().members) {
@@ -23,16 +23,17 @@
 }  // namespace
 
 void leader_stall_log::start(instant now) {
-    leads_since_ = now;
-    changing_since_.reset();
+    leadership_start_ = now;
+    changes_open_since_.reset();
     next_report_ = now + report_interval;
 }
 
-logging::event_record leader_stall_log::uncommitted(const consensus::replica_fsm& replica,
-                                                    consensus::replica_id self, instant now) const {
+logging::event_record leader_stall_log::uncommitted_event(const consensus::replica_fsm& replica,
+                                                          consensus::replica_id self,
+                                                          instant now) const {
     return {logging::event_id::leader_uncommitted,
             "term=" + std::to_string(replica.term()) +
-                " led_ms=" + std::to_string(to_milliseconds(now - leads_since_)) +
+                " led_ms=" + std::to_string(to_milliseconds(now - leadership_start_)) +
                 " last=" + std::to_string(replica.log().last_index()) +
                 " commit=" + std::to_string(replica.commit_index()) + " durable=" +
                 std::to_string(replica.match_index(self)) + " matched=" + matched_indexes(replica)};
@@ -42,9 +43,9 @@
     const consensus::replica_fsm& replica, consensus::replica_id self,
     const std::vector<std::string>& open_changes, instant now) {
     if (open_changes.empty()) {
-        changing_since_.reset();
-    } else if (!changing_since_.has_value()) {
-        changing_since_ = now;
+        changes_open_since_.reset();
+    } else if (!changes_open_since_.has_value()) {
+        changes_open_since_ = now;
         next_report_ = now + report_interval;
     }
     if (now < next_report_) {
@@ -52,14 +53,14 @@
     }
     next_report_ = now + report_interval;
     if (!replica.has_committed_in_term()) {
-        return {uncommitted(replica, self, now)};
+        return {uncommitted_event(replica, self, now)};
     }
     std::vector<logging::event_record> events;
     events.reserve(open_changes.size());
     for (const std::string& fields : open_changes) {
         events.push_back(
             {logging::event_id::store_change_open,
-             fields + " open_ms=" + std::to_string(to_milliseconds(now - *changing_since_))});
+             fields + " open_ms=" + std::to_string(to_milliseconds(now - *changes_open_since_))});
     }
     return events;
 }
--- a/src/tallyfold/plane/directory/report_service_shell.cpp
+++ b/src/tallyfold/plane/directory/report_service_shell.cpp
@@ -11,7 +11,7 @@
     const instant now = http::steady_now();
     node_report_answer answer = core.receive(report, now, channel->peer_format());
     propagation_.on_report(report, now);
-    answer.list = list_.newer_for(report, now);
+    answer.list = list_.changes_for(report, now);
     answer.backend_failures = failures_.recent(now);
     channel->send(answer);
     if (report.question != 0) {
@@ -29,11 +29,11 @@
     channel->send(part);
 }
 
-void report_service::take(const discovery::failure_report& report) {
+void report_service::record_failure(const discovery::failure_report& report) {
     failures_.add(report.backend, http::steady_now());
 }
 
-void report_service::end_proof(const directory_core& core, const directory_proof& proof) {
+void report_service::on_proof(const directory_core& core, const directory_proof& proof) {
     const auto found = questions_.find(proof.token);
     if (found == questions_.end()) {
         return;
--- a/src/tallyfold/plane/discovery/list_poller_shell.cpp
+++ b/src/tallyfold/plane/discovery/list_poller_shell.cpp
@@ -12,20 +12,21 @@
 
 namespace {
 
-/// Pause between two polls. Chosen: a back end that is leaving has to get no new work after a few
-/// seconds, and each poll is paid for.
+/// Interval between polls. Short enough that a draining back end receives no new work after a few
+/// seconds; requests of the list are billed and rate-limited.
 constexpr duration poll_interval = std::chrono::milliseconds(1000);
-/// Pause after a poll that failed, and between looks at whether this node is to poll. Chosen, not
-/// measured.
+/// Delay before a failed poll is retried, and interval at which this node checks whether it should
+/// poll.
 constexpr duration retry_interval = std::chrono::milliseconds(300);
-/// Time for one page. Chosen, not measured: below the poll interval.
-constexpr duration answer_limit = std::chrono::milliseconds(900);
-/// Bytes of an answer's head at most; the usual bound of HTTP servers.
+/// Maximum time to fetch one page; below the poll interval.
+constexpr duration page_timeout = std::chrono::milliseconds(900);
+/// Maximum size of a response's head in bytes; the usual limit of HTTP servers.
 constexpr std::size_t max_head_bytes = 16U << 10U;
-/// Pages of one list at most, so that a list that names a next page for ever ends.
+/// Maximum number of pages of one list; ends a list whose pages never stop naming a next one.
 constexpr std::size_t max_pages = 1'000;
-/// Nodes shift their polls by up to this many milliseconds, by the hash of their names.
-constexpr std::uint64_t max_phase_ms = 400;
+/// Maximum offset between the nodes' polls, in milliseconds; each node derives its offset from its
+/// name.
+constexpr std::uint64_t max_offset_ms = 400;
 
 }  // namespace
 
@@ -33,14 +34,15 @@
     : process_(process), codec_(codec) {}
 
 void list_poller::start(std::function<void(const std::vector<listed_backend>&)> on_list,
-                        std::function<bool()> wanted) {
+                        std::function<bool()> should_poll) {
     on_list_ = std::move(on_list);
-    wanted_ = std::move(wanted);
+    should_poll_ = std::move(should_poll);
     asio::co_spawn(process_.loop(), poll(), asio::detached);
 }
 
-asio::awaitable<tl::expected<std::string, std::string>> list_poller::get(std::string target) {
-    const instant deadline = http::steady_now() + answer_limit;
+asio::awaitable<tl::expected<std::string, std::string>> list_poller::fetch_page(
+    std::string target) {
+    const instant deadline = http::steady_now() + page_timeout;
     const std::string address = process_.settings().backend_list_address;
     if (!connection_ || connection_->stale()) {
         connection_ = std::make_shared<http::connection>(
@@ -77,16 +79,16 @@
         connection_->close();
     }
     if (status != 200) {
-        co_return tl::unexpected("status " + std::to_string(status));
+        co_return tl::unexpected("unexpected HTTP status " + std::to_string(status));
     }
     co_return body;
 }
 
-asio::awaitable<tl::expected<std::vector<listed_backend>, std::string>> list_poller::ask() {
+asio::awaitable<tl::expected<std::vector<listed_backend>, std::string>> list_poller::fetch_list() {
     std::vector<listed_backend> backends;
     std::string token;
     for (std::size_t number = 0; number < max_pages; ++number) {
-        auto body = co_await get(codec_.list_target(token));
+        auto body = co_await fetch_page(codec_.list_target(token));
         if (!body) {
             if (connection_) {
                 connection_->close();
@@ -109,37 +111,37 @@
 
 asio::awaitable<void> list_poller::poll() {
     asio::steady_timer timer(process_.loop());
-    // Nodes that start together must not all ask in the same instant for ever.
-    const auto phase =
-        static_cast<std::int64_t>(stable_hash(process_.settings().node) % max_phase_ms);
-    bool lost = false;
+    // Spreads the polls of nodes that start at the same time.
+    const auto offset =
+        static_cast<std::int64_t>(stable_hash(process_.settings().node) % max_offset_ms);
+    bool is_failing = false;
     bool first = true;
     while (true) {
-        if (!wanted_()) {
+        if (!should_poll_()) {
             timer.expires_after(retry_interval);
             co_await timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
             continue;
         }
-        auto backends = co_await ask();
+        auto backends = co_await fetch_list();
         duration pause = poll_interval;
         if (backends) {
-            if (lost) {
+            if (is_failing) {
                 logging::write_event(logging::event_id::backend_list_regained,
                                      "backends=" + std::to_string(backends->size()));
             }
-            lost = false;
+            is_failing = false;
             on_list_(*backends);
             if (first) {
                 first = false;
-                pause += std::chrono::milliseconds(phase);
+                pause += std::chrono::milliseconds(offset);
             }
         } else {
-            if (!lost) {
+            if (!is_failing) {
                 logging::write_event(logging::event_id::backend_list_lost,
                                      "reason=\"" + backends.error() + "\"");
             }
-            lost = true;
-            pause = retry_interval + std::chrono::milliseconds(phase);
+            is_failing = true;
+            pause = retry_interval + std::chrono::milliseconds(offset);
         }
         timer.expires_after(pause);
         co_await timer.async_wait(asio::experimental::as_tuple(asio::use_awaitable));
--- a/src/tallyfold/plane/process/node_settings.cpp
+++ b/src/tallyfold/plane/process/node_settings.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Upper bounds of what is believed: larger values are taken for mistakes. Chosen, not measured.
+// Upper limits; larger values are rejected as mistakes.
 constexpr std::int64_t max_port = 65'535;
 constexpr double max_seconds = 3'600;
 constexpr double max_accepted_slowdown = 1'000;
@@ -15,21 +15,17 @@
 constexpr std::int64_t max_acknowledge_ms = 600'000;
 constexpr std::int64_t max_revocation_ms = 600'000;
 
-// Defaults of the keys that docs/CONFIGURATION.md explains.
-/// Chosen, not measured: groups of three stores and three voters bear it.
+// Default values.
+/// Groups of three stores and three voters tolerate one loss.
 constexpr std::int64_t default_losses_borne = 1;
-/// Measured: 0.686 -> 0.739 against no wait (docs/DECISIONS-UNDER-LOAD.md).
 constexpr double default_max_slowdown = 1.7;
-/// Chosen, not measured.
 constexpr double default_grace_seconds = 8;
-/// Chosen, not measured.
 constexpr std::int64_t default_acknowledge_ms = 4'000;
-/// Chosen, not measured.
 constexpr double default_quota_window_seconds = 5;
-/// Permits at hand bridge the election of another lender, which takes 0.5 to 1 s.
+/// Longer than the election of another lender, which takes 0.5 to 1 s.
 constexpr std::int64_t default_quota_lease_ms = 2'000;
-/// Chosen, not measured: a configuration reaches every node in 0.2 to 0.4 s
-/// (docs/design/configuration-spread.md), and proof is renewed four times in this time.
+/// Longer than the spread of a configuration to every node; the configuration is confirmed four
+/// times in this time.
 constexpr std::int64_t default_revocation_ms = 5'000;
 
 duration seconds(double value) {
@@ -40,7 +36,7 @@
     return net::parse_endpoint(text).has_value();
 }
 
-/// The names that scheduling::parse_strategy() knows.
+/// True for the names that scheduling::parse_strategy() accepts.
 bool is_placement(const std::string& name) {
     return name == "tallyfold" || name == "round_robin" || name == "least_outstanding" ||
            name == "affinity_fcfs";
@@ -54,81 +50,83 @@
     return value;
 }
 
-std::uint16_t port(settings_reader& reader, const std::string& key, std::int64_t least) {
-    return static_cast<std::uint16_t>(reader.integer_or(key, 0, least, max_port));
+std::uint16_t port(settings_reader& reader, const std::string& key, std::int64_t min_value) {
+    return static_cast<std::uint16_t>(reader.integer_or(key, 0, min_value, max_port));
 }
 
-duration milliseconds(settings_reader& reader, const std::string& key, std::int64_t usual,
-                      std::int64_t least, std::int64_t most) {
-    return std::chrono::milliseconds(reader.integer_or(key, usual, least, most));
+duration milliseconds(settings_reader& reader, const std::string& key, std::int64_t default_value,
+                      std::int64_t min_value, std::int64_t max_value) {
+    return std::chrono::milliseconds(reader.integer_or(key, default_value, min_value, max_value));
 }
 
-/// Which machine this is, how others reach it, and its disk.
-void read_machine(settings_reader& reader, node_settings& read) {
-    read.node = reader.text("node");
-    read.zone = reader.text("zone");
-    read.ip = reader.text("ip");
-    read.listen_ip = reader.text_or("listen_ip", read.ip);
-    read.directory_port = port(reader, "directory_port", 1);
-    read.store_port = port(reader, "store_port", 1);
-    read.seeds = reader.text_list("seeds");
-    for (const std::string& seed : read.seeds) {
+/// Reads the identity of the machine, its addresses and its storage.
+void read_machine(settings_reader& reader, node_settings& settings) {
+    settings.node = reader.text("node");
+    settings.zone = reader.text("zone");
+    settings.ip = reader.text("ip");
+    settings.listen_ip = reader.text_or("listen_ip", settings.ip);
+    settings.directory_port = port(reader, "directory_port", 1);
+    settings.store_port = port(reader, "store_port", 1);
+    settings.seeds = reader.text_list("seeds");
+    for (const std::string& seed : settings.seeds) {
         if (!is_endpoint(seed)) {
             reader.problem("seeds", "'" + seed + "' must be an IP number and a port");
         }
     }
-    read.first_start = reader.text_or("first_start", "false") == "true";
-    read.data_folder = reader.text_or("data_folder", {});
-    read.losses_borne = static_cast<std::uint32_t>(
+    settings.first_start = reader.text_or("first_start", "false") == "true";
+    settings.data_folder = reader.text_or("data_folder", {});
+    settings.losses_borne = static_cast<std::uint32_t>(
         reader.integer_or("losses_borne", default_losses_borne, 0, max_losses_borne));
 }
 
-/// Where callers, operators and metrics reach this node, and where it finds the back ends.
-void read_interfaces(settings_reader& reader, node_settings& read) {
-    read.callers_address = optional_address(reader, "callers_address");
-    read.readiness_address = optional_address(reader, "readiness_address");
-    read.operators_address = optional_address(reader, "operators_address");
-    read.metrics_port = port(reader, "metrics_port", 0);
-    read.backend_list_address = optional_address(reader, "backend_list_address");
+/// Reads the addresses of this node's interfaces and of the list of back ends.
+void read_interfaces(settings_reader& reader, node_settings& settings) {
+    settings.callers_address = optional_address(reader, "callers_address");
+    settings.readiness_address = optional_address(reader, "readiness_address");
+    settings.operators_address = optional_address(reader, "operators_address");
+    settings.metrics_port = port(reader, "metrics_port", 0);
+    settings.backend_list_address = optional_address(reader, "backend_list_address");
 }
 
-/// How a forwarder chooses engines and when calls wait.
-void read_choices(settings_reader& reader, node_settings& read) {
-    read.policy_file = reader.text_or("policy_file", {});
-    read.max_slowdown =
+/// Reads how a forwarder selects engines and when requests queue.
+void read_scheduling(settings_reader& reader, node_settings& settings) {
+    settings.policy_file = reader.text_or("policy_file", {});
+    settings.max_slowdown =
         reader.real_or("most_slowdown", default_max_slowdown, 0, max_accepted_slowdown);
     for (const std::string& name : reader.text_list("switched_off")) {
         if (is_mechanism(name)) {
-            read.disabled.add(name);
+            settings.disabled.add(name);
         } else {
             reader.problem("switched_off", "'" + name + "' is no mechanism");
         }
     }
-    read.placement = reader.text_or("placement", "tallyfold");
-    if (!is_placement(read.placement)) {
-        reader.problem("placement", "'" + read.placement + "' is no way to choose engines");
+    settings.placement = reader.text_or("placement", "tallyfold");
+    if (!is_placement(settings.placement)) {
+        reader.problem("placement", "'" + settings.placement + "' is no way to choose engines");
     }
 }
 
-void read_times(settings_reader& reader, node_settings& read) {
-    read.grace = seconds(reader.real_or("grace_seconds", default_grace_seconds, 0.1, max_seconds));
-    read.acknowledge =
+void read_times(settings_reader& reader, node_settings& settings) {
+    settings.grace =
+        seconds(reader.real_or("grace_seconds", default_grace_seconds, 0.1, max_seconds));
+    settings.acknowledge =
         milliseconds(reader, "acknowledge_ms", default_acknowledge_ms, 1, max_acknowledge_ms);
 }
 
-/// How tenants' limits are meant.
-void read_quota(settings_reader& reader, node_settings& read) {
-    read.quota_window = seconds(
+/// Reads how tenants' limits are enforced.
+void read_quota(settings_reader& reader, node_settings& settings) {
+    settings.quota_window = seconds(
         reader.real_or("quota_window_seconds", default_quota_window_seconds, 0.5, max_seconds));
-    read.quota_overshoot = reader.real_or("quota_overshoot", 0, 0, 1);
-    read.quota_slack = reader.real_or("quota_slack", 0, 0, max_quota_slack);
-    read.quota_lease = milliseconds(reader, "quota_lease_ms", default_quota_lease_ms, 300, 60'000);
+    settings.quota_overshoot = reader.real_or("quota_overshoot", 0, 0, 1);
+    settings.quota_slack = reader.real_or("quota_slack", 0, 0, max_quota_slack);
+    settings.quota_lease =
+        milliseconds(reader, "quota_lease_ms", default_quota_lease_ms, 300, 60'000);
 }
 
-/// What a node does with keys while it can't prove that its configuration is the newest.
-void read_keys(settings_reader& reader, node_settings& read) {
-    read.refuses_stale_keys = reader.text_or("refuses_stale_keys", "false") == "true";
-    read.revocation =
+/// Reads how a node treats keys while it can't confirm that its configuration is the newest.
+void read_keys(settings_reader& reader, node_settings& settings) {
+    settings.refuses_stale_keys = reader.text_or("refuses_stale_keys", "false") == "true";
+    settings.revocation =
         milliseconds(reader, "revocation_ms", default_revocation_ms, 100, max_revocation_ms);
 }
 
@@ -164,19 +162,19 @@
     if (!reader.problems().empty()) {
         return tl::unexpected(reader.problems());
     }
-    node_settings read;
-    read.file = file;
-    read_machine(reader, read);
-    read_interfaces(reader, read);
-    read_choices(reader, read);
-    read_times(reader, read);
-    read_quota(reader, read);
-    read_keys(reader, read);
+    node_settings settings;
+    settings.file = file;
+    read_machine(reader, settings);
+    read_interfaces(reader, settings);
+    read_scheduling(reader, settings);
+    read_times(reader, settings);
+    read_quota(reader, settings);
+    read_keys(reader, settings);
     reader.finish();
     if (!reader.problems().empty()) {
         return tl::unexpected(reader.problems());
     }
-    return read;
+    return settings;
 }
 
 }  // namespace tallyfold::settings
--- a/src/tallyfold/plane/routing/configuration_change.cpp
+++ b/src/tallyfold/plane/routing/configuration_change.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Finds items of a list by what they hold.
+/// Finds items of a list by value.
 template <class Item>
 class item_index {
   public:
@@ -34,9 +34,9 @@
     std::unordered_map<std::uint64_t, std::size_t> positions_;
 };
 
-/// Adds the older list's item at `position` to a change.
+/// Appends the older list's item at `position` to a change.
 template <class Item>
-void take(list_change<Item>& change, std::size_t position) {
+void append_base_item(list_change<Item>& change, std::size_t position) {
     const auto place = static_cast<std::uint32_t>(position);
     if (!change.runs.empty()) {
         auto& last = change.runs.back();
@@ -49,15 +49,15 @@
 }
 
 template <class Item>
-void add(list_change<Item>& change, const Item& item) {
+void append_new_item(list_change<Item>& change, const Item& item) {
     if (change.runs.empty()) {
         change.runs.emplace_back();
     }
     change.runs.back().then.push_back(item);
 }
 
-/// Items that both lists begin with, and after these the items that both end with, are found by
-/// comparing them in place; only what lies between is looked up.
+/// Compares the common beginning and end of both lists in place; only the items in between are
+/// looked up in an index.
 template <class Item>
 list_change<Item> difference(const std::vector<Item>& from, const std::vector<Item>& to) {
     const std::size_t shorter = std::min(from.size(), to.size());
@@ -71,23 +71,23 @@
     }
     list_change<Item> change;
     for (std::size_t position = 0; position < head; ++position) {
-        take(change, position);
+        append_base_item(change, position);
     }
-    const item_index<Item> between(from, head, from.size() - tail);
+    const item_index<Item> middle_index(from, head, from.size() - tail);
     for (std::size_t position = head; position < to.size() - tail; ++position) {
-        if (const auto found = between.find(to[position])) {
-            take(change, *found);
+        if (const auto found = middle_index.find(to[position])) {
+            append_base_item(change, *found);
         } else {
-            add(change, to[position]);
+            append_new_item(change, to[position]);
         }
     }
     for (std::size_t position = from.size() - tail; position < from.size(); ++position) {
-        take(change, position);
+        append_base_item(change, position);
     }
     return change;
 }
 
-/// @return false when the change names items that `base` doesn't have
+/// @return false when the change refers to items that `base` does not have
 template <class Item>
 bool apply(const list_change<Item>& change, const std::vector<Item>& base,
            std::vector<Item>& result) {
--- a/src/tallyfold/program_api/configuration/configuration_state.cpp
+++ b/src/tallyfold/program_api/configuration/configuration_state.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t longest_name = 128;
-constexpr double greatest_weight = 1e6;
+constexpr std::size_t max_name_length = 128;
+constexpr double max_weight = 1e6;
 
 struct saved_state {
     configuration_view view;
@@ -100,17 +100,17 @@
 }
 
 std::string validate(const change_command& command) {
-    if (command.command_identity.empty() || command.command_identity.size() > longest_name) {
+    if (command.command_identity.empty() || command.command_identity.size() > max_name_length) {
         return "command_identity must have 1 to 128 characters";
     }
-    if (command.key.name.empty() || command.key.name.size() > longest_name) {
+    if (command.key.name.empty() || command.key.name.size() > max_name_length) {
         return "the item's name must have 1 to 128 characters";
     }
     if (static_cast<std::size_t>(command.key.kind) != command.body.index()) {
         return "the body does not fit the item's kind";
     }
     if (const auto* tenant = std::get_if<tenant_settings>(&command.body)) {
-        if (!(tenant->weight > 0.0) || tenant->weight > greatest_weight) {
+        if (!(tenant->weight > 0.0) || tenant->weight > max_weight) {
             return "weight must be above 0 and at most 1000000";
         }
         if (tenant->queue_limit == 0) {
@@ -139,7 +139,7 @@
         return known->second;
     }
     change_result result = apply_new(*command);
-    remember(command->command_identity, result);
+    store_result(command->command_identity, result);
     return result;
 }
 
@@ -160,11 +160,11 @@
     return {change_status::accepted, current + 1, view_.version(), {}};
 }
 
-void configuration_state_machine::remember(const std::string& identity,
-                                           const change_result& result) {
+void configuration_state_machine::store_result(const std::string& identity,
+                                               const change_result& result) {
     results_[identity] = result;
     result_order_.push_back(identity);
-    if (result_order_.size() > kept_results) {
+    if (result_order_.size() > max_stored_results) {
         results_.erase(result_order_.front());
         result_order_.pop_front();
     }
--- a/src/tallyfold/program_api/control/control_core.cpp
+++ b/src/tallyfold/program_api/control/control_core.cpp
@@ -9,15 +9,14 @@
 
 namespace {
 
-/// Time between two looks of a leader at members and leases. Chosen, not measured: the replicas'
-/// heartbeat interval, a fifteenth of the time after which a scheduler counts as lost.
-constexpr duration duty_interval = std::chrono::milliseconds(100);
-/// Time between two requests to join. Chosen, not measured: an election's time-out.
+/// Interval of a leader's checks of members and leases.
+constexpr duration leader_check_interval = std::chrono::milliseconds(100);
+/// Interval between join requests.
 constexpr duration join_interval = std::chrono::milliseconds(500);
-/// A gap between ticks longer than this means that the process was stopped: what it believes
-/// about others' silence is worth nothing.
+/// A longer gap between ticks means that the process was suspended, so the time since a node's last
+/// heartbeat says nothing about the node.
 constexpr duration longest_tick_gap = std::chrono::milliseconds(400);
-/// Log position and term of the snapshot that forms a cluster.
+/// Log index and term of the snapshot that initialises a cluster.
 constexpr consensus::log_index initial_index = 1;
 constexpr consensus::term_number initial_term = 1;
 
@@ -129,8 +128,8 @@
     if (found == groups_.end()) {
         return;
     }
-    // Any replica that has applied the lease has all that came before it: the state machine
-    // refuses older epochs from there on.
+    // A replica that has applied the lease has applied everything before it, and from then on the
+    // state machine rejects commands of older epochs.
     const auto& shards = found->second.journal.shards();
     const auto entry = shards.find(request.shard);
     if (entry == shards.end() || entry->second.lease.epoch != request.epoch ||
@@ -175,22 +174,22 @@
 
 void control_core::tick(instant now) {
     if (now - last_tick_ > longest_tick_gap) {
-        for (auto& [node, heard] : nodes_) {
-            heard.heard = now;
+        for (auto& [node, record] : nodes_) {
+            record.received_at = now;
         }
     }
     last_tick_ = now;
     for (auto& [group, runtime] : groups_) {
-        const bool led = runtime.replica.role() == consensus::replica_role::leader;
+        const bool was_leader = runtime.replica.role() == consensus::replica_role::leader;
         runtime.replica.tick(now);
-        const bool leads = runtime.replica.role() == consensus::replica_role::leader;
-        if (leads && !led) {
+        const bool is_leader = runtime.replica.role() == consensus::replica_role::leader;
+        if (is_leader && !was_leader) {
             runtime.assigner.start_grace(now + settings_.scheduler_timeout);
         }
         drop_appends_if_not_leading(group, runtime);
     }
-    if (now >= next_duty_) {
-        next_duty_ = now + duty_interval;
+    if (now >= next_leader_check_) {
+        next_leader_check_ = now + leader_check_interval;
         refresh_live_schedulers(now);
         for (auto& [group, runtime] : groups_) {
             if (runtime.replica.has_committed_in_term()) {
@@ -224,8 +223,8 @@
             result.program_counts[shard] = entry.programs.programs().size();
         }
     }
-    for (const auto& [node, heard] : nodes_) {
-        result.nodes.push_back({heard.last, now - heard.heard});
+    for (const auto& [node, record] : nodes_) {
+        result.nodes.push_back({record.last, now - record.received_at});
     }
     return result;
 }
--- a/src/tallyfold/program_api/control/control_shell.cpp
+++ b/src/tallyfold/program_api/control/control_shell.cpp
@@ -28,10 +28,10 @@
 
 constexpr std::size_t ring_capacity = 1024;
 constexpr auto metrics_interval = std::chrono::seconds(1);
-constexpr auto admin_limit = std::chrono::seconds(5);
+constexpr auto admin_timeout = std::chrono::seconds(5);
 constexpr unsigned leader_retry_seconds = 1;
 
-/// A question that the logic thread answers from its own state at once.
+/// Query that the logic thread answers from local state, without consensus.
 enum class local_query : std::uint8_t { status_json, status_page, identity };
 
 struct admin_input {
@@ -98,18 +98,18 @@
             return;
         }
         if (reads && path == "/") {
-            pass_on(std::move(exchange), local_query::status_page);
+            enqueue(std::move(exchange), local_query::status_page);
         } else if (reads && path == "/v1/status") {
-            if (allowed(*exchange, operator_role::viewer)) {
-                pass_on(std::move(exchange), local_query::status_json);
+            if (authorize(*exchange, operator_role::viewer)) {
+                enqueue(std::move(exchange), local_query::status_json);
             }
         } else if (reads && path == "/v1/cluster") {
-            if (allowed(*exchange, operator_role::viewer)) {
-                pass_on(std::move(exchange), local_query::identity);
+            if (authorize(*exchange, operator_role::viewer)) {
+                enqueue(std::move(exchange), local_query::identity);
             }
         } else if (reads && path == "/v1/configuration") {
-            if (allowed(*exchange, operator_role::viewer)) {
-                pass_on(std::move(exchange), admin_request(admin_read{}));
+            if (authorize(*exchange, operator_role::viewer)) {
+                enqueue(std::move(exchange), admin_request(admin_read{}));
             }
         } else if (!reads && path == "/v1/changes") {
             on_change(std::move(exchange));
@@ -120,7 +120,7 @@
         }
     }
 
-    bool allowed(net::http_exchange& exchange, operator_role least) {
+    bool authorize(net::http_exchange& exchange, operator_role required_role) {
         net::signed_request request;
         request.operator_name = exchange.header(net::operator_header);
         request.time = exchange.header(net::time_header);
@@ -131,9 +131,10 @@
         const auto role = operators_.check(request, std::time(nullptr));
         const std::string fields = "operator=\"" + request.operator_name +
                                    "\" method=" + request.method + " path=" + request.path;
-        if (!role || *role < least) {
+        if (!role || *role < required_role) {
             const std::string reason =
-                role ? "needs the role " + std::string(to_string(least)) : role.error().detail;
+                role ? "needs the role " + std::string(to_string(required_role))
+                     : role.error().detail;
             logging::write_event(event_id::admin_denied, fields + " reason=\"" + reason + "\"");
             respond_error(exchange, role ? 403 : 401, "denied", reason);
             return false;
@@ -143,7 +144,7 @@
     }
 
     void on_change(net::exchange_pointer exchange) {
-        if (!allowed(*exchange, operator_role::editor)) {
+        if (!authorize(*exchange, operator_role::editor)) {
             return;
         }
         auto change = parse_admin_change(exchange->body(), exchange->header(net::operator_header));
@@ -151,11 +152,11 @@
             respond_error(*exchange, 400, "invalid", change.error().reason);
             return;
         }
-        pass_on(std::move(exchange), admin_request(std::move(*change)));
+        enqueue(std::move(exchange), admin_request(std::move(*change)));
     }
 
     void on_initialise(net::exchange_pointer exchange) {
-        if (!allowed(*exchange, operator_role::administrator)) {
+        if (!authorize(*exchange, operator_role::administrator)) {
             return;
         }
         auto members = parse_initial_membership(exchange->body());
@@ -163,11 +164,11 @@
             respond_error(*exchange, 400, "invalid", members.error().reason);
             return;
         }
-        pass_on(std::move(exchange), std::move(*members));
+        enqueue(std::move(exchange), std::move(*members));
     }
 
     template <class Request>
-    void pass_on(net::exchange_pointer exchange, Request request) {
+    void enqueue(net::exchange_pointer exchange, Request request) {
         admin_input input{std::move(exchange), std::move(request)};
         if (!admin_inputs_.try_push(input)) {
             respond_error(*input.exchange, 429, "overloaded", "too many requests are waiting",
@@ -192,13 +193,13 @@
         net::drain_ring(admin_inputs_, [&](admin_input& input) { on_admin(input, now); });
         core_.tick(now);
         emit(core_.take_output());
-        expire_admin(now);
+        expire_admin_requests(now);
         publish(now);
     }
 
     void on_admin(admin_input& input, instant now) {
         if (const auto* query = std::get_if<local_query>(&input.request)) {
-            answer_locally(*input.exchange, *query, now);
+            answer_query(*input.exchange, *query, now);
         } else if (const auto* members = std::get_if<consensus::membership>(&input.request)) {
             const bool formed = core_.initialise(*members);
             if (formed) {
@@ -210,12 +211,12 @@
             }
         } else {
             const std::uint64_t token = next_token_++;
-            waiting_[token] = {std::move(input.exchange), now + admin_limit};
+            pending_requests_[token] = {std::move(input.exchange), now + admin_timeout};
             core_.request(token, std::get<admin_request>(input.request), now);
         }
     }
 
-    void answer_locally(net::http_exchange& exchange, local_query query, instant now) {
+    void answer_query(net::http_exchange& exchange, local_query query, instant now) {
         const control_status status = core_.status(now);
         switch (query) {
             case local_query::status_json:
@@ -226,12 +227,12 @@
                                  render_status_page(status, settings_.core.node));
                 break;
             case local_query::identity:
-                respond_json(exchange, 200, identity_text(status));
+                respond_json(exchange, 200, render_identity(status));
                 break;
         }
     }
 
-    std::string identity_text(const control_status& status) const {
+    std::string render_identity(const control_status& status) const {
         nlohmann::json members = nlohmann::json::array();
         for (const auto& [replica, member] : status.groups.front().members.members) {
             members.push_back({{"replica", std::to_string(replica)}, {"node", member.node}});
@@ -255,13 +256,14 @@
     }
 
     void answer_admin(const admin_reply& reply) {
-        const auto found = waiting_.find(reply.token);
-        if (found == waiting_.end()) {
+        const auto found = pending_requests_.find(reply.token);
+        if (found == pending_requests_.end()) {
             return;
         }
         net::http_exchange& exchange = *found->second.exchange;
         if (reply.status == admin_status::not_leader) {
-            // Whether a change was accepted is open here; a resend under its identity tells.
+            // The change may have been accepted; a resend with the same identity returns its
+            // result.
             respond_error(
                 exchange, 503, "not_leader",
                 "ask the leader" + (reply.leader.empty() ? std::string{} : ", " + reply.leader),
@@ -282,11 +284,11 @@
                                     : 400,
                          configuration::render_result(reply.change));
         }
-        waiting_.erase(found);
+        pending_requests_.erase(found);
     }
 
-    void expire_admin(instant now) {
-        std::erase_if(waiting_, [&](auto& entry) {
+    void expire_admin_requests(instant now) {
+        std::erase_if(pending_requests_, [&](auto& entry) {
             if (now < entry.second.deadline) {
                 return false;
             }
@@ -308,7 +310,7 @@
         std::size_t programs = 0;
         for (const group_status& group : status.groups) {
             commits += static_cast<double>(group.commit_index);
-            note_leadership(group);
+            log_leadership_change(group);
         }
         for (const auto& [shard, count] : status.program_counts) {
             programs += count;
@@ -316,7 +318,8 @@
         const auto number = [](auto value) { return static_cast<double>(value); };
         metrics_.publish(
             {{"control_commit_index_total", "Committed entries, all groups.", commits, true},
-             {"control_groups_led", "Groups that this replica leads.", number(led_.size()), false},
+             {"control_groups_led", "Groups that this replica leads.", number(led_groups_.size()),
+              false},
              {"control_programs", "Programs in the journals.", number(programs), false},
              {"control_nodes", "Nodes heard from.", number(status.nodes.size()), false},
              {"control_storage_syncs_total", "Syncs of the log.", number(storage_.syncs()), true},
@@ -326,17 +329,17 @@
               number(core_.configuration().version()), false}});
     }
 
-    void note_leadership(const group_status& group) {
+    void log_leadership_change(const group_status& group) {
         const std::string fields =
             "group=" + std::to_string(group.group) + " term=" + std::to_string(group.term);
-        if (group.leads && led_.insert(group.group).second) {
+        if (group.leads && led_groups_.insert(group.group).second) {
             logging::write_event(event_id::leadership_gained, fields);
-        } else if (!group.leads && led_.erase(group.group) > 0) {
+        } else if (!group.leads && led_groups_.erase(group.group) > 0) {
             logging::write_event(event_id::leadership_lost, fields);
         }
     }
 
-    struct waiting_admin {
+    struct pending_admin_request {
         net::exchange_pointer exchange;
         instant deadline{};
     };
@@ -351,8 +354,8 @@
     net::metrics_board metrics_;
     net::transport transport_;
     net::http_server server_;
-    std::map<std::uint64_t, waiting_admin> waiting_;
-    std::set<group_id> led_;
+    std::map<std::uint64_t, pending_admin_request> pending_requests_;
+    std::set<group_id> led_groups_;
     std::uint64_t next_token_ = 1;
     instant next_publish_{};
     std::atomic<bool> ready_{false};
--- a/src/tallyfold/program_api/control/lease_assigner.cpp
+++ b/src/tallyfold/program_api/control/lease_assigner.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Shards that may be on the move from live holders at once, so that a joining scheduler does
-/// not stop a whole group.
-constexpr std::size_t moving_shards_limit = 4;
-constexpr duration proposal_patience = std::chrono::milliseconds(500);
+/// Maximum number of shards moving away from live holders at once, so that a joining scheduler does
+/// not interrupt a whole group.
+constexpr std::size_t max_moving_shards = 4;
+constexpr duration proposal_timeout = std::chrono::milliseconds(500);
 
 }  // namespace
 
@@ -41,7 +41,7 @@
         }
         const bool holder_live = !lease.holder.empty() && live.contains(lease.holder);
         if (holder_live) {
-            if (lease.holder != preferred && result.hand_over.size() < moving_shards_limit) {
+            if (lease.holder != preferred && result.hand_over.size() < max_moving_shards) {
                 result.hand_over.push_back(shard);
             }
             continue;
@@ -50,9 +50,10 @@
             continue;
         }
         proposal& last = proposed_[shard];
-        const bool under_way = last.made != instant{} && last.from_epoch == lease.epoch &&
-                               now - last.made < proposal_patience;
-        if (under_way) {
+        const bool proposal_pending = last.proposed_at != instant{} &&
+                                      last.from_epoch == lease.epoch &&
+                                      now - last.proposed_at < proposal_timeout;
+        if (proposal_pending) {
             continue;
         }
         last = {lease.epoch, now};
--- a/src/tallyfold/program_api/control/replica_output.cpp
+++ b/src/tallyfold/program_api/control/replica_output.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the replicas of a control node have ready: entries to apply, reads to answer, messages, and
-/// the batch for the disk, whose messages wait for its sync.
+/// Output of a control node's replicas: entries to apply, confirmed reads, messages, and the
+/// storage batch with the messages that wait for its sync.
 
 #include <algorithm>
 
@@ -52,7 +52,7 @@
         mark.index = write.entries.back().index;
         mark.term = write.entries.back().term;
     }
-    maybe_snapshot(group, runtime, write, mark);
+    snapshot_if_due(group, runtime, write, mark);
     if (write.state || write.base || !write.entries.empty()) {
         batch.writes.push_back(std::move(write));
         marks.push_back(std::move(mark));
@@ -166,35 +166,37 @@
     }
 }
 
-void control_core::maybe_snapshot(group_id group, group_runtime& runtime,
-                                  consensus::group_write& write, batch_mark& mark) {
+void control_core::snapshot_if_due(group_id group, group_runtime& runtime,
+                                   consensus::group_write& write, batch_mark& mark) {
     const consensus::replicated_log& log = runtime.replica.log();
     if (runtime.applied < log.snapshot_index() + settings_.snapshot_interval ||
         write.base.has_value()) {
         return;
     }
-    const bool under_way = std::any_of(batches_.begin(), batches_.end(), [&](const auto& batch) {
-        return std::any_of(batch.second.begin(), batch.second.end(), [&](const batch_mark& other) {
-            return other.group == group && other.own_snapshot.has_value();
+    const bool snapshot_pending =
+        std::any_of(batches_.begin(), batches_.end(), [&](const auto& batch) {
+            return std::any_of(batch.second.begin(), batch.second.end(),
+                               [&](const batch_mark& other) {
+                                   return other.group == group && other.own_snapshot.has_value();
+                               });
         });
-    });
-    if (under_way) {
+    if (snapshot_pending) {
         return;
     }
-    consensus::snapshot own;
-    own.index = runtime.applied;
-    own.term = log.term_at(runtime.applied).value_or(0);
-    own.members = runtime.replica.members_at(runtime.applied);
-    own.state = save(group, runtime);
-    write.base = own;
-    mark.own_snapshot = std::move(own);
+    consensus::snapshot new_snapshot;
+    new_snapshot.index = runtime.applied;
+    new_snapshot.term = log.term_at(runtime.applied).value_or(0);
+    new_snapshot.members = runtime.replica.members_at(runtime.applied);
+    new_snapshot.state = save(group, runtime);
+    write.base = new_snapshot;
+    mark.own_snapshot = std::move(new_snapshot);
 }
 
 node_name control_core::node_of(const consensus::replica_message& message) const {
     if (!message.to_node.empty()) {
         return message.to_node;
     }
-    // A replica that has no membership yet answers the node that spoke to it.
+    // A replica without a membership replies to the node that sent it a message.
     const auto found = replica_nodes_.find(message.to);
     return found == replica_nodes_.end() ? node_name{} : found->second;
 }
--- a/src/tallyfold/program_api/gateway/gateway_shell.cpp
+++ b/src/tallyfold/program_api/gateway/gateway_shell.cpp
@@ -23,9 +23,9 @@
 using logging::event_id;
 
 constexpr std::size_t ring_capacity = 8192;
-/// Bodies up to this many times the limit are read, so that they get an answer; for longer ones the
-/// connection is closed.
-constexpr std::size_t drained_body_factor = 4;
+/// Bodies up to this multiple of the limit are read, so that they get an answer; for longer ones
+/// the connection is closed.
+constexpr std::size_t readable_body_factor = 4;
 constexpr auto metrics_interval = std::chrono::seconds(1);
 
 struct http_input {
@@ -42,7 +42,7 @@
           http_inputs_(ring_capacity, logic_.notifier()),
           peers_(logic_.notifier()),
           transport_({settings.core.node, {}, settings.key_file}, peers_.handlers()),
-          server_({settings.http_listen, settings.largest_body * drained_body_factor},
+          server_({settings.http_listen, settings.largest_body * readable_body_factor},
                   [this](net::exchange_pointer exchange) { on_http(std::move(exchange)); }) {}
 
     int run(const std::atomic<bool>& stop) {
@@ -111,25 +111,25 @@
         net::drain_ring(http_inputs_, [&](http_input& input) {
             const request_token token = next_token_++;
             protocol::scheduler_call call = input.request.call;
-            open_[token] = {std::move(input.exchange), std::move(input.request), false};
+            open_exchanges_[token] = {std::move(input.exchange), std::move(input.request), false};
             core_.submit(token, std::move(call), now);
         });
-        if (draining_ && !drain_told_) {
-            drain_told_ = true;
+        if (draining_ && !drain_started_) {
+            drain_started_ = true;
             core_.drain();
         }
         core_.tick(now);
         dial_schedulers();
         emit(core_.take_output());
         ready_ = core_.ready(now);
-        drained_ = core_.drained() && open_.empty();
+        drained_ = core_.drained() && open_exchanges_.empty();
         publish(now);
     }
 
     void dial_schedulers() {
         for (const auto& [node, address] : core_.session().schedulers()) {
-            if (dialled_[node] != address) {
-                dialled_[node] = address;
+            if (dialled_addresses_[node] != address) {
+                dialled_addresses_[node] = address;
                 transport_.dial(node, address);
             }
         }
@@ -140,8 +140,8 @@
             transport_.send(std::move(message));
         }
         for (const client_pieces& added : output.pieces) {
-            const auto found = open_.find(added.token);
-            if (found == open_.end() || !found->second.request.stream) {
+            const auto found = open_exchanges_.find(added.token);
+            if (found == open_exchanges_.end() || !found->second.request.stream) {
                 continue;
             }
             start_stream(found->second);
@@ -168,14 +168,14 @@
     }
 
     void finish(const client_answer& answered) {
-        const auto found = open_.find(answered.token);
-        if (found == open_.end()) {
+        const auto found = open_exchanges_.find(answered.token);
+        if (found == open_exchanges_.end()) {
             return;
         }
         open_exchange& open = found->second;
         const bool ok = answered.result.code == journal::answer_code::ok;
         if (open.request.stream && (ok || open.streaming)) {
-            // A repeat of an ended call has its answer in one piece.
+            // The answer to a resend of a finished call comes in one piece.
             if (!open.streaming && !answered.result.answer.empty()) {
                 start_stream(open);
                 open.exchange->write(render_piece(open.request, answered.result.answer));
@@ -186,7 +186,7 @@
         } else {
             respond(*open.exchange, open.request, answered.result);
         }
-        open_.erase(found);
+        open_exchanges_.erase(found);
     }
 
     void publish(instant now) {
@@ -217,11 +217,11 @@
     net::metrics_board metrics_;
     net::transport transport_;
     net::http_server server_;
-    std::map<request_token, open_exchange> open_;
-    std::map<node_name, std::string> dialled_;
+    std::map<request_token, open_exchange> open_exchanges_;
+    std::map<node_name, std::string> dialled_addresses_;
     request_token next_token_ = 1;
     instant next_publish_{};
-    bool drain_told_ = false;
+    bool drain_started_ = false;
     std::atomic<bool> ready_{false};
     std::atomic<bool> draining_{false};
     std::atomic<bool> drained_{false};
--- a/src/tallyfold/program_api/process/process_settings.cpp
+++ b/src/tallyfold/program_api/process/process_settings.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::int64_t longest_interval_ms = 600'000;
+constexpr std::int64_t max_interval_ms = 600'000;
 constexpr std::int64_t max_shards = 65'536;
 constexpr std::int64_t max_groups = 1024;
 
-std::vector<node_name> names_of(const node_addresses& addresses) {
+std::vector<node_name> node_names(const node_addresses& addresses) {
     std::vector<node_name> names;
     for (const auto& [name, address] : addresses) {
         names.push_back(name);
@@ -20,11 +20,11 @@
 
 duration milliseconds_or(settings_reader& reader, const std::string& key, duration fallback) {
     return std::chrono::milliseconds(
-        reader.integer_or(key, to_milliseconds(fallback), 1, longest_interval_ms));
+        reader.integer_or(key, to_milliseconds(fallback), 1, max_interval_ms));
 }
 
 template <class Settings>
-settings_result<Settings> finished(settings_reader& reader, Settings settings) {
+settings_result<Settings> settings_or_problems(settings_reader& reader, Settings settings) {
     reader.finish();
     if (!reader.problems().empty()) {
         return tl::unexpected(reader.problems());
@@ -39,7 +39,7 @@
     settings.http_listen = reader.address("http_listen");
     settings.key_file = reader.text("key_file");
     settings.control = reader.address_table("control");
-    settings.core.control_nodes = names_of(settings.control);
+    settings.core.control_nodes = node_names(settings.control);
     settings.core.shard_count =
         static_cast<std::uint32_t>(reader.integer_or("shard_count", 64, 1, max_shards));
     settings.core.request_limit =
@@ -64,7 +64,7 @@
     settings.http_listen = reader.address("http_listen");
     settings.key_file = reader.text("key_file");
     settings.control = reader.address_table("control");
-    settings.core.control_nodes = names_of(settings.control);
+    settings.core.control_nodes = node_names(settings.control);
     settings.members_address = reader.address("members_address");
     settings.core.shard_count =
         static_cast<std::uint32_t>(reader.integer_or("shard_count", 64, 1, max_shards));
@@ -101,7 +101,7 @@
     settings.operator_file = reader.text("operator_file");
     settings.data_folder = reader.text("data_folder");
     settings.control = reader.address_table("control");
-    settings.core.peers = names_of(settings.control);
+    settings.core.peers = node_names(settings.control);
     settings.core.shard_count =
         static_cast<std::uint32_t>(reader.integer_or("shard_count", 64, 1, max_shards));
     settings.core.journal_groups =
@@ -128,19 +128,19 @@
 settings_result<gateway_process> read_gateway(const std::string& file) {
     settings_reader reader(file);
     gateway_process settings = fill_gateway(reader);
-    return finished(reader, std::move(settings));
+    return settings_or_problems(reader, std::move(settings));
 }
 
 settings_result<scheduler_process> read_scheduler(const std::string& file) {
     settings_reader reader(file);
     scheduler_process settings = fill_scheduler(reader);
-    return finished(reader, std::move(settings));
+    return settings_or_problems(reader, std::move(settings));
 }
 
 settings_result<control_process> read_control(const std::string& file) {
     settings_reader reader(file);
     control_process settings = fill_control(reader);
-    return finished(reader, std::move(settings));
+    return settings_or_problems(reader, std::move(settings));
 }
 
 std::vector<std::string> all_keys(const std::string& program) {
--- a/src/tallyfold/program_api/scheduler/backend_client_shell.cpp
+++ b/src/tallyfold/program_api/scheduler/backend_client_shell.cpp
@@ -51,24 +51,24 @@
         return;
     }
     if (request.streamed) {
-        readers_[*key] = id;
+        stream_calls_[*key] = id;
     }
     running_[id] = {order, {}, false};
 }
 
 void backend_client::stop_reading(const attempt_key& key) {
-    const auto reader = readers_.find(key);
-    if (reader == readers_.end()) {
+    const auto reader = stream_calls_.find(key);
+    if (reader == stream_calls_.end()) {
         return;
     }
-    cancels_.push_back(reader->second);
+    pending_cancels_.push_back(reader->second);
     running_.erase(reader->second);
-    readers_.erase(reader);
+    stream_calls_.erase(reader);
     retry_cancels();
 }
 
 void backend_client::retry_cancels() {
-    std::erase_if(cancels_, [this](net::http_call_id id) { return client_.cancel(id); });
+    std::erase_if(pending_cancels_, [this](net::http_call_id id) { return client_.cancel(id); });
 }
 
 std::vector<backend_report> backend_client::take_reports() {
@@ -82,7 +82,7 @@
 void backend_client::on_event(net::http_event& event) {
     const auto found = running_.find(event.id);
     if (found == running_.end()) {
-        return;  // Nobody reads it any more.
+        return;  // The order was cancelled.
     }
     running_order& running = found->second;
     if (event.kind == net::http_event_kind::data) {
@@ -91,9 +91,9 @@
     }
     on_finished(running, event);
     if (const auto key = attempt_of(running.order)) {
-        const auto reader = readers_.find(*key);
-        if (reader != readers_.end() && reader->second == event.id) {
-            readers_.erase(reader);
+        const auto reader = stream_calls_.find(*key);
+        if (reader != stream_calls_.end() && reader->second == event.id) {
+            stream_calls_.erase(reader);
         }
     }
     running_.erase(event.id);
@@ -134,12 +134,12 @@
         return;
     }
     if (const auto* members = std::get_if<members_answered>(&*report)) {
-        learn_addresses(*members);
+        update_addresses(*members);
     }
     reports_.push_back(std::move(*report));
 }
 
-void backend_client::learn_addresses(const members_answered& members) {
+void backend_client::update_addresses(const members_answered& members) {
     for (const scheduling::backend_member& member : members.members) {
         addresses_[member.name] = member.address;
     }
--- a/src/tallyfold/program_api/scheduler/backends.cpp
+++ b/src/tallyfold/program_api/scheduler/backends.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a scheduler learns of back ends, and the releases of their memory.
+/// Status and membership of back ends, cache events, and cache releases.
 
 #include <algorithm>
 
@@ -11,22 +11,22 @@
 
 using logging::event_id;
 
-constexpr duration release_patience = std::chrono::milliseconds(500);
-constexpr duration release_patience_limit = std::chrono::seconds(10);
+constexpr duration initial_release_retry_delay = std::chrono::milliseconds(500);
+constexpr duration max_release_retry_delay = std::chrono::seconds(10);
 
 }  // namespace
 
 void scheduler_core::poll_backends(instant now) {
-    if (now >= next_members_) {
-        next_members_ = now + settings_.members_interval;
+    if (now >= next_members_poll_) {
+        next_members_poll_ = now + settings_.members_interval;
         order(poll_members{});
     }
-    if (now < next_status_) {
+    if (now < next_status_poll_) {
         return;
     }
-    next_status_ = now + settings_.status_interval;
-    for (const scheduling::backend_pool& each : pools_) {
-        for (const auto& [name, backend] : each.all()) {
+    next_status_poll_ = now + settings_.status_interval;
+    for (const scheduling::backend_pool& backends : pools_) {
+        for (const auto& [name, backend] : backends.all()) {
             order(poll_status{name, last_cache_event_[name]});
         }
     }
@@ -34,38 +34,37 @@
 
 void scheduler_core::on_status(const status_answered& status, instant now) {
     const duration ahead = duration(status.clock) - now.time_since_epoch();
-    for (scheduling::backend_pool& each : pools_) {
-        each.add_clock_sample(status.backend, ahead);
-        const scheduling::backend_state* known = each.find(status.backend);
+    for (scheduling::backend_pool& backends : pools_) {
+        backends.add_clock_sample(status.backend, ahead);
+        const scheduling::backend_state* known = backends.find(status.backend);
         if (known == nullptr) {
             continue;
         }
         if (status.load.leaving && !known->reported.leaving) {
             event(event_id::backend_leaving, "backend=" + status.backend + " source=status");
         }
-        each.report(status.backend, status.load);
+        backends.report(status.backend, status.load);
     }
     std::uint64_t& last = last_cache_event_[status.backend];
-    for (const cache_event& happened : status.events) {
-        if (happened.number <= last && happened.number != 1) {
+    for (const cache_event& cache_change : status.events) {
+        if (cache_change.number <= last && cache_change.number != 1) {
             continue;
         }
-        if (happened.number <= last) {
-            // The engine restarted: it holds nothing of what was believed.
+        if (cache_change.number <= last) {
+            // The numbering started over: the engine restarted with an empty cache.
             cache_.remove_engine(status.backend);
-        } else if (happened.number != last + 1 && last != 0) {
-            // What is believed stays: a belief that has become wrong costs one prefill, which
-            // would have been needed anyhow, while forgetting all of them sends every program of
-            // this engine elsewhere.
+        } else if (cache_change.number != last + 1 && last != 0) {
+            // Existing cache entries are kept. A stale entry costs one prefill, whereas dropping
+            // all entries would move every program of this engine to other engines.
             event(event_id::cache_events_lost, "backend=" + status.backend +
                                                    " expected=" + std::to_string(last + 1) +
-                                                   " got=" + std::to_string(happened.number));
+                                                   " got=" + std::to_string(cache_change.number));
         }
-        last = happened.number;
-        if (happened.stored) {
-            cache_.stored(status.backend, happened.point);
+        last = cache_change.number;
+        if (cache_change.stored) {
+            cache_.stored(status.backend, cache_change.point);
         } else {
-            cache_.removed(status.backend, happened.point.hash);
+            cache_.removed(status.backend, cache_change.point.hash);
         }
     }
 }
@@ -114,7 +113,8 @@
                   "backend=" + key.first + " program=" + key.second);
         }
         const std::uint32_t doublings = std::min(release.tries, 5U);
-        release.next = now + std::min(release_patience * (1 << doublings), release_patience_limit);
+        release.next =
+            now + std::min(initial_release_retry_delay * (1 << doublings), max_release_retry_delay);
         ++release.tries;
         due[key.first].push_back(key.second);
     }
--- a/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_failure.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What follows an attempt that failed: a resumed stream, a retry, a request whose outcome is open
-/// and is asked for, or the failure as the call's outcome.
+/// Handling of failed attempts: resuming the stream, retrying the call, resolving an unknown
+/// outcome at the back end, or ending the call with an error.
 
 #include <algorithm>
 
@@ -16,18 +16,17 @@
 using journal::ran_state;
 using logging::event_id;
 
-// Chosen, not measured, all of these.
-/// Time for an engine's connection to come back before its stream is asked for again.
-constexpr duration resume_pause = std::chrono::milliseconds(100);
-/// Resumes of one attempt; after them the attempt counts as failed.
-constexpr std::uint32_t resume_limit = 2;
-/// Time between two questions whether a request ran: doubled each time, up to the limit.
-constexpr duration seal_patience = std::chrono::milliseconds(300);
-constexpr duration seal_patience_limit = std::chrono::seconds(3);
-/// Callers of a request with an open outcome are told so after this long; asking goes on. Half of
-/// the time that a caller waits for a sign of life (8 s in stand_ins/caller_core).
-constexpr duration resolving_patience = std::chrono::seconds(4);
-/// When such a caller may ask again.
+/// Delay before a broken stream is resumed, so that the connection can recover.
+constexpr duration resume_delay = std::chrono::milliseconds(100);
+/// Maximum number of resumes of one attempt; after that the attempt counts as failed.
+constexpr std::uint32_t max_resumes = 2;
+/// Initial delay between seal requests for one attempt; doubled each time, up to the limit.
+constexpr duration initial_seal_retry_delay = std::chrono::milliseconds(300);
+constexpr duration max_seal_retry_delay = std::chrono::seconds(3);
+/// Time after which callers of a request with an unknown outcome get outcome_unknown. Must stay
+/// below the callers' inactivity timeout. Seal requests continue after that.
+constexpr duration unknown_outcome_delay = std::chrono::seconds(4);
+/// Retry delay suggested to these callers.
 constexpr std::uint32_t unknown_retry_after_ms = 1000;
 
 std::string describe(const attempt_key& key) {
@@ -42,14 +41,14 @@
     if (call == nullptr || call->state != call_state::running) {
         return;
     }
-    const bool told_so =
+    const bool refused_by_backend =
         failed.kind == failure_kind::refused || failed.kind == failure_kind::leaving;
-    if (!told_so) {
+    if (!refused_by_backend) {
         count_backend_failure(*call, now);
     }
-    call->free_retry = failed.kind == failure_kind::leaving;
-    if (told_so || failed.kind == failure_kind::unreachable) {
-        // The back end said so, or got nothing: the attempt has not run.
+    call->skip_retry_budget = failed.kind == failure_kind::leaving;
+    if (refused_by_backend || failed.kind == failure_kind::unreachable) {
+        // The back end refused the attempt or never received it, so it has not run.
         release_slot(*call);
         journal_failure(*call, ran_state::no, now);
         return;
@@ -60,7 +59,7 @@
         event(event_id::call_resumed,
               describe(failed.key) + " offset=" + std::to_string(call->pieces.size()));
         call->state = call_state::resuming;
-        call->next_try = now + resume_pause;
+        call->next_try = now + resume_delay;
         return;
     }
     release_slot(*call);
@@ -69,11 +68,11 @@
         start_resolving(*call, now);
         return;
     }
-    // The attempt may still be generating there for nobody.
+    // The engine may still be generating; cancel to free its capacity.
     order(cancel_stream{call->target, failed.key});
-    const bool settled = call->start_settled || failed.kind != failure_kind::broken;
-    if (!settled && now < call->start_limit) {
-        call->state = call_state::fencing;
+    const bool start_known = call->start_confirmed || failed.kind != failure_kind::broken;
+    if (!start_known && now < call->start_deadline) {
+        call->state = call_state::awaiting_start_deadline;
         return;
     }
     journal_failure(*call, ran_state::unknown, now);
@@ -92,7 +91,7 @@
 
 bool scheduler_core::may_resume(const active_call& call, failure_kind kind) {
     return call.request.kind == call_kind::model && kind == failure_kind::broken &&
-           call.resumes < resume_limit && pool_for(call.request.kind).find(call.target) != nullptr;
+           call.resumes < max_resumes && pool_for(call.request.kind).find(call.target) != nullptr;
 }
 
 void scheduler_core::start_resolving(active_call& call, instant now) {
@@ -102,10 +101,10 @@
     resolve(call, now);
 }
 
-void scheduler_core::take_over(active_call& call, instant now) {
-    // An earlier owner began the attempt. It may run, or start late: until that is settled no
-    // further attempt begins.
-    set_start_limit(call, now);
+void scheduler_core::resume_inherited_attempt(active_call& call, instant now) {
+    // A previous owner began the attempt, and it may be running or start late. No further attempt
+    // begins until this is known.
+    set_start_deadline(call, now);
     if (call.request.kind != call_kind::model) {
         start_resolving(call, now);
         return;
@@ -135,21 +134,22 @@
     if (record != nullptr && record->contains(change.sequence)) {
         call->maybe_ran = record->at(change.sequence).maybe_ran;
     }
-    retry_or_give_up(*call, now);
+    retry_or_fail(*call, now);
 }
 
-void scheduler_core::retry_or_give_up(active_call& call, instant now) {
+void scheduler_core::retry_or_fail(active_call& call, instant now) {
     const journal::program_record* program = record_of(call.request.program);
     const configuration::class_settings* settings =
         program == nullptr ? nullptr : configuration().program_class(program->program_class);
     const std::string class_name = program == nullptr ? std::string{} : program->program_class;
     const bool attempts_left = call.attempt < settings_.attempt_limit;
     const bool allowed = settings != nullptr && attempts_left &&
-                         (call.free_retry || retry_budgets_[class_name].spend());
+                         (call.skip_retry_budget || retry_budgets_[class_name].try_spend());
     if (allowed) {
         ++counters_.retries;
         event(event_id::call_retried, describe(key_of(call)) + " backend=" + call.target);
-        note(call.request.program, call.request.sequence, "retry after " + call.target, now);
+        record_decision(call.request.program, call.request.sequence, "retry after " + call.target,
+                        now);
         call.resumes = 0;
         enqueue(call);
         return;
@@ -160,26 +160,28 @@
     result.detail = "the back end failed and the retries are used up";
     result.retry_after_ms = retry_after();
     if (result.ran == ran_state::no) {
-        // The journal shows it released: the same request may begin again.
+        // The journal records the attempt as released, so the same request may begin again.
         reply_all(call, result);
         drop_call(call.id);
         return;
     }
-    // The program must be able to go on: the failure is the call's outcome, for good.
+    // The failure becomes the final outcome of the call, so that the program can continue.
     result.retry_after_ms = 0;
     finish_call(call, std::move(result), {}, 0, now);
 }
 
 void scheduler_core::resolve(active_call& call, instant now) {
-    if (call.request.repeatable && now >= call.start_limit && call.seal_tries > 0) {
-        // It cannot start any more; whether it ran matters little for a request that may repeat.
+    if (call.request.repeatable && now >= call.start_deadline && call.seal_tries > 0) {
+        // The attempt can no longer start, and a repeatable request does not need to know if it
+        // ran.
         journal_failure(call, ran_state::unknown, now);
         return;
     }
     const std::uint32_t doublings = std::min(call.seal_tries, 4U);
-    call.next_try = now + std::min(seal_patience * (1 << doublings), seal_patience_limit);
+    call.next_try =
+        now + std::min(initial_seal_retry_delay * (1 << doublings), max_seal_retry_delay);
     ++call.seal_tries;
-    if (now - call.resolving_since > resolving_patience && !call.waiters.empty()) {
+    if (now - call.resolving_since > unknown_outcome_delay && !call.waiters.empty()) {
         outcome result;
         result.code = answer_code::outcome_unknown;
         result.ran = ran_state::unknown;
@@ -203,7 +205,7 @@
         on_request_answered({answered.key, answered.answer}, now);
         return;
     }
-    call->free_retry = true;
+    call->skip_retry_budget = true;
     journal_failure(*call, ran_state::no, now);
 }
 
--- a/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/attempt_progress.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What follows a begin that goes well: the journal's word, pieces, answers, the end. Failures and
-/// what is done about them: attempt_failure.cpp.
+/// Progress of attempts: journal results, stream pieces, responses and the end of calls. Failures
+/// are handled in attempt_failure.cpp.
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 using journal::outcome;
 using journal::ran_state;
 
-std::string join(const std::vector<std::string>& pieces) {
+std::string concatenate(const std::vector<std::string>& pieces) {
     std::string whole;
     for (const std::string& piece : pieces) {
         whole += piece;
@@ -37,9 +37,9 @@
     }
     const auto* command = std::get_if<journal::owner_command>(&finished.command);
     if (command == nullptr) {
-        // The lease is given up.
+        // The command was release_shard.
         lose_shard(finished.key.shard);
-        hand_over_.erase(finished.key.shard);
+        shards_to_hand_over_.erase(finished.key.shard);
         return;
     }
     if (finished.result == journal_error::none) {
@@ -77,8 +77,8 @@
         result.detail = "the program could not be opened";
     }
     program_runtime& runtime = programs_[opened.id];
-    for (const waiter& asker : runtime.open_waiters) {
-        reply(asker, result);
+    for (const waiter& requester : runtime.open_waiters) {
+        reply(requester, result);
     }
     runtime.open_waiters.clear();
 }
@@ -99,7 +99,7 @@
                   : finished.result == journal_error::program_closed
                       ? answer_code::program_closed
                       : answer_code::sequence_out_of_order;
-    // The journal refused this begin for good; an earlier attempt may still have run.
+    // The journal's refusal is final, but an earlier attempt may have run.
     result.ran = call->maybe_ran ? ran_state::unknown : ran_state::no;
     result.detail = "the journal refused the call: " + std::string(to_string(finished.result));
     reply_all(*call, result);
@@ -112,7 +112,7 @@
         return;
     }
     if (pieces.offset > call->pieces.size()) {
-        // A gap: ask again from where this side stands.
+        // Pieces are missing: the stream is resumed from the last piece received.
         on_attempt_failed({pieces.key, failure_kind::broken}, now);
         return;
     }
@@ -121,7 +121,7 @@
         return;
     }
     call->last_progress = now;
-    call->start_settled = true;
+    call->start_confirmed = true;
     if (call->prefill_pending) {
         call->prefill_pending = false;
         pool(engine_kind).prefilled(call->target, call->prefill_tokens);
@@ -131,9 +131,9 @@
     forwarded.pieces.assign(pieces.pieces.begin() + static_cast<std::ptrdiff_t>(known),
                             pieces.pieces.end());
     call->pieces.insert(call->pieces.end(), forwarded.pieces.begin(), forwarded.pieces.end());
-    for (const waiter& asker : call->waiters) {
-        forwarded.correlation = asker.correlation;
-        output_.messages.push_back({asker.gateway, forwarded});
+    for (const waiter& requester : call->waiters) {
+        forwarded.correlation = requester.correlation;
+        output_.messages.push_back({requester.gateway, forwarded});
     }
 }
 
@@ -143,7 +143,7 @@
         return;
     }
     if (finished.completion_tokens != call->pieces.size()) {
-        // Some pieces were lost on the way; the stream can be read again.
+        // Pieces were lost in transit; the stream can be resumed.
         on_attempt_failed({finished.key, failure_kind::broken}, now);
         return;
     }
@@ -151,7 +151,7 @@
     release_slot(*call);
     outcome result;
     result.ran = ran_state::yes;
-    result.answer = join(call->pieces);
+    result.answer = concatenate(call->pieces);
     result.prompt_tokens = finished.prompt_tokens;
     result.completion_tokens = finished.completion_tokens;
     result.cached_tokens = finished.cached_tokens;
@@ -211,8 +211,8 @@
         }
         update_retention(*call, *program);
     }
-    note(change.program, change.sequence, "ended: " + std::string(to_string(change.result.code)),
-         now);
+    record_decision(change.program, change.sequence,
+                    "ended: " + std::string(to_string(change.result.code)), now);
     reply_all(*call, change.result);
     drop_call(call->id);
 }
@@ -236,7 +236,7 @@
         runtime.points.empty() ? 0.0 : static_cast<double>(runtime.points.back().tokens);
     features.turns = program.last_sequence;
     features.started_ms =
-        static_cast<double>(to_milliseconds(runtime.first_heard.time_since_epoch()));
+        static_cast<double>(to_milliseconds(runtime.first_seen.time_since_epoch()));
     features.attained_tokens = static_cast<double>(attained(program));
     features.mean_pause_ms =
         runtime.pauses == 0
--- a/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
+++ b/src/tallyfold/program_api/scheduler/commands/call_commands.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// A program's calls: repeats wait for the answer of the first or get the one that is kept, others
-/// are checked and queued.
+/// Calls of a program. A repeated call joins the active one or gets the stored outcome; a new call
+/// is validated and queued.
 
 #include <algorithm>
 
@@ -31,15 +31,16 @@
     return active != nullptr && is_same_request(active->request, *repeated);
 }
 
-void scheduler_core::on_call(const waiter& asker, const protocol::program_call& call,
+void scheduler_core::on_call(const waiter& requester, const protocol::program_call& call,
                              owned_shard& shard, shard_id number, instant now) {
     const journal::program_record* program = shard.state.find(call.program);
     if (program == nullptr) {
-        reply(asker, refusal(answer_code::program_not_found, "no such program; open one first"));
+        reply(requester,
+              refusal(answer_code::program_not_found, "no such program; open one first"));
         return;
     }
-    if (join_active(asker, call) || answer_from_record(asker, call, *program) ||
-        repeat_refusal(asker, call)) {
+    if (join_active(requester, call) || answer_from_record(requester, call, *program) ||
+        resend_refusal(requester, call)) {
         return;
     }
     if (std::optional<outcome> refused = refuse_call(call, *program, now)) {
@@ -53,38 +54,38 @@
         if (maybe_ran) {
             refused->ran = ran_state::unknown;
         }
-        remember_refusal(call, *refused);
-        reply(asker, *refused);
+        store_refusal(call, *refused);
+        reply(requester, *refused);
         return;
     }
-    admit(asker, call, *program, number, now);
+    admit(requester, call, *program, number, now);
 }
 
-void scheduler_core::remember_refusal(const protocol::program_call& call, const outcome& result) {
+void scheduler_core::store_refusal(const protocol::program_call& call, const outcome& result) {
     if (result.ran == ran_state::no) {
         programs_[call.program].refused = {call.sequence, call.submission, result};
     }
 }
 
-bool scheduler_core::repeat_refusal(const waiter& asker, const protocol::program_call& call) {
-    // A submission that was overtaken by a later one, of which the caller was told that it did
-    // not run, must not run behind the caller's back.
+bool scheduler_core::resend_refusal(const waiter& requester, const protocol::program_call& call) {
+    // The caller was told that a submission did not run. An older submission that arrives after
+    // it must not run either.
     const refusal_record& last = programs_[call.program].refused;
     if (last.sequence != call.sequence || call.submission > last.submission) {
         return false;
     }
-    reply(asker, last.result);
+    reply(requester, last.result);
     return true;
 }
 
-bool scheduler_core::join_active(const waiter& asker, const protocol::program_call& call) {
+bool scheduler_core::join_active(const waiter& requester, const protocol::program_call& call) {
     active_call* active = call_of(call.program);
     if (active == nullptr) {
         return false;
     }
     if (!is_same_request(active->request, call)) {
         const bool same_sequence = active->request.sequence == call.sequence;
-        reply(asker,
+        reply(requester,
               refusal(same_sequence ? answer_code::identity_conflict
                                     : answer_code::sequence_out_of_order,
                       same_sequence
@@ -92,17 +93,17 @@
                           : "an earlier call of the program is under way; wait for its answer"));
         return true;
     }
-    // A repeat of the request waits for the same answer.
+    // A repeated request waits for the outcome of the active call.
     active->request.submission = std::max(active->request.submission, call.submission);
-    active->waiters.push_back(asker);
+    active->waiters.push_back(requester);
     if (!active->pieces.empty()) {
         output_.messages.push_back(
-            {asker.gateway, protocol::answer_pieces{asker.correlation, 0, active->pieces}});
+            {requester.gateway, protocol::answer_pieces{requester.correlation, 0, active->pieces}});
     }
     return true;
 }
 
-bool scheduler_core::answer_from_record(const waiter& asker, const protocol::program_call& call,
+bool scheduler_core::answer_from_record(const waiter& requester, const protocol::program_call& call,
                                         const journal::program_record& program) {
     const auto found = program.calls.find(call.sequence);
     if (found == program.calls.end()) {
@@ -112,21 +113,22 @@
         outcome expired = refusal(answer_code::answer_expired,
                                   "the call ended long ago and its answer is no longer kept");
         expired.ran = ran_state::yes;
-        reply(asker, std::move(expired));
+        reply(requester, std::move(expired));
         return true;
     }
     const journal::call_record& record = found->second;
     const bool same = record.request_identity == call.request_identity &&
                       record.request_hash == call.request_hash;
     if (!same) {
-        reply(asker, refusal(answer_code::identity_conflict,
-                             "the sequence number belongs to another request; use the next one"));
+        reply(requester,
+              refusal(answer_code::identity_conflict,
+                      "the sequence number belongs to another request; use the next one"));
         return true;
     }
     if (record.phase != journal::call_phase::ended) {
         return false;
     }
-    reply(asker, record.result);
+    reply(requester, record.result);
     return true;
 }
 
@@ -156,7 +158,7 @@
                        "the program's tenant or class has been removed");
     }
     if (repeats) {
-        // It was admitted before; its earlier attempt may have run, so it is not turned away.
+        // The call was admitted before and may have run, so the limits do not apply again.
         return std::nullopt;
     }
     return refuse_over_limit(call, program, *settings, *tenant);
@@ -187,7 +189,7 @@
     return std::nullopt;
 }
 
-void scheduler_core::admit(const waiter& asker, const protocol::program_call& call,
+void scheduler_core::admit(const waiter& requester, const protocol::program_call& call,
                            const journal::program_record& program, shard_id number, instant now) {
     active_call& active = calls_[next_ticket_];
     active.id = next_ticket_++;
@@ -195,7 +197,7 @@
     active.epoch = shards_.at(number).epoch;
     active.root = program.root;
     active.request = call;
-    active.waiters.push_back(asker);
+    active.waiters.push_back(requester);
     active.pieces = call.delivered;
     active.arrived = now;
     active.last_progress = now;
@@ -215,8 +217,9 @@
         set_prompt(active, program);
     }
     if (open) {
-        note(call.program, call.sequence, "asking " + active.target + " whether it ran", now);
-        take_over(active, now);
+        record_decision(call.program, call.sequence, "asking " + active.target + " whether it ran",
+                        now);
+        resume_inherited_attempt(active, now);
         return;
     }
     enqueue(active);
@@ -247,12 +250,12 @@
 const std::vector<scheduling::prefix_point>& scheduler_core::program_points(
     const journal::program_record& program) {
     program_runtime& runtime = programs_[program.id];
-    while (runtime.points_messages < program.history.size()) {
+    while (runtime.hashed_messages < program.history.size()) {
         const scheduling::prefix_point before =
             runtime.points.empty() ? scheduling::prefix_point{} : runtime.points.back();
         runtime.points.push_back(
-            journal::extend_prefix(before, program.history[runtime.points_messages]));
-        ++runtime.points_messages;
+            journal::extend_prefix(before, program.history[runtime.hashed_messages]));
+        ++runtime.hashed_messages;
     }
     return runtime.points;
 }
--- a/src/tallyfold/program_api/scheduler/scheduler_core.cpp
+++ b/src/tallyfold/program_api/scheduler/scheduler_core.cpp
@@ -11,11 +11,11 @@
 using logging::event_id;
 
 constexpr duration housekeeping_interval = std::chrono::seconds(1);
-constexpr duration longest_tick_gap = std::chrono::milliseconds(500);
-constexpr std::size_t kept_decisions = 64;
-constexpr std::uint32_t shortest_retry_after_ms = 100;
-constexpr std::uint32_t longest_retry_after_ms = 10'000;
-/// Time that one queued call is taken to need, for the hint when to come back.
+constexpr duration max_tick_gap = std::chrono::milliseconds(500);
+constexpr std::size_t max_decisions = 64;
+constexpr std::uint32_t min_retry_after_ms = 100;
+constexpr std::uint32_t max_retry_after_ms = 10'000;
+/// Estimated time per queued call, for the suggested retry delay.
 constexpr std::uint32_t milliseconds_per_waiting_call = 20;
 
 }  // namespace
@@ -28,9 +28,9 @@
                 settings_.control_nodes, settings_.heartbeat_interval,
                 settings_.configuration_lease}),
       placement_(settings_.placement),
-      next_status_(now),
-      next_members_(now),
-      next_second_(now) {}
+      next_status_poll_(now),
+      next_members_poll_(now),
+      next_housekeeping_(now) {}
 
 // --- small helpers -------------------------------------------------------------------------
 
@@ -62,9 +62,9 @@
 
 token_count scheduler_core::budget_left(const journal::program_record& program) const {
     const journal::program_record* root = record_of(program.root);
-    const journal::program_record& payer = root == nullptr ? program : *root;
-    const token_count used = payer.charged + payer.reserved;
-    return payer.budget > used ? payer.budget - used : 0;
+    const journal::program_record& budget_owner = root == nullptr ? program : *root;
+    const token_count used = budget_owner.charged + budget_owner.reserved;
+    return budget_owner.budget > used ? budget_owner.budget - used : 0;
 }
 
 attempt_key scheduler_core::key_of(const active_call& call) const {
@@ -75,30 +75,30 @@
     return {call.shard, call.epoch, call.root};
 }
 
-void scheduler_core::reply(const waiter& asker, journal::outcome result) {
+void scheduler_core::reply(const waiter& requester, journal::outcome result) {
     if (result.code != journal::answer_code::ok && result.ran == journal::ran_state::no) {
         ++counters_.calls_refused;
     }
     output_.messages.push_back(
-        {asker.gateway, protocol::scheduler_reply{asker.correlation, std::move(result)}});
+        {requester.gateway, protocol::scheduler_reply{requester.correlation, std::move(result)}});
 }
 
 void scheduler_core::reply_all(active_call& call, const journal::outcome& result) {
     if (result.code != journal::answer_code::ok) {
-        remember_refusal(call.request, result);
+        store_refusal(call.request, result);
     }
-    for (const waiter& asker : call.waiters) {
-        reply(asker, result);
+    for (const waiter& requester : call.waiters) {
+        reply(requester, result);
     }
     call.waiters.clear();
 }
 
-void scheduler_core::note(const program_id& id, sequence_number sequence, std::string text,
-                          instant now) {
-    auto& journey = programs_[id].journey;
-    journey.push_back({now, sequence, std::move(text)});
-    if (journey.size() > kept_decisions) {
-        journey.pop_front();
+void scheduler_core::record_decision(const program_id& id, sequence_number sequence,
+                                     std::string text, instant now) {
+    auto& decisions = programs_[id].decisions;
+    decisions.push_back({now, sequence, std::move(text)});
+    if (decisions.size() > max_decisions) {
+        decisions.pop_front();
     }
 }
 
@@ -112,8 +112,8 @@
         waiting += queue.size();
     }
     const auto base = static_cast<std::uint32_t>(waiting) * milliseconds_per_waiting_call;
-    const std::uint32_t bounded = std::clamp(base, shortest_retry_after_ms, longest_retry_after_ms);
-    // Jitter keeps callers that were refused together from coming back together.
+    const std::uint32_t bounded = std::clamp(base, min_retry_after_ms, max_retry_after_ms);
+    // Jitter prevents refused callers from retrying at the same time.
     return bounded + static_cast<std::uint32_t>(random_.below(bounded / 2 + 1));
 }
 
@@ -172,7 +172,7 @@
             on_append_finished(*finished, now);
         }
     }
-    pump(now);
+    dispatch_queued(now);
 }
 
 void scheduler_core::report(const backend_report& report, instant now) {
@@ -190,7 +190,7 @@
             } else if constexpr (std::is_same_v<body_type, seal_answered>) {
                 on_seal_answered(body, now);
             } else if constexpr (std::is_same_v<body_type, seal_failed>) {
-                // The timer of the call asks again.
+                // check_running_calls sends the seal request again.
             } else if constexpr (std::is_same_v<body_type, release_confirmed>) {
                 for (const program_id& program : body.programs) {
                     cache_releases_.erase({body.backend, program});
@@ -198,20 +198,20 @@
             } else if constexpr (std::is_same_v<body_type, status_answered>) {
                 on_status(body, now);
             } else if constexpr (std::is_same_v<body_type, status_failed>) {
-                for (scheduling::backend_pool& each : pools_) {
-                    each.failed(body.backend, now);
+                for (scheduling::backend_pool& backends : pools_) {
+                    backends.failed(body.backend, now);
                 }
             } else {
                 on_members(body);
             }
         },
         report);
-    pump(now);
+    dispatch_queued(now);
 }
 
-void scheduler_core::forgive_gap(instant now) {
-    if (last_tick_ != instant{} && now - last_tick_ > longest_tick_gap) {
-        // The process was stopped: nobody could reach it, so silence is no sign of neglect.
+void scheduler_core::reset_activity_after_pause(instant now) {
+    if (last_tick_ != instant{} && now - last_tick_ > max_tick_gap) {
+        // The process was paused and received nothing, so idle times must not count the gap.
         for (auto& [id, runtime] : programs_) {
             runtime.last_activity = now;
         }
@@ -220,7 +220,7 @@
 }
 
 void scheduler_core::tick(instant now) {
-    forgive_gap(now);
+    reset_activity_after_pause(now);
     for (protocol::outbound_message& heartbeat : session_.tick(now)) {
         output_.messages.push_back(std::move(heartbeat));
     }
@@ -231,17 +231,17 @@
     check_running_calls(now);
     release_idle_shards(now);
     repeat_cache_releases(now);
-    if (now >= next_second_) {
-        next_second_ = now + housekeeping_interval;
+    if (now >= next_housekeeping_) {
+        next_housekeeping_ = now + housekeeping_interval;
         reap_programs(now);
     }
     const bool fresh = session_.configuration_fresh(now);
-    if (session_.configuration_known() && !fresh && !lease_expiry_noted_) {
+    if (session_.configuration_known() && !fresh && !lease_expiry_logged_) {
         event(event_id::configuration_lease_expired,
               "version=" + std::to_string(configuration().version()));
     }
-    lease_expiry_noted_ = !fresh;
-    pump(now);
+    lease_expiry_logged_ = !fresh;
+    dispatch_queued(now);
 }
 
 // --- configuration -------------------------------------------------------------------------
@@ -252,13 +252,13 @@
     }
     event(event_id::configuration_applied, "version=" + std::to_string(configuration().version()));
     compile_policies();
-    for (scheduling::backend_pool& each : pools_) {
+    for (scheduling::backend_pool& backends : pools_) {
         std::vector<backend_name> names;
-        for (const auto& [name, backend] : each.all()) {
+        for (const auto& [name, backend] : backends.all()) {
             names.push_back(name);
         }
         for (const backend_name& name : names) {
-            each.set_drained(name, configuration().drained(name));
+            backends.set_drained(name, configuration().drained(name));
         }
     }
 }
@@ -276,7 +276,7 @@
             policies_[key.name] = std::move(*compiled);
             continue;
         }
-        // The last good version, if any, stays in use.
+        // The last version that compiled, if any, stays in use.
         ++counters_.policy_failures;
         event(event_id::policy_failed, "policy=" + key.name +
                                            " version=" + std::to_string(item.version) +
@@ -294,7 +294,7 @@
 
 void scheduler_core::check_running_calls(instant now) {
     std::vector<attempt_key> stalled;
-    std::vector<scheduling::ticket> fenced;
+    std::vector<scheduling::ticket> past_deadline;
     for (auto& [id, call] : calls_) {
         const bool streaming =
             call.state == call_state::running && call.request.kind == journal::call_kind::model;
@@ -304,8 +304,8 @@
         if (call.state == call_state::resolving && now >= call.next_try) {
             resolve(call, now);
         }
-        if (call.state == call_state::fencing && now >= call.start_limit) {
-            fenced.push_back(id);
+        if (call.state == call_state::awaiting_start_deadline && now >= call.start_deadline) {
+            past_deadline.push_back(id);
         }
         if (call.state == call_state::resuming && now >= call.next_try) {
             call.state = call_state::running;
@@ -316,16 +316,16 @@
     for (const attempt_key& key : stalled) {
         on_attempt_failed({key, failure_kind::broken}, now);
     }
-    for (const scheduling::ticket id : fenced) {
+    for (const scheduling::ticket id : past_deadline) {
         journal_failure(calls_.at(id), journal::ran_state::unknown, now);
     }
 }
 
 void scheduler_core::reap_programs(instant now) {
     std::vector<std::pair<program_id, shard_id>> idle;
-    // A call under way keeps its whole tree: a parent waits as long as a sub-agent is at work.
+    // An active call counts as activity of its program and root: a parent may wait for a sub-agent.
     for (const auto& [id, ticket] : call_of_program_) {
-        touch(id, now);
+        record_activity(id, now);
     }
     for (const auto& [number, shard] : shards_) {
         if (shard.phase != shard_phase::serving) {
--- a/src/tallyfold/program_api/transport/peer_handshake.cpp
+++ b/src/tallyfold/program_api/transport/peer_handshake.cpp
@@ -20,7 +20,7 @@
     }
 };
 
-/// Answer of the accepting side, with its proof of the cluster key.
+/// Reply of the accepting side, with its proof of the cluster key.
 struct challenge {
     node_name node;
     std::string nonce;
@@ -66,13 +66,13 @@
 }
 
 peer_handshake::progress peer_handshake::on_hello(const std::string& payload) {
-    const auto greeting = protocol::decode<hello>(payload);
-    if (!greeting || greeting->version != protocol_version ||
-        greeting->nonce.size() != nonce_bytes) {
+    const auto hello_message = protocol::decode<hello>(payload);
+    if (!hello_message || hello_message->version != protocol_version ||
+        hello_message->nonce.size() != nonce_bytes) {
         return refuse("malformed hello");
     }
-    peer_ = greeting->node;
-    peer_nonce_ = greeting->nonce;
+    peer_ = hello_message->node;
+    peer_nonce_ = hello_message->nonce;
     nonce_ = random_bytes(nonce_bytes);
     const auto proof = keys_.prove(proof_text("acceptor", peer_, self_, peer_nonce_, nonce_));
     if (!proof) {
@@ -84,10 +84,10 @@
 peer_handshake::progress peer_handshake::on_challenge(const std::string& payload) {
     const auto answer = protocol::decode<challenge>(payload);
     if (!answer || answer->nonce.size() != nonce_bytes || answer->node != peer_) {
-        return refuse("malformed challenge, or another node at this address");
+        return refuse("malformed challenge or unexpected node");
     }
-    const std::string theirs = proof_text("acceptor", self_, peer_, nonce_, answer->nonce);
-    if (!keys_.verify(theirs, answer->proof)) {
+    const std::string acceptor_text = proof_text("acceptor", self_, peer_, nonce_, answer->nonce);
+    if (!keys_.verify(acceptor_text, answer->proof)) {
         return refuse("wrong key");
     }
     const auto proof = keys_.prove(proof_text("dialler", self_, peer_, nonce_, answer->nonce));
--- a/src/tallyfold/program_api/transport/transport.cpp
+++ b/src/tallyfold/program_api/transport/transport.cpp
@@ -14,13 +14,10 @@
 using asio::ip::tcp;
 using logging::event_id;
 
-/// Time between two looks at the connections, and between two attempts to dial. Chosen, not
-/// measured: a restarted node is dialled again well within the time after which it counts as
-/// silent.
+/// Interval of the connection checks, and minimum delay between two connection attempts.
 constexpr auto redial_interval = std::chrono::milliseconds(100);
-/// How long a stopping process leaves its last replies to leave; the peers see the close either
-/// way.
-constexpr auto last_replies = std::chrono::milliseconds(200);
+/// Time for sending the last messages when the process stops; peers detect the close in any case.
+constexpr auto stop_grace = std::chrono::milliseconds(200);
 constexpr std::size_t send_ring_capacity = 16384;
 
 }  // namespace
@@ -51,19 +48,19 @@
     void schedule_drain();
     void drain_outgoing();
     void accept_next();
-    /// @param expected the peer that was dialled; empty for one that was accepted
-    std::shared_ptr<peer_connection> open_link(tcp::socket socket, node_name expected);
+    /// @param expected name of the dialled peer; empty for an accepted connection
+    std::shared_ptr<peer_connection> start_connection(tcp::socket socket, node_name expected);
     void on_timer();
     void redial(const node_name& node, dialled_peer& peer);
-    void opened(const std::shared_ptr<peer_connection>& link) override;
-    void closed(const std::shared_ptr<peer_connection>& link) override;
+    void opened(const std::shared_ptr<peer_connection>& connection) override;
+    void closed(const std::shared_ptr<peer_connection>& connection) override;
     bool deliver(const node_name& from, protocol::internal_message& message) override {
         return handlers_.on_message(from, message);
     }
     void event(event_id id, std::string fields) override {
         handlers_.on_event({id, std::move(fields)});
     }
-    void tell_lost(const node_name& node);
+    void report_lost(const node_name& node);
 
     transport_settings settings_;
     transport_handlers handlers_;
@@ -74,11 +71,11 @@
     tcp::acceptor acceptor_;
     asio::steady_timer timer_;
     std::map<node_name, dialled_peer> peers_;
-    std::set<std::shared_ptr<peer_connection>> links_;
-    /// Open connections by node; a node may have two when both sides dial.
-    std::multimap<node_name, std::shared_ptr<peer_connection>> open_;
-    /// Losses that the handler could not take yet.
-    std::set<node_name> untold_lost_;
+    std::set<std::shared_ptr<peer_connection>> connections_;
+    /// Authenticated connections by node; a node may have two when both sides dial.
+    std::multimap<node_name, std::shared_ptr<peer_connection>> authenticated_;
+    /// Lost nodes that the handler has not accepted yet.
+    std::set<node_name> unreported_losses_;
     std::thread thread_;
 };
 
@@ -112,7 +109,7 @@
         return;
     }
     asio::post(context_, [this] { drain_outgoing(); });
-    std::this_thread::sleep_for(last_replies);
+    std::this_thread::sleep_for(stop_grace);
     context_.stop();
     thread_.join();
 }
@@ -125,8 +122,8 @@
         }
         peer.address = address;
         peer.next_try = {};
-        if (auto link = peer.current.lock()) {
-            link->close("address changed");
+        if (auto connection = peer.current.lock()) {
+            connection->close("address changed");
         }
     });
 }
@@ -143,39 +140,40 @@
 void transport::engine::drain_outgoing() {
     protocol::outbound_message outbound;
     while (outgoing_.try_pop(outbound)) {
-        const auto link = open_.find(outbound.to);
-        if (link == open_.end()) {
-            // Nobody got it: whoever waits for an answer must hear so.
-            tell_lost(outbound.to);
+        const auto connection = authenticated_.find(outbound.to);
+        if (connection == authenticated_.end()) {
+            // Reports the loss, so that requests that wait for a reply from the node are not left
+            // pending.
+            report_lost(outbound.to);
             continue;
         }
-        const std::shared_ptr<peer_connection> target = link->second;
+        const std::shared_ptr<peer_connection> target = connection->second;
         target->write(protocol::encode(outbound.message));
     }
 }
 
-void transport::engine::tell_lost(const node_name& node) {
+void transport::engine::report_lost(const node_name& node) {
     if (!handlers_.on_lost(node)) {
-        untold_lost_.insert(node);
+        unreported_losses_.insert(node);
     }
 }
 
 void transport::engine::accept_next() {
     acceptor_.async_accept([this](std::error_code failure, tcp::socket socket) {
         if (!failure) {
-            (void)open_link(std::move(socket), {});
+            (void)start_connection(std::move(socket), {});
         }
         accept_next();
     });
 }
 
-std::shared_ptr<peer_connection> transport::engine::open_link(tcp::socket socket,
-                                                              node_name expected) {
-    auto link = std::make_shared<peer_connection>(
+std::shared_ptr<peer_connection> transport::engine::start_connection(tcp::socket socket,
+                                                                     node_name expected) {
+    auto connection = std::make_shared<peer_connection>(
         *this, std::move(socket), peer_handshake(keys_, settings_.node, std::move(expected)));
-    links_.insert(link);
-    link->begin();
-    return link;
+    connections_.insert(connection);
+    connection->begin();
+    return connection;
 }
 
 void transport::engine::redial(const node_name& node, dialled_peer& peer) {
@@ -194,7 +192,7 @@
         if (refused) {
             return;
         }
-        dialled.current = open_link(std::move(*socket), node);
+        dialled.current = start_connection(std::move(*socket), node);
     };
     socket->async_connect(tcp::endpoint(address, port), on_connected);
 }
@@ -206,10 +204,11 @@
             redial(node, peer);
         }
     }
-    std::erase_if(untold_lost_, handlers_.on_lost);
-    const std::vector<std::shared_ptr<peer_connection>> links(links_.begin(), links_.end());
-    for (const std::shared_ptr<peer_connection>& link : links) {
-        link->check(now);
+    std::erase_if(unreported_losses_, handlers_.on_lost);
+    const std::vector<std::shared_ptr<peer_connection>> connections(connections_.begin(),
+                                                                    connections_.end());
+    for (const std::shared_ptr<peer_connection>& connection : connections) {
+        connection->check(now);
     }
     timer_.expires_after(redial_interval);
     timer_.async_wait([this](std::error_code failure) {
@@ -219,20 +218,20 @@
     });
 }
 
-void transport::engine::opened(const std::shared_ptr<peer_connection>& link) {
-    open_.emplace(link->node(), link);
-    event(event_id::peer_connected, "peer=" + link->node());
+void transport::engine::opened(const std::shared_ptr<peer_connection>& connection) {
+    authenticated_.emplace(connection->node(), connection);
+    event(event_id::peer_connected, "peer=" + connection->node());
 }
 
-void transport::engine::closed(const std::shared_ptr<peer_connection>& link) {
-    links_.erase(link);
-    const auto [begin, end] = open_.equal_range(link->node());
+void transport::engine::closed(const std::shared_ptr<peer_connection>& connection) {
+    connections_.erase(connection);
+    const auto [begin, end] = authenticated_.equal_range(connection->node());
     for (auto candidate = begin; candidate != end; ++candidate) {
-        if (candidate->second == link) {
-            open_.erase(candidate);
+        if (candidate->second == connection) {
+            authenticated_.erase(candidate);
             event(event_id::peer_lost,
-                  "peer=" + link->node() + " reason=\"" + link->reason() + "\"");
-            tell_lost(link->node());
+                  "peer=" + connection->node() + " reason=\"" + connection->reason() + "\"");
+            report_lost(connection->node());
             return;
         }
     }
--- a/stand_ins/service_process_shell.cpp
+++ b/stand_ins/service_process_shell.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The emulated app or tool service as a process: what ran is on disk before it is answered.
+/// Process of the emulated app or tool service. Syncs the record of a run before responding.
 
 #include <map>
 
@@ -38,7 +38,9 @@
         }
     }
 
-    bool on_other(net::exchange_pointer /*exchange*/, instant /*now*/) override { return false; }
+    bool on_other_request(net::exchange_pointer /*exchange*/, instant /*now*/) override {
+        return false;
+    }
     void on_leave() override { core_.leave(); }
 
     bool step(instant now) override {
@@ -65,7 +67,7 @@
                    leaving ? "leaving" : "refused");
             return;
         }
-        // The answer must not leave before it is certain that the run will be remembered.
+        // The run must be durable before the response is sent.
         store_.add_run(request, core_.record().answers.at(request.key.text()));
         require_synced();
         readers_[request.key] = std::move(exchange);
